--- a/catalog/banned_test.go
+++ b/catalog/banned_test.go
@@ -16,10 +16,10 @@
 func bans(id quarantine.Identity) catalog.Change {
 	return &catalog.RequestBanned{
 		Verdict: quarantine.Verdict{
-			Identity: id,
-			State:    quarantine.Banned,
-			For:      time.Minute,
-			Times:    1,
+			Identity:  id,
+			State:     quarantine.Banned,
+			Remaining: time.Minute,
+			BanCount:  1,
 		},
 	}
 }
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -40,7 +40,7 @@
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			data := batch(b, 0, n)
 			for b.Loop() {
-				NewBook().Apply(logsvc.Batch{
+				NewRegistry().Apply(logsvc.Batch{
 					Earliest: 1,
 					Next:     2,
 					Records: []logsvc.Record{
@@ -62,7 +62,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			book := NewBook()
+			book := NewRegistry()
 			const step = 500
 			for i := range n / step {
 				book.Apply(logsvc.Batch{
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -76,7 +76,7 @@
 		log := standin.NewLog(standin.LogSettings{})
 		writer := NewWriter(Settings{}, log)
 		defer writer.Close()
-		claimer := NewClaimer(func(int) []Asker { return []Asker{writer} })
+		claimer := NewClaimer(func(int) []Service { return []Service{writer} })
 		defer claimer.Close()
 		log.SetFaults(standin.Faults{Outage: true})
 		start := time.Now()
@@ -125,7 +125,7 @@
 	freed bool
 }
 
-// naiveHolder is the rule of Book in its simplest form: it replays the whole
+// naiveHolder is the rule of Registry in its simplest form: it replays the whole
 // history of a key for each question. A claim that found the key held, or was
 // given up before, is lost for good.
 func naiveHolder(history []naive, k Key) string {
@@ -152,11 +152,11 @@
 	return false
 }
 
-// TestBookAgainstNaive compares Book with the naive rule on histories in which
+// TestBookAgainstNaive compares Registry with the naive rule on histories in which
 // claims of one request stand twice, and are given up before and after.
 func TestBookAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book := NewBook()
+		book := NewRegistry()
 		var history []naive
 		for range rapid.IntRange(1, 14).Draw(t, "entries") {
 			key := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
@@ -165,7 +165,7 @@
 				freed: rapid.Bool().Draw(t, "freed"),
 			}
 			history = append(history, e)
-			book.entry(encode(e.claim, e.freed))
+			book.applyEntry(encode(e.claim, e.freed))
 			got, _ := book.Holder(e.claim.Key)
 			if want := naiveHolder(history, e.claim.Key); got.Request != want {
 				t.Fatalf("book says that %q holds the key, the naive rule %q", got.Request, want)
@@ -178,7 +178,7 @@
 // goes on with what is kept.
 func TestRetention(t *testing.T) {
 	is := is.New(t)
-	b := NewBook()
+	b := NewRegistry()
 	b.Apply(logsvc.Batch{
 		Earliest: 50,
 		Next:     50,
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -13,8 +13,8 @@
 	"github.com/linkmast/linkmast/claim/claimpb"
 )
 
-// Asker asks for claims: a Writer of this process or a Client of another.
-type Asker interface {
+// Service asks for claims: a Writer of this process or a Client of another.
+type Service interface {
 	// Claim returns the claim that holds the key.
 	Claim(ctx context.Context, c Claim) (Claim, error)
 	// Free gives up a claim that was not dispatched and never will be.
@@ -22,13 +22,13 @@
 }
 
 // Route returns the instances that may write a partition, the usual one first.
-type Route func(partition int) []Asker
+type Route func(partition int) []Service
 
-// freeInterval is how often a claim that was given up is tried to be freed.
-const freeInterval = time.Second
+// freeRetryInterval is how often a claim that was given up is tried to be freed.
+const freeRetryInterval = time.Second
 
-// tryTimeout bounds the wait for one writer, so that there is time for another.
-const tryTimeout = 1200 * time.Millisecond
+// writerTimeout bounds the wait for one writer, so that there is time for another.
+const writerTimeout = 1200 * time.Millisecond
 
 // freeTimeout bounds one such try.
 const freeTimeout = 3 * time.Second
@@ -42,18 +42,18 @@
 	route  Route
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	givenUp map[string]Claim
+	mu     sync.Mutex
+	toFree map[string]Claim
 }
 
 // NewClaimer starts a claimer.
 func NewClaimer(route Route) *Claimer {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Claimer{
-		Done:    make(chan struct{}),
-		route:   route,
-		cancel:  cancel,
-		givenUp: make(map[string]Claim),
+		Done:   make(chan struct{}),
+		route:  route,
+		cancel: cancel,
+		toFree: make(map[string]Claim),
 	}
 	go c.loop(ctx)
 	return c
@@ -70,7 +70,7 @@
 func (c *Claimer) Claim(ctx context.Context, claim Claim) (Claim, error) {
 	var last error
 	for _, w := range c.route(claim.Key.Partition(Partitions)) {
-		try, cancel := context.WithTimeout(ctx, tryTimeout)
+		try, cancel := context.WithTimeout(ctx, writerTimeout)
 		winner, err := w.Claim(try, claim)
 		cancel()
 		if err == nil {
@@ -81,26 +81,26 @@
 			break
 		}
 	}
-	c.GiveUp(claim)
+	c.FreeLater(claim)
 	if last == nil {
 		last = errors.Wrap(ErrLog, "no instance writes claims")
 	}
 	return Claim{}, last
 }
 
-// GiveUp frees a claim that was not dispatched and never will be, as soon as
+// FreeLater frees a claim that was not dispatched and never will be, as soon as
 // the log allows.
-func (c *Claimer) GiveUp(claim Claim) {
+func (c *Claimer) FreeLater(claim Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.givenUp[claim.Request] = claim
+	c.toFree[claim.Request] = claim
 }
 
 // Pending returns how many claims wait to be freed.
 func (c *Claimer) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.givenUp)
+	return len(c.toFree)
 }
 
 func (c *Claimer) loop(ctx context.Context) {
@@ -109,7 +109,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(freeInterval):
+		case <-time.After(freeRetryInterval):
 		}
 		c.freeAll(ctx)
 	}
@@ -118,8 +118,8 @@
 // freeAll tries to free each claim that was given up.
 func (c *Claimer) freeAll(ctx context.Context) {
 	c.mu.Lock()
-	waiting := make([]Claim, 0, len(c.givenUp))
-	for _, claim := range c.givenUp {
+	waiting := make([]Claim, 0, len(c.toFree))
+	for _, claim := range c.toFree {
 		waiting = append(waiting, claim)
 	}
 	c.mu.Unlock()
@@ -128,7 +128,7 @@
 		all.Go(func() {
 			if !claim.ValidUntil.After(time.Now()) || c.free(ctx, claim) {
 				c.mu.Lock()
-				delete(c.givenUp, claim.Request)
+				delete(c.toFree, claim.Request)
 				c.mu.Unlock()
 			}
 		})
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -5,7 +5,7 @@
 //
 // Before such a request is dispatched, a claim on its key is appended to the
 // platform's log. Keys are spread over partitions, each a stream of the log.
-// The first claim on a key by offset holds it (Book), and only the instance
+// The first claim on a key by offset holds it (Registry), and only the instance
 // that wrote it dispatches, once. A claim that was given up before dispatch is
 // freed by its own writer, and then the next one holds.
 //
--- a/claim/book.go
+++ b/claim/registry.go
@@ -42,17 +42,17 @@
 	ValidUntil time.Time
 }
 
-// Book is who holds which key of one partition, as its stream tells. The zero
+// Registry is who holds which key of one partition, as its stream tells. The zero
 // value is not usable; use NewBook.
-type Book struct {
+type Registry struct {
 	next  int64
 	keys  map[Key]Claim
 	freed map[string]time.Time
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{
+// NewRegistry returns an empty book.
+func NewRegistry() *Registry {
+	return &Registry{
 		next:  1,
 		keys:  make(map[Key]Claim),
 		freed: make(map[string]time.Time),
@@ -60,30 +60,30 @@
 }
 
 // Next returns the offset to read next.
-func (b *Book) Next() int64 {
+func (b *Registry) Next() int64 {
 	return b.next
 }
 
 // Len returns the number of keys held.
-func (b *Book) Len() int {
+func (b *Registry) Len() int {
 	return len(b.keys)
 }
 
 // Holder returns the claim that holds a key.
-func (b *Book) Holder(k Key) (Claim, bool) {
+func (b *Registry) Holder(k Key) (Claim, bool) {
 	c, ok := b.keys[k]
 	return c, ok
 }
 
 // Freed states whether the claim of a request was given up.
-func (b *Book) Freed(request string) bool {
+func (b *Registry) Freed(request string) bool {
 	_, ok := b.freed[request]
 	return ok
 }
 
 // Apply takes over the records of a batch that are due, in order. Records that
 // are no longer kept were of keys whose validity has ended.
-func (b *Book) Apply(batch logsvc.Batch) {
+func (b *Registry) Apply(batch logsvc.Batch) {
 	b.next = max(b.next, batch.Earliest)
 	for _, r := range batch.Records {
 		if r.Offset != b.next {
@@ -96,13 +96,13 @@
 			continue
 		}
 		for _, e := range rec.Entries {
-			b.entry(e)
+			b.applyEntry(e)
 		}
 	}
 }
 
-// entry takes over one claim, or the end of one.
-func (b *Book) entry(e *claimpb.Entry) {
+// applyEntry takes over one claim, or the end of one.
+func (b *Registry) applyEntry(e *claimpb.Entry) {
 	if len(e.Key) != sha256.Size {
 		return
 	}
@@ -121,7 +121,7 @@
 }
 
 // Expire forgets what ended before a moment.
-func (b *Book) Expire(before time.Time) {
+func (b *Registry) Expire(before time.Time) {
 	for k, c := range b.keys {
 		if c.ValidUntil.Before(before) {
 			delete(b.keys, k)
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -19,8 +19,8 @@
 // Partitions is the number of partitions. It is the same for all instances.
 const Partitions = 8
 
-// StreamOf returns the name of a partition's stream.
-func StreamOf(partition int) string {
+// StreamName returns the name of a partition's stream.
+func StreamName(partition int) string {
 	return fmt.Sprintf("claims-%02d", partition)
 }
 
@@ -31,9 +31,9 @@
 	AppendsPerSecond float64
 	// CallTimeout bounds one call to the log; the default is 1s.
 	CallTimeout time.Duration
-	// Keep is how long keys are remembered beyond their validity; the default
+	// Retention is how long keys are remembered beyond their validity; the default
 	// is 10s.
-	Keep time.Duration
+	Retention time.Duration
 }
 
 const (
@@ -67,22 +67,22 @@
 
 // partition is the writer's part for one stream.
 type partition struct {
-	stream string
-	limit  *rate.Limiter
-	asked  chan ask
-	// book is used by the partition's own goroutine alone.
-	book *Book
+	stream   string
+	limit    *rate.Limiter
+	requests chan entryRequest
+	// registry is used by the partition's own goroutine alone.
+	registry *Registry
 }
 
-// ask is an entry on its way into the log.
-type ask struct {
+// entryRequest is an entry on its way into the log.
+type entryRequest struct {
 	claim  Claim
 	freed  bool
-	answer chan reply
+	result chan outcome
 }
 
-// reply is what the log decided.
-type reply struct {
+// outcome is what the log decided.
+type outcome struct {
 	winner Claim
 	err    error
 }
@@ -95,8 +95,8 @@
 	if s.CallTimeout == 0 {
 		s.CallTimeout = defaultTimeout
 	}
-	if s.Keep == 0 {
-		s.Keep = defaultKeep
+	if s.Retention == 0 {
+		s.Retention = defaultKeep
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Writer{
@@ -108,10 +108,10 @@
 	}
 	for i := range w.parts {
 		w.parts[i] = &partition{
-			stream: StreamOf(i),
-			limit:  rate.NewLimiter(rate.Limit(s.AppendsPerSecond), appendBurst),
-			asked:  make(chan ask),
-			book:   NewBook(),
+			stream:   StreamName(i),
+			limit:    rate.NewLimiter(rate.Limit(s.AppendsPerSecond), appendBurst),
+			requests: make(chan entryRequest),
+			registry: NewRegistry(),
 		}
 		w.wait.Go(func() { w.loop(w.parts[i]) })
 	}
@@ -131,30 +131,30 @@
 // Claim returns the claim that holds the key, which may be c itself. It fails
 // with ErrLog when the log did not decide in time.
 func (w *Writer) Claim(ctx context.Context, c Claim) (Claim, error) {
-	return w.ask(ctx, c, false)
+	return w.submit(ctx, c, false)
 }
 
 // Free gives up a claim that was not dispatched and never will be.
 func (w *Writer) Free(ctx context.Context, c Claim) error {
-	_, err := w.ask(ctx, c, true)
+	_, err := w.submit(ctx, c, true)
 	return err
 }
 
-func (w *Writer) ask(ctx context.Context, c Claim, freed bool) (Claim, error) {
-	a := ask{
+func (w *Writer) submit(ctx context.Context, c Claim, freed bool) (Claim, error) {
+	a := entryRequest{
 		claim:  c,
 		freed:  freed,
-		answer: make(chan reply, 1),
+		result: make(chan outcome, 1),
 	}
 	select {
-	case w.parts[c.Key.Partition(Partitions)].asked <- a:
+	case w.parts[c.Key.Partition(Partitions)].requests <- a:
 	case <-ctx.Done():
 		return Claim{}, errors.Wrap(ErrLog, ctx.Err().Error())
 	case <-w.ctx.Done():
 		return Claim{}, errors.Wrap(ErrLog, "writer is closed")
 	}
 	select {
-	case r := <-a.answer:
+	case r := <-a.result:
 		return r.winner, r.err
 	case <-ctx.Done():
 		return Claim{}, errors.Wrap(ErrLog, ctx.Err().Error())
@@ -164,26 +164,26 @@
 // loop writes one partition's batches.
 func (w *Writer) loop(p *partition) {
 	for {
-		var batch []ask
+		var batch []entryRequest
 		select {
-		case a := <-p.asked:
+		case a := <-p.requests:
 			batch = append(batch, a)
 		case <-w.ctx.Done():
 			return
 		}
 		batch = w.gather(p, batch)
 		w.settle(p, batch)
-		p.book.Expire(time.Now().Add(-w.settings.Keep))
+		p.registry.Expire(time.Now().Add(-w.settings.Retention))
 	}
 }
 
 // gather collects more entries until the partition may append again.
-func (w *Writer) gather(p *partition, batch []ask) []ask {
+func (w *Writer) gather(p *partition, batch []entryRequest) []entryRequest {
 	due := time.NewTimer(p.limit.Reserve().Delay())
 	defer due.Stop()
 	for len(batch) < maxBatch {
 		select {
-		case a := <-p.asked:
+		case a := <-p.requests:
 			batch = append(batch, a)
 		case <-due.C:
 			return w.drain(p, batch)
@@ -195,10 +195,10 @@
 }
 
 // drain adds what waits right now.
-func (w *Writer) drain(p *partition, batch []ask) []ask {
+func (w *Writer) drain(p *partition, batch []entryRequest) []entryRequest {
 	for len(batch) < maxBatch {
 		select {
-		case a := <-p.asked:
+		case a := <-p.requests:
 			batch = append(batch, a)
 		default:
 			return batch
@@ -209,8 +209,8 @@
 
 // settle appends a batch, reads what the log decided, and answers. Claims on
 // keys that are known to be held are answered without an append.
-func (w *Writer) settle(p *partition, batch []ask) {
-	batch = w.known(p, batch)
+func (w *Writer) settle(p *partition, batch []entryRequest) {
+	batch = w.answerHeld(p, batch)
 	if len(batch) == 0 {
 		return
 	}
@@ -219,60 +219,60 @@
 		err = w.catchUp(p)
 	}
 	for _, a := range batch {
-		a.answer <- decide(p.book, a, err)
+		a.result <- outcomeOf(p.registry, a, err)
 	}
 }
 
-// known answers the claims on keys that the book holds already.
-func (w *Writer) known(p *partition, batch []ask) []ask {
+// answerHeld answers the claims on keys that the book holds already.
+func (w *Writer) answerHeld(p *partition, batch []entryRequest) []entryRequest {
 	rest := batch[:0]
 	for _, a := range batch {
-		holder, held := p.book.Holder(a.claim.Key)
+		holder, held := p.registry.Holder(a.claim.Key)
 		if a.freed || !held {
 			rest = append(rest, a)
 			continue
 		}
-		a.answer <- reply{
+		a.result <- outcome{
 			winner: holder,
 		}
 	}
 	return rest
 }
 
-// decide returns the answer to one entry. With an error the book is consulted
+// outcomeOf returns the answer to one entry. With an error the book is consulted
 // all the same: the claim may have been written and read.
-func decide(b *Book, a ask, err error) reply {
+func outcomeOf(b *Registry, a entryRequest, err error) outcome {
 	if a.freed {
 		if b.Freed(a.claim.Request) {
-			return reply{}
+			return outcome{}
 		}
-		return reply{
+		return outcome{
 			err: errors.Wrap(ErrLog, "not freed"),
 		}
 	}
 	holder, held := b.Holder(a.claim.Key)
 	switch {
 	case held && err == nil:
-		return reply{
+		return outcome{
 			winner: holder,
 		}
 	case b.Freed(a.claim.Request):
-		return reply{
+		return outcome{
 			err: errors.Wrap(ErrLog, "the claim was given up"),
 		}
 	case err == nil:
-		return reply{
+		return outcome{
 			err: errors.Wrap(ErrLog, "the claim is not in the log"),
 		}
 	}
-	return reply{
+	return outcome{
 		err: errors.Wrap(ErrLog, err.Error()),
 	}
 }
 
 // append adds a batch as one record. An unknown effect is no error: reading
 // settles it.
-func (w *Writer) append(p *partition, batch []ask) error {
+func (w *Writer) append(p *partition, batch []entryRequest) error {
 	rec := &claimpb.Record{}
 	for _, a := range batch {
 		rec.Entries = append(rec.Entries, encode(a.claim, a.freed))
@@ -294,12 +294,12 @@
 	ctx, cancel := context.WithTimeout(w.ctx, w.settings.CallTimeout)
 	defer cancel()
 	for {
-		b, err := w.log.Read(ctx, p.stream, p.book.Next(), 0)
+		b, err := w.log.Read(ctx, p.stream, p.registry.Next(), 0)
 		if err != nil {
 			return err
 		}
-		p.book.Apply(b)
-		if p.book.Next() >= b.Next {
+		p.registry.Apply(b)
+		if p.registry.Next() >= b.Next {
 			return nil
 		}
 	}
--- a/cmd/linkmastctl/release_test.go
+++ b/cmd/linkmastctl/release_test.go
@@ -39,10 +39,10 @@
 			defer server.Close()
 			address := strings.TrimPrefix(server.URL, "http://")
 			is.NoErr(platform.NewStore(wirehttp.Client(), address).RecordBan(t.Context(), quarantine.Verdict{
-				Identity: 0x1f,
-				State:    quarantine.Banned,
-				For:      time.Minute,
-				Times:    1,
+				Identity:  0x1f,
+				State:     quarantine.Banned,
+				Remaining: time.Minute,
+				BanCount:  1,
 			}))
 			store.SetFaults(platformtest.StoreFaults{
 				Refuse: row.away,
--- a/entry/call.go
+++ b/entry/call.go
@@ -21,7 +21,7 @@
 		job: j,
 	}
 	for {
-		j.history.Settle(ctx)
+		j.history.WaitSettled(ctx)
 		h, fail := e.lease(ctx, s, j.work(1))
 		if fail != nil {
 			return fail
--- a/entry/complete.go
+++ b/entry/complete.go
@@ -55,7 +55,7 @@
 		job: j,
 	}
 	for {
-		j.history.Settle(ctx)
+		j.history.WaitSettled(ctx)
 		team, fail := e.gather(ctx, s)
 		if fail != nil {
 			return fail
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -12,7 +12,7 @@
 
 // known notes what a request is known by, whatever its try is named and wherever it comes.
 func (j *job) known(r *http.Request, body []byte) {
-	j.history = quarantine.History{
+	j.history = quarantine.RequestHistory{
 		Identity: quarantine.Identify(r.RequestURI, j.customer.ID, body),
 		Request:  j.id,
 	}
@@ -23,12 +23,12 @@
 	if e.parts.Quarantine == nil {
 		return func() {}, nil
 	}
-	p, after, ok := e.parts.Quarantine.Enter(j.history.Identity)
+	p, after, ok := e.parts.Quarantine.Admit(j.history.Identity)
 	if !ok {
 		return nil, e.crashes(j, after)
 	}
-	j.single = p.Once
-	return p.Leave, nil
+	j.single = p.SingleEndpoint
+	return p.Release, nil
 }
 
 // barred returns the final answer to a request that was banned meanwhile, or nil. It guards
@@ -38,7 +38,7 @@
 	if e.parts.Quarantine == nil {
 		return nil
 	}
-	after, banned := e.parts.Quarantine.Barred(j.history.Identity)
+	after, banned := e.parts.Quarantine.BanRemaining(j.history.Identity)
 	if !banned {
 		return nil
 	}
@@ -48,7 +48,7 @@
 // crashes returns the refusal of a request that crashes endpoints.
 func (e *Entry) crashes(j *job, after time.Duration) *problem.Error {
 	e.metrics.add("refused_quarantine", 1)
-	p := problem.Busy(problem.CodeCrashes, quarantine.Refused, after)
+	p := problem.Busy(problem.CodeCrashes, quarantine.BannedDetail, after)
 	p.Ran = j.ran()
 	return p
 }
@@ -62,18 +62,18 @@
 	for _, h := range leases {
 		addresses = append(addresses, h.Address)
 	}
-	e.detector.Broke(&j.history, quarantine.Broken{
-		Attempt:  leases[0].attempt,
-		Began:    began,
-		Worked:   addresses,
-		Suspects: addresses,
+	e.detector.AttemptFailed(&j.history, quarantine.FailedAttempt{
+		Attempt:   leases[0].attempt,
+		StartedAt: began,
+		Endpoints: addresses,
+		Suspects:  addresses,
 	})
 }
 
 // served notes a whole answer.
 func (e *Entry) served(j *job) {
 	if e.parts.Quarantine != nil {
-		e.parts.Quarantine.Served(j.history.Identity)
+		e.parts.Quarantine.ReportAnswered(j.history.Identity)
 	}
 }
 
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -126,7 +126,7 @@
 		s.skip = append(s.skip, c.endpoint)
 		return nil, true
 	}
-	by, ok := e.parts.Members().Owner(c.endpoint, j.view.Region(endpoint.FailureDomain))
+	by, ok := e.parts.Members().RegionalOwner(c.endpoint, j.view.Region(endpoint.FailureDomain))
 	if !ok {
 		return nil, false
 	}
--- a/entry/http.go
+++ b/entry/http.go
@@ -190,7 +190,7 @@
 	defer leave()
 	ctx, cancel := context.WithTimeout(r.Context(), steady.Until(j.deadline))
 	defer cancel()
-	giveBack, refusal := e.parts.Borrower.Take(ctx, j.customer.ID, limit.Bounds{
+	giveBack, refusal := e.parts.Borrower.Acquire(ctx, j.customer.ID, limit.Quota{
 		Rate:        j.customer.RequestsPerSecond,
 		Concurrency: j.customer.Concurrency,
 	})
--- a/entry/job.go
+++ b/entry/job.go
@@ -38,7 +38,7 @@
 	tokens int
 	// history has its identity, which is the same for all tries of the request, at any instance,
 	// and what its attempts showed.
-	history quarantine.History
+	history quarantine.RequestHistory
 	// single states that it may run at one endpoint only, as its ban is just over.
 	single bool
 	// dispatches counts the attempts that may have reached an endpoint.
--- a/entry/once.go
+++ b/entry/once.go
@@ -52,7 +52,7 @@
 	case fail == nil:
 		k.end(nil)
 	case j.dispatches == 0:
-		e.parts.Claimer.GiveUp(*j.claim)
+		e.parts.Claimer.FreeLater(*j.claim)
 		k.end(errGivenUp)
 	default:
 		k.end(errNoAnswer)
--- a/entry/team.go
+++ b/entry/team.go
@@ -175,7 +175,7 @@
 	if !ok {
 		return nil, s.refusal()
 	}
-	by, ok := e.parts.Members().Owner(id, j.view.Region(endpoint.FailureDomain))
+	by, ok := e.parts.Members().RegionalOwner(id, j.view.Region(endpoint.FailureDomain))
 	if !ok {
 		return nil, s.refusal()
 	}
--- a/fleet/vnode_test.go
+++ b/fleet/vnode_test.go
@@ -36,8 +36,8 @@
 	claimer *claim.Claimer
 	lender  *limit.Lender
 	borrow  *limit.Borrower
-	book    *quarantine.Book
-	sharing *quarantine.Sharing
+	book    *quarantine.Registry
+	sharing *quarantine.PeerGuard
 	cancel  context.CancelFunc
 	done    chan struct{}
 }
@@ -149,21 +149,21 @@
 
 // Repeater implements rollout.Peers.
 func (n *vnode) Repeater() bool {
-	i, _ := n.member.View().Keeper("repeater")
+	i, _ := n.member.View().GlobalOwner("repeater")
 	return i.ID == n.id
 }
 
-// Borrow implements limit.Keepers.
-func (n *vnode) Borrow(ctx context.Context, a limit.Ask, b limit.Bounds) (limit.Loan, error) {
-	i, _ := n.member.View().Keeper(a.Customer)
+// Borrow implements limit.QuotaOwners.
+func (n *vnode) Borrow(ctx context.Context, a limit.LoanRequest, b limit.Quota) (limit.Loan, error) {
+	i, _ := n.member.View().GlobalOwner(a.Customer)
 	if err := n.fleet.gate(ctx, n.id, i.ID); err != nil {
 		return limit.Loan{}, err
 	}
 	return n.fleet.nodes[i.ID].lender.Lend(a, b, time.Now()), nil
 }
 
-// Nodes implements limit.Keepers.
-func (n *vnode) Nodes() int { return len(n.member.View().Nodes) }
+// InstanceCount implements limit.QuotaOwners.
+func (n *vnode) InstanceCount() int { return len(n.member.View().Nodes) }
 
 // vasker reaches the writer on another node.
 type vasker struct {
@@ -188,9 +188,9 @@
 	return a.to.writer.Free(ctx, c)
 }
 
-func (n *vnode) route(partition int) []claim.Asker {
-	var out []claim.Asker
-	for _, i := range n.member.View().Ranked(claim.StreamOf(partition), 2) {
+func (n *vnode) route(partition int) []claim.Service {
+	var out []claim.Service
+	for _, i := range n.member.View().Ranked(claim.StreamName(partition), 2) {
 		out = append(out, &vasker{
 			from: n,
 			to:   n.fleet.nodes[i.ID],
@@ -199,8 +199,8 @@
 	return out
 }
 
-// Counters implements quarantine.Peers.
-func (n *vnode) Counters(id quarantine.Identity) []string {
+// CountingInstances implements quarantine.Peers.
+func (n *vnode) CountingInstances(id quarantine.Identity) []string {
 	var out []string
 	for _, i := range n.member.View().Ranked(id.String(), 2) {
 		out = append(out, i.ID)
@@ -214,21 +214,21 @@
 // Others implements quarantine.Peers.
 func (n *vnode) Others() []string { return n.Addresses() }
 
-// Report implements quarantine.Peers.
-func (n *vnode) Report(ctx context.Context, instance string, c quarantine.Crash) error {
+// SendCrash implements quarantine.Peers.
+func (n *vnode) SendCrash(ctx context.Context, instance string, c quarantine.Crash) error {
 	if err := n.fleet.gate(ctx, n.id, instance); err != nil {
 		return err
 	}
-	n.fleet.nodes[instance].book.Report(c)
+	n.fleet.nodes[instance].book.ReportCrash(c)
 	return nil
 }
 
-// Tell implements quarantine.Peers.
-func (n *vnode) Tell(ctx context.Context, instance string, v quarantine.Verdict) error {
+// SendVerdict implements quarantine.Peers.
+func (n *vnode) SendVerdict(ctx context.Context, instance string, v quarantine.Verdict) error {
 	if err := n.fleet.gate(ctx, n.id, instance); err != nil {
 		return err
 	}
-	n.fleet.nodes[instance].book.Learn(v)
+	n.fleet.nodes[instance].book.ApplyVerdict(v)
 	return nil
 }
 
@@ -282,7 +282,7 @@
 	n.lender = limit.NewLender(0)
 	n.borrow = limit.NewBorrower(id, n)
 	n.book = quarantine.New(steady.Now, nil, logr.Discard())
-	n.sharing = quarantine.NewSharing(n.book, n, logr.Discard())
+	n.sharing = quarantine.NewPeerGuard(n.book, n, logr.Discard())
 	n.entry = entry.New(entry.Settings{
 		Self:     self,
 		Strategy: strategyNamed(strategy),
@@ -290,7 +290,7 @@
 		Configuration: n.rollout.View,
 		Members:       n.member.View,
 		Leaser:        n.leaser,
-		Suspect:       n.member.Suspect,
+		Suspect:       n.member.ReportFailure,
 		Endpoints:     n,
 		Claimer:       n.claimer,
 		Borrower:      n.borrow,
@@ -325,7 +325,7 @@
 	}
 	var mine []owner.Target
 	for _, e := range v.File.Endpoints {
-		by, ok := m.Owner(e.ID, Region)
+		by, ok := m.RegionalOwner(e.ID, Region)
 		if !ok || by.ID != n.id {
 			continue
 		}
@@ -333,7 +333,7 @@
 			Endpoint: e,
 		}
 		if e.Model != "" {
-			t.Want = order.State{
+			t.Desired = order.State{
 				Model:   e.Model,
 				Version: version,
 			}
@@ -344,7 +344,7 @@
 		}
 		mine = append(mine, t)
 	}
-	n.owner.Own(mine)
+	n.owner.SetOwned(mine)
 	n.entry.Rebuild()
 	for id := range m.Nodes {
 		if n.fleet.gate(ctx, n.id, id) == nil {
--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -24,7 +24,7 @@
 	all.Set("relay", g.relay.Metrics.Vars)
 	all.Set("pools", expvar.Func(func() any { return g.pools.Figures() }))
 	all.Set("store", expvar.Func(func() any { return g.storeFigures() }))
-	all.Set("quarantine", expvar.Func(func() any { return g.quarantine.Figures() }))
+	all.Set("quarantine", expvar.Func(func() any { return g.quarantine.Stats() }))
 	all.Set("process", expvar.Func(func() any { return g.processFigures() }))
 	w.Header().Set("Content-Type", "application/json")
 	// The reader may have gone; there is nobody left to tell.
--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -80,11 +80,11 @@
 }
 
 // turn returns the place of this instance in showing whether a request still crashes endpoints.
-func (g *Gateway) turn(id quarantine.Identity) quarantine.Turn {
+func (g *Gateway) turn(id quarantine.Identity) quarantine.RetestTurn {
 	before, of := g.catalog.Place("ban/" + id.String())
-	return quarantine.Turn{
-		Before: before,
-		Of:     of,
+	return quarantine.RetestTurn{
+		Position:  before,
+		Instances: of,
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -50,10 +50,10 @@
 	placer *pool.Client
 	// quarantine is what is known of requests that crash endpoints, and recorder keeps its
 	// bans in the store.
-	quarantine *quarantine.Book
+	quarantine *quarantine.Registry
 	recorder   *quarantine.Recorder
 	// notices is what endpoints say of themselves in answers.
-	notices  *notice.Book
+	notices  *notice.Registry
 	relay    *relay.Relay
 	upstream *upstream.Pool
 	// peers are the connections to other instances, and rpc serves theirs.
@@ -117,7 +117,7 @@
 		changed := g.catalog.Changed()
 		if s := g.catalog.Snapshot(); s != nil {
 			g.pools.Update(s)
-			g.notices.Keep(func(instance string) bool {
+			g.notices.RemoveUnlisted(func(instance string) bool {
 				_, listed := s.Endpoints[instance]
 				return listed
 			})
@@ -126,7 +126,7 @@
 				g.placer.Update(s)
 			}
 			if !maps.Equal(banned, s.Banned) {
-				g.quarantine.Recorded(banned, s.Banned)
+				g.quarantine.SyncStored(banned, s.Banned)
 				banned = s.Banned
 			}
 			if !known && s.Complete {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -221,7 +221,7 @@
 // figures are some of what an instance tells on its admin address.
 type figures struct {
 	Pools      map[string]pool.Figures `json:"pools"`
-	Quarantine quarantine.Figures      `json:"quarantine"`
+	Quarantine quarantine.Stats        `json:"quarantine"`
 	Store      struct {
 		Endpoints int `json:"endpoints"`
 		Departed  int `json:"departed"`
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -9,7 +9,7 @@
 
 // heardAt takes over what an answer to a question or an order says of the endpoint at an
 // address. Where several are listed there it is not known which of them gave it.
-func (g *Gateway) heardAt(address string, s notice.Said) {
+func (g *Gateway) heardAt(address string, s notice.Statements) {
 	snap := g.catalog.Snapshot()
 	if snap == nil {
 		return
@@ -23,8 +23,8 @@
 	if len(at) != 1 {
 		return
 	}
-	g.placer.Heard(notice.Answer{
-		Instance: at[0].Instance,
-		Born:     at[0].Born,
+	g.placer.RecordAnswer(notice.Answer{
+		Instance:  at[0].Instance,
+		StartedAt: at[0].Born,
 	}, s)
 }
--- a/limit/borrower.go
+++ b/limit/borrower.go
@@ -12,12 +12,12 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// Keepers asks the keeper of a customer.
-type Keepers interface {
+// QuotaOwners asks the keeper of a customer.
+type QuotaOwners interface {
 	// Borrow asks the customer's keeper, wherever it is.
-	Borrow(ctx context.Context, a Ask, b Bounds) (Loan, error)
-	// Nodes returns how many instances there are.
-	Nodes() int
+	Borrow(ctx context.Context, a LoanRequest, b Quota) (Loan, error)
+	// InstanceCount returns how many instances there are.
+	InstanceCount() int
 }
 
 // The measures of a Borrower.
@@ -46,40 +46,40 @@
 	// Done is closed when the borrower has stopped.
 	Done chan struct{}
 
-	self    string
-	keepers Keepers
-	cancel  context.CancelFunc
+	self   string
+	owners QuotaOwners
+	cancel context.CancelFunc
 
 	mu        sync.Mutex
-	customers map[string]*wallet
+	customers map[string]*borrowed
 }
 
-// wallet is what an instance holds of one customer's allowance.
-type wallet struct {
+// borrowed is what an instance holds of one customer's allowance.
+type borrowed struct {
 	// lock is held while the keeper is asked, so that one ask goes out at a
 	// time.
-	lock   sync.Mutex
-	bounds Bounds
-	starts int
-	until  time.Time
-	lent   int
-	valid  time.Time
-	inUse  int
+	lock         sync.Mutex
+	bounds       Quota
+	starts       int
+	startsUntil  time.Time
+	running      int
+	runningUntil time.Time
+	inUse        int
 	// recent counts starts since since, to size the next batch.
-	recent int
-	since  time.Time
-	local  *rate.Limiter
+	recent     int
+	since      time.Time
+	localShare *rate.Limiter
 }
 
 // NewBorrower starts a borrower for the instance self.
-func NewBorrower(self string, keepers Keepers) *Borrower {
+func NewBorrower(self string, keepers QuotaOwners) *Borrower {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Borrower{
 		Done:      make(chan struct{}),
 		self:      self,
-		keepers:   keepers,
+		owners:    keepers,
 		cancel:    cancel,
-		customers: make(map[string]*wallet),
+		customers: make(map[string]*borrowed),
 	}
 	go b.loop(ctx)
 	return b
@@ -91,23 +91,23 @@
 	<-b.Done
 }
 
-// Take spends the allowance for one request. It returns what gives it back, or
+// Acquire spends the allowance for one request. It returns what gives it back, or
 // a refusal.
-func (b *Borrower) Take(ctx context.Context, customer string, bounds Bounds) (func(), *Refusal) {
-	if bounds == (Bounds{}) {
+func (b *Borrower) Acquire(ctx context.Context, customer string, bounds Quota) (func(), *Refusal) {
+	if bounds == (Quota{}) {
 		return func() {}, nil
 	}
-	w := b.wallet(customer)
+	w := b.borrowedFor(customer)
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	now := steady.Now()
 	if w.bounds != bounds {
 		w.bounds = bounds
 		w.starts = 0
-		w.valid = time.Time{}
-		w.local = nil
+		w.runningUntil = time.Time{}
+		w.localShare = nil
 	}
-	if !w.covers(now) {
+	if !w.allowsOneMore(now) {
 		if refusal := b.borrow(ctx, customer, w, now); refusal != nil {
 			return nil, refusal
 		}
@@ -122,12 +122,12 @@
 	}, nil
 }
 
-func (b *Borrower) wallet(customer string) *wallet {
+func (b *Borrower) borrowedFor(customer string) *borrowed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.customers[customer]
 	if w == nil {
-		w = &wallet{
+		w = &borrowed{
 			since: steady.Now(),
 		}
 		b.customers[customer] = w
@@ -135,19 +135,19 @@
 	return w
 }
 
-// covers states whether one more request is allowed by what was borrowed.
-func (w *wallet) covers(now time.Time) bool {
-	starts := w.starts > 0 && now.Before(w.until)
-	running := w.bounds.Concurrency <= 0 || w.inUse < w.lent && now.Before(w.valid)
+// allowsOneMore states whether one more request is allowed by what was borrowed.
+func (w *borrowed) allowsOneMore(now time.Time) bool {
+	starts := w.starts > 0 && now.Before(w.startsUntil)
+	running := w.bounds.Concurrency <= 0 || w.inUse < w.running && now.Before(w.runningUntil)
 	return starts && running
 }
 
 // borrow asks the keeper for what the next requests need.
-func (b *Borrower) borrow(ctx context.Context, customer string, w *wallet, now time.Time) *Refusal {
-	want := w.batch(now)
+func (b *Borrower) borrow(ctx context.Context, customer string, w *borrowed, now time.Time) *Refusal {
+	want := w.batchSize(now)
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
-	loan, err := b.keepers.Borrow(ctx, Ask{
+	loan, err := b.owners.Borrow(ctx, LoanRequest{
 		Customer: customer,
 		Borrower: b.self,
 		Starts:   want,
@@ -157,10 +157,10 @@
 		return b.spendLocal(w, now)
 	}
 	w.starts = loan.Starts
-	w.until = now.Add(startsValid)
-	w.lent = loan.Running
-	w.valid = now.Add(loan.Valid)
-	if w.covers(now) {
+	w.startsUntil = now.Add(startsValid)
+	w.running = loan.Running
+	w.runningUntil = now.Add(loan.RunningValidFor)
+	if w.allowsOneMore(now) {
 		return nil
 	}
 	return &Refusal{
@@ -169,8 +169,8 @@
 	}
 }
 
-// batch returns how many starts to borrow: one, or the recent rate's worth.
-func (w *wallet) batch(now time.Time) int {
+// batchSize returns how many starts to borrow: one, or the recent rate's worth.
+func (w *borrowed) batchSize(now time.Time) int {
 	age := now.Sub(w.since)
 	n := 1
 	if age > 0 {
@@ -184,8 +184,8 @@
 }
 
 // spendLocal spends the local share while the keeper can't be reached.
-func (b *Borrower) spendLocal(w *wallet, now time.Time) *Refusal {
-	nodes := max(b.keepers.Nodes(), 1)
+func (b *Borrower) spendLocal(w *borrowed, now time.Time) *Refusal {
+	nodes := max(b.owners.InstanceCount(), 1)
 	share := max(w.bounds.Concurrency/nodes, 1)
 	if w.bounds.Concurrency > 0 && w.inUse >= share {
 		return &Refusal{
@@ -194,10 +194,10 @@
 		}
 	}
 	if w.bounds.Rate > 0 {
-		if w.local == nil {
-			w.local = rate.NewLimiter(rate.Limit(w.bounds.Rate/float64(nodes)), 1)
+		if w.localShare == nil {
+			w.localShare = rate.NewLimiter(rate.Limit(w.bounds.Rate/float64(nodes)), 1)
 		}
-		if !w.local.AllowN(now, 1) {
+		if !w.localShare.AllowN(now, 1) {
 			return &Refusal{
 				RetryAfter: time.Duration(float64(nodes) / w.bounds.Rate * float64(time.Second)),
 			}
@@ -217,7 +217,7 @@
 		case <-time.After(renewInterval):
 		}
 		b.mu.Lock()
-		names := make(map[string]*wallet, len(b.customers))
+		names := make(map[string]*borrowed, len(b.customers))
 		for name, w := range b.customers {
 			names[name] = w
 		}
@@ -228,7 +228,7 @@
 	}
 }
 
-func (b *Borrower) renew(ctx context.Context, customer string, w *wallet) {
+func (b *Borrower) renew(ctx context.Context, customer string, w *borrowed) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if w.inUse == 0 || w.bounds.Concurrency <= 0 {
@@ -237,7 +237,7 @@
 	now := steady.Now()
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
-	loan, err := b.keepers.Borrow(ctx, Ask{
+	loan, err := b.owners.Borrow(ctx, LoanRequest{
 		Customer: customer,
 		Borrower: b.self,
 		Running:  w.inUse,
@@ -245,6 +245,6 @@
 	if err != nil {
 		return
 	}
-	w.lent = loan.Running
-	w.valid = now.Add(loan.Valid)
+	w.running = loan.Running
+	w.runningUntil = now.Add(loan.RunningValidFor)
 }
--- a/limit/grpc.go
+++ b/limit/grpc.go
@@ -13,20 +13,20 @@
 	"github.com/linkmast/linkmast/limit/limitpb"
 )
 
-// BoundsOf returns the bounds of a customer in the configuration in force. It
+// QuotaOf returns the bounds of a customer in the configuration in force. It
 // is false when there is no such customer.
-type BoundsOf func(customer string) (Bounds, bool)
+type QuotaOf func(customer string) (Quota, bool)
 
 // Server serves a Lender to other instances.
 type Server struct {
 	limitpb.UnimplementedLenderServer
 
 	lender *Lender
-	bounds BoundsOf
+	bounds QuotaOf
 }
 
 // NewServer returns a server.
-func NewServer(l *Lender, bounds BoundsOf) *Server {
+func NewServer(l *Lender, bounds QuotaOf) *Server {
 	return &Server{
 		lender: l,
 		bounds: bounds,
@@ -41,7 +41,7 @@
 	if !ok {
 		return nil, errCustomer
 	}
-	loan := s.lender.Lend(Ask{
+	loan := s.lender.Lend(LoanRequest{
 		Customer: in.Customer,
 		Borrower: in.Borrower,
 		Starts:   int(in.Starts),
@@ -50,13 +50,13 @@
 	return &limitpb.BorrowReply{
 		Starts:       int32(loan.Starts),
 		Running:      int32(loan.Running),
-		ValidMs:      loan.Valid.Milliseconds(),
+		ValidMs:      loan.RunningValidFor.Milliseconds(),
 		RetryAfterMs: loan.RetryAfter.Milliseconds(),
 	}, nil
 }
 
 // Borrow asks the lender at the other end of a connection.
-func Borrow(ctx context.Context, conn grpc.ClientConnInterface, a Ask) (Loan, error) {
+func Borrow(ctx context.Context, conn grpc.ClientConnInterface, a LoanRequest) (Loan, error) {
 	reply, err := limitpb.NewLenderClient(conn).Borrow(ctx, &limitpb.BorrowRequest{
 		Customer: a.Customer,
 		Borrower: a.Borrower,
@@ -67,9 +67,9 @@
 		return Loan{}, err
 	}
 	return Loan{
-		Starts:     int(reply.Starts),
-		Running:    int(reply.Running),
-		Valid:      time.Duration(reply.ValidMs) * time.Millisecond,
-		RetryAfter: time.Duration(reply.RetryAfterMs) * time.Millisecond,
+		Starts:          int(reply.Starts),
+		Running:         int(reply.Running),
+		RunningValidFor: time.Duration(reply.ValidMs) * time.Millisecond,
+		RetryAfter:      time.Duration(reply.RetryAfterMs) * time.Millisecond,
 	}, nil
 }
--- a/limit/lender.go
+++ b/limit/lender.go
@@ -10,16 +10,16 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds are a customer's limits. Zero means no limit.
-type Bounds struct {
+// Quota are a customer's limits. Zero means no limit.
+type Quota struct {
 	// Rate bounds the starts, in requests a second.
 	Rate float64
 	// Concurrency bounds the requests that run at once.
 	Concurrency int
 }
 
-// Ask is what a borrower wants.
-type Ask struct {
+// LoanRequest is what a borrower wants.
+type LoanRequest struct {
 	// Customer names the customer.
 	Customer string
 	// Borrower names the instance.
@@ -36,8 +36,8 @@
 	Starts int
 	// Running is how many may run in all.
 	Running int
-	// Valid is how long Running holds.
-	Valid time.Duration
+	// RunningValidFor is how long Running holds.
+	RunningValidFor time.Duration
 	// RetryAfter is when to ask again when Starts or Running is short.
 	RetryAfter time.Duration
 }
@@ -54,18 +54,18 @@
 	valid time.Duration
 
 	mu        sync.Mutex
-	customers map[string]*account
+	customers map[string]*quotaState
 }
 
-// account is what was lent of one customer's allowance.
-type account struct {
-	bounds  Bounds
+// quotaState is what was lent of one customer's allowance.
+type quotaState struct {
+	bounds  Quota
 	bucket  *rate.Limiter
-	running map[string]lent
+	running map[string]runningLoan
 }
 
-// lent is the running allowance of one borrower.
-type lent struct {
+// runningLoan is the running allowance of one borrower.
+type runningLoan struct {
 	n     int
 	until time.Time
 }
@@ -78,36 +78,36 @@
 	}
 	return &Lender{
 		valid:     valid,
-		customers: make(map[string]*account),
+		customers: make(map[string]*quotaState),
 	}
 }
 
 // Lend answers an ask under the customer's bounds.
-func (l *Lender) Lend(a Ask, b Bounds, now time.Time) Loan {
+func (l *Lender) Lend(a LoanRequest, b Quota, now time.Time) Loan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.customers[a.Customer]
 	if c == nil || c.bounds != b {
-		c = newAccount(b, c)
+		c = newQuotaState(b, c)
 		l.customers[a.Customer] = c
 	}
 	loan := Loan{
-		Valid: l.valid,
+		RunningValidFor: l.valid,
 	}
-	loan.Starts, loan.RetryAfter = c.starts(a.Starts, now)
-	loan.Running = c.run(a, l.valid, now)
+	loan.Starts, loan.RetryAfter = c.takeStarts(a.Starts, now)
+	loan.Running = c.lendRunning(a, l.valid, now)
 	if loan.Running < a.Running {
 		loan.RetryAfter = max(loan.RetryAfter, concurrencyRetry)
 	}
 	return loan
 }
 
-// newAccount returns an account under new bounds that keeps what runs.
-func newAccount(b Bounds, old *account) *account {
-	c := &account{
+// newQuotaState returns an account under new bounds that keeps what runs.
+func newQuotaState(b Quota, old *quotaState) *quotaState {
+	c := &quotaState{
 		bounds:  b,
 		bucket:  rate.NewLimiter(rate.Limit(b.Rate), burst(b.Rate)),
-		running: make(map[string]lent),
+		running: make(map[string]runningLoan),
 	}
 	if old != nil {
 		c.running = old.running
@@ -120,8 +120,8 @@
 	return max(int(math.Ceil(r)), 1)
 }
 
-// starts takes up to n from the bucket.
-func (c *account) starts(n int, now time.Time) (int, time.Duration) {
+// takeStarts takes up to n from the bucket.
+func (c *quotaState) takeStarts(n int, now time.Time) (int, time.Duration) {
 	if c.bounds.Rate <= 0 {
 		return n, 0
 	}
@@ -136,8 +136,8 @@
 	return got, time.Duration(missing / c.bounds.Rate * float64(time.Second))
 }
 
-// run lends running allowance beside what others hold.
-func (c *account) run(a Ask, valid time.Duration, now time.Time) int {
+// lendRunning lends running allowance beside what others hold.
+func (c *quotaState) lendRunning(a LoanRequest, valid time.Duration, now time.Time) int {
 	if c.bounds.Concurrency <= 0 {
 		return a.Running
 	}
@@ -151,7 +151,7 @@
 		}
 	}
 	n := max(min(a.Running, c.bounds.Concurrency-others), 0)
-	c.running[a.Borrower] = lent{
+	c.running[a.Borrower] = runningLoan{
 		n:     n,
 		until: now.Add(valid),
 	}
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -32,7 +32,7 @@
 // within burst + rate·t and that what runs stays within the concurrency.
 func TestLenderKeepsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Bounds{
+		b := Quota{
 			Rate:        float64(rapid.IntRange(1, 20).Draw(t, "rate")) / 2,
 			Concurrency: rapid.IntRange(1, 10).Draw(t, "concurrency"),
 		}
@@ -43,7 +43,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "asks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			who := fmt.Sprintf("n%d", rapid.IntRange(0, 3).Draw(t, "who"))
-			loan := l.Lend(Ask{
+			loan := l.Lend(LoanRequest{
 				Customer: "club",
 				Borrower: who,
 				Starts:   rapid.IntRange(0, 5).Draw(t, "starts"),
@@ -76,7 +76,7 @@
 
 var errCut = errors.New("cut off")
 
-func (k *keepers) Borrow(_ context.Context, a Ask, b Bounds) (Loan, error) {
+func (k *keepers) Borrow(_ context.Context, a LoanRequest, b Quota) (Loan, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.cut {
@@ -85,7 +85,7 @@
 	return k.lender.Lend(a, b, time.Now()), nil
 }
 
-func (k *keepers) Nodes() int { return k.nodes }
+func (k *keepers) InstanceCount() int { return k.nodes }
 
 func (k *keepers) setCut(cut bool) {
 	k.mu.Lock()
@@ -95,7 +95,7 @@
 
 // flood asks for a start on each of n nodes every millisecond for a while, and
 // returns how many were allowed.
-func flood(t *testing.T, k *keepers, b Bounds, within time.Duration) int {
+func flood(t *testing.T, k *keepers, b Quota, within time.Duration) int {
 	t.Helper()
 	var borrowers []*Borrower
 	for i := range k.nodes {
@@ -106,7 +106,7 @@
 	allowed := 0
 	for range int(within / (10 * time.Millisecond)) {
 		for _, w := range borrowers {
-			if back, refusal := w.Take(t.Context(), "club", b); refusal == nil {
+			if back, refusal := w.Acquire(t.Context(), "club", b); refusal == nil {
 				allowed++
 				back()
 			} else if refusal.RetryAfter <= 0 {
@@ -141,7 +141,7 @@
 				}
 				k.setCut(c.cut)
 				// 5 a second for 10 s, and a burst of 5.
-				got := flood(t, k, Bounds{Rate: 5}, 10*time.Second)
+				got := flood(t, k, Quota{Rate: 5}, 10*time.Second)
 				if got < c.least || got > c.most {
 					t.Errorf("%d requests were allowed, want %d to %d", got, c.least, c.most)
 				}
@@ -173,7 +173,7 @@
 				w := NewBorrower("n0", k)
 				defer w.Close()
 				take := func() (func(), *Refusal) {
-					return w.Take(t.Context(), "club", Bounds{
+					return w.Acquire(t.Context(), "club", Quota{
 						Concurrency: 10,
 					})
 				}
@@ -207,13 +207,13 @@
 		}
 		a, b := NewBorrower("a", k), NewBorrower("b", k)
 		defer b.Close()
-		bounds := Bounds{
+		bounds := Quota{
 			Concurrency: 6,
 		}
 		take := func(w *Borrower) (int, []func()) {
 			var back []func()
 			for {
-				f, refusal := w.Take(t.Context(), "club", bounds)
+				f, refusal := w.Acquire(t.Context(), "club", bounds)
 				if refusal != nil {
 					is.True(refusal.Concurrency)
 					return len(back), back
--- a/member/bench_test.go
+++ b/member/bench_test.go
@@ -56,7 +56,7 @@
 		ListInterval:  time.Hour,
 	}, still{}, still{}, func() int64 { return 1 }, logr.Discard())
 	b.Cleanup(m.Close)
-	m.take(listOf(n))
+	m.applyList(listOf(n))
 	return m
 }
 
@@ -65,7 +65,7 @@
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			m := idle(b, n)
 			for b.Loop() {
-				m.built = built{}
+				m.viewInputs = viewInputs{}
 				m.rebuild()
 			}
 		})
@@ -78,7 +78,7 @@
 			v := idle(b, n).View()
 			b.ReportAllocs()
 			for b.Loop() {
-				v.Keeper("endpoint-17")
+				v.GlobalOwner("endpoint-17")
 			}
 		})
 	}
@@ -90,12 +90,12 @@
 			m := idle(b, 100)
 			for i := range n {
 				m.mu.Lock()
-				m.report(fmt.Sprintf("node-%d", i+1), "node-99", time.Now())
+				m.addReport(fmt.Sprintf("node-%d", i+1), "node-99", time.Now())
 				m.mu.Unlock()
 			}
 			in := &memberpb.ProbeRequest{
 				From:    "node-1",
-				Reports: m.outgoing(),
+				Reports: m.outgoingReports(),
 			}
 			var out *memberpb.ProbeReply
 			for b.Loop() {
--- a/member/grpc.go
+++ b/member/grpc.go
@@ -34,7 +34,7 @@
 // Answer answers a probe.
 func (m *Member) Answer(in *memberpb.ProbeRequest) *memberpb.ProbeReply {
 	m.mu.Lock()
-	m.heard[in.From] = steady.Now()
+	m.lastHeard[in.From] = steady.Now()
 	reply := &memberpb.ProbeReply{
 		Instance:   m.settings.Self.ID,
 		Stopping:   m.stopping,
@@ -46,8 +46,8 @@
 		}
 	}
 	m.mu.Unlock()
-	m.incoming(in.Reports)
-	reply.Reports = m.outgoing()
+	m.mergeReports(in.Reports)
+	reply.Reports = m.outgoingReports()
 	return reply
 }
 
--- a/member/member.go
+++ b/member/member.go
@@ -83,18 +83,18 @@
 	mu       sync.Mutex
 	list     instances.List
 	complete bool
-	// lower counts whole lists in a row that have a lower version.
-	lower      int
-	fails      map[string]int
-	reports    map[string]map[string]time.Time
-	heard      map[string]time.Time
-	stops      map[string]bool
-	stopping   bool
-	generation func() int64
-	changed    chan struct{}
-	// built is what the view was made from, and peers how many nodes it lists.
-	built built
-	peers int
+	// lowerVersions counts whole lists in a row that have a lowerVersions version.
+	lowerVersions int
+	fails         map[string]int
+	reports       map[string]map[string]time.Time
+	lastHeard     map[string]time.Time
+	stoppingPeers map[string]bool
+	stopping      bool
+	generation    func() int64
+	changed       chan struct{}
+	// viewInputs is what the view was made from, and peers how many nodes it lists.
+	viewInputs viewInputs
+	peers      int
 }
 
 // New starts a member. Close ends it. Generation returns the generation of the
@@ -103,18 +103,18 @@
 	s.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Member{
-		Done:       make(chan struct{}),
-		settings:   s,
-		lister:     lister,
-		prober:     prober,
-		log:        log,
-		cancel:     cancel,
-		fails:      make(map[string]int),
-		reports:    make(map[string]map[string]time.Time),
-		heard:      make(map[string]time.Time),
-		stops:      make(map[string]bool),
-		generation: generation,
-		changed:    make(chan struct{}),
+		Done:          make(chan struct{}),
+		settings:      s,
+		lister:        lister,
+		prober:        prober,
+		log:           log,
+		cancel:        cancel,
+		fails:         make(map[string]int),
+		reports:       make(map[string]map[string]time.Time),
+		lastHeard:     make(map[string]time.Time),
+		stoppingPeers: make(map[string]bool),
+		generation:    generation,
+		changed:       make(chan struct{}),
 	}
 	m.rebuild()
 	go m.loop(ctx)
@@ -183,25 +183,25 @@
 		}
 		return
 	}
-	m.take(l)
+	m.applyList(l)
 }
 
-// maxLower is how many whole lists in a row may have a lower version before
+// maxLowerVersions is how many whole lists in a row may have a lower version before
 // they are taken for those of a platform that was set up anew.
-const maxLower = 5
+const maxLowerVersions = 5
 
-// take takes over a list, unless it is older than the one known.
-func (m *Member) take(l instances.List) {
+// applyList takes over a list, unless it is older than the one known.
+func (m *Member) applyList(l instances.List) {
 	m.mu.Lock()
 	newer := !m.complete || l.Version > m.list.Version
 	if l.Since > 0 && l.Since != m.list.Version {
 		newer = false
 	}
 	if l.Since == 0 && l.Version < m.list.Version {
-		m.lower++
-		newer = m.lower >= maxLower
+		m.lowerVersions++
+		newer = m.lowerVersions >= maxLowerVersions
 	} else {
-		m.lower = 0
+		m.lowerVersions = 0
 	}
 	if newer {
 		m.list = m.list.Apply(l)
@@ -228,5 +228,5 @@
 	if err != nil || len(reply.Instances) == 0 {
 		return
 	}
-	m.take(decodeList(reply.Instances))
+	m.applyList(decodeList(reply.Instances))
 }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -195,8 +195,8 @@
 	moved := 0
 	const endpoints = 2000
 	for e := range endpoints {
-		a, _ := before.Owner(fmt.Sprint(e), "r0")
-		b, _ := after.Owner(fmt.Sprint(e), "r0")
+		a, _ := before.RegionalOwner(fmt.Sprint(e), "r0")
+		b, _ := after.RegionalOwner(fmt.Sprint(e), "r0")
 		is.Equal(a.Region, "r0")
 		count[a.ID]++
 		if a.ID != b.ID {
--- a/member/probe.go
+++ b/member/probe.go
@@ -29,8 +29,8 @@
 	m.rebuild()
 }
 
-// maxSuspects bounds the peers in doubt that are probed beside random ones.
-const maxSuspects = 4
+// maxDoubtfulTargets bounds the peers in doubt that are probed beside random ones.
+const maxDoubtfulTargets = 4
 
 // targets picks peers to probe among all that are listed: random ones, and a
 // few that are in doubt, because of a failed probe or a report of another, so
@@ -44,7 +44,7 @@
 	for id, n := range v.Listed {
 		switch {
 		case id == m.settings.Self.ID:
-		case m.fails[id] > 0 && m.fails[id] < failsReport, len(m.reports[id]) > 0 && m.fails[id] < failsReport:
+		case m.fails[id] > 0 && m.fails[id] < failuresToReport, len(m.reports[id]) > 0 && m.fails[id] < failuresToReport:
 			suspects = append(suspects, n)
 		default:
 			peers = append(peers, n)
@@ -53,7 +53,7 @@
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	rand.Shuffle(len(suspects), func(i, j int) { suspects[i], suspects[j] = suspects[j], suspects[i] })
 	peers = peers[:min(len(peers), m.settings.Fanout)]
-	return append(peers, suspects[:min(len(suspects), maxSuspects)]...)
+	return append(peers, suspects[:min(len(suspects), maxDoubtfulTargets)]...)
 }
 
 // probe asks one peer, and notes the outcome.
@@ -62,40 +62,40 @@
 	defer cancel()
 	reply, err := m.prober.Probe(call, t.Address, &memberpb.ProbeRequest{
 		From:    m.settings.Self.ID,
-		Reports: m.outgoing(),
+		Reports: m.outgoingReports(),
 	})
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil || reply.Instance != t.ID {
-		m.failed(t.ID)
+		m.recordFailure(t.ID)
 		return
 	}
 	m.mu.Lock()
-	m.reached(t.ID)
-	m.stops[t.ID] = reply.Stopping
+	m.recordSuccess(t.ID)
+	m.stoppingPeers[t.ID] = reply.Stopping
 	m.mu.Unlock()
-	m.incoming(reply.Reports)
+	m.mergeReports(reply.Reports)
 }
 
-// Suspect notes a failed exchange with a peer, as a failed probe.
-func (m *Member) Suspect(id string) {
-	m.failed(id)
+// ReportFailure notes a failed exchange with a peer, as a failed probe.
+func (m *Member) ReportFailure(id string) {
+	m.recordFailure(id)
 	m.rebuild()
 }
 
-func (m *Member) failed(id string) {
+func (m *Member) recordFailure(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fails[id]++
-	if m.fails[id] >= failsReport {
-		m.report(id, m.settings.Self.ID, steady.Now())
+	if m.fails[id] >= failuresToReport {
+		m.addReport(id, m.settings.Self.ID, steady.Now())
 	}
 }
 
-// reached ends the instance's own report of a peer. The caller holds the lock.
-func (m *Member) reached(id string) {
+// recordSuccess ends the instance's own report of a peer. The caller holds the lock.
+func (m *Member) recordSuccess(id string) {
 	m.fails[id] = 0
-	m.heard[id] = steady.Now()
+	m.lastHeard[id] = steady.Now()
 	delete(m.reports[id], m.settings.Self.ID)
 }
--- a/member/rebuild.go
+++ b/member/rebuild.go
@@ -11,35 +11,35 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// built is what a view was made from.
-type built struct {
-	list     int64
-	complete bool
-	stopping bool
-	out      uint64
+// viewInputs is what a view was made from.
+type viewInputs struct {
+	list         int64
+	complete     bool
+	stopping     bool
+	excludedHash uint64
 }
 
-// state returns what a view made now would be made from. The caller holds the
+// currentInputs returns what a view made now would be made from. The caller holds the
 // lock.
-func (m *Member) state(now time.Time) built {
-	b := built{
+func (m *Member) currentInputs(now time.Time) viewInputs {
+	b := viewInputs{
 		list:     m.list.Version,
 		complete: m.complete,
 		stopping: m.stopping,
 	}
-	for id, stops := range m.stops {
+	for id, stops := range m.stoppingPeers {
 		if stops {
-			b.out ^= xxhash.Sum64String("stops " + id)
+			b.excludedHash ^= xxhash.Sum64String("stops " + id)
 		}
 	}
 	for id := range m.fails {
-		if m.down(id, m.peers, now) {
-			b.out ^= xxhash.Sum64String("down " + id)
+		if m.isDown(id, m.peers, now) {
+			b.excludedHash ^= xxhash.Sum64String("down " + id)
 		}
 	}
 	for id := range m.reports {
-		if _, failed := m.fails[id]; !failed && m.down(id, m.peers, now) {
-			b.out ^= xxhash.Sum64String("down " + id)
+		if _, failed := m.fails[id]; !failed && m.isDown(id, m.peers, now) {
+			b.excludedHash ^= xxhash.Sum64String("down " + id)
 		}
 	}
 	return b
@@ -50,11 +50,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := steady.Now()
-	state := m.state(now)
-	if m.view.Load() != nil && state == m.built {
+	state := m.currentInputs(now)
+	if m.view.Load() != nil && state == m.viewInputs {
 		return
 	}
-	m.built = state
+	m.viewInputs = state
 	listed := make(map[string]instances.Instance)
 	usable := make(map[string]instances.Instance)
 	endpoints := make(map[string]instances.Instance)
@@ -72,7 +72,7 @@
 		listed[self.ID] = self
 	}
 	for id, n := range listed {
-		out := n.State == instances.Leaving || m.stops[id] || m.down(id, len(listed), now)
+		out := n.State == instances.Leaving || m.stoppingPeers[id] || m.isDown(id, len(listed), now)
 		if id == self.ID {
 			out = m.stopping
 		}
@@ -84,14 +84,14 @@
 	old := m.view.Load()
 	v := newView(listed, usable, endpoints, m.complete)
 	m.view.Store(v)
-	if old == nil || !sameNodes(old.Nodes, usable) || !sameNodes(old.Endpoints, endpoints) || old.Complete != v.Complete {
+	if old == nil || !sameInstances(old.Nodes, usable) || !sameInstances(old.Endpoints, endpoints) || old.Complete != v.Complete {
 		m.log.Info("members", "usable", len(usable), "listed", len(listed), "endpoints", len(endpoints))
 		close(m.changed)
 		m.changed = make(chan struct{})
 	}
 }
 
-func sameNodes(a, b map[string]instances.Instance) bool {
+func sameInstances(a, b map[string]instances.Instance) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/member/report.go
+++ b/member/report.go
@@ -9,19 +9,19 @@
 	"github.com/linkmast/linkmast/member/memberpb"
 )
 
-// failsReport is how many probes in a row must fail before they are reported.
-const failsReport = 2
+// failuresToReport is how many probes in a row must fail before they are reported.
+const failuresToReport = 2
 
-// failsAlone is how many probes in a row must fail before an instance takes a
+// failuresForDown is how many probes in a row must fail before an instance takes a
 // peer as down for itself, without a report of another. Others hear of it only
 // as one report.
-const failsAlone = 6
+const failuresForDown = 6
 
 // maxReports bounds the reports in one message.
 const maxReports = 64
 
-// report notes that reporter could not reach id. The caller holds the lock.
-func (m *Member) report(id, reporter string, at time.Time) {
+// addReport notes that reporter could not reach id. The caller holds the lock.
+func (m *Member) addReport(id, reporter string, at time.Time) {
 	if id == m.settings.Self.ID {
 		return
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-// outgoing returns the reports to pass on, with their ages.
-func (m *Member) outgoing() []*memberpb.Report {
+// outgoingReports returns the reports to pass on, with their ages.
+func (m *Member) outgoingReports() []*memberpb.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := steady.Now()
@@ -63,24 +63,24 @@
 	return out
 }
 
-// incoming takes over the reports of others. A report about a peer that the
+// mergeReports takes over the reports of others. A report about a peer that the
 // instance has heard from since is not taken over.
-func (m *Member) incoming(reports []*memberpb.Report) {
+func (m *Member) mergeReports(reports []*memberpb.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := steady.Now()
 	for _, r := range reports {
 		at := now.Add(-time.Duration(r.AgeMs) * time.Millisecond)
-		if r.Reporter == m.settings.Self.ID || at.Before(m.heard[r.Instance]) {
+		if r.Reporter == m.settings.Self.ID || at.Before(m.lastHeard[r.Instance]) {
 			continue
 		}
-		m.report(r.Instance, r.Reporter, at)
+		m.addReport(r.Instance, r.Reporter, at)
 	}
 }
 
-// down states whether enough instances report id. The caller holds the lock.
-func (m *Member) down(id string, peers int, now time.Time) bool {
-	if m.fails[id] >= failsAlone {
+// isDown states whether enough instances report id. The caller holds the lock.
+func (m *Member) isDown(id string, peers int, now time.Time) bool {
+	if m.fails[id] >= failuresForDown {
 		return true
 	}
 	quorum := min(m.settings.Quorum, max(peers-1, 1))
--- a/member/view.go
+++ b/member/view.go
@@ -54,10 +54,10 @@
 	return v
 }
 
-// Owner returns the instance that should own a thing of a region, such as an
+// RegionalOwner returns the instance that should own a thing of a region, such as an
 // endpoint: one of the region's instances, or of any region's when that region
 // has none. It is false when there is no instance at all.
-func (v *View) Owner(key, region string) (instances.Instance, bool) {
+func (v *View) RegionalOwner(key, region string) (instances.Instance, bool) {
 	among := v.byRegion[region]
 	if len(among) == 0 {
 		among = v.all
@@ -65,16 +65,16 @@
 	return v.pick(key, among)
 }
 
-// Keeper returns the instance that should keep a thing of all regions, such as
+// GlobalOwner returns the instance that should keep a thing of all regions, such as
 // a customer's limits.
-func (v *View) Keeper(key string) (instances.Instance, bool) {
+func (v *View) GlobalOwner(key string) (instances.Instance, bool) {
 	return v.pick(key, v.all)
 }
 
-// Watched returns up to n instances of a region for one instance to watch,
+// WatchTargets returns up to n instances of a region for one instance to watch,
 // other than itself: all of them when they are few, else those that rendezvous
 // hashing gives it, so that each is watched by about as many.
-func (v *View) Watched(self, region string, n int) []instances.Instance {
+func (v *View) WatchTargets(self, region string, n int) []instances.Instance {
 	h := xxhash.Sum64String(self)
 	order := slices.Clone(v.byRegion[region])
 	order = slices.DeleteFunc(order, func(i hashed) bool { return i.id == self })
--- a/node/follow.go
+++ b/node/follow.go
@@ -43,7 +43,7 @@
 	var mine []owner.Target
 	for i := range v.File.Endpoints {
 		e := &v.File.Endpoints[i]
-		by, ok := m.Owner(e.ID, v.Region(e.FailureDomain))
+		by, ok := m.RegionalOwner(e.ID, v.Region(e.FailureDomain))
 		if !ok || by.ID != n.self.ID {
 			continue
 		}
@@ -55,7 +55,7 @@
 			t.Leaving = at.State != instances.Live
 		}
 		if model, _, ok := v.Model(e.Model); ok && e.Kind == config.KindEngine {
-			t.Want = order.State{
+			t.Desired = order.State{
 				Model:    model.ID,
 				Version:  model.Version,
 				Adapters: e.Adapters,
@@ -63,7 +63,7 @@
 		}
 		mine = append(mine, t)
 	}
-	n.owner.Own(mine)
+	n.owner.SetOwned(mine)
 	n.entry.Rebuild()
 	known := make(map[string]bool, len(m.Listed))
 	for _, i := range m.Listed {
@@ -72,7 +72,7 @@
 	for _, a := range n.settings.Peers {
 		known[a] = true
 	}
-	n.pool.Keep(func(a string) bool { return known[a] })
+	n.pool.CloseUnless(func(a string) bool { return known[a] })
 }
 
 // watchAll keeps a watch on every instance of the region that may own
@@ -102,7 +102,7 @@
 		}
 		seen = view
 		wanted := make(map[string]bool)
-		for _, i := range view.Watched(n.self.ID, n.self.Region, maxWatched) {
+		for _, i := range view.WatchTargets(n.self.ID, n.self.Region, maxWatched) {
 			wanted[i.ID] = true
 			if _, ok := watches[i.ID]; ok {
 				continue
--- a/node/node.go
+++ b/node/node.go
@@ -69,8 +69,8 @@
 	claimer    *claim.Claimer
 	lender     *limit.Lender
 	// book has the requests that crash endpoints, and sharing tells other instances of them.
-	book     *quarantine.Book
-	sharing  *quarantine.Sharing
+	book     *quarantine.Registry
+	sharing  *quarantine.PeerGuard
 	borrower *limit.Borrower
 
 	callers *http.Server
@@ -207,7 +207,7 @@
 	}, log, n.peers, n.log.WithName("rollout"))
 	n.generation.Store(n.rollout)
 	n.book = quarantine.New(steady.Now, n.peers.turn, n.log.WithName("quarantine"))
-	n.sharing = quarantine.NewSharing(n.book, n.peers, n.log.WithName("quarantine"))
+	n.sharing = quarantine.NewPeerGuard(n.book, n.peers, n.log.WithName("quarantine"))
 	adapters := &endpoints{
 		client: client,
 	}
@@ -218,7 +218,7 @@
 		Configuration: n.rollout.View,
 		Members:       n.member.View,
 		Leaser:        n.peers.leaser,
-		Suspect:       n.member.Suspect,
+		Suspect:       n.member.ReportFailure,
 		Endpoints:     adapters,
 		Claimer:       n.claimer,
 		Borrower:      n.borrower,
@@ -315,16 +315,16 @@
 }
 
 // bounds returns a customer's limits under the configuration in force.
-func (n *Node) bounds(customer string) (limit.Bounds, bool) {
+func (n *Node) bounds(customer string) (limit.Quota, bool) {
 	v := n.rollout.View()
 	if v == nil {
-		return limit.Bounds{}, false
+		return limit.Quota{}, false
 	}
 	c, ok := v.Customer(customer)
 	if !ok {
-		return limit.Bounds{}, false
+		return limit.Quota{}, false
 	}
-	return limit.Bounds{
+	return limit.Quota{
 		Rate:        c.RequestsPerSecond,
 		Concurrency: c.Concurrency,
 	}, true
--- a/node/peers.go
+++ b/node/peers.go
@@ -129,13 +129,13 @@
 
 // Repeater implements rollout.Peers.
 func (p *peers) Repeater() bool {
-	i, ok := p.view().Keeper(repeaterKey)
+	i, ok := p.view().GlobalOwner(repeaterKey)
 	return !ok || i.ID == p.self.ID
 }
 
-// Borrow implements limit.Keepers.
-func (p *peers) Borrow(ctx context.Context, a limit.Ask, b limit.Bounds) (limit.Loan, error) {
-	i, ok := p.view().Keeper("customer:" + a.Customer)
+// Borrow implements limit.QuotaOwners.
+func (p *peers) Borrow(ctx context.Context, a limit.LoanRequest, b limit.Quota) (limit.Loan, error) {
+	i, ok := p.view().GlobalOwner("customer:" + a.Customer)
 	if !ok {
 		return limit.Loan{}, errors.New("there is no instance")
 	}
@@ -149,15 +149,15 @@
 	return limit.Borrow(ctx, c, a)
 }
 
-// Nodes implements limit.Keepers.
-func (p *peers) Nodes() int {
+// InstanceCount implements limit.QuotaOwners.
+func (p *peers) InstanceCount() int {
 	return len(p.view().Nodes)
 }
 
 // route returns the instances that may write a partition's claims.
-func (p *peers) route(partition int) []claim.Asker {
-	var out []claim.Asker
-	for _, i := range p.view().Ranked(claim.StreamOf(partition), claimWriters) {
+func (p *peers) route(partition int) []claim.Service {
+	var out []claim.Service
+	for _, i := range p.view().Ranked(claim.StreamName(partition), claimWriters) {
 		if i.ID == p.self.ID {
 			out = append(out, p.local.writer)
 			continue
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -20,17 +20,17 @@
 	return "crashes:" + id.String()
 }
 
-// Counters implements quarantine.Peers.
-func (p *peers) Counters(id quarantine.Identity) []string {
+// CountingInstances implements quarantine.Peers.
+func (p *peers) CountingInstances(id quarantine.Identity) []string {
 	return idsOf(p.view().Ranked(crashKey(id), crashCounters))
 }
 
 // turn returns the place of this instance in showing whether a request still crashes endpoints.
-func (p *peers) turn(id quarantine.Identity) quarantine.Turn {
+func (p *peers) turn(id quarantine.Identity) quarantine.RetestTurn {
 	v := p.view()
-	return quarantine.Turn{
-		Before: max(slices.Index(idsOf(v.Ranked(crashKey(id), len(v.Nodes))), p.self.ID), 0),
-		Of:     len(v.Nodes),
+	return quarantine.RetestTurn{
+		Position:  max(slices.Index(idsOf(v.Ranked(crashKey(id), len(v.Nodes))), p.self.ID), 0),
+		Instances: len(v.Nodes),
 	}
 }
 
@@ -57,20 +57,20 @@
 	return out
 }
 
-// Report implements quarantine.Peers.
-func (p *peers) Report(ctx context.Context, instance string, c quarantine.Crash) error {
+// SendCrash implements quarantine.Peers.
+func (p *peers) SendCrash(ctx context.Context, instance string, c quarantine.Crash) error {
 	conn, err := p.ConnTo(instance)
 	if err != nil {
 		return err
 	}
-	return quarantine.ReportTo(ctx, conn, quarantine.EncodeCrash(c, steady.Now()))
+	return quarantine.SendCrash(ctx, conn, quarantine.EncodeCrash(c, steady.Now()))
 }
 
-// Tell implements quarantine.Peers.
-func (p *peers) Tell(ctx context.Context, instance string, v quarantine.Verdict) error {
+// SendVerdict implements quarantine.Peers.
+func (p *peers) SendVerdict(ctx context.Context, instance string, v quarantine.Verdict) error {
 	conn, err := p.ConnTo(instance)
 	if err != nil {
 		return err
 	}
-	return quarantine.TellTo(ctx, conn, v)
+	return quarantine.SendVerdict(ctx, conn, v)
 }
--- a/notice/doc.go
+++ b/notice/doc.go
@@ -6,7 +6,7 @@
 // it takes from all instances together. The limit holds until an answer comes without it. An
 // answer to a request that was sent before the limit was last named proves nothing.
 //
-// A Book belongs to one instance. What one instance hears it tells others as a Notice. Notices
+// A Registry belongs to one instance. What one instance hears it tells others as a Notice. Notices
 // of one start of an endpoint have revisions, so that all instances end up with the same one in
 // whatever order they arrive.
 package notice
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -8,8 +8,8 @@
 type Notice struct {
 	// Instance names the endpoint.
 	Instance string
-	// Born is when this start of the endpoint began; zero when it does not say.
-	Born time.Time
+	// StartedAt is when this start of the endpoint began; zero when it does not say.
+	StartedAt time.Time
 	// Limited states that the endpoint names a rate limit.
 	Limited bool
 	// Rate is the limit, in requests a second from all instances together. Zero without
@@ -35,18 +35,18 @@
 
 // Answer identifies an endpoint's answer.
 type Answer struct {
-	// Instance names the endpoint that gave it, and Born is when that start of it began; zero
+	// Instance names the endpoint that gave it, and StartedAt is when that start of it began; zero
 	// when it does not say.
-	Instance string
-	Born     time.Time
+	Instance  string
+	StartedAt time.Time
 	// Request names the request.
 	Request string
-	// Sent is when the request was sent, or earlier; zero when that is not known.
-	Sent time.Time
+	// SentAt is when the request was sent, or earlier; zero when that is not known.
+	SentAt time.Time
 }
 
-// Said is what one answer says of its endpoint.
-type Said struct {
+// Statements is what one answer says of its endpoint.
+type Statements struct {
 	// Limited states that the answer names a rate limit, and Rate is that limit, in requests
 	// a second.
 	Limited bool
@@ -64,9 +64,9 @@
 
 // Guard keeps requests from endpoints that want none.
 type Guard interface {
-	// Heard takes over what an answer says.
-	Heard(a Answer, s Said)
-	// Declines returns why an endpoint, whose start began at born or does not say when, must
+	// RecordAnswer takes over what an answer says.
+	RecordAnswer(a Answer, s Statements)
+	// ExclusionReason returns why an endpoint, whose start began at born or does not say when, must
 	// get no request of this instance now; empty when it may.
-	Declines(instance string, born time.Time) string
+	ExclusionReason(instance string, born time.Time) string
 }
--- a/notice/book.go
+++ b/notice/registry.go
@@ -11,9 +11,9 @@
 	"github.com/go-logr/logr"
 )
 
-// rateHoldFor is how long a rate limit stands before another value replaces it, so that an
+// minRateHold is how long a rate limit stands before another value replaces it, so that an
 // endpoint whose limit differs in each answer costs one notice in that time.
-const rateHoldFor = time.Second
+const minRateHold = time.Second
 
 // The measures of a back-off.
 const (
@@ -24,40 +24,40 @@
 	backoffJitter = 0.1
 )
 
-// known is what a Book has of one endpoint.
-type known struct {
+// endpointState is what a Registry has of one endpoint.
+type endpointState struct {
 	Notice
-	// named is when an answer last named the limit, or another instance told of it, and
+	// limitNamedAt is when an answer last limitNamedAt the limit, or another instance told of it, and
 	// changed when the notice last changed.
-	named   time.Time
-	changed time.Time
+	limitNamedAt time.Time
+	changedAt    time.Time
 	// backoffUntil is until when it wants nothing from this instance.
 	backoffUntil time.Time
-	// malformed states that a statement could not be read.
-	malformed bool
+	// malformedLogged states that a statement could not be read.
+	malformedLogged bool
 }
 
-// Book is what one instance knows from answers of endpoints. It is safe for use by several
+// Registry is what one instance knows from answers of endpoints. It is safe for use by several
 // goroutines.
-type Book struct {
+type Registry struct {
 	now func() time.Time
 	log logr.Logger
 
 	mu        sync.Mutex
-	endpoints map[string]*known
-	// tell are those who hear of changes.
-	tell map[*func(Notice)]struct{}
+	endpoints map[string]*endpointState
+	// listeners are those who hear of changes.
+	listeners map[*func(Notice)]struct{}
 	// view is what is known now.
 	view atomic.Pointer[View]
 }
 
 // New returns an empty book. Now returns the time.
-func New(now func() time.Time, log logr.Logger) *Book {
-	b := &Book{
+func New(now func() time.Time, log logr.Logger) *Registry {
+	b := &Registry{
 		now:       now,
 		log:       log,
-		endpoints: make(map[string]*known),
-		tell:      make(map[*func(Notice)]struct{}),
+		endpoints: make(map[string]*endpointState),
+		listeners: make(map[*func(Notice)]struct{}),
 	}
 	b.view.Store(&View{})
 	return b
@@ -65,28 +65,28 @@
 
 // OnChange has a function called with each notice that is new to this instance, in order,
 // until stop is called. It must not call the book.
-func (b *Book) OnChange(tell func(Notice)) (stop func()) {
+func (b *Registry) OnChange(tell func(Notice)) (stop func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tell[&tell] = struct{}{}
+	b.listeners[&tell] = struct{}{}
 	return func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		delete(b.tell, &tell)
+		delete(b.listeners, &tell)
 	}
 }
 
 // View returns what is known now.
-func (b *Book) View() *View {
+func (b *Registry) View() *View {
 	return b.view.Load()
 }
 
-// Declines returns why an endpoint, whose start began at a moment or does not say when, must get no
+// ExclusionReason returns why an endpoint, whose start began at a moment or does not say when, must get no
 // request of this instance now; empty when it may.
-func (b *Book) Declines(instance string, born time.Time) string {
+func (b *Registry) ExclusionReason(instance string, born time.Time) string {
 	v := b.View()
 	switch {
-	case v.Leaves(instance, born):
+	case v.IsLeaving(instance, born):
 		return "it says that it leaves"
 	case v.BackoffUntil(instance, born).After(b.now()):
 		return "it asked for a back-off"
@@ -95,7 +95,7 @@
 }
 
 // Notices returns all that is known, in any order.
-func (b *Book) Notices() []Notice {
+func (b *Registry) Notices() []Notice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]Notice, 0, len(b.endpoints))
@@ -107,59 +107,59 @@
 	return out
 }
 
-// Heard takes over what an answer says. It returns the notice and whether it is new.
-func (b *Book) Heard(a Answer, s Said) (Notice, bool) {
+// RecordAnswer takes over what an answer says. It returns the notice and whether it is new.
+func (b *Registry) RecordAnswer(a Answer, s Statements) (Notice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	k := b.endpoints[a.Instance]
 	if k == nil {
-		if s == (Said{}) {
+		if s == (Statements{}) {
 			return Notice{}, false
 		}
-		k = &known{}
+		k = &endpointState{}
 		k.Instance = a.Instance
 		b.endpoints[a.Instance] = k
 	}
-	if !k.begin(a.Born) {
+	if !k.adoptStart(a.StartedAt) {
 		return Notice{}, false
 	}
-	b.noteMalformed(k, a, s)
-	b.hearBackoff(k, a, s, now)
-	left := b.hearLeaving(k, a, s)
-	limited := b.hearRate(k, a, s, now)
+	b.logMalformed(k, a, s)
+	b.applyBackoff(k, a, s, now)
+	left := b.applyLeaving(k, a, s)
+	limited := b.applyRate(k, a, s, now)
 	if !left && !limited {
 		return Notice{}, false
 	}
-	k.changed = now
+	k.changedAt = now
 	k.Revision++
 	b.publish(k)
 	return k.Notice, true
 }
 
-// Learn takes over what another instance tells.
-func (b *Book) Learn(n Notice) {
+// ApplyNotice takes over what another instance tells.
+func (b *Registry) ApplyNotice(n Notice) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.endpoints[n.Instance]
 	if k == nil {
-		k = &known{
+		k = &endpointState{
 			Notice: Notice{
 				Instance: n.Instance,
 			},
 		}
 		b.endpoints[n.Instance] = k
 	}
-	if !k.begin(n.Born) {
+	if !k.adoptStart(n.StartedAt) {
 		return
 	}
 	if !k.merge(n) {
 		return
 	}
 	now := b.now()
-	k.changed = now
+	k.changedAt = now
 	if k.Limited {
-		k.named = now
+		k.limitNamedAt = now
 	}
 	b.log.V(1).Info("told of an endpoint", "endpoint", n.Instance, "limited", n.Limited, "rate", n.Rate, "leaving", n.Leaving,
 		"revision", n.Revision)
@@ -168,7 +168,7 @@
 
 // merge takes over a notice of the same start, and returns whether anything changes. The limit is
 // that of the notice which replaces the other; an endpoint that leaves does not come back.
-func (k *known) merge(n Notice) bool {
+func (k *endpointState) merge(n Notice) bool {
 	before := k.Notice
 	if n.replaces(&k.Notice) {
 		k.Limited, k.Rate, k.Revision = n.Limited, n.Rate, n.Revision
@@ -177,21 +177,21 @@
 	return k.Notice != before
 }
 
-// keepFor is how long a notice is kept of an endpoint that is not in the list of endpoints:
+// unlistedRetention is how long a notice is kept of an endpoint that is not in the list of endpoints:
 // that list may lag.
-const keepFor = 2 * time.Minute
+const unlistedRetention = 2 * time.Minute
 
-// Keep forgets the endpoints that are not listed any more.
-func (b *Book) Keep(listed func(instance string) bool) {
+// RemoveUnlisted forgets the endpoints that are not listed any more.
+func (b *Registry) RemoveUnlisted(listed func(instance string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	for instance, k := range b.endpoints {
-		if listed(instance) || now.Sub(k.changed) < keepFor {
+		if listed(instance) || now.Sub(k.changedAt) < unlistedRetention {
 			continue
 		}
 		delete(b.endpoints, instance)
-		b.view.Store(b.View().with(&known{
+		b.view.Store(b.View().withEndpoint(&endpointState{
 			Notice: Notice{
 				Instance: instance,
 			},
@@ -199,39 +199,39 @@
 	}
 }
 
-// begin takes over that a start of the endpoint began at a moment; zero means that it does not
+// adoptStart takes over that a start of the endpoint began at a moment; zero means that it does not
 // say. It returns false when a later one is known.
-func (k *known) begin(born time.Time) bool {
+func (k *endpointState) adoptStart(born time.Time) bool {
 	switch {
-	case born.IsZero() || born.Equal(k.Born):
+	case born.IsZero() || born.Equal(k.StartedAt):
 		return true
-	case born.Before(k.Born):
+	case born.Before(k.StartedAt):
 		return false
-	case !k.Born.IsZero():
-		*k = known{
+	case !k.StartedAt.IsZero():
+		*k = endpointState{
 			Notice: Notice{
 				Instance: k.Instance,
 			},
 		}
 	}
-	k.Born = born
+	k.StartedAt = born
 	return true
 }
 
-// hearRate takes over what an answer says of a rate limit, and returns whether the notice
+// applyRate takes over what an answer says of a rate limit, and returns whether the notice
 // changes. The caller holds the lock.
-func (b *Book) hearRate(k *known, a Answer, s Said, now time.Time) bool {
+func (b *Registry) applyRate(k *endpointState, a Answer, s Statements, now time.Time) bool {
 	before := k.Notice
 	switch {
 	case s.RateMalformed:
 		return false
 	case s.Limited:
-		k.named = now
-		if k.Limited && (k.Rate == s.Rate || now.Sub(k.changed) < rateHoldFor) {
+		k.limitNamedAt = now
+		if k.Limited && (k.Rate == s.Rate || now.Sub(k.changedAt) < minRateHold) {
 			return false
 		}
 		k.Limited, k.Rate = true, s.Rate
-	case !k.Limited || !a.Sent.After(k.named):
+	case !k.Limited || !a.SentAt.After(k.limitNamedAt):
 		return false
 	default:
 		k.Limited, k.Rate = false, 0
@@ -241,9 +241,9 @@
 	return true
 }
 
-// hearLeaving takes over whether an answer says that its endpoint leaves, and returns whether
+// applyLeaving takes over whether an answer says that its endpoint leaves, and returns whether
 // the notice changes. The caller holds the lock.
-func (b *Book) hearLeaving(k *known, a Answer, s Said) bool {
+func (b *Registry) applyLeaving(k *endpointState, a Answer, s Statements) bool {
 	if !s.Leaving || k.Leaving {
 		return false
 	}
@@ -252,9 +252,9 @@
 	return true
 }
 
-// hearBackoff takes over for how long an endpoint wants nothing from this instance. The caller
+// applyBackoff takes over for how long an endpoint wants nothing from this instance. The caller
 // holds the lock.
-func (b *Book) hearBackoff(k *known, a Answer, s Said, now time.Time) {
+func (b *Registry) applyBackoff(k *endpointState, a Answer, s Statements, now time.Time) {
 	if s.Backoff <= 0 {
 		return
 	}
@@ -268,22 +268,22 @@
 			"kept_ms", until.Sub(now).Milliseconds(), "request", a.Request)
 	}
 	k.backoffUntil = until
-	b.view.Store(b.View().with(k, now))
+	b.view.Store(b.View().withEndpoint(k, now))
 }
 
-// noteMalformed writes one line for the first statement of a start that can't be read.
-func (b *Book) noteMalformed(k *known, a Answer, s Said) {
-	if s.Malformed == "" || k.malformed {
+// logMalformed writes one line for the first statement of a start that can't be read.
+func (b *Registry) logMalformed(k *endpointState, a Answer, s Statements) {
+	if s.Malformed == "" || k.malformedLogged {
 		return
 	}
-	k.malformed = true
+	k.malformedLogged = true
 	b.log.Info("statement of an endpoint can't be read", "endpoint", a.Instance, "statement", s.Malformed, "request", a.Request)
 }
 
 // publish makes a notice visible. The caller holds the lock.
-func (b *Book) publish(k *known) {
-	b.view.Store(b.View().with(k, b.now()))
-	for tell := range b.tell {
+func (b *Registry) publish(k *endpointState) {
+	b.view.Store(b.View().withEndpoint(k, b.now()))
+	for tell := range b.listeners {
 		(*tell)(k.Notice)
 	}
 }
--- a/notice/book_test.go
+++ b/notice/registry_test.go
@@ -33,20 +33,20 @@
 	return notice.Answer{
 		Instance: "e",
 		Request:  "r",
-		Sent:     c.at.Add(-ago),
+		SentAt:   c.at.Add(-ago),
 	}
 }
 
 // limit is what an answer says that names a rate limit.
-func limit(rate float64) notice.Said {
-	return notice.Said{
+func limit(rate float64) notice.Statements {
+	return notice.Statements{
 		Limited: true,
 		Rate:    rate,
 	}
 }
 
 // assertLimit checks the rate limit of endpoint e; less than zero means none.
-func assertLimit(t *testing.T, b *notice.Book, rate float64) {
+func assertLimit(t *testing.T, b *notice.Registry, rate float64) {
 	t.Helper()
 	l, limited := b.View().Limit("e", time.Time{})
 	is.New(t).Equal(limited, rate >= 0)
@@ -58,28 +58,28 @@
 func TestRateLimitNamed(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
-	b.Heard(c.answer(0), notice.Said{})
+	b.RecordAnswer(c.answer(0), notice.Statements{})
 	assertLimit(t, b, -1)
-	b.Heard(c.answer(0), limit(2))
+	b.RecordAnswer(c.answer(0), limit(2))
 	assertLimit(t, b, 2)
 
 	t.Run("an answer to an earlier request does not end it", func(t *testing.T) {
 		c.pass(time.Second)
-		b.Heard(c.answer(2*time.Second), notice.Said{})
+		b.RecordAnswer(c.answer(2*time.Second), notice.Statements{})
 		assertLimit(t, b, 2)
 	})
 	t.Run("a statement that can't be read does not end it", func(t *testing.T) {
-		b.Heard(c.answer(0), notice.Said{RateMalformed: true, Malformed: "x"})
+		b.RecordAnswer(c.answer(0), notice.Statements{RateMalformed: true, Malformed: "x"})
 		assertLimit(t, b, 2)
 	})
 	t.Run("another value replaces it", func(t *testing.T) {
 		c.pass(time.Minute)
-		b.Heard(c.answer(0), limit(0))
+		b.RecordAnswer(c.answer(0), limit(0))
 		assertLimit(t, b, 0)
 	})
 	t.Run("an answer without it ends it", func(t *testing.T) {
 		c.pass(time.Second)
-		b.Heard(c.answer(0), notice.Said{})
+		b.RecordAnswer(c.answer(0), notice.Statements{})
 		assertLimit(t, b, -1)
 	})
 }
@@ -91,7 +91,7 @@
 	told := 0
 	b.OnChange(func(notice.Notice) { told++ })
 	for i := range 1000 {
-		b.Heard(c.answer(0), limit(float64(i)))
+		b.RecordAnswer(c.answer(0), limit(float64(i)))
 		c.pass(10 * time.Millisecond)
 	}
 	is.New(t).Equal(told, 10)
@@ -103,7 +103,7 @@
 	c := newClock()
 	b := notice.New(c.now, funcr.New(func(_, _ string) { lines++ }, funcr.Options{}))
 	for range 100 {
-		b.Heard(c.answer(0), notice.Said{Malformed: "x"})
+		b.RecordAnswer(c.answer(0), notice.Statements{Malformed: "x"})
 	}
 	is.New(t).Equal(lines, 1)
 	assertLimit(t, b, -1)
@@ -114,13 +114,13 @@
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
 	first, second := c.answer(0), c.answer(0)
-	first.Born = c.at
-	second.Born = c.at.Add(time.Second)
-	b.Heard(first, limit(2))
+	first.StartedAt = c.at
+	second.StartedAt = c.at.Add(time.Second)
+	b.RecordAnswer(first, limit(2))
 	assertLimit(t, b, 2)
-	b.Heard(second, limit(5))
+	b.RecordAnswer(second, limit(5))
 	assertLimit(t, b, 5)
-	b.Heard(first, limit(1))
+	b.RecordAnswer(first, limit(1))
 	assertLimit(t, b, 5)
 }
 
@@ -128,17 +128,17 @@
 func TestNoticesConverge(t *testing.T) {
 	c := newClock()
 	one, other := notice.New(c.now, logr.Discard()), notice.New(c.now, logr.Discard())
-	first, _ := one.Heard(c.answer(0), limit(2))
-	second, _ := other.Heard(c.answer(0), limit(3))
-	one.Learn(second)
-	other.Learn(first)
+	first, _ := one.RecordAnswer(c.answer(0), limit(2))
+	second, _ := other.RecordAnswer(c.answer(0), limit(3))
+	one.ApplyNotice(second)
+	other.ApplyNotice(first)
 	assertLimit(t, one, 2)
 	assertLimit(t, other, 2)
 
 	c.pass(time.Second)
-	ended, _ := one.Heard(c.answer(0), notice.Said{})
-	other.Learn(ended)
-	other.Learn(first)
+	ended, _ := one.RecordAnswer(c.answer(0), notice.Statements{})
+	other.ApplyNotice(ended)
+	other.ApplyNotice(first)
 	assertLimit(t, other, -1)
 }
 
@@ -146,14 +146,14 @@
 func TestKeepForgets(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
-	b.Heard(c.answer(0), limit(2))
+	b.RecordAnswer(c.answer(0), limit(2))
 	none := func(string) bool { return false }
-	b.Keep(none)
+	b.RemoveUnlisted(none)
 	assertLimit(t, b, 2)
 	c.pass(time.Hour)
-	b.Keep(func(string) bool { return true })
+	b.RemoveUnlisted(func(string) bool { return true })
 	assertLimit(t, b, 2)
-	b.Keep(none)
+	b.RemoveUnlisted(none)
 	assertLimit(t, b, -1)
 }
 
@@ -163,21 +163,21 @@
 	c := newClock()
 	b, other := notice.New(c.now, logr.Discard()), notice.New(c.now, logr.Discard())
 	first := c.answer(0)
-	first.Born = c.at
-	n, changed := b.Heard(first, notice.Said{Leaving: true})
+	first.StartedAt = c.at
+	n, changed := b.RecordAnswer(first, notice.Statements{Leaving: true})
 	is.New(t).True(changed && n.Leaving)
 	c.pass(time.Second)
-	first.Sent = c.at
-	_, changed = b.Heard(first, notice.Said{})
+	first.SentAt = c.at
+	_, changed = b.RecordAnswer(first, notice.Statements{})
 	is.New(t).True(!changed)
-	other.Learn(n)
-	again, changed := other.Heard(first, limit(2))
+	other.ApplyNotice(n)
+	again, changed := other.RecordAnswer(first, limit(2))
 	is.New(t).True(changed && again.Leaving && again.Limited)
 
 	t.Run("the next start", func(t *testing.T) {
 		next := c.answer(0)
-		next.Born = c.at
-		n, changed := b.Heard(next, limit(2))
+		next.StartedAt = c.at
+		n, changed := b.RecordAnswer(next, limit(2))
 		is.New(t).True(changed && !n.Leaving)
 	})
 }
@@ -196,7 +196,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			c := newClock()
 			b := notice.New(c.now, logr.Discard())
-			_, changed := b.Heard(c.answer(0), notice.Said{Backoff: row.backoff})
+			_, changed := b.RecordAnswer(c.answer(0), notice.Statements{Backoff: row.backoff})
 			is.New(t).True(!changed)
 			for _, at := range []struct {
 				pass     time.Duration
@@ -206,7 +206,7 @@
 				{row.most + 1 - row.least + 1, false},
 			} {
 				c.pass(at.pass)
-				is.New(t).Equal(b.Declines("e", time.Time{}) != "", at.declines)
+				is.New(t).Equal(b.ExclusionReason("e", time.Time{}) != "", at.declines)
 			}
 		})
 	}
@@ -219,7 +219,7 @@
 	for i := range 10 {
 		a := c.answer(0)
 		a.Instance = string(rune('a' + i))
-		b.Heard(a, notice.Said{Backoff: time.Second})
+		b.RecordAnswer(a, notice.Statements{Backoff: time.Second})
 		c.pass(2 * time.Second)
 	}
 	is.New(t).Equal(len(b.View().BackedOff()), 1)
@@ -229,19 +229,19 @@
 // not heard of it, in either order.
 func TestLeavingOutlastsLimits(t *testing.T) {
 	c := newClock()
-	leaves, _ := notice.New(c.now, logr.Discard()).Heard(c.answer(0), notice.Said{Leaving: true})
+	leaves, _ := notice.New(c.now, logr.Discard()).RecordAnswer(c.answer(0), notice.Statements{Leaving: true})
 	ignorant := notice.New(c.now, logr.Discard())
-	ignorant.Heard(c.answer(0), limit(2))
+	ignorant.RecordAnswer(c.answer(0), limit(2))
 	c.pass(time.Minute)
-	limited, _ := ignorant.Heard(c.answer(0), limit(3))
+	limited, _ := ignorant.RecordAnswer(c.answer(0), limit(3))
 	for _, order := range [][]notice.Notice{{leaves, limited}, {limited, leaves}} {
 		b := notice.New(c.now, logr.Discard())
 		changes := 0
 		b.OnChange(func(notice.Notice) { changes++ })
 		for _, n := range append(order, order...) {
-			b.Learn(n)
+			b.ApplyNotice(n)
 		}
-		is.New(t).True(b.View().Leaves("e", time.Time{}))
+		is.New(t).True(b.View().IsLeaving("e", time.Time{}))
 		assertLimit(t, b, 3)
 		is.New(t).Equal(changes, 2)
 	}
@@ -252,18 +252,18 @@
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
 	first := c.answer(0)
-	first.Born = c.at
-	b.Heard(first, notice.Said{Backoff: 10 * time.Second})
-	is.New(t).True(b.Declines("e", first.Born) != "")
+	first.StartedAt = c.at
+	b.RecordAnswer(first, notice.Statements{Backoff: 10 * time.Second})
+	is.New(t).True(b.ExclusionReason("e", first.StartedAt) != "")
 	next := c.at.Add(time.Second)
-	b.Learn(notice.Notice{
-		Instance: "e",
-		Born:     next,
-		Limited:  true,
-		Rate:     2,
-		Revision: 1,
+	b.ApplyNotice(notice.Notice{
+		Instance:  "e",
+		StartedAt: next,
+		Limited:   true,
+		Rate:      2,
+		Revision:  1,
 	})
-	is.New(t).Equal(b.Declines("e", next), "")
+	is.New(t).Equal(b.ExclusionReason("e", next), "")
 	assertLimit(t, b, 2)
 }
 
@@ -273,11 +273,11 @@
 	for i := range 100 {
 		a := c.answer(0)
 		a.Instance = string(rune('A' + i))
-		book.Heard(a, limit(2))
+		book.RecordAnswer(a, limit(2))
 	}
 	a := c.answer(0)
 	a.Instance = "other"
 	for b.Loop() {
-		book.Heard(a, notice.Said{})
+		book.RecordAnswer(a, notice.Statements{})
 	}
 }
--- a/notice/view.go
+++ b/notice/view.go
@@ -13,8 +13,8 @@
 	Rate float64
 	// Since is when this instance learned of it.
 	Since time.Time
-	// born is when the start of the endpoint began that names it; zero when it does not say.
-	born time.Time
+	// startedAt is when the start of the endpoint began that names it; zero when it does not say.
+	startedAt time.Time
 }
 
 // Age returns for how long this instance has known of it at a moment; zero for the zero value.
@@ -25,7 +25,7 @@
 	return now.Sub(l.Since)
 }
 
-// View is what a Book knew of all endpoints at one moment. It never changes. The zero value
+// View is what a Registry knew of all endpoints at one moment. It never changes. The zero value
 // knows nothing.
 type View struct {
 	// limits are the limits in force, by endpoint.
@@ -39,32 +39,32 @@
 // backoff is until when an endpoint wants nothing from this instance.
 type backoff struct {
 	until time.Time
-	// born is when the start of the endpoint began that asked; zero when it does not say.
-	born time.Time
+	// startedAt is when the start of the endpoint began that asked; zero when it does not say.
+	startedAt time.Time
 }
 
 // Limit returns the rate limit that an endpoint names. Born is when its start began; zero when it
 // does not say.
 func (v *View) Limit(instance string, born time.Time) (Limit, bool) {
 	l, limited := v.limits[instance]
-	if !limited || startedSince(l.born, born) {
+	if !limited || restartedSince(l.startedAt, born) {
 		return Limit{}, false
 	}
 	return l, true
 }
 
-// Leaves states whether an endpoint says that it leaves. Born is when its start began; zero when it
+// IsLeaving states whether an endpoint says that it leaves. Born is when its start began; zero when it
 // does not say.
-func (v *View) Leaves(instance string, born time.Time) bool {
+func (v *View) IsLeaving(instance string, born time.Time) bool {
 	of, leaves := v.leaving[instance]
-	return leaves && !startedSince(of, born)
+	return leaves && !restartedSince(of, born)
 }
 
 // BackoffUntil returns until when an endpoint wants nothing from this instance; the zero time for
 // one that has not asked for that. Born is when its start began; zero when it does not say.
 func (v *View) BackoffUntil(instance string, born time.Time) time.Time {
 	r, known := v.backoffs[instance]
-	if !known || startedSince(r.born, born) {
+	if !known || restartedSince(r.startedAt, born) {
 		return time.Time{}
 	}
 	return r.until
@@ -79,8 +79,8 @@
 // AnyLimited states whether any endpoint names a rate limit.
 func (v *View) AnyLimited() bool { return len(v.limits) > 0 }
 
-// AnyLeaves states whether any endpoint leaves.
-func (v *View) AnyLeaves() bool { return len(v.leaving) > 0 }
+// AnyLeaving states whether any endpoint leaves.
+func (v *View) AnyLeaving() bool { return len(v.leaving) > 0 }
 
 // Limited returns the endpoints that name a rate limit, in any order.
 func (v *View) Limited() []string {
@@ -101,15 +101,15 @@
 	return out
 }
 
-// startedSince states whether an endpoint has started again since the start that a notice is
+// restartedSince states whether an endpoint has started again since the start that a notice is
 // of.
-func startedSince(notice, born time.Time) bool {
+func restartedSince(notice, born time.Time) bool {
 	return !notice.IsZero() && notice.Before(born)
 }
 
-// with returns the view with what is known of an endpoint at a moment. Back-offs that have ended
+// withEndpoint returns the view withEndpoint what is known of an endpoint at a moment. Back-offs that have ended
 // are left out.
-func (v *View) with(k *known, now time.Time) *View {
+func (v *View) withEndpoint(k *endpointState, now time.Time) *View {
 	next := &View{
 		limits:   without(v.limits, k.Instance),
 		leaving:  without(v.leaving, k.Instance),
@@ -118,18 +118,18 @@
 	maps.DeleteFunc(next.backoffs, func(_ string, r backoff) bool { return !r.until.After(now) })
 	if k.Limited {
 		next.limits[k.Instance] = Limit{
-			Rate:  k.Rate,
-			Since: k.changed,
-			born:  k.Born,
+			Rate:      k.Rate,
+			Since:     k.changedAt,
+			startedAt: k.StartedAt,
 		}
 	}
 	if k.Leaving {
-		next.leaving[k.Instance] = k.Born
+		next.leaving[k.Instance] = k.StartedAt
 	}
 	if k.backoffUntil.After(now) {
 		next.backoffs[k.Instance] = backoff{
-			until: k.backoffUntil,
-			born:  k.Born,
+			until:     k.backoffUntil,
+			startedAt: k.StartedAt,
 		}
 	}
 	return next
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -86,7 +86,7 @@
 			defer o.Close()
 			e := newEndpoint()
 			o.mu.Lock()
-			e.set(Target{
+			e.setTarget(Target{
 				Endpoint: config.Endpoint{
 					ID:                     "e1",
 					MemoryBytes:            1 << 50,
@@ -94,7 +94,7 @@
 					MaxRunning:             1 << 30,
 				},
 			})
-			e.known = true
+			e.reported = true
 			o.owned["e1"] = e
 			o.mu.Unlock()
 			var before, after runtime.MemStats
--- a/owner/grpc.go
+++ b/owner/grpc.go
@@ -21,11 +21,11 @@
 	mebibyte    = 1 << 20
 )
 
-// lifeInterval is how often a queued request shows a sign of life; a client
-// gives up on an owner that is silent for silence.
+// heartbeatInterval is how often a queued request shows a sign of life; a client
+// gives up on an owner that is silent for heartbeatTimeout.
 const (
-	lifeInterval = 500 * time.Millisecond
-	silence      = 3 * lifeInterval
+	heartbeatInterval = 500 * time.Millisecond
+	heartbeatTimeout  = 3 * heartbeatInterval
 )
 
 // Server serves an Owner to other instances.
@@ -72,13 +72,13 @@
 		g, err := s.owner.Acquire(out.Context(), r, func(d time.Duration) { estimates <- d })
 		done <- update(g, err)
 	}()
-	return s.wait(out, done, estimates, r)
+	return s.awaitOutcome(out, done, estimates, r)
 }
 
-// wait sends signs of life until the outcome is there.
-func (s *Server) wait(out grpc.ServerStreamingServer[ownerpb.AcquireUpdate], done <-chan *ownerpb.AcquireUpdate, estimates <-chan time.Duration, r Request) error {
+// awaitOutcome sends signs of life until the outcome is there.
+func (s *Server) awaitOutcome(out grpc.ServerStreamingServer[ownerpb.AcquireUpdate], done <-chan *ownerpb.AcquireUpdate, estimates <-chan time.Duration, r Request) error {
 	var estimate time.Duration
-	life := time.NewTicker(lifeInterval)
+	life := time.NewTicker(heartbeatInterval)
 	defer life.Stop()
 	for {
 		select {
@@ -167,7 +167,7 @@
 // Watch implements ownerpb.OwnerServer. Summaries that are as they were are sent
 // again only once in watchRepeat, so that the watcher knows that they hold.
 func (s *Server) Watch(in *ownerpb.WatchRequest, out grpc.ServerStreamingServer[ownerpb.Summaries]) error {
-	interval := max(time.Duration(in.IntervalMs)*time.Millisecond, minWatch)
+	interval := max(time.Duration(in.IntervalMs)*time.Millisecond, minWatchInterval)
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	var last *ownerpb.Summaries
@@ -175,7 +175,7 @@
 	for {
 		now := steady.Now()
 		next := Encode(s.owner.Summaries())
-		if now.Sub(sent) >= watchRepeat || !proto.Equal(next, last) {
+		if now.Sub(sent) >= unchangedInterval || !proto.Equal(next, last) {
 			if err := out.Send(next); err != nil {
 				return err
 			}
@@ -191,12 +191,12 @@
 	}
 }
 
-// watchRepeat is how often summaries are sent that have not changed. It is
+// unchangedInterval is how often summaries are sent that have not changed. It is
 // well below the age at which an entry no longer believes them.
-const watchRepeat = time.Second
+const unchangedInterval = time.Second
 
-// minWatch bounds how often summaries are sent.
-const minWatch = 20 * time.Millisecond
+// minWatchInterval bounds how often summaries are sent.
+const minWatchInterval = 20 * time.Millisecond
 
 // Encode returns the message for summaries.
 func Encode(summaries []policy.Summary) *ownerpb.Summaries {
@@ -253,16 +253,16 @@
 
 // Client asks the owner on another instance. It implements Leaser.
 type Client struct {
-	rpc  ownerpb.OwnerClient
-	hear func([]policy.Summary)
+	rpc         ownerpb.OwnerClient
+	onSummaries func([]policy.Summary)
 }
 
 // NewClient returns a client over a connection. It calls hear with the
 // summaries that come with answers.
 func NewClient(conn grpc.ClientConnInterface, hear func([]policy.Summary)) *Client {
 	return &Client{
-		rpc:  ownerpb.NewOwnerClient(conn),
-		hear: hear,
+		rpc:         ownerpb.NewOwnerClient(conn),
+		onSummaries: hear,
 	}
 }
 
@@ -272,7 +272,7 @@
 func (c *Client) Acquire(ctx context.Context, r Request, queued func(time.Duration)) (Grant, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	life := time.AfterFunc(silence, cancel)
+	life := time.AfterFunc(heartbeatTimeout, cancel)
 	defer life.Stop()
 	now := steady.Now()
 	stream, err := c.rpc.Acquire(ctx, &ownerpb.AcquireRequest{
@@ -296,12 +296,12 @@
 		if u, err = stream.Recv(); err != nil {
 			break
 		}
-		if steady.Since(heard) > silence {
+		if steady.Since(heard) > heartbeatTimeout {
 			err = errSuspended
 			break
 		}
 		heard = steady.Now()
-		life.Reset(silence)
+		life.Reset(heartbeatTimeout)
 		switch v := u.Update.(type) {
 		case *ownerpb.AcquireUpdate_Granted:
 			return Grant{
@@ -336,6 +336,6 @@
 	if err != nil {
 		return err
 	}
-	c.hear(decodeAll(reply.Summaries))
+	c.onSummaries(decodeAll(reply.Summaries))
 	return nil
 }
--- a/owner/messages.go
+++ b/owner/messages.go
@@ -43,8 +43,8 @@
 const (
 	// RefusedNotOwner means that the instance does not own the endpoint.
 	RefusedNotOwner Code = "not_owner"
-	// RefusedAside means that the endpoint is set aside.
-	RefusedAside Code = "aside"
+	// RefusedEjected means that the endpoint is set aside.
+	RefusedEjected Code = "aside"
 	// RefusedLeaving means that the endpoint is leaving.
 	RefusedLeaving Code = "leaving"
 	// RefusedDeadline means that the deadline can't be met here.
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -48,17 +48,17 @@
 const pumpInterval = 5 * time.Millisecond
 
 func (s *Settings) setDefaults() {
-	orDuration(&s.SweepInterval, defaultSweep)
-	orDuration(&s.ConfirmAfter, defaultConfirm)
-	orDuration(&s.OrphanAfter, defaultOrphan)
-	orDuration(&s.StartWithin, defaultStartWithin)
-	orDuration(&s.CallTimeout, defaultCall)
+	setDefaultDuration(&s.SweepInterval, defaultSweep)
+	setDefaultDuration(&s.ConfirmAfter, defaultConfirm)
+	setDefaultDuration(&s.OrphanAfter, defaultOrphan)
+	setDefaultDuration(&s.StartWithin, defaultStartWithin)
+	setDefaultDuration(&s.CallTimeout, defaultCall)
 	if s.Strategy == nil {
 		s.Strategy = policy.Weighed{}
 	}
 }
 
-func orDuration(v *time.Duration, def time.Duration) {
+func setDefaultDuration(v *time.Duration, def time.Duration) {
 	if *v == 0 {
 		*v = def
 	}
@@ -81,8 +81,8 @@
 	Instance string
 	// Leaving is true when the endpoint may get no new work.
 	Leaving bool
-	// Want is what an engine should have loaded.
-	Want order.State
+	// Desired is what an engine should have loaded.
+	Desired order.State
 }
 
 // Owner schedules the endpoints that the instance owns.
@@ -96,8 +96,8 @@
 	orders    *order.Orders
 	log       logr.Logger
 	cancel    context.CancelFunc
-	// kick asks for a sweep at once.
-	kick chan struct{}
+	// wake asks for a sweep at once.
+	wake chan struct{}
 
 	mu       sync.Mutex
 	owned    map[string]*endpoint
@@ -110,16 +110,16 @@
 	ledger *policy.Ledger
 	queue  []*waiter
 	leases map[string]*lease
-	// strange are attempts that run without a lease, by when they were first
+	// unleased are attempts that run without a lease, by when they were first
 	// seen.
-	strange map[string]time.Time
+	unleased map[string]time.Time
 	// instance is the endpoint instance that reported last.
 	instance string
-	// known is false until the endpoint has reported once.
-	known   bool
-	aside   bool
-	fails   int
-	pumping bool
+	// reported is false until the endpoint has reported once.
+	reported bool
+	ejected  bool
+	fails    int
+	pumping  bool
 }
 
 // lease is what a holder may use.
@@ -127,8 +127,8 @@
 	holder    string
 	granted   time.Time
 	confirmed time.Time
-	// unsure is when the holder was first found silent.
-	unsure time.Time
+	// silentSince is when the holder was first found silent.
+	silentSince time.Time
 }
 
 // New starts an owner that owns nothing yet. Close ends it. Nil orders mean
@@ -144,7 +144,7 @@
 		orders:    orders,
 		log:       log,
 		cancel:    cancel,
-		kick:      make(chan struct{}, 1),
+		wake:      make(chan struct{}, 1),
 		owned:     make(map[string]*endpoint),
 	}
 	go o.loop(ctx)
@@ -168,9 +168,9 @@
 	}
 }
 
-// Own sets which endpoints the instance owns. Those that it no longer owns are
+// SetOwned sets which endpoints the instance owns. Those that it no longer owns are
 // forgotten, and what waits for them is refused so that it goes elsewhere.
-func (o *Owner) Own(targets []Target) {
+func (o *Owner) SetOwned(targets []Target) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	keep := make(map[string]bool, len(targets))
@@ -183,9 +183,9 @@
 			}
 			e = newEndpoint()
 			o.owned[t.Endpoint.ID] = e
-			o.poke()
+			o.wakeSweep()
 		}
-		e.set(t)
+		e.setTarget(t)
 	}
 	for id, e := range o.owned {
 		if !keep[id] {
@@ -198,23 +198,23 @@
 	}
 }
 
-// poke asks for a sweep at once.
-func (o *Owner) poke() {
+// wakeSweep asks for a sweep at once.
+func (o *Owner) wakeSweep() {
 	select {
-	case o.kick <- struct{}{}:
+	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
 func newEndpoint() *endpoint {
 	return &endpoint{
-		leases:  make(map[string]*lease),
-		strange: make(map[string]time.Time),
+		leases:   make(map[string]*lease),
+		unleased: make(map[string]time.Time),
 	}
 }
 
-// set takes over what the configuration and the list say of the endpoint.
-func (e *endpoint) set(t Target) {
+// setTarget takes over what the configuration and the list say of the endpoint.
+func (e *endpoint) setTarget(t Target) {
 	if e.ledger == nil {
 		e.ledger = policy.NewLedger(t.Endpoint.MemoryBytes, t.Endpoint.PrefillTokensPerSecond, t.Endpoint.MaxRunning)
 	}
@@ -246,19 +246,19 @@
 	now := steady.Now()
 	out := make([]policy.Summary, 0, len(o.owned))
 	for id, e := range o.owned {
-		out = append(out, e.summary(id, now))
+		out = append(out, e.summarize(id, now))
 	}
 	slices.SortFunc(out, func(a, b policy.Summary) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return out
 }
 
-func (e *endpoint) summary(id string, now time.Time) policy.Summary {
+func (e *endpoint) summarize(id string, now time.Time) policy.Summary {
 	s := policy.Summary{
 		Endpoint: id,
 		Free:     e.ledger.Free(),
 		Turnover: e.ledger.Turnover(),
 		Slots:    e.ledger.MaxRunning - e.ledger.Running() - len(e.queue),
-		Aside:    e.aside || e.target.Leaving,
+		Aside:    e.ejected || e.target.Leaving,
 	}
 	for p, seconds := range e.ledger.Outstanding(now) {
 		s.Backlog[p] = float32(seconds)
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -48,7 +48,7 @@
 		}
 		return a.grant, nil
 	case <-ctx.Done():
-		o.leave(w)
+		o.abandon(w)
 		return Grant{}, ctx.Err()
 	}
 }
@@ -65,8 +65,8 @@
 		return 0, refuse(RefusedNotOwner, "another instance owns the endpoint", 0)
 	case e.target.Leaving:
 		return 0, refuse(RefusedLeaving, "the endpoint is leaving", 0)
-	case e.aside:
-		return 0, refuse(RefusedAside, "the endpoint does not answer", o.settings.SweepInterval)
+	case e.ejected:
+		return 0, refuse(RefusedEjected, "the endpoint does not answer", o.settings.SweepInterval)
 	case e.ledger.Memory > 0 && w.request.Work.Bytes > e.ledger.Memory:
 		return 0, refuse(RefusedSize, "the request is larger than the endpoint", 0)
 	}
@@ -136,8 +136,8 @@
 // pump grants whatever can start, and sees to it that it is called again while
 // something waits. The caller holds the lock.
 func (o *Owner) pump(e *endpoint, now time.Time) {
-	o.dropHopeless(e, now)
-	for e.known && !e.aside && len(e.queue) > 0 {
+	o.refuseLate(e, now)
+	for e.reported && !e.ejected && len(e.queue) > 0 {
 		works := make([]*policy.Work, len(e.queue))
 		for i, w := range e.queue {
 			works[i] = &w.request.Work
@@ -161,8 +161,8 @@
 	}
 }
 
-// dropHopeless refuses what can no longer finish in time.
-func (o *Owner) dropHopeless(e *endpoint, now time.Time) {
+// refuseLate refuses what can no longer finish in time.
+func (o *Owner) refuseLate(e *endpoint, now time.Time) {
 	if _, naive := o.settings.Strategy.(policy.Naive); naive {
 		return
 	}
@@ -211,9 +211,9 @@
 		"free_bytes", e.ledger.Free(), "queue", len(e.queue), "reason", string(why))
 }
 
-// leave takes a request out of the queue whose caller has gone. A lease that
+// abandon takes a request out of the queue whose caller has gone. A lease that
 // was given meanwhile ends.
-func (o *Owner) leave(w *waiter) {
+func (o *Owner) abandon(w *waiter) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e := o.owned[w.request.Endpoint]
@@ -226,11 +226,11 @@
 			return
 		}
 	}
-	o.end(e, w.request.Attempt)
+	o.endLease(e, w.request.Attempt)
 }
 
-// end returns what a lease held. The caller holds the lock.
-func (o *Owner) end(e *endpoint, attempt string) {
+// endLease returns what a lease held. The caller holds the lock.
+func (o *Owner) endLease(e *endpoint, attempt string) {
 	now := steady.Now()
 	delete(e.leases, attempt)
 	e.ledger.Remove(attempt, now)
@@ -269,7 +269,7 @@
 		e.ledger.FirstToken(r.Attempt, now)
 		o.pump(e, now)
 	case Failed, Done, NotStarted:
-		o.end(e, r.Attempt)
+		o.endLease(e, r.Attempt)
 	}
 	return nil
 }
--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -15,12 +15,12 @@
 	"github.com/linkmast/linkmast/order"
 )
 
-// failsAside is how many reports in a row must fail before an endpoint is set
+// failuresToEject is how many reports in a row must fail before an endpoint is set
 // aside.
-const failsAside = 2
+const failuresToEject = 2
 
-// sweepParallel bounds the endpoints that are looked at together.
-const sweepParallel = 32
+// maxParallelSweeps bounds the endpoints that are looked at together.
+const maxParallelSweeps = 32
 
 // loop sweeps until ctx ends.
 func (o *Owner) loop(ctx context.Context) {
@@ -30,7 +30,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-o.kick:
+		case <-o.wake:
 		case <-time.After(o.settings.SweepInterval):
 		}
 	}
@@ -45,7 +45,7 @@
 	}
 	o.mu.Unlock()
 	var g errgroup.Group
-	g.SetLimit(sweepParallel)
+	g.SetLimit(maxParallelSweeps)
 	for _, e := range owned {
 		g.Go(func() error {
 			o.sweep(ctx, e)
@@ -64,8 +64,8 @@
 	call, cancel := context.WithTimeout(ctx, o.settings.CallTimeout)
 	defer cancel()
 	if target.Kind == config.KindPlain {
-		o.note(e, engine.Status{}, o.endpoints.Plain(target.Address).Probe(call))
-		o.settle(ctx, e, &target, nil)
+		o.recordStatus(e, engine.Status{}, o.endpoints.Plain(target.Address).Probe(call))
+		o.resolveDoubt(ctx, e, &target, nil)
 		return
 	}
 	client := o.endpoints.Engine(target.Address)
@@ -73,18 +73,18 @@
 	if err == nil && o.inDoubt(e, s.Digest) {
 		s, err = client.Status(call, true)
 	}
-	o.note(e, s, err)
+	o.recordStatus(e, s, err)
 	if err != nil {
 		// What the holders say is asked all the same: a dead endpoint holds
 		// no memory, but its leases take up the ledger.
-		o.settle(ctx, e, &target, nil)
+		o.resolveDoubt(ctx, e, &target, nil)
 		return
 	}
 	running := make(map[string]engine.Held, len(s.Running))
 	for _, h := range s.Running {
 		running[h.ID] = h
 	}
-	o.settle(ctx, e, &target, running)
+	o.resolveDoubt(ctx, e, &target, running)
 	o.reconcile(ctx, e, &s, client)
 }
 
@@ -99,7 +99,7 @@
 	o.mu.Lock()
 	t := order.Target{
 		Endpoint: e.target.Endpoint.ID,
-		Want:     e.target.Want,
+		Want:     e.target.Desired,
 		Checks:   e.target.Endpoint.ChecksOrders,
 		Demand:   len(e.queue),
 	}
@@ -134,33 +134,33 @@
 	return false
 }
 
-// note takes over a report, or the lack of one.
-func (o *Owner) note(e *endpoint, s engine.Status, err error) {
+// recordStatus takes over a report, or the lack of one.
+func (o *Owner) recordStatus(e *endpoint, s engine.Status, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	id := e.target.Endpoint.ID
 	if err != nil {
 		e.fails++
-		if e.fails >= failsAside && !e.aside {
-			e.aside = true
-			e.refuseAll(RefusedAside, "the endpoint does not answer")
+		if e.fails >= failuresToEject && !e.ejected {
+			e.ejected = true
+			e.refuseAll(RefusedEjected, "the endpoint does not answer")
 			o.log.Info("endpoint set aside", "endpoint", id, "cause", err.Error())
 		}
 		return
 	}
-	if e.aside {
+	if e.ejected {
 		o.log.Info("endpoint back", "endpoint", id)
 	}
 	e.fails = 0
-	e.aside = false
-	e.known = true
+	e.ejected = false
+	e.reported = true
 	e.instance = s.Instance
 	o.pump(e, steady.Now())
 }
 
-// suspects returns, by holder, the attempts that the holder must be asked
+// attemptsInDoubt returns, by holder, the attempts that the holder must be asked
 // about, and notes the memory that others hold.
-func (o *Owner) suspects(e *endpoint, running map[string]engine.Held) map[string][]string {
+func (o *Owner) attemptsInDoubt(e *endpoint, running map[string]engine.Held) map[string][]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := steady.Now()
@@ -171,17 +171,17 @@
 			continue
 		}
 		foreign += h.Bytes
-		if _, ok := e.strange[id]; !ok {
-			e.strange[id] = now
+		if _, ok := e.unleased[id]; !ok {
+			e.unleased[id] = now
 		}
 		if h.Age > o.settings.SweepInterval {
 			ask[h.Holder] = append(ask[h.Holder], id)
 		}
 	}
 	e.ledger.Foreign = foreign
-	for id := range e.strange {
+	for id := range e.unleased {
 		if _, ok := running[id]; !ok {
-			delete(e.strange, id)
+			delete(e.unleased, id)
 		}
 	}
 	for id, l := range e.leases {
@@ -194,13 +194,13 @@
 	return ask
 }
 
-// settle asks the holders of what is in doubt, and cancels what nobody holds.
-func (o *Owner) settle(ctx context.Context, e *endpoint, target *config.Endpoint, running map[string]engine.Held) {
-	for holder, ids := range o.suspects(e, running) {
+// resolveDoubt asks the holders of what is in doubt, and cancels what nobody holds.
+func (o *Owner) resolveDoubt(ctx context.Context, e *endpoint, target *config.Endpoint, running map[string]engine.Held) {
+	for holder, ids := range o.attemptsInDoubt(e, running) {
 		call, cancel := context.WithTimeout(ctx, o.settings.CallTimeout)
 		held, err := o.holders.Held(call, holder, ids)
 		cancel()
-		orphans := o.judge(e, holder, ids, held, err, running)
+		orphans := o.findOrphans(e, holder, ids, held, err, running)
 		if len(orphans) == 0 {
 			continue
 		}
@@ -215,8 +215,8 @@
 	}
 }
 
-// judge takes over what a holder said, and returns the attempts to cancel.
-func (o *Owner) judge(e *endpoint, holder string, ids, held []string, err error, running map[string]engine.Held) []string {
+// findOrphans takes over what a holder said, and returns the attempts to cancel.
+func (o *Owner) findOrphans(e *endpoint, holder string, ids, held []string, err error, running map[string]engine.Held) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := steady.Now()
@@ -232,14 +232,14 @@
 			o.confirm(e, holder, id, running, now)
 			continue
 		case err != nil && leased:
-			if l.unsure.IsZero() {
-				l.unsure = now
+			if l.silentSince.IsZero() {
+				l.silentSince = now
 			}
-			if now.Sub(l.unsure) < o.settings.OrphanAfter {
+			if now.Sub(l.silentSince) < o.settings.OrphanAfter {
 				continue
 			}
 		case err != nil:
-			if now.Sub(e.strange[id]) < o.settings.OrphanAfter {
+			if now.Sub(e.unleased[id]) < o.settings.OrphanAfter {
 				continue
 			}
 		}
@@ -247,7 +247,7 @@
 			orphans = append(orphans, id)
 		}
 		if leased {
-			o.end(e, id)
+			o.endLease(e, id)
 		}
 	}
 	return orphans
@@ -258,7 +258,7 @@
 func (o *Owner) confirm(e *endpoint, holder, id string, running map[string]engine.Held, now time.Time) {
 	if l, ok := e.leases[id]; ok {
 		l.confirmed = now
-		l.unsure = time.Time{}
+		l.silentSince = time.Time{}
 		return
 	}
 	h, ok := running[id]
@@ -272,5 +272,5 @@
 	}
 	e.ledger.Adopt(id, h.Bytes, now)
 	e.ledger.Foreign -= h.Bytes
-	delete(e.strange, id)
+	delete(e.unleased, id)
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -96,9 +96,9 @@
 	return tcp.Dialer(connectTimeout).DialContext(ctx, "tcp", address)
 }
 
-// Keep closes the connections to all addresses but those for which keep is
+// CloseUnless closes the connections to all addresses but those for which keep is
 // true.
-func (p *Pool) Keep(keep func(address string) bool) {
+func (p *Pool) CloseUnless(keep func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for a, c := range p.conns {
@@ -114,10 +114,10 @@
 // Forsake closes the connection to an address: it may have gone silent for good. The
 // next use opens a new one.
 func (p *Pool) Forsake(address string) {
-	p.Keep(func(a string) bool { return a != address })
+	p.CloseUnless(func(a string) bool { return a != address })
 }
 
 // Close closes all connections.
 func (p *Pool) Close() {
-	p.Keep(func(string) bool { return false })
+	p.CloseUnless(func(string) bool { return false })
 }
--- a/pool/client.go
+++ b/pool/client.go
@@ -194,7 +194,7 @@
 	leaving = c.known.Leaving()
 	v := c.local.settings.Notices.View()
 	for _, instance := range v.Leaving() {
-		if v.Leaves(instance, c.known.Endpoints[instance].Born) {
+		if v.IsLeaving(instance, c.known.Endpoints[instance].Born) {
 			leaving = append(leaving, instance)
 		}
 	}
--- a/pool/client_crashes.go
+++ b/pool/client_crashes.go
@@ -49,12 +49,12 @@
 	return c.decides(c.commonPool()) == c.self.ID
 }
 
-// Crashed reports an attempt whose endpoint has ended.
-func (c *Client) Crashed(one quarantine.Crash) {
-	c.local.settings.Quarantine.Report(one)
+// ReportCrash reports an attempt whose endpoint has ended.
+func (c *Client) ReportCrash(one quarantine.Crash) {
+	c.local.settings.Quarantine.ReportCrash(one)
 	now := c.local.settings.Now()
 	c.mu.Lock()
-	c.crashes = slices.DeleteFunc(c.crashes, func(old quarantine.Crash) bool { return now.Sub(old.Ended) > toldAgainFor })
+	c.crashes = slices.DeleteFunc(c.crashes, func(old quarantine.Crash) bool { return now.Sub(old.EndedAt) > toldAgainFor })
 	if len(c.crashes) >= toldAgain {
 		c.crashes = slices.Delete(c.crashes, 0, 1)
 	}
@@ -63,9 +63,9 @@
 	c.tell(c.commonPool(), crashedMessage(one, now), nil)
 }
 
-// Served notes that a request was answered whole.
-func (c *Client) Served(id quarantine.Identity) {
-	if !c.local.settings.Quarantine.Served(id) {
+// ReportAnswered notes that a request was answered whole.
+func (c *Client) ReportAnswered(id quarantine.Identity) {
+	if !c.local.settings.Quarantine.ReportAnswered(id) {
 		return
 	}
 	c.tell(c.commonPool(), verdictToOwner(quarantine.Verdict{
@@ -74,9 +74,9 @@
 	}), nil)
 }
 
-// Enter gives a request leave to run, as the instance's book does.
-func (c *Client) Enter(id quarantine.Identity) (quarantine.Pass, time.Duration, bool) {
-	return c.local.settings.Quarantine.Enter(id)
+// Admit gives a request leave to run, as the instance's book does.
+func (c *Client) Admit(id quarantine.Identity) (quarantine.Admission, time.Duration, bool) {
+	return c.local.settings.Quarantine.Admit(id)
 }
 
 // Suspected states whether attempts of an identity have ended with their endpoints of late.
@@ -84,14 +84,14 @@
 	return c.local.settings.Quarantine.Suspected(id)
 }
 
-// Barred states whether requests of an identity must not run, and for how much longer.
-func (c *Client) Barred(id quarantine.Identity) (time.Duration, bool) {
-	return c.local.settings.Quarantine.Barred(id)
+// BanRemaining states whether requests of an identity must not run, and for how much longer.
+func (c *Client) BanRemaining(id quarantine.Identity) (time.Duration, bool) {
+	return c.local.settings.Quarantine.BanRemaining(id)
 }
 
 // learned takes over a verdict of an owner.
 func (c *Client) learned(v quarantine.Verdict) {
-	c.local.settings.Quarantine.Learn(v)
+	c.local.settings.Quarantine.ApplyVerdict(v)
 }
 
 // crashGreeting returns the messages that tell an owner of bans, and of the crashes that this
@@ -102,7 +102,7 @@
 	book := c.local.settings.Quarantine
 	for _, one := range c.crashes {
 		// What is banned or was cleared is counted no more.
-		if book.Counting(one.Identity) {
+		if book.HasSuspect(one.Identity) {
 			out = append(out, crashedMessage(one, now))
 		}
 	}
--- a/pool/client_links.go
+++ b/pool/client_links.go
@@ -112,7 +112,7 @@
 		turn:    c.turned,
 		move:    c.moveAttempt,
 		verdict: c.learned,
-		notice:  c.local.settings.Notices.Learn,
+		notice:  c.local.settings.Notices.ApplyNotice,
 		log:     c.log,
 		began:   time.Now(),
 	}
--- a/pool/client_notices.go
+++ b/pool/client_notices.go
@@ -8,9 +8,9 @@
 	"github.com/linkmast/linkmast/notice"
 )
 
-// Declines implements notice.Guard.
-func (c *Client) Declines(instance string, born time.Time) string {
-	return c.local.settings.Notices.Declines(instance, born)
+// ExclusionReason implements notice.Guard.
+func (c *Client) ExclusionReason(instance string, born time.Time) string {
+	return c.local.settings.Notices.ExclusionReason(instance, born)
 }
 
 // backoffs returns the endpoints of a service that have asked this instance for a back-off.
@@ -40,10 +40,10 @@
 	return out
 }
 
-// Heard implements notice.Guard: the instances that all others have sessions with tell
+// RecordAnswer implements notice.Guard: the instances that all others have sessions with tell
 // them.
-func (c *Client) Heard(a notice.Answer, s notice.Said) {
-	if n, changed := c.local.settings.Notices.Heard(a, s); changed {
+func (c *Client) RecordAnswer(a notice.Answer, s notice.Statements) {
+	if n, changed := c.local.settings.Notices.RecordAnswer(a, s); changed {
 		c.tell(c.commonPool(), noticeToOwner(n), nil)
 	}
 }
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -21,12 +21,12 @@
 func (n *node) crash(i int) {
 	began := time.Now()
 	time.Sleep(20 * time.Millisecond)
-	n.client.Crashed(quarantine.Crash{
-		Attempt:  fmt.Sprintf("%s-%d", n.self.ID, i),
-		Endpoint: fmt.Sprint("e", i),
-		Identity: crashing,
-		Began:    began,
-		Ended:    time.Now(),
+	n.client.ReportCrash(quarantine.Crash{
+		Attempt:   fmt.Sprintf("%s-%d", n.self.ID, i),
+		Endpoint:  fmt.Sprint("e", i),
+		Identity:  crashing,
+		StartedAt: began,
+		EndedAt:   time.Now(),
 	})
 	// The next attempt is no sooner anywhere than this report is where crashes are counted.
 	time.Sleep(60 * time.Millisecond)
@@ -49,7 +49,7 @@
 
 // settle waits until a crash that was reported has counted, and what follows is known.
 func settle() {
-	time.Sleep(2 * quarantine.SettleAfter)
+	time.Sleep(2 * quarantine.SettleDelay)
 }
 
 // assertBarred waits until all of some instances keep the request from endpoints, or none
@@ -58,10 +58,10 @@
 	t.Helper()
 	for _, n := range nodes {
 		end := time.Now().Add(time.Second)
-		_, barred := n.client.Barred(crashing)
+		_, barred := n.client.BanRemaining(crashing)
 		for barred != want && time.Now().Before(end) {
 			time.Sleep(5 * time.Millisecond)
-			_, barred = n.client.Barred(crashing)
+			_, barred = n.client.BanRemaining(crashing)
 		}
 		if barred != want {
 			t.Fatalf("%s: barred is %v", n.self.ID, barred)
@@ -179,7 +179,7 @@
 		f.nodes[0].crash(0)
 		f.nodes[1].crash(1)
 		settle()
-		f.nodes[3].client.Served(crashing)
+		f.nodes[3].client.ReportAnswered(crashing)
 		time.Sleep(50 * time.Millisecond)
 		f.nodes[2].crash(2)
 		settle()
@@ -192,7 +192,7 @@
 			f.nodes[i].crash(i)
 		}
 		assertBarred(t, f.nodes, true)
-		f.nodes[3].client.Served(crashing)
+		f.nodes[3].client.ReportAnswered(crashing)
 		assertBarred(t, f.nodes, false)
 	})
 }
@@ -206,7 +206,7 @@
 	left[0].crash(0)
 	left[1].crash(1)
 	settle()
-	left[3].client.Served(crashing)
+	left[3].client.ReportAnswered(crashing)
 	time.Sleep(50 * time.Millisecond)
 	close(first.closing)
 	second := f.owner(first.self.ID)
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -107,8 +107,8 @@
 	})
 
 	t.Run("once the limit has ended", func(t *testing.T) {
-		f.nodes[1].hears("p0", notice.Said{})
-		f.nodes[1].hears("p1", notice.Said{})
+		f.nodes[1].hears("p0", notice.Statements{})
+		f.nodes[1].hears("p1", notice.Statements{})
 		assertLimit(t, f.nodes, "p1", -1)
 		settle()
 		load.run(t, "after", f.nodes, 200*time.Millisecond)
@@ -140,7 +140,7 @@
 		is.New(t).NoErr(err)
 	}
 	settle()
-	f.nodes[0].hears("p0", notice.Said{})
+	f.nodes[0].hears("p0", notice.Statements{})
 	assertLimit(t, f.nodes, "p0", -1)
 	// The session of an instance may end before its messages are out; what ran is then
 	// forgotten with the session.
--- a/pool/messages.go
+++ b/pool/messages.go
@@ -218,7 +218,7 @@
 func encodeNotice(n notice.Notice) *poolpb.Notice {
 	return &poolpb.Notice{
 		Instance: n.Instance,
-		BornMs:   bornMessage(n.Born),
+		BornMs:   bornMessage(n.StartedAt),
 		Limited:  n.Limited,
 		Rate:     n.Rate,
 		Leaving:  n.Leaving,
@@ -229,12 +229,12 @@
 // decodeNotice returns the notice of a message.
 func decodeNotice(m *poolpb.Notice) notice.Notice {
 	return notice.Notice{
-		Instance: m.GetInstance(),
-		Born:     bornOf(m.GetBornMs()),
-		Limited:  m.GetLimited(),
-		Rate:     m.GetRate(),
-		Leaving:  m.GetLeaving(),
-		Revision: m.GetRevision(),
+		Instance:  m.GetInstance(),
+		StartedAt: bornOf(m.GetBornMs()),
+		Limited:   m.GetLimited(),
+		Rate:      m.GetRate(),
+		Leaving:   m.GetLeaving(),
+		Revision:  m.GetRevision(),
 	}
 }
 
--- a/pool/messages_test.go
+++ b/pool/messages_test.go
@@ -59,12 +59,12 @@
 	})
 	t.Run("notice", func(t *testing.T) {
 		n := notice.Notice{
-			Instance: "i",
-			Born:     time.UnixMilli(1796256000123),
-			Limited:  true,
-			Rate:     1.5,
-			Leaving:  true,
-			Revision: 2,
+			Instance:  "i",
+			StartedAt: time.UnixMilli(1796256000123),
+			Limited:   true,
+			Rate:      1.5,
+			Leaving:   true,
+			Revision:  2,
 		}
 		assertSet(t, n)
 		is.New(t).Equal(decodeNotice(encodeNotice(n)), n)
@@ -99,29 +99,29 @@
 		is := is.New(t)
 		now := time.Now()
 		c := quarantine.Crash{
-			Attempt:  "0123456789abcdef.an-instance-of-a-long-name-17.zz",
-			Before:   "0123456789abcdef.an-instance-of-a-long-name-17.zy",
-			Endpoint: "10.128.100.100:8080",
-			Others:   []string{"10.128.100.101:8080"},
-			Identity: 1 << 63,
-			Began:    now.Add(-2 * time.Second),
-			Ended:    now.Add(-time.Second),
+			Attempt:         "0123456789abcdef.an-instance-of-a-long-name-17.zz",
+			PreviousAttempt: "0123456789abcdef.an-instance-of-a-long-name-17.zy",
+			Endpoint:        "10.128.100.100:8080",
+			OtherEndpoints:  []string{"10.128.100.101:8080"},
+			Identity:        1 << 63,
+			StartedAt:       now.Add(-2 * time.Second),
+			EndedAt:         now.Add(-time.Second),
 		}
 		assertSet(t, c)
 		m := crashedMessage(c, now)
 		is.Equal(quarantine.DecodeCrash(m.GetCrashed(), now), c)
-		c.Others = nil
+		c.OtherEndpoints = nil
 		is.True(proto.Size(crashedMessage(c, now)) <= 192)
-		c.Others = []string{"10.128.100.101:8080", "10.128.100.102:8080"}
+		c.OtherEndpoints = []string{"10.128.100.101:8080", "10.128.100.102:8080"}
 		is.True(proto.Size(crashedMessage(c, now)) <= 192+2*24) // each reader adds its address
 	})
 	t.Run("verdict", func(t *testing.T) {
 		is := is.New(t)
 		v := quarantine.Verdict{
-			Identity: 1 << 63,
-			State:    quarantine.Banned,
-			For:      24 * time.Hour,
-			Times:    9,
+			Identity:  1 << 63,
+			State:     quarantine.Banned,
+			Remaining: 24 * time.Hour,
+			BanCount:  9,
 		}
 		assertSet(t, v)
 		is.Equal(quarantine.DecodeVerdict(verdictToEntry(v).GetVerdict()), v)
--- a/pool/notice_test.go
+++ b/pool/notice_test.go
@@ -12,17 +12,17 @@
 )
 
 // hears has an instance hear an answer of an endpoint to a request that was just sent.
-func (n *node) hears(endpoint string, s notice.Said) {
-	n.client.Heard(notice.Answer{
+func (n *node) hears(endpoint string, s notice.Statements) {
+	n.client.RecordAnswer(notice.Answer{
 		Instance: endpoint,
 		Request:  "r",
-		Sent:     time.Now(),
+		SentAt:   time.Now(),
 	}, s)
 }
 
 // limit is what an answer says that names a rate limit.
-func limit(rate float64) notice.Said {
-	return notice.Said{
+func limit(rate float64) notice.Statements {
+	return notice.Statements{
 		Limited: true,
 		Rate:    rate,
 	}
@@ -52,7 +52,7 @@
 	settle()
 	f.nodes[2].hears("e1", limit(2))
 	assertLimit(t, f.nodes, "e1", 2)
-	f.nodes[4].hears("e1", notice.Said{})
+	f.nodes[4].hears("e1", notice.Statements{})
 	assertLimit(t, f.nodes, "e1", -1)
 
 	t.Run("an instance that starts later", func(t *testing.T) {
--- a/pool/rates_test.go
+++ b/pool/rates_test.go
@@ -136,7 +136,7 @@
 func (w *rateWorld) limit(rate float64, names ...string) {
 	for _, s := range w.instances {
 		for _, name := range names {
-			s.settings.Notices.Learn(notice.Notice{
+			s.settings.Notices.ApplyNotice(notice.Notice{
 				Instance: name,
 				Limited:  true,
 				Rate:     rate,
@@ -308,11 +308,11 @@
 func TestRateLimitOfAnotherStart(t *testing.T) {
 	w := newRateWorld(t, 1, 1, rateModel())
 	s := w.instances[0]
-	s.settings.Notices.Learn(notice.Notice{
-		Instance: "e0",
-		Born:     w.now,
-		Limited:  true,
-		Revision: 1,
+	s.settings.Notices.ApplyNotice(notice.Notice{
+		Instance:  "e0",
+		StartedAt: w.now,
+		Limited:   true,
+		Revision:  1,
 	})
 	w.ask(s, false)
 	r, _ := w.ask(s, false)
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -38,9 +38,9 @@
 	Worth worth.Settings
 	// Quarantine is what is known of requests that crash endpoints; the default is an empty
 	// book.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Registry
 	// Notices is what endpoints say of themselves; the default is an empty book.
-	Notices *notice.Book
+	Notices *notice.Registry
 	// Now returns the time; the default is steady.Now.
 	Now func() time.Time
 	// Draw returns a random time below one that is greater than zero; the default is
@@ -89,7 +89,7 @@
 }
 
 // Notices returns what endpoints say of themselves.
-func (s *Scheduler) Notices() *notice.Book {
+func (s *Scheduler) Notices() *notice.Registry {
 	return s.settings.Notices
 }
 
--- a/pool/server.go
+++ b/pool/server.go
@@ -158,11 +158,11 @@
 	case *poolpb.FromEntry_Suspicion:
 		s.Suspect(k.Suspicion.GetId(), k.Suspicion.GetService(), microseconds(k.Suspicion.GetSilenceUs()))
 	case *poolpb.FromEntry_Crashed:
-		s.settings.Quarantine.Report(quarantine.DecodeCrash(k.Crashed, s.settings.Now()))
+		s.settings.Quarantine.ReportCrash(quarantine.DecodeCrash(k.Crashed, s.settings.Now()))
 	case *poolpb.FromEntry_Verdict:
-		s.settings.Quarantine.Learn(quarantine.DecodeVerdict(k.Verdict))
+		s.settings.Quarantine.ApplyVerdict(quarantine.DecodeVerdict(k.Verdict))
 	case *poolpb.FromEntry_Notice:
-		s.settings.Notices.Learn(decodeNotice(k.Notice))
+		s.settings.Notices.ApplyNotice(decodeNotice(k.Notice))
 	case *poolpb.FromEntry_Ping:
 		if k.Ping.GetSeq() == greetingEnd {
 			x.server.greeted(x)
--- a/pool/state.go
+++ b/pool/state.go
@@ -58,7 +58,7 @@
 	// returning is the work that was cut and comes back.
 	returning returning
 	// notices has what endpoints say of themselves.
-	notices *notice.Book
+	notices *notice.Registry
 	// rates are the rate limits that endpoints name.
 	rates rates
 	// passedOver counts the endpoints that decisions passed over as they backed off or were at
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -21,7 +21,7 @@
 
 // leaves states whether an endpoint leaves, as the store or its own answers say.
 func (p *state) leaves(e *placement.Engine, v *notice.View) bool {
-	return e.Closed || v.AnyLeaves() && v.Leaves(e.Instance, p.health[e.Instance].born)
+	return e.Closed || v.AnyLeaving() && v.IsLeaving(e.Instance, p.health[e.Instance].born)
 }
 
 // barred states whether a request must not be placed on an endpoint.
--- a/pool/unavailable_test.go
+++ b/pool/unavailable_test.go
@@ -16,7 +16,7 @@
 func (w *rateWorld) leave(names ...string) {
 	for _, s := range w.instances {
 		for _, name := range names {
-			s.settings.Notices.Learn(notice.Notice{
+			s.settings.Notices.ApplyNotice(notice.Notice{
 				Instance: name,
 				Leaving:  true,
 				Revision: 1,
--- a/quarantine/enter_test.go
+++ b/quarantine/admission_test.go
@@ -14,49 +14,49 @@
 
 // TestEnter gives requests leave to run: none in a ban, after it one at a time that runs once.
 func TestEnter(t *testing.T) {
-	virtual(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBook()
-		p, _, ok := b.Enter(1)
-		is.True(ok && !p.Once)
-		p.Leave()
+		b := newTestRegistry()
+		p, _, ok := b.Admit(1)
+		is.True(ok && !p.SingleEndpoint)
+		p.Release()
 		crashThrice(b)
-		_, after, ok := b.Enter(1)
+		_, after, ok := b.Admit(1)
 		is.True(!ok)
-		is.True(after <= banFirst && after > banFirst-time.Second)
-		_, _, ok = b.Enter(2)
+		is.True(after <= firstBanDuration && after > firstBanDuration-time.Second)
+		_, _, ok = b.Admit(2)
 		is.True(ok)
-		time.Sleep(banFirst)
-		p, _, ok = b.Enter(1)
-		is.True(ok && p.Once)
-		_, after, ok = b.Enter(1)
+		time.Sleep(firstBanDuration)
+		p, _, ok = b.Admit(1)
+		is.True(ok && p.SingleEndpoint)
+		_, after, ok = b.Admit(1)
 		is.True(!ok)
-		is.Equal(after, tryAfter)
-		p.Leave()
-		_, _, ok = b.Enter(1)
+		is.Equal(after, retestDelay)
+		p.Release()
+		_, _, ok = b.Admit(1)
 		is.True(!ok) // what came of it may not be known yet
-		time.Sleep(tryAfter)
-		_, _, ok = b.Enter(1)
+		time.Sleep(retestDelay)
+		_, _, ok = b.Admit(1)
 		is.True(ok)
 	})
 }
 
-// banned starts the books of some instances that tell each other everything and take turns, in
-// which the request 1 has just been banned.
-func banned(n int) []*Book {
-	var all []*Book
+// bannedRegistries starts the books of some instances that tell each other everything and take turns, in
+// which the request 1 has just been bannedRegistries.
+func bannedRegistries(n int) []*Registry {
+	var all []*Registry
 	for i := range n {
-		all = append(all, New(time.Now, func(Identity) Turn {
-			return Turn{
-				Before: i,
-				Of:     n,
+		all = append(all, New(time.Now, func(Identity) RetestTurn {
+			return RetestTurn{
+				Position:  i,
+				Instances: n,
 			}
 		}, logr.Discard()))
 	}
 	crashThrice(all[0])
 	for _, b := range all[1:] {
 		for _, v := range all[0].Verdicts() {
-			b.Learn(v)
+			b.ApplyVerdict(v)
 		}
 	}
 	return all
@@ -81,14 +81,14 @@
 		{"does no harm", false, instances * int(time.Minute/every) * 9 / 10, instances * int(time.Minute/every)},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			virtual(t, func(t *testing.T) {
+			inVirtualTime(t, func(t *testing.T) {
 				is := is.New(t)
-				all := banned(instances)
-				time.Sleep(banFirst)
+				all := bannedRegistries(instances)
+				time.Sleep(firstBanDuration)
 				ran := 0
 				for range int(time.Minute / every) {
 					for i, b := range all {
-						p, _, ok := b.Enter(1)
+						p, _, ok := b.Admit(1)
 						if !ok {
 							continue
 						}
@@ -96,18 +96,18 @@
 						began := time.Now()
 						attempt := strconv.Itoa(ran)
 						time.AfterFunc(takes, func() {
-							p.Leave()
+							p.Release()
 							for _, other := range all {
 								if !row.crashes {
-									other.Served(1)
+									other.ReportAnswered(1)
 									continue
 								}
-								other.Report(Crash{
-									Attempt:  attempt,
-									Endpoint: "late" + strconv.Itoa(i),
-									Identity: 1,
-									Began:    began,
-									Ended:    time.Now(),
+								other.ReportCrash(Crash{
+									Attempt:   attempt,
+									Endpoint:  "late" + strconv.Itoa(i),
+									Identity:  1,
+									StartedAt: began,
+									EndedAt:   time.Now(),
 								})
 							}
 						})
@@ -127,16 +127,16 @@
 func TestTurn(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		turn Turn
+		turn RetestTurn
 		wait time.Duration
 	}{
-		{"alone", Turn{}, 0},
-		{"the first of six", Turn{Before: 0, Of: 6}, 0},
-		{"the last of six", Turn{Before: 5, Of: 6}, 5 * tryAfter},
-		{"the last of 1,200", Turn{Before: 1199, Of: 1200}, banFirst - banFirst/1200},
+		{"alone", RetestTurn{}, 0},
+		{"the first of six", RetestTurn{Position: 0, Instances: 6}, 0},
+		{"the last of six", RetestTurn{Position: 5, Instances: 6}, 5 * retestDelay},
+		{"the last of 1,200", RetestTurn{Position: 1199, Instances: 1200}, firstBanDuration - firstBanDuration/1200},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			is.New(t).Equal(row.turn.wait(), row.wait)
+			is.New(t).Equal(row.turn.delay(), row.wait)
 		})
 	}
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -7,7 +7,7 @@
 // so that nothing else links the crashes.
 //
 // An instance whose attempt broke off looks whether its endpoint has ended (Detector), and reports
-// a Crash if it takes no connection. A Book counts those of one identity that follow each other: an attempt that was under
+// a Crash if it takes no connection. A Registry counts those of one identity that follow each other: an attempt that was under
 // way while the one before crashed its endpoint adds nothing, so that many equal requests
 // under way on endpoints that stop together count once. Nor does a crash at the moment of
 // which an endpoint ended as well that did not run the request, alone or in a joint reading. After three in a row the
@@ -17,8 +17,8 @@
 // A ban lapses. Instances then let a request of the identity run in turn; the next crash bans it
 // again, for ten times as long.
 //
-// Each instance has a Book. What one decides it tells others as a Verdict. Where entries have
+// Each instance has a Registry. What one decides it tells others as a Verdict. Where entries have
 // sessions with the owner of a pool, package pool carries crashes there and verdicts back, and
 // a Recorder keeps bans in the platform's store, so that they outlast all instances. Where they
-// have none, a Sharing does, by calls between instances. Those who send requests ask a Guard.
+// have none, a PeerGuard does, by calls between instances. Those who send requests ask a Guard.
 package quarantine
--- a/quarantine/grpc.go
+++ b/quarantine/grpc.go
@@ -14,36 +14,36 @@
 type Server struct {
 	quarantinepb.UnimplementedQuarantineServer
 
-	book *Book
+	registry *Registry
 }
 
 // NewServer returns the server of a book.
-func NewServer(b *Book) *Server {
+func NewServer(b *Registry) *Server {
 	return &Server{
-		book: b,
+		registry: b,
 	}
 }
 
 // Report implements quarantinepb.QuarantineServer.
 func (s *Server) Report(_ context.Context, in *quarantinepb.Crashed) (*quarantinepb.Taken, error) {
-	s.book.Report(DecodeCrash(in, s.book.now()))
+	s.registry.ReportCrash(DecodeCrash(in, s.registry.now()))
 	return &quarantinepb.Taken{}, nil
 }
 
 // Tell implements quarantinepb.QuarantineServer.
 func (s *Server) Tell(_ context.Context, in *quarantinepb.Verdict) (*quarantinepb.Taken, error) {
-	s.book.Learn(DecodeVerdict(in))
+	s.registry.ApplyVerdict(DecodeVerdict(in))
 	return &quarantinepb.Taken{}, nil
 }
 
-// ReportTo reports a crash to the instance that a connection leads to.
-func ReportTo(ctx context.Context, conn grpc.ClientConnInterface, m *quarantinepb.Crashed) error {
+// SendCrash reports a crash to the instance that a connection leads to.
+func SendCrash(ctx context.Context, conn grpc.ClientConnInterface, m *quarantinepb.Crashed) error {
 	_, err := quarantinepb.NewQuarantineClient(conn).Report(ctx, m)
 	return err
 }
 
-// TellTo tells that instance of a verdict.
-func TellTo(ctx context.Context, conn grpc.ClientConnInterface, v Verdict) error {
+// SendVerdict tells that instance of a verdict.
+func SendVerdict(ctx context.Context, conn grpc.ClientConnInterface, v Verdict) error {
 	_, err := quarantinepb.NewQuarantineClient(conn).Tell(ctx, EncodeVerdict(v))
 	return err
 }
--- a/quarantine/messages.go
+++ b/quarantine/messages.go
@@ -12,12 +12,12 @@
 func EncodeCrash(c Crash, now time.Time) *quarantinepb.Crashed {
 	return &quarantinepb.Crashed{
 		Attempt:  c.Attempt,
-		Before:   c.Before,
+		Before:   c.PreviousAttempt,
 		Identity: uint64(c.Identity),
 		Endpoint: c.Endpoint,
-		Others:   c.Others,
-		BeganUs:  now.Sub(c.Began).Microseconds(),
-		EndedUs:  now.Sub(c.Ended).Microseconds(),
+		Others:   c.OtherEndpoints,
+		BeganUs:  now.Sub(c.StartedAt).Microseconds(),
+		EndedUs:  now.Sub(c.EndedAt).Microseconds(),
 	}
 }
 
@@ -25,13 +25,13 @@
 func DecodeCrash(m *quarantinepb.Crashed, now time.Time) Crash {
 	ago := func(us int64) time.Time { return now.Add(-time.Duration(us) * time.Microsecond) }
 	return Crash{
-		Attempt:  m.GetAttempt(),
-		Before:   m.GetBefore(),
-		Identity: Identity(m.GetIdentity()),
-		Endpoint: m.GetEndpoint(),
-		Others:   m.GetOthers(),
-		Began:    ago(m.GetBeganUs()),
-		Ended:    ago(m.GetEndedUs()),
+		Attempt:         m.GetAttempt(),
+		PreviousAttempt: m.GetBefore(),
+		Identity:        Identity(m.GetIdentity()),
+		Endpoint:        m.GetEndpoint(),
+		OtherEndpoints:  m.GetOthers(),
+		StartedAt:       ago(m.GetBeganUs()),
+		EndedAt:         ago(m.GetEndedUs()),
 	}
 }
 
@@ -40,17 +40,17 @@
 	return &quarantinepb.Verdict{
 		Identity: uint64(v.Identity),
 		State:    int32(v.State),
-		ForUs:    v.For.Microseconds(),
-		Times:    int32(v.Times),
+		ForUs:    v.Remaining.Microseconds(),
+		Times:    int32(v.BanCount),
 	}
 }
 
 // DecodeVerdict returns the verdict of a message.
 func DecodeVerdict(m *quarantinepb.Verdict) Verdict {
 	return Verdict{
-		Identity: Identity(m.GetIdentity()),
-		State:    State(m.GetState()),
-		For:      time.Duration(m.GetForUs()) * time.Microsecond,
-		Times:    int(m.GetTimes()),
+		Identity:  Identity(m.GetIdentity()),
+		State:     State(m.GetState()),
+		Remaining: time.Duration(m.GetForUs()) * time.Microsecond,
+		BanCount:  int(m.GetTimes()),
 	}
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -21,31 +21,31 @@
 const (
 	// writeTimeout bounds one call.
 	writeTimeout = time.Second
-	// writeRetry is the pause after a call that failed.
-	writeRetry = 500 * time.Millisecond
-	// standbyAfter is how much later an instance writes that does not own the pool: time
+	// writeRetryDelay is the pause after a call that failed.
+	writeRetryDelay = 500 * time.Millisecond
+	// standbyDelay is how much later an instance writes that does not own the pool: time
 	// for the owner's record to be read by all.
-	standbyAfter = 2 * time.Second
+	standbyDelay = 2 * time.Second
 )
 
-// due is one call of the store that is due: a ban to record, or the identity of one to
+// storeCall is one call of the store that is storeCall: a ban to record, or the identity of one to
 // erase.
-type due struct {
+type storeCall struct {
 	verdict Verdict
 	erase   bool
 }
 
-// Recorded takes over all bans that the store has. Former are those of the time before: who is
+// SyncStored takes over all bans that the store has. Former are those of the time before: who is
 // missing now was cleared by another instance or an operator, or is over. A record stays for
 // as long as its ban is remembered, so that the end of one ban isn't taken for that of the
 // next.
-func (b *Book) Recorded(former, bans map[Identity]Verdict) {
+func (b *Registry) SyncStored(former, bans map[Identity]Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	for id, v := range bans {
 		if former[id] != v {
-			b.learnBan(v, now)
+			b.applyBan(v, now)
 		}
 		if one := b.bans[id]; one != nil {
 			one.recorded = true
@@ -63,22 +63,22 @@
 		default:
 			delete(b.bans, id)
 		}
-		delete(b.erase, id)
+		delete(b.pendingErasures, id)
 	}
-	b.changes()
+	b.signalChange()
 }
 
-// due returns what is to be written to the store now, and when there may be more to do; zero
+// storeCalls returns what is to be written to the store now, and when there may be more to do; zero
 // for never. Owner states that this instance writes first.
-func (b *Book) due(owner bool) (calls []due, next time.Time) {
+func (b *Registry) storeCalls(owner bool) (calls []storeCall, next time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	wait := standbyAfter
+	wait := standbyDelay
 	if owner {
 		wait = 0
 	}
-	add := func(at time.Time, d due) {
+	add := func(at time.Time, d storeCall) {
 		switch at = at.Add(wait); {
 		case !at.After(now):
 			calls = append(calls, d)
@@ -86,20 +86,20 @@
 			next = at
 		}
 	}
-	for id, at := range b.erase {
-		add(at, erasure(id))
+	for id, at := range b.pendingErasures {
+		add(at, eraseCall(id))
 	}
 	for id, one := range b.bans {
 		switch {
 		case one.recorded:
-			add(one.forgetAt(), erasure(id))
-		case !one.decided.IsZero() && one.active(now):
-			add(one.decided, due{
+			add(one.retainUntil(), eraseCall(id))
+		case !one.decidedAt.IsZero() && one.active(now):
+			add(one.decidedAt, storeCall{
 				verdict: Verdict{
-					Identity: id,
-					State:    Banned,
-					For:      one.until.Sub(now),
-					Times:    one.times,
+					Identity:  id,
+					State:     Banned,
+					Remaining: one.until.Sub(now),
+					BanCount:  one.count,
 				},
 			})
 		}
@@ -107,9 +107,9 @@
 	return calls, next
 }
 
-// erasure is the call that removes the ban of an identity.
-func erasure(id Identity) due {
-	return due{
+// eraseCall is the call that removes the ban of an identity.
+func eraseCall(id Identity) storeCall {
+	return storeCall{
 		verdict: Verdict{
 			Identity: id,
 		},
@@ -117,8 +117,8 @@
 	}
 }
 
-// wrote notes that a call of the store was made.
-func (b *Book) wrote(d due) {
+// confirmWritten notes that a call of the store was made.
+func (b *Registry) confirmWritten(d storeCall) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	id := d.verdict.Identity
@@ -128,9 +128,9 @@
 		one.recorded = true
 	case !d.erase:
 		// It was cleared meanwhile: its record is to go.
-		b.erase[id] = b.now()
+		b.pendingErasures[id] = b.now()
 	default:
-		delete(b.erase, id)
+		delete(b.pendingErasures, id)
 		if one != nil && !one.active(b.now()) {
 			delete(b.bans, id)
 		}
@@ -139,20 +139,20 @@
 
 // Recorder keeps the bans in the store in line with a book.
 type Recorder struct {
-	book  *Book
-	store Store
-	owner func() bool
-	log   logr.Logger
+	registry *Registry
+	store    Store
+	owner    func() bool
+	log      logr.Logger
 }
 
 // NewRecorder returns a recorder. Owner states whether this instance writes first; others
 // write what the first did not.
-func NewRecorder(b *Book, s Store, owner func() bool, log logr.Logger) *Recorder {
+func NewRecorder(b *Registry, s Store, owner func() bool, log logr.Logger) *Recorder {
 	return &Recorder{
-		book:  b,
-		store: s,
-		owner: owner,
-		log:   log,
+		registry: b,
+		store:    s,
+		owner:    owner,
+		log:      log,
 	}
 }
 
@@ -164,7 +164,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.book.changed:
+		case <-r.registry.changed:
 		case <-timer.C:
 		}
 		if pause, more := r.write(ctx); more {
@@ -176,13 +176,13 @@
 // write makes the calls that are due. It returns when to look again, or false when there is
 // nothing to wait for.
 func (r *Recorder) write(ctx context.Context) (time.Duration, bool) {
-	calls, next := r.book.due(r.owner())
+	calls, next := r.registry.storeCalls(r.owner())
 	for _, d := range calls {
 		if err := r.call(ctx, d); err != nil {
 			r.log.Info("ban can't be written to the store", "identity", d.verdict.Identity.String(), "erase", d.erase, "cause", err.Error())
-			return writeRetry, true
+			return writeRetryDelay, true
 		}
-		r.book.wrote(d)
+		r.registry.confirmWritten(d)
 	}
 	if len(calls) > 0 {
 		// What was written may have changed what is due.
@@ -191,11 +191,11 @@
 	if next.IsZero() {
 		return 0, false
 	}
-	return next.Sub(r.book.now()), true
+	return next.Sub(r.registry.now()), true
 }
 
 // call makes one call of the store.
-func (r *Recorder) call(ctx context.Context, d due) error {
+func (r *Recorder) call(ctx context.Context, d storeCall) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if d.erase {
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -15,215 +15,215 @@
 	"github.com/matryer/is"
 )
 
-// memory is a store that keeps bans.
-type memory struct {
-	// slow is how long a ban takes to be written.
-	slow time.Duration
-
-	mu    sync.Mutex
-	bans  map[Identity]Verdict
-	calls int
-	away  bool
+// memoryStore is a store that keeps bans.
+type memoryStore struct {
+	// writeDelay is how long a ban takes to be written.
+	writeDelay time.Duration
+
+	mu          sync.Mutex
+	bans        map[Identity]Verdict
+	calls       int
+	unavailable bool
 }
 
-// errAway is the error of a store that is away.
-var errAway = errors.New("away")
+// errUnavailable is the error of a store that is away.
+var errUnavailable = errors.New("away")
 
 // call makes a call, unless the store is away.
-func (m *memory) call(change func()) error {
+func (m *memoryStore) call(change func()) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
-	if m.away {
-		return errAway
+	if m.unavailable {
+		return errUnavailable
 	}
 	change()
 	return nil
 }
 
 // RecordBan implements Store.
-func (m *memory) RecordBan(_ context.Context, v Verdict) error {
-	time.Sleep(m.slow)
+func (m *memoryStore) RecordBan(_ context.Context, v Verdict) error {
+	time.Sleep(m.writeDelay)
 	return m.call(func() { m.bans[v.Identity] = v })
 }
 
 // EraseBan implements Store.
-func (m *memory) EraseBan(_ context.Context, id Identity) error {
+func (m *memoryStore) EraseBan(_ context.Context, id Identity) error {
 	return m.call(func() { delete(m.bans, id) })
 }
 
-// setAway takes the store away, or back.
-func (m *memory) setAway(away bool) {
+// setUnavailable takes the store away, or back.
+func (m *memoryStore) setUnavailable(away bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away = away
+	m.unavailable = away
 }
 
-// made returns how many calls were made.
-func (m *memory) made() int {
+// callCount returns how many calls were callCount.
+func (m *memoryStore) callCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
 // all returns what the store has.
-func (m *memory) all() map[Identity]Verdict {
+func (m *memoryStore) all() map[Identity]Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return maps.Clone(m.bans)
 }
 
-// keeper is a book with what keeps its bans in a store, and what it was told of the store.
-type keeper struct {
-	book  *Book
-	known map[Identity]Verdict
+// recordingInstance is a book with what keeps its bans in a store, and what it was told of the store.
+type recordingInstance struct {
+	registry *Registry
+	lastRead map[Identity]Verdict
 }
 
-// newKeeper runs a recorder until the test ends.
-func newKeeper(t *testing.T, m *memory, owner bool) *keeper {
-	k := &keeper{
-		book: New(time.Now, nil, logr.Discard()),
+// newRecordingInstance runs a recorder until the test ends.
+func newRecordingInstance(t *testing.T, m *memoryStore, owner bool) *recordingInstance {
+	k := &recordingInstance{
+		registry: New(time.Now, nil, logr.Discard()),
 	}
-	go NewRecorder(k.book, m, func() bool { return owner }, logr.Discard()).Run(t.Context())
+	go NewRecorder(k.registry, m, func() bool { return owner }, logr.Discard()).Run(t.Context())
 	return k
 }
 
-// read tells the book what the store has.
-func (k *keeper) read(m *memory) {
+// syncStored tells the book what the store has.
+func (k *recordingInstance) syncStored(m *memoryStore) {
 	now := m.all()
-	k.book.Recorded(k.known, now)
-	k.known = now
+	k.registry.SyncStored(k.lastRead, now)
+	k.lastRead = now
 }
 
-// ban has the request 1 crash three endpoints.
-func (k *keeper) ban() {
+// crashThrice has the request 1 crash three endpoints.
+func (k *recordingInstance) crashThrice() {
 	for _, attempt := range []string{"a", "b", "c"} {
 		began := time.Now()
 		time.Sleep(100 * time.Millisecond)
-		k.book.Report(Crash{
-			Attempt:  attempt + began.String(),
-			Endpoint: attempt,
-			Identity: 1,
-			Began:    began,
-			Ended:    time.Now(),
+		k.registry.ReportCrash(Crash{
+			Attempt:   attempt + began.String(),
+			Endpoint:  attempt,
+			Identity:  1,
+			StartedAt: began,
+			EndedAt:   time.Now(),
 		})
 	}
-	time.Sleep(SettleAfter)
+	time.Sleep(SettleDelay)
 }
 
 // TestRecorder keeps bans in the store, over what may go wrong with instances and the store.
 func TestRecorder(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		run  func(t *testing.T, m *memory)
+		run  func(t *testing.T, m *memoryStore)
 	}{
-		{"the owner writes at once", func(t *testing.T, m *memory) {
+		{"the owner writes at once", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
-			k := newKeeper(t, m, true)
-			k.ban()
+			k := newRecordingInstance(t, m, true)
+			k.crashThrice()
 			time.Sleep(10 * time.Millisecond)
-			is.Equal(m.all()[1].For, banFirst)
-			is.Equal(m.made(), 1)
+			is.Equal(m.all()[1].Remaining, firstBanDuration)
+			is.Equal(m.callCount(), 1)
 		}},
-		{"another instance leaves it to the owner", func(t *testing.T, m *memory) {
+		{"another instance leaves it to the owner", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
-			k := newKeeper(t, m, false)
-			k.ban()
+			k := newRecordingInstance(t, m, false)
+			k.crashThrice()
 			m.bans[1] = Verdict{ // no other goroutine has the store
-				Identity: 1,
-				State:    Banned,
-				For:      banFirst,
-				Times:    1,
+				Identity:  1,
+				State:     Banned,
+				Remaining: firstBanDuration,
+				BanCount:  1,
 			}
-			k.read(m)
+			k.syncStored(m)
 			time.Sleep(10 * time.Second)
-			is.Equal(m.made(), 0)
+			is.Equal(m.callCount(), 0)
 		}},
-		{"another instance writes when the owner doesn't", func(t *testing.T, m *memory) {
+		{"another instance writes when the owner doesn't", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
-			newKeeper(t, m, false).ban()
-			time.Sleep(standbyAfter + 10*time.Millisecond)
+			newRecordingInstance(t, m, false).crashThrice()
+			time.Sleep(standbyDelay + 10*time.Millisecond)
 			is.Equal(len(m.all()), 1)
 		}},
-		{"the store is away", func(t *testing.T, m *memory) {
+		{"the store is away", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
-			m.setAway(true)
-			newKeeper(t, m, true).ban()
+			m.setUnavailable(true)
+			newRecordingInstance(t, m, true).crashThrice()
 			time.Sleep(5 * time.Second)
-			is.True(m.made() > 1 && m.made() < 20)
-			m.setAway(false)
-			time.Sleep(writeRetry + 10*time.Millisecond)
+			is.True(m.callCount() > 1 && m.callCount() < 20)
+			m.setUnavailable(false)
+			time.Sleep(writeRetryDelay + 10*time.Millisecond)
 			is.Equal(len(m.all()), 1)
 		}},
-		{"an instance that starts later", func(t *testing.T, m *memory) {
-			newKeeper(t, m, true).ban()
+		{"an instance that starts later", func(t *testing.T, m *memoryStore) {
+			newRecordingInstance(t, m, true).crashThrice()
 			time.Sleep(10 * time.Millisecond)
-			late := newKeeper(t, m, false)
-			late.read(m)
-			assertBanned(t, late.book, true)
+			late := newRecordingInstance(t, m, false)
+			late.syncStored(m)
+			assertBanned(t, late.registry, true)
 		}},
-		{"erased when it is over and remembered no longer", func(t *testing.T, m *memory) {
+		{"erased when it is over and remembered no longer", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
-			k := newKeeper(t, m, true)
-			k.ban()
+			k := newRecordingInstance(t, m, true)
+			k.crashThrice()
 			time.Sleep(10 * time.Millisecond)
-			k.read(m)
-			time.Sleep(banFirst + rememberedFor - time.Second)
+			k.syncStored(m)
+			time.Sleep(firstBanDuration + minBanRetention - time.Second)
 			is.Equal(len(m.all()), 1)
 			time.Sleep(2 * time.Second)
 			is.Equal(len(m.all()), 0)
 		}},
-		{"erased when an answer clears the request", func(t *testing.T, m *memory) {
+		{"erased when an answer clears the request", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
-			k := newKeeper(t, m, true)
-			k.ban()
+			k := newRecordingInstance(t, m, true)
+			k.crashThrice()
 			time.Sleep(10 * time.Millisecond)
-			k.read(m)
-			k.book.Served(1)
+			k.syncStored(m)
+			k.registry.ReportAnswered(1)
 			time.Sleep(10 * time.Millisecond)
 			is.Equal(len(m.all()), 0)
 		}},
-		{"cleared while it is written", func(t *testing.T, m *memory) {
+		{"cleared while it is written", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
-			k := newKeeper(t, m, true)
-			m.slow = time.Second / 2
-			k.ban()
+			k := newRecordingInstance(t, m, true)
+			m.writeDelay = time.Second / 2
+			k.crashThrice()
 			time.Sleep(10 * time.Millisecond)
-			k.book.Served(1)
+			k.registry.ReportAnswered(1)
 			time.Sleep(2 * time.Second)
 			is.Equal(len(m.all()), 0)
 		}},
-		{"removed by an operator", func(t *testing.T, m *memory) {
+		{"removed by an operator", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
-			k := newKeeper(t, m, true)
-			k.ban()
+			k := newRecordingInstance(t, m, true)
+			k.crashThrice()
 			time.Sleep(10 * time.Millisecond)
-			k.read(m)
+			k.syncStored(m)
 			is.NoErr(m.call(func() { delete(m.bans, 1) }))
-			k.read(m)
+			k.syncStored(m)
 			time.Sleep(10 * time.Second)
-			assertBanned(t, k.book, false)
+			assertBanned(t, k.registry, false)
 			is.Equal(len(m.all()), 0)
-			is.Equal(m.made(), 2) // the operator's is one
+			is.Equal(m.callCount(), 2) // the operator's is one
 		}},
-		{"banned again", func(t *testing.T, m *memory) {
+		{"banned again", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
-			k := newKeeper(t, m, true)
-			k.ban()
+			k := newRecordingInstance(t, m, true)
+			k.crashThrice()
 			time.Sleep(10 * time.Millisecond)
-			k.read(m)
-			time.Sleep(banFirst)
-			k.ban()
+			k.syncStored(m)
+			time.Sleep(firstBanDuration)
+			k.crashThrice()
 			time.Sleep(10 * time.Millisecond)
-			is.Equal(m.all()[1].For, banFirst*banGrowth)
-			is.Equal(m.all()[1].Times, 2)
-			k.read(m)
-			assertBanned(t, k.book, true)
+			is.Equal(m.all()[1].Remaining, firstBanDuration*banGrowthFactor)
+			is.Equal(m.all()[1].BanCount, 2)
+			k.syncStored(m)
+			assertBanned(t, k.registry, true)
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				row.run(t, &memory{
+				row.run(t, &memoryStore{
 					bans: make(map[Identity]Verdict),
 				})
 			})
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -16,27 +16,27 @@
 type suspect struct {
 	// chain are crashes of which each attempt began after the one before had ended, in
 	// order.
-	chain []link
-	// at is when this was last heard of.
-	at time.Time
+	chain []chainLink
+	// lastSeen is when this was last heard of.
+	lastSeen time.Time
 }
 
-// link is one crash of a chain.
-type link struct {
+// chainLink is one crash of a chain.
+type chainLink struct {
 	crash Crash
 	// end is that of the endpoint.
-	end *end
+	end *endpointEnd
 	// settled states that nothing else was found to have ended the endpoint.
 	settled bool
 }
 
 // extend adds a crash to the chain if it fits before, between or after those that are there.
 // It returns whether it did.
-func (s *suspect) extend(c Crash, e *end) bool {
-	if slices.ContainsFunc(s.chain, func(one link) bool { return one.end == e || one.crash.Attempt == c.Attempt }) {
+func (s *suspect) extend(c Crash, e *endpointEnd) bool {
+	if slices.ContainsFunc(s.chain, func(one chainLink) bool { return one.end == e || one.crash.Attempt == c.Attempt }) {
 		return false
 	}
-	i := slices.IndexFunc(s.chain, func(one link) bool { return one.crash.Ended.After(c.Ended) })
+	i := slices.IndexFunc(s.chain, func(one chainLink) bool { return one.crash.EndedAt.After(c.EndedAt) })
 	if i < 0 {
 		i = len(s.chain)
 	}
@@ -46,7 +46,7 @@
 	if i < len(s.chain) && !follows(c, s.chain[i].crash) {
 		return false
 	}
-	s.chain = slices.Insert(s.chain, i, link{
+	s.chain = slices.Insert(s.chain, i, chainLink{
 		crash: c,
 		end:   e,
 	})
@@ -57,24 +57,24 @@
 // try that is known, however close they are: counting them made it five endpoints in place of
 // seven that a request crashed which ends them within milliseconds (test with six endpoints).
 func follows(before, after Crash) bool {
-	if after.Before != "" && after.Before == before.Attempt {
+	if after.PreviousAttempt != "" && after.PreviousAttempt == before.Attempt {
 		return true
 	}
-	return !after.Began.Add(overlapSlack).Before(before.Ended) && after.Ended.Sub(before.Ended) > overlapSlack
+	return !after.StartedAt.Add(overlapSlack).Before(before.EndedAt) && after.EndedAt.Sub(before.EndedAt) > overlapSlack
 }
 
-// find returns the link of an attempt, or -1.
-func (s *suspect) find(attempt string) int {
-	return slices.IndexFunc(s.chain, func(one link) bool { return one.crash.Attempt == attempt })
+// indexOfAttempt returns the link of an attempt, or -1.
+func (s *suspect) indexOfAttempt(attempt string) int {
+	return slices.IndexFunc(s.chain, func(one chainLink) bool { return one.crash.Attempt == attempt })
 }
 
-// workedAt states whether an endpoint worked on one of the attempts, in a joint reading.
-func (s *suspect) workedAt(address string) bool {
-	return slices.ContainsFunc(s.chain, func(one link) bool { return slices.Contains(one.crash.Others, address) })
+// ranOnHelper states whether an endpoint worked on one of the attempts, in a joint reading.
+func (s *suspect) ranOnHelper(address string) bool {
+	return slices.ContainsFunc(s.chain, func(one chainLink) bool { return slices.Contains(one.crash.OtherEndpoints, address) })
 }
 
-// settled counts the links that are settled.
-func (s *suspect) settled() int {
+// settledCount counts the links that are settledCount.
+func (s *suspect) settledCount() int {
 	n := 0
 	for _, one := range s.chain {
 		if one.settled {
--- a/quarantine/types.go
+++ b/quarantine/types.go
@@ -8,19 +8,19 @@
 type Crash struct {
 	// Attempt names the attempt. No other one has its name.
 	Attempt string
-	// Before names the last attempt before this one, of the same try of the request, that broke
+	// PreviousAttempt names the last attempt before this one, of the same try of the request, that broke
 	// off as well; empty for the first one.
-	Before string
+	PreviousAttempt string
 	// Identity is that of the request.
 	Identity Identity
 	// Endpoint is the address of the endpoint that ended.
 	Endpoint string
-	// Others are the addresses of the other endpoints that worked on the attempt, in a joint
+	// OtherEndpoints are the addresses of the other endpoints that worked on the attempt, in a joint
 	// reading. They may end at the same moment, which others alone tell of.
-	Others []string
-	// Began is when the request was sent to the endpoint, and Ended when that broke off.
-	Began time.Time
-	Ended time.Time
+	OtherEndpoints []string
+	// StartedAt is when the request was sent to the endpoint, and EndedAt when that broke off.
+	StartedAt time.Time
+	EndedAt   time.Time
 }
 
 // State is what is thought of the requests of an identity.
@@ -55,8 +55,8 @@
 	Identity Identity
 	// State is what is thought of them.
 	State State
-	// For is how much longer a ban lasts; clocks need not agree.
-	For time.Duration
-	// Times is how often the identity was banned without being cleared in between.
-	Times int
+	// Remaining is how much longer a ban lasts; clocks need not agree.
+	Remaining time.Duration
+	// BanCount is how often the identity was banned without being cleared in between.
+	BanCount int
 }
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -35,7 +35,7 @@
 
 	// history has its identity, which is the same for all tries of the request, at any instance,
 	// and what its attempts showed.
-	history quarantine.History
+	history quarantine.RequestHistory
 	// once states that it may run at one endpoint only, whatever its route says.
 	once bool
 	// sends counts the endpoints that the request was sent to.
@@ -83,7 +83,7 @@
 	if ref := j.read(r); ref != nil {
 		return nil, ref
 	}
-	j.history = quarantine.History{
+	j.history = quarantine.RequestHistory{
 		Identity: quarantine.Identify(j.target, j.customer, j.body),
 		Request:  h.ID,
 	}
--- a/relay/barred.go
+++ b/relay/barred.go
@@ -43,7 +43,7 @@
 	case l.parts.Known().Barred(instance):
 		reason = "it is leaving or its failure domain is emptied"
 	case l.parts.Notices != nil:
-		reason = l.parts.Notices.Declines(instance, born)
+		reason = l.parts.Notices.ExclusionReason(instance, born)
 	}
 	if reason == "" {
 		return nil
--- a/relay/barred_test.go
+++ b/relay/barred_test.go
@@ -19,9 +19,9 @@
 // declining is a notice.Guard that declines some endpoints.
 type declining map[string]string
 
-func (declining) Heard(notice.Answer, notice.Said) {}
+func (declining) RecordAnswer(notice.Answer, notice.Statements) {}
 
-func (d declining) Declines(instance string, _ time.Time) string { return d[instance] }
+func (d declining) ExclusionReason(instance string, _ time.Time) string { return d[instance] }
 
 // newDeclining returns a relay that knows which endpoints decline requests.
 func newDeclining(d declining) *Relay {
@@ -84,7 +84,7 @@
 	heard []notice.Answer
 }
 
-func (h *hearing) Heard(a notice.Answer, _ notice.Said) { h.heard = append(h.heard, a) }
+func (h *hearing) RecordAnswer(a notice.Answer, _ notice.Statements) { h.heard = append(h.heard, a) }
 
 // TestHearAnswers looks which answers on a connection are heard: not that of another endpoint, and
 // without a time of sending that of an earlier request.
@@ -102,6 +102,6 @@
 	x.hear(http.StatusOK, AnswerHead{}, false)
 	x.hear(http.StatusServiceUnavailable, AnswerHead{}, true)
 	is.Equal(len(h.heard), 2)
-	is.True(h.heard[0].Sent.IsZero())
-	is.Equal(h.heard[1].Sent, x.began)
+	is.True(h.heard[0].SentAt.IsZero())
+	is.Equal(h.heard[1].SentAt, x.began)
 }
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -20,13 +20,13 @@
 	if l.parts.Quarantine == nil {
 		return func() {}, nil
 	}
-	p, after, ok := l.parts.Quarantine.Enter(j.history.Identity)
+	p, after, ok := l.parts.Quarantine.Admit(j.history.Identity)
 	if !ok {
 		l.Metrics.add("refused_quarantine")
-		return nil, unavailable(quarantine.Refused, after)
+		return nil, unavailable(quarantine.BannedDetail, after)
 	}
-	j.once = p.Once
-	return p.Leave, nil
+	j.once = p.SingleEndpoint
+	return p.Release, nil
 }
 
 // banned returns the final answer to a request that was banned meanwhile, or nil. It guards
@@ -36,11 +36,11 @@
 	if l.parts.Quarantine == nil {
 		return nil
 	}
-	after, banned := l.parts.Quarantine.Barred(j.history.Identity)
+	after, banned := l.parts.Quarantine.BanRemaining(j.history.Identity)
 	if !banned {
 		return nil
 	}
-	return j.giveUp(quarantine.Refused, after)
+	return j.giveUp(quarantine.BannedDetail, after)
 }
 
 // judge reports what an attempt shows of its request: a whole answer, or that its endpoint,
@@ -50,18 +50,18 @@
 		return
 	}
 	if res.final && res.outcome == pool.Served {
-		l.parts.Quarantine.Served(t.job.history.Identity)
+		l.parts.Quarantine.ReportAnswered(t.job.history.Identity)
 		return
 	}
 	suspects := t.suspects(res)
 	if len(suspects) == 0 {
 		return
 	}
-	l.detector.Broke(&t.job.history, quarantine.Broken{
-		Attempt:  t.ask.ID,
-		Began:    t.began,
-		Worked:   t.addresses(),
-		Suspects: suspects,
+	l.detector.AttemptFailed(&t.job.history, quarantine.FailedAttempt{
+		Attempt:   t.ask.ID,
+		StartedAt: t.began,
+		Endpoints: t.addresses(),
+		Suspects:  suspects,
 	})
 }
 
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -32,29 +32,31 @@
 	served  int
 }
 
-// Enter implements quarantine.Guard.
-func (l *ledger) Enter(quarantine.Identity) (quarantine.Pass, time.Duration, bool) {
-	return quarantine.Pass{
-		Once:  l.suspected,
-		Leave: func() {},
+// Admit implements quarantine.Guard.
+func (l *ledger) Admit(quarantine.Identity) (quarantine.Admission, time.Duration, bool) {
+	return quarantine.Admission{
+		SingleEndpoint: l.suspected,
+		Release:        func() {},
 	}, time.Minute, !l.barred
 }
 
-// Barred implements quarantine.Guard.
-func (l *ledger) Barred(quarantine.Identity) (time.Duration, bool) { return time.Minute, l.barred }
+// BanRemaining implements quarantine.Guard.
+func (l *ledger) BanRemaining(quarantine.Identity) (time.Duration, bool) {
+	return time.Minute, l.barred
+}
 
 // Suspected implements quarantine.Guard.
 func (l *ledger) Suspected(quarantine.Identity) bool { return l.suspected }
 
-// Crashed implements quarantine.Guard.
-func (l *ledger) Crashed(c quarantine.Crash) {
+// ReportCrash implements quarantine.Guard.
+func (l *ledger) ReportCrash(c quarantine.Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashes = append(l.crashes, c)
 }
 
-// Served implements quarantine.Guard.
-func (l *ledger) Served(quarantine.Identity) {
+// ReportAnswered implements quarantine.Guard.
+func (l *ledger) ReportAnswered(quarantine.Identity) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.served++
@@ -76,7 +78,7 @@
 	return r, &try{
 		relay: r,
 		job: &job{
-			history: quarantine.History{
+			history: quarantine.RequestHistory{
 				Identity: 9,
 			},
 			route: &route.Route{
@@ -153,9 +155,9 @@
 					}
 					is.Equal(len(l.crashes), 1)
 					is.Equal(l.crashes[0].Endpoint, row.crashed)
-					is.Equal(l.crashes[0].Others, slices.DeleteFunc([]string{"e1", "e2"}, func(e string) bool { return e == row.crashed }))
+					is.Equal(l.crashes[0].OtherEndpoints, slices.DeleteFunc([]string{"e1", "e2"}, func(e string) bool { return e == row.crashed }))
 					is.Equal(l.crashes[0].Identity, quarantine.Identity(9))
-					is.Equal(l.crashes[0].Ended.Sub(l.crashes[0].Began), row.took)
+					is.Equal(l.crashes[0].EndedAt.Sub(l.crashes[0].StartedAt), row.took)
 				})
 			})
 		}
@@ -184,7 +186,7 @@
 		}
 		var before []string
 		for _, c := range l.crashes {
-			before = append(before, c.Before)
+			before = append(before, c.PreviousAttempt)
 		}
 		is.Equal(before, []string{"", "0", "2"})
 	})
@@ -197,7 +199,7 @@
 		suspected bool
 		waits     time.Duration
 	}{
-		{"suspected before", true, quarantine.SettleAfter},
+		{"suspected before", true, quarantine.SettleDelay},
 		{"its first crash", false, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -210,7 +212,7 @@
 					cut:     true,
 				})
 				began := time.Now()
-				attempt.job.history.Settle(t.Context())
+				attempt.job.history.WaitSettled(t.Context())
 				is.New(t).Equal(time.Since(began), row.waits)
 				synctest.Wait()
 			})
--- a/relay/serve.go
+++ b/relay/serve.go
@@ -58,7 +58,7 @@
 // attempt finds a place and sends the request there once. It returns true when
 // another attempt makes sense, else the final answer, nil once it was sent.
 func (l *Relay) attempt(ctx context.Context, j *job) (again bool, final *refusal) {
-	j.history.Settle(ctx)
+	j.history.WaitSettled(ctx)
 	if ref := l.banned(j); ref != nil {
 		return false, ref
 	}
--- a/relay/try.go
+++ b/relay/try.go
@@ -140,14 +140,14 @@
 		return
 	}
 	a := notice.Answer{
-		Instance: t.grant.Instance,
-		Born:     t.grant.Born,
-		Request:  t.job.head.ID,
+		Instance:  t.grant.Instance,
+		StartedAt: t.grant.Born,
+		Request:   t.job.head.ID,
 	}
 	if own {
-		a.Sent = t.began
+		a.SentAt = t.began
 	}
-	t.relay.parts.Notices.Heard(a, head.Said)
+	t.relay.parts.Notices.RecordAnswer(a, head.Said)
 }
 
 // unanswered judges an attempt without the head of an answer.
--- a/relay/types.go
+++ b/relay/types.go
@@ -64,7 +64,7 @@
 	// Signed states that the answer carries the endpoint's proof of origin.
 	Signed bool
 	// Said is what the endpoint says of itself.
-	Said notice.Said
+	Said notice.Statements
 }
 
 // Wire is how callers and endpoints write what the types of this package hold.
