--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -14,10 +14,10 @@
 	"github.com/linkmast/linkmast/logsvc"
 )
 
-var until = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var validUntil = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// batch returns a record of n claims that begin with a number.
-func batch(b *testing.B, from, n int) []byte {
+// encodedRecord returns a record of n claims that begin with a number.
+func encodedRecord(b *testing.B, from, n int) []byte {
 	b.Helper()
 	rec := &claimpb.Record{}
 	for i := range n {
@@ -25,7 +25,7 @@
 			Key:        KeyOf("customer", fmt.Sprint(from+i)),
 			Request:    fmt.Sprintf("1q2w3e4r5t6y7-%x", from+i),
 			Instance:   "node-1234",
-			ValidUntil: until,
+			ValidUntil: validUntil,
 		}, false))
 	}
 	data, err := proto.Marshal(rec)
@@ -38,7 +38,7 @@
 func BenchmarkSlopeApply(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1_000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			data := batch(b, 0, n)
+			data := encodedRecord(b, 0, n)
 			for b.Loop() {
 				NewRegistry().Apply(logsvc.Batch{
 					Earliest: 1,
@@ -56,7 +56,7 @@
 	}
 }
 
-func BenchmarkSlopeBookMemory(b *testing.B) {
+func BenchmarkSlopeRegistryMemory(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			var before, after runtime.MemStats
@@ -71,7 +71,7 @@
 					Records: []logsvc.Record{
 						{
 							Offset: int64(i + 1),
-							Data:   batch(b, i*step, step),
+							Data:   encodedRecord(b, i*step, step),
 						},
 					},
 				})
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestOutage proves that a claim fails soon while the log is down, and that a
+// TestLogOutage proves that a claim fails soon while the log is down, and that a
 // claim that was given up holds nothing once it is back, also when its append
 // lands late.
-func TestOutage(t *testing.T) {
+func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := standin.NewLog(standin.LogSettings{})
@@ -96,8 +96,8 @@
 	})
 }
 
-// TestBatches proves that many claims at one moment take few appends.
-func TestBatches(t *testing.T) {
+// TestClaimsAreBatched proves that many claims at one moment take few appends.
+func TestClaimsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := standin.NewLog(standin.LogSettings{})
@@ -119,16 +119,16 @@
 	})
 }
 
-// naive is one entry of a history.
-type naive struct {
+// historyEntry is one entry of a history.
+type historyEntry struct {
 	claim Claim
 	freed bool
 }
 
-// naiveHolder is the rule of Registry in its simplest form: it replays the whole
+// replayHolder is the rule of Registry in its simplest form: it replays the whole
 // history of a key for each question. A claim that found the key held, or was
 // given up before, is lost for good.
-func naiveHolder(history []naive, k Key) string {
+func replayHolder(history []historyEntry, k Key) string {
 	holder := ""
 	for i, e := range history {
 		request := e.claim.Request
@@ -143,7 +143,7 @@
 	return holder
 }
 
-func wasFreed(history []naive, request string) bool {
+func wasFreed(history []historyEntry, request string) bool {
 	for _, e := range history {
 		if e.freed && e.claim.Request == request {
 			return true
@@ -152,31 +152,31 @@
 	return false
 }
 
-// TestBookAgainstNaive compares Registry with the naive rule on histories in which
+// TestRegistryMatchesReplay compares Registry with the naive rule on histories in which
 // claims of one request stand twice, and are given up before and after.
-func TestBookAgainstNaive(t *testing.T) {
+func TestRegistryMatchesReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		book := NewRegistry()
-		var history []naive
+		var history []historyEntry
 		for range rapid.IntRange(1, 14).Draw(t, "entries") {
 			key := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
-			e := naive{
+			e := historyEntry{
 				claim: claimOf(key, key+fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "request"))),
 				freed: rapid.Bool().Draw(t, "freed"),
 			}
 			history = append(history, e)
 			book.applyEntry(encode(e.claim, e.freed))
 			got, _ := book.Holder(e.claim.Key)
-			if want := naiveHolder(history, e.claim.Key); got.Request != want {
+			if want := replayHolder(history, e.claim.Key); got.Request != want {
 				t.Fatalf("book says that %q holds the key, the naive rule %q", got.Request, want)
 			}
 		}
 	})
 }
 
-// TestRetention proves that a reader that starts after records were trimmed
+// TestReadAfterTrim proves that a reader that starts after records were trimmed
 // goes on with what is kept.
-func TestRetention(t *testing.T) {
+func TestReadAfterTrim(t *testing.T) {
 	is := is.New(t)
 	b := NewRegistry()
 	b.Apply(logsvc.Batch{
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -60,76 +60,76 @@
 }
 
 // Next returns the offset to read next.
-func (b *Registry) Next() int64 {
-	return b.next
+func (r *Registry) Next() int64 {
+	return r.next
 }
 
 // Len returns the number of keys held.
-func (b *Registry) Len() int {
-	return len(b.keys)
+func (r *Registry) Len() int {
+	return len(r.keys)
 }
 
 // Holder returns the claim that holds a key.
-func (b *Registry) Holder(k Key) (Claim, bool) {
-	c, ok := b.keys[k]
+func (r *Registry) Holder(k Key) (Claim, bool) {
+	c, ok := r.keys[k]
 	return c, ok
 }
 
 // Freed states whether the claim of a request was given up.
-func (b *Registry) Freed(request string) bool {
-	_, ok := b.freed[request]
+func (r *Registry) Freed(request string) bool {
+	_, ok := r.freed[request]
 	return ok
 }
 
 // Apply takes over the records of a batch that are due, in order. Records that
 // are no longer kept were of keys whose validity has ended.
-func (b *Registry) Apply(batch logsvc.Batch) {
-	b.next = max(b.next, batch.Earliest)
-	for _, r := range batch.Records {
-		if r.Offset != b.next {
+func (r *Registry) Apply(batch logsvc.Batch) {
+	r.next = max(r.next, batch.Earliest)
+	for _, record := range batch.Records {
+		if record.Offset != r.next {
 			continue
 		}
-		b.next++
-		var rec claimpb.Record
-		if err := proto.Unmarshal(r.Data, &rec); err != nil {
+		r.next++
+		var decoded claimpb.Record
+		if err := proto.Unmarshal(record.Data, &decoded); err != nil {
 			// Nobody's claim; every reader passes over it alike.
 			continue
 		}
-		for _, e := range rec.Entries {
-			b.applyEntry(e)
+		for _, e := range decoded.Entries {
+			r.applyEntry(e)
 		}
 	}
 }
 
 // applyEntry takes over one claim, or the end of one.
-func (b *Registry) applyEntry(e *claimpb.Entry) {
+func (r *Registry) applyEntry(e *claimpb.Entry) {
 	if len(e.Key) != sha256.Size {
 		return
 	}
 	c := decode(e)
 	if e.Freed {
-		b.freed[c.Request] = c.ValidUntil
-		if b.keys[c.Key].Request == c.Request {
-			delete(b.keys, c.Key)
+		r.freed[c.Request] = c.ValidUntil
+		if r.keys[c.Key].Request == c.Request {
+			delete(r.keys, c.Key)
 		}
 		return
 	}
-	if _, held := b.keys[c.Key]; held || b.Freed(c.Request) {
+	if _, held := r.keys[c.Key]; held || r.Freed(c.Request) {
 		return
 	}
-	b.keys[c.Key] = c
+	r.keys[c.Key] = c
 }
 
 // Expire forgets what ended before a moment.
-func (b *Registry) Expire(before time.Time) {
-	for k, c := range b.keys {
+func (r *Registry) Expire(before time.Time) {
+	for k, c := range r.keys {
 		if c.ValidUntil.Before(before) {
-			delete(b.keys, k)
+			delete(r.keys, k)
 		}
 	}
-	for r, t := range b.freed {
-		if t.Before(before) {
-			delete(b.freed, r)
+	for request, validUntil := range r.freed {
+		if validUntil.Before(before) {
+			delete(r.freed, request)
 		}
 	}
 }
--- a/limit/lender.go
+++ b/limit/lender.go
@@ -121,37 +121,37 @@
 }
 
 // takeStarts takes up to n from the bucket.
-func (c *quotaState) takeStarts(n int, now time.Time) (int, time.Duration) {
-	if c.bounds.Rate <= 0 {
+func (q *quotaState) takeStarts(n int, now time.Time) (int, time.Duration) {
+	if q.bounds.Rate <= 0 {
 		return n, 0
 	}
 	got := 0
-	for got < n && c.bucket.AllowN(now, 1) {
+	for got < n && q.bucket.AllowN(now, 1) {
 		got++
 	}
 	if got == n {
 		return got, 0
 	}
-	missing := 1 - c.bucket.TokensAt(now)
-	return got, time.Duration(missing / c.bounds.Rate * float64(time.Second))
+	missing := 1 - q.bucket.TokensAt(now)
+	return got, time.Duration(missing / q.bounds.Rate * float64(time.Second))
 }
 
 // lendRunning lends running allowance beside what others hold.
-func (c *quotaState) lendRunning(a LoanRequest, valid time.Duration, now time.Time) int {
-	if c.bounds.Concurrency <= 0 {
+func (q *quotaState) lendRunning(a LoanRequest, valid time.Duration, now time.Time) int {
+	if q.bounds.Concurrency <= 0 {
 		return a.Running
 	}
 	others := 0
-	for who, t := range c.running {
+	for who, t := range q.running {
 		switch {
 		case t.until.Before(now):
-			delete(c.running, who)
+			delete(q.running, who)
 		case who != a.Borrower:
 			others += t.n
 		}
 	}
-	n := max(min(a.Running, c.bounds.Concurrency-others), 0)
-	c.running[a.Borrower] = runningLoan{
+	n := max(min(a.Running, q.bounds.Concurrency-others), 0)
+	q.running[a.Borrower] = runningLoan{
 		n:     n,
 		until: now.Add(valid),
 	}
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -28,9 +28,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestLenderKeepsBounds checks, for any sequence of asks, that starts stay
+// TestLenderStaysWithinQuota checks, for any sequence of asks, that starts stay
 // within burst + rate·t and that what runs stays within the concurrency.
-func TestLenderKeepsBounds(t *testing.T) {
+func TestLenderStaysWithinQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Quota{
 			Rate:        float64(rapid.IntRange(1, 20).Draw(t, "rate")) / 2,
@@ -65,40 +65,40 @@
 	})
 }
 
-// keepers joins borrowers with one lender, which can be out of reach.
-type keepers struct {
-	lender *Lender
-	nodes  int
+// fakeOwners joins borrowers with one lender, which can be out of reach.
+type fakeOwners struct {
+	lender    *Lender
+	instances int
 
-	mu  sync.Mutex
-	cut bool
+	mu          sync.Mutex
+	unreachable bool
 }
 
-var errCut = errors.New("cut off")
+var errUnreachable = errors.New("cut off")
 
-func (k *keepers) Borrow(_ context.Context, a LoanRequest, b Quota) (Loan, error) {
+func (k *fakeOwners) Borrow(_ context.Context, a LoanRequest, b Quota) (Loan, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.cut {
-		return Loan{}, errCut
+	if k.unreachable {
+		return Loan{}, errUnreachable
 	}
 	return k.lender.Lend(a, b, time.Now()), nil
 }
 
-func (k *keepers) InstanceCount() int { return k.nodes }
+func (k *fakeOwners) InstanceCount() int { return k.instances }
 
-func (k *keepers) setCut(cut bool) {
+func (k *fakeOwners) setUnreachable(cut bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cut = cut
+	k.unreachable = cut
 }
 
-// flood asks for a start on each of n nodes every millisecond for a while, and
+// requestContinuously asks for a start on each of n nodes every millisecond for a while, and
 // returns how many were allowed.
-func flood(t *testing.T, k *keepers, b Quota, within time.Duration) int {
+func requestContinuously(t *testing.T, k *fakeOwners, b Quota, within time.Duration) int {
 	t.Helper()
 	var borrowers []*Borrower
-	for i := range k.nodes {
+	for i := range k.instances {
 		w := NewBorrower(fmt.Sprintf("n%d", i), k)
 		defer w.Close()
 		borrowers = append(borrowers, w)
@@ -118,9 +118,9 @@
 	return allowed
 }
 
-// TestRateHoldsAcrossNodes proves that a customer's rate holds however many
+// TestRateHoldsAcrossInstances proves that a customer's rate holds however many
 // nodes its requests come in at, and that it can be used up.
-func TestRateHoldsAcrossNodes(t *testing.T) {
+func TestRateHoldsAcrossInstances(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		nodes int
@@ -135,13 +135,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := &keepers{
-					lender: NewLender(0),
-					nodes:  c.nodes,
+				k := &fakeOwners{
+					lender:    NewLender(0),
+					instances: c.nodes,
 				}
-				k.setCut(c.cut)
+				k.setUnreachable(c.cut)
 				// 5 a second for 10 s, and a burst of 5.
-				got := flood(t, k, Quota{Rate: 5}, 10*time.Second)
+				got := requestContinuously(t, k, Quota{Rate: 5}, 10*time.Second)
 				if got < c.least || got > c.most {
 					t.Errorf("%d requests were allowed, want %d to %d", got, c.least, c.most)
 				}
@@ -150,10 +150,10 @@
 	}
 }
 
-// TestLentOverSuspension has an instance spend what it borrowed while it can't reach the lender,
+// TestLoanExpiresDuringSuspension has an instance spend what it borrowed while it can't reach the lender,
 // with the machine suspended before that or not. What was lent has lapsed in a suspension, as
 // it has for the lender: what is in use already is all of the instance's share.
-func TestLentOverSuspension(t *testing.T) {
+func TestLoanExpiresDuringSuspension(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		suspended time.Duration
@@ -166,9 +166,9 @@
 			m := steadytest.New(t)
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				k := &keepers{
-					lender: NewLender(time.Minute),
-					nodes:  100,
+				k := &fakeOwners{
+					lender:    NewLender(time.Minute),
+					instances: 100,
 				}
 				w := NewBorrower("n0", k)
 				defer w.Close()
@@ -186,7 +186,7 @@
 					is.True(lacks == nil)
 					back()
 				}
-				k.setCut(true)
+				k.setUnreachable(true)
 				m.Suspend(row.suspended)
 				_, refusal = take()
 				is.Equal(refusal != nil, row.refused)
@@ -195,15 +195,15 @@
 	}
 }
 
-// TestConcurrencyHoldsAcrossNodes proves that requests in flight stay within
+// TestConcurrencyHoldsAcrossInstances proves that requests in flight stay within
 // the limit over all nodes, that what a lost node borrowed comes back, and that
 // a node that is cut off goes on with a share.
-func TestConcurrencyHoldsAcrossNodes(t *testing.T) {
+func TestConcurrencyHoldsAcrossInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		k := &keepers{
-			lender: NewLender(0),
-			nodes:  3,
+		k := &fakeOwners{
+			lender:    NewLender(0),
+			instances: 3,
 		}
 		a, b := NewBorrower("a", k), NewBorrower("b", k)
 		defer b.Close()
@@ -235,7 +235,7 @@
 		for _, f := range backs {
 			f()
 		}
-		k.setCut(true)
+		k.setUnreachable(true)
 		time.Sleep(DefaultValid + time.Second)
 		n, _ = take(b)
 		is.Equal(n, 2) // a third of six
--- a/member/bench_test.go
+++ b/member/bench_test.go
@@ -35,26 +35,26 @@
 	return l
 }
 
-// still is a platform and a network on which nothing ever happens.
-type still struct{}
+// unresponsive is a platform and a network on which nothing ever happens.
+type unresponsive struct{}
 
-var errStill = errors.New("nothing answers")
+var errNoResponse = errors.New("nothing answers")
 
-func (still) List(context.Context, int64) (instances.List, error) {
-	return instances.List{}, errStill
+func (unresponsive) List(context.Context, int64) (instances.List, error) {
+	return instances.List{}, errNoResponse
 }
 
-func (still) Probe(context.Context, string, *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
-	return nil, errStill
+func (unresponsive) Probe(context.Context, string, *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
+	return nil, errNoResponse
 }
 
-func idle(b *testing.B, n int) *Member {
+func newIdleMember(b *testing.B, n int) *Member {
 	b.Helper()
 	m := New(Settings{
 		Self:          listOf(1).Instances[0],
 		ProbeInterval: time.Hour,
 		ListInterval:  time.Hour,
-	}, still{}, still{}, func() int64 { return 1 }, logr.Discard())
+	}, unresponsive{}, unresponsive{}, func() int64 { return 1 }, logr.Discard())
 	b.Cleanup(m.Close)
 	m.applyList(listOf(n))
 	return m
@@ -63,7 +63,7 @@
 func BenchmarkSlopeRebuild(b *testing.B) {
 	for _, n := range []int{10, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			m := idle(b, n)
+			m := newIdleMember(b, n)
 			for b.Loop() {
 				m.viewInputs = viewInputs{}
 				m.rebuild()
@@ -72,10 +72,10 @@
 	}
 }
 
-func BenchmarkSlopeOwner(b *testing.B) {
+func BenchmarkSlopeGlobalOwner(b *testing.B) {
 	for _, n := range []int{10, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			v := idle(b, n).View()
+			v := newIdleMember(b, n).View()
 			b.ReportAllocs()
 			for b.Loop() {
 				v.GlobalOwner("endpoint-17")
@@ -87,7 +87,7 @@
 func BenchmarkSlopeProbeBytes(b *testing.B) {
 	for _, n := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			m := idle(b, 100)
+			m := newIdleMember(b, 100)
 			for i := range n {
 				m.mu.Lock()
 				m.addReport(fmt.Sprintf("node-%d", i+1), "node-99", time.Now())
@@ -112,7 +112,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			m := idle(b, n)
+			m := newIdleMember(b, n)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -20,30 +20,30 @@
 
 // network joins members in one process.
 type network struct {
-	mu      sync.Mutex
-	list    instances.List
-	down    map[string]bool
-	cut     map[string]bool
-	members map[string]*Member
-	outage  bool
+	mu           sync.Mutex
+	list         instances.List
+	down         map[string]bool
+	cut          map[string]bool
+	members      map[string]*Member
+	platformDown bool
 }
 
-// port is one member's way into the network.
-type port struct {
+// networkPort is one member's way into the network.
+type networkPort struct {
 	net *network
 	id  string
 }
 
-func (p *port) List(context.Context, int64) (instances.List, error) {
+func (p *networkPort) List(context.Context, int64) (instances.List, error) {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
-	if p.net.outage {
-		return instances.List{}, errStill
+	if p.net.platformDown {
+		return instances.List{}, errNoResponse
 	}
 	return p.net.list, nil
 }
 
-func (p *port) Probe(ctx context.Context, address string, in *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
+func (p *networkPort) Probe(ctx context.Context, address string, in *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
 	p.net.mu.Lock()
 	m := p.net.members[address]
 	broken := p.net.down[address] || p.net.down[p.id] || p.net.cut[p.id+"|"+address] || p.net.cut[address+"|"+p.id]
@@ -55,8 +55,8 @@
 	return m.Answer(in), nil
 }
 
-// join starts n members that know of each other.
-func join(n int) *network {
+// startNetwork starts n members that know of each other.
+func startNetwork(n int) *network {
 	net := &network{
 		list:    listOf(n),
 		down:    make(map[string]bool),
@@ -74,7 +74,7 @@
 }
 
 func (n *network) start(i instances.Instance) {
-	p := &port{
+	p := &networkPort{
 		net: n,
 		id:  i.ID,
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// believers returns how many members, other than id, believe id to be usable.
-func (n *network) believers(id string) int {
+// viewsIncluding returns how many members, other than id, believe id to be usable.
+func (n *network) viewsIncluding(id string) int {
 	count := 0
 	for other, m := range n.members {
 		if _, ok := m.View().Nodes[id]; ok && other != id {
@@ -104,22 +104,22 @@
 	return count
 }
 
-// TestTimeToNotice measures, in virtual time, how long until every member
+// TestFailureDetectionTime measures, in virtual time, how long until every member
 // takes a dead one as down, and holds it against a bound.
-func TestTimeToNotice(t *testing.T) {
+func TestFailureDetectionTime(t *testing.T) {
 	for _, n := range []int{3, 8, 30, 100, 300} {
 		t.Run(fmt.Sprintf("n=%d", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				net := join(n)
+				net := startNetwork(n)
 				defer net.close()
 				net.mu.Lock()
 				net.down["node-1"] = true
 				net.mu.Unlock()
 				start := time.Now()
-				for net.believers("node-1") > 0 {
+				for net.viewsIncluding("node-1") > 0 {
 					time.Sleep(100 * time.Millisecond)
 					if time.Since(start) > 8*time.Second {
-						t.Fatalf("%d of %d still believe in it after 8s", net.believers("node-1"), n)
+						t.Fatalf("%d of %d still believe in it after 8s", net.viewsIncluding("node-1"), n)
 					}
 				}
 				t.Logf("noticed by all after %s", time.Since(start))
@@ -127,7 +127,7 @@
 				net.down["node-1"] = false
 				net.mu.Unlock()
 				time.Sleep(20 * time.Second)
-				if b := net.believers("node-1"); b != n-1 {
+				if b := net.viewsIncluding("node-1"); b != n-1 {
 					t.Errorf("%d of %d believe in it after it came back", b, n-1)
 				}
 			})
@@ -135,12 +135,12 @@
 	}
 }
 
-// TestCutOffDeclaresNobodyGone proves that a member that reaches nobody makes
+// TestPartitionedInstanceMarksNoneDown proves that a member that reaches nobody makes
 // no other member take anybody as down.
-func TestCutOffDeclaresNobodyGone(t *testing.T) {
+func TestPartitionedInstanceMarksNoneDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		net := join(6)
+		net := startNetwork(6)
 		defer net.close()
 		net.mu.Lock()
 		for i := range 5 {
@@ -154,23 +154,23 @@
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			for i := range 5 {
-				is.True(net.believers(fmt.Sprintf("node-%d", i)) >= 4) // all but the one that was cut off
+				is.True(net.viewsIncluding(fmt.Sprintf("node-%d", i)) >= 4) // all but the one that was cut off
 			}
 		}
 		time.Sleep(20 * time.Second)
-		is.Equal(net.believers("node-5"), 5)
+		is.Equal(net.viewsIncluding("node-5"), 5)
 	})
 }
 
-// TestStartDuringOutage proves that an instance that starts while the platform
+// TestStartDuringPlatformOutage proves that an instance that starts while the platform
 // gives no list gets it from a peer.
-func TestStartDuringOutage(t *testing.T) {
+func TestStartDuringPlatformOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		net := join(4)
+		net := startNetwork(4)
 		defer net.close()
 		net.mu.Lock()
-		net.outage = true
+		net.platformDown = true
 		net.mu.Unlock()
 		net.members["node-3"].Close()
 		net.start(net.list.Instances[3])
@@ -212,13 +212,13 @@
 	is.Equal(moved, count["node-4"])
 }
 
-// TestListStartsOver proves that a list whose versions start over, as of a
+// TestListVersionsStartOver proves that a list whose versions start over, as of a
 // platform that was set up anew, is taken over after a while, and that a single
 // older answer is not.
-func TestListStartsOver(t *testing.T) {
+func TestListVersionsStartOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		net := join(4)
+		net := startNetwork(4)
 		defer net.close()
 		set := func(version int64, n int) {
 			net.mu.Lock()
--- a/notice/registry.go
+++ b/notice/registry.go
@@ -65,41 +65,41 @@
 
 // OnChange has a function called with each notice that is new to this instance, in order,
 // until stop is called. It must not call the book.
-func (b *Registry) OnChange(tell func(Notice)) (stop func()) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.listeners[&tell] = struct{}{}
+func (r *Registry) OnChange(tell func(Notice)) (stop func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.listeners[&tell] = struct{}{}
 	return func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		delete(b.listeners, &tell)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		delete(r.listeners, &tell)
 	}
 }
 
 // View returns what is known now.
-func (b *Registry) View() *View {
-	return b.view.Load()
+func (r *Registry) View() *View {
+	return r.view.Load()
 }
 
 // ExclusionReason returns why an endpoint, whose start began at a moment or does not say when, must get no
 // request of this instance now; empty when it may.
-func (b *Registry) ExclusionReason(instance string, born time.Time) string {
-	v := b.View()
+func (r *Registry) ExclusionReason(instance string, born time.Time) string {
+	v := r.View()
 	switch {
 	case v.IsLeaving(instance, born):
 		return "it says that it leaves"
-	case v.BackoffUntil(instance, born).After(b.now()):
+	case v.BackoffUntil(instance, born).After(r.now()):
 		return "it asked for a back-off"
 	}
 	return ""
 }
 
 // Notices returns all that is known, in any order.
-func (b *Registry) Notices() []Notice {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]Notice, 0, len(b.endpoints))
-	for _, k := range b.endpoints {
+func (r *Registry) Notices() []Notice {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := make([]Notice, 0, len(r.endpoints))
+	for _, k := range r.endpoints {
 		if k.Revision > 0 {
 			out = append(out, k.Notice)
 		}
@@ -108,47 +108,47 @@
 }
 
 // RecordAnswer takes over what an answer says. It returns the notice and whether it is new.
-func (b *Registry) RecordAnswer(a Answer, s Statements) (Notice, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
-	k := b.endpoints[a.Instance]
+func (r *Registry) RecordAnswer(a Answer, s Statements) (Notice, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
+	k := r.endpoints[a.Instance]
 	if k == nil {
 		if s == (Statements{}) {
 			return Notice{}, false
 		}
 		k = &endpointState{}
 		k.Instance = a.Instance
-		b.endpoints[a.Instance] = k
+		r.endpoints[a.Instance] = k
 	}
 	if !k.adoptStart(a.StartedAt) {
 		return Notice{}, false
 	}
-	b.logMalformed(k, a, s)
-	b.applyBackoff(k, a, s, now)
-	left := b.applyLeaving(k, a, s)
-	limited := b.applyRate(k, a, s, now)
+	r.logMalformed(k, a, s)
+	r.applyBackoff(k, a, s, now)
+	left := r.applyLeaving(k, a, s)
+	limited := r.applyRate(k, a, s, now)
 	if !left && !limited {
 		return Notice{}, false
 	}
 	k.changedAt = now
 	k.Revision++
-	b.publish(k)
+	r.publish(k)
 	return k.Notice, true
 }
 
 // ApplyNotice takes over what another instance tells.
-func (b *Registry) ApplyNotice(n Notice) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k := b.endpoints[n.Instance]
+func (r *Registry) ApplyNotice(n Notice) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	k := r.endpoints[n.Instance]
 	if k == nil {
 		k = &endpointState{
 			Notice: Notice{
 				Instance: n.Instance,
 			},
 		}
-		b.endpoints[n.Instance] = k
+		r.endpoints[n.Instance] = k
 	}
 	if !k.adoptStart(n.StartedAt) {
 		return
@@ -156,14 +156,14 @@
 	if !k.merge(n) {
 		return
 	}
-	now := b.now()
+	now := r.now()
 	k.changedAt = now
 	if k.Limited {
 		k.limitNamedAt = now
 	}
-	b.log.V(1).Info("told of an endpoint", "endpoint", n.Instance, "limited", n.Limited, "rate", n.Rate, "leaving", n.Leaving,
+	r.log.V(1).Info("told of an endpoint", "endpoint", n.Instance, "limited", n.Limited, "rate", n.Rate, "leaving", n.Leaving,
 		"revision", n.Revision)
-	b.publish(k)
+	r.publish(k)
 }
 
 // merge takes over a notice of the same start, and returns whether anything changes. The limit is
@@ -182,16 +182,16 @@
 const unlistedRetention = 2 * time.Minute
 
 // RemoveUnlisted forgets the endpoints that are not listed any more.
-func (b *Registry) RemoveUnlisted(listed func(instance string) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
-	for instance, k := range b.endpoints {
+func (r *Registry) RemoveUnlisted(listed func(instance string) bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
+	for instance, k := range r.endpoints {
 		if listed(instance) || now.Sub(k.changedAt) < unlistedRetention {
 			continue
 		}
-		delete(b.endpoints, instance)
-		b.view.Store(b.View().withEndpoint(&endpointState{
+		delete(r.endpoints, instance)
+		r.view.Store(r.View().withEndpoint(&endpointState{
 			Notice: Notice{
 				Instance: instance,
 			},
@@ -220,7 +220,7 @@
 
 // applyRate takes over what an answer says of a rate limit, and returns whether the notice
 // changes. The caller holds the lock.
-func (b *Registry) applyRate(k *endpointState, a Answer, s Statements, now time.Time) bool {
+func (r *Registry) applyRate(k *endpointState, a Answer, s Statements, now time.Time) bool {
 	before := k.Notice
 	switch {
 	case s.RateMalformed:
@@ -236,25 +236,25 @@
 	default:
 		k.Limited, k.Rate = false, 0
 	}
-	b.log.Info("rate limit of an endpoint", "endpoint", a.Instance, "limited", k.Limited, "rate", k.Rate,
+	r.log.Info("rate limit of an endpoint", "endpoint", a.Instance, "limited", k.Limited, "rate", k.Rate,
 		"was_limited", before.Limited, "before", before.Rate, "request", a.Request)
 	return true
 }
 
 // applyLeaving takes over whether an answer says that its endpoint leaves, and returns whether
 // the notice changes. The caller holds the lock.
-func (b *Registry) applyLeaving(k *endpointState, a Answer, s Statements) bool {
+func (r *Registry) applyLeaving(k *endpointState, a Answer, s Statements) bool {
 	if !s.Leaving || k.Leaving {
 		return false
 	}
 	k.Leaving = true
-	b.log.Info("endpoint says that it leaves", "endpoint", a.Instance, "request", a.Request)
+	r.log.Info("endpoint says that it leaves", "endpoint", a.Instance, "request", a.Request)
 	return true
 }
 
 // applyBackoff takes over for how long an endpoint wants nothing from this instance. The caller
 // holds the lock.
-func (b *Registry) applyBackoff(k *endpointState, a Answer, s Statements, now time.Time) {
+func (r *Registry) applyBackoff(k *endpointState, a Answer, s Statements, now time.Time) {
 	if s.Backoff <= 0 {
 		return
 	}
@@ -264,26 +264,26 @@
 		return
 	}
 	if !k.backoffUntil.After(now) {
-		b.log.Info("endpoint asks for a back-off", "endpoint", a.Instance, "for_ms", s.Backoff.Milliseconds(),
+		r.log.Info("endpoint asks for a back-off", "endpoint", a.Instance, "for_ms", s.Backoff.Milliseconds(),
 			"kept_ms", until.Sub(now).Milliseconds(), "request", a.Request)
 	}
 	k.backoffUntil = until
-	b.view.Store(b.View().withEndpoint(k, now))
+	r.view.Store(r.View().withEndpoint(k, now))
 }
 
 // logMalformed writes one line for the first statement of a start that can't be read.
-func (b *Registry) logMalformed(k *endpointState, a Answer, s Statements) {
+func (r *Registry) logMalformed(k *endpointState, a Answer, s Statements) {
 	if s.Malformed == "" || k.malformedLogged {
 		return
 	}
 	k.malformedLogged = true
-	b.log.Info("statement of an endpoint can't be read", "endpoint", a.Instance, "statement", s.Malformed, "request", a.Request)
+	r.log.Info("statement of an endpoint can't be read", "endpoint", a.Instance, "statement", s.Malformed, "request", a.Request)
 }
 
 // publish makes a notice visible. The caller holds the lock.
-func (b *Registry) publish(k *endpointState) {
-	b.view.Store(b.View().withEndpoint(k, b.now()))
-	for tell := range b.listeners {
+func (r *Registry) publish(k *endpointState) {
+	r.view.Store(r.View().withEndpoint(k, r.now()))
+	for tell := range r.listeners {
 		(*tell)(k.Notice)
 	}
 }
--- a/notice/registry_test.go
+++ b/notice/registry_test.go
@@ -13,32 +13,32 @@
 	"github.com/linkmast/linkmast/notice"
 )
 
-// clock is a time that tests set.
-type clock struct {
-	at time.Time
+// fakeClock is a time that tests set.
+type fakeClock struct {
+	time time.Time
 }
 
-func newClock() *clock {
-	return &clock{
-		at: time.Unix(1_000_000, 0),
+func newClock() *fakeClock {
+	return &fakeClock{
+		time: time.Unix(1_000_000, 0),
 	}
 }
 
-func (c *clock) now() time.Time { return c.at }
+func (c *fakeClock) now() time.Time { return c.time }
 
-func (c *clock) pass(d time.Duration) { c.at = c.at.Add(d) }
+func (c *fakeClock) advance(d time.Duration) { c.time = c.time.Add(d) }
 
 // answer is one of endpoint e to a request that was sent so long ago.
-func (c *clock) answer(ago time.Duration) notice.Answer {
+func (c *fakeClock) answer(ago time.Duration) notice.Answer {
 	return notice.Answer{
 		Instance: "e",
 		Request:  "r",
-		SentAt:   c.at.Add(-ago),
+		SentAt:   c.time.Add(-ago),
 	}
 }
 
-// limit is what an answer says that names a rate limit.
-func limit(rate float64) notice.Statements {
+// rateLimit is what an answer says that names a rate rateLimit.
+func rateLimit(rate float64) notice.Statements {
 	return notice.Statements{
 		Limited: true,
 		Rate:    rate,
@@ -55,16 +55,16 @@
 	}
 }
 
-func TestRateLimitNamed(t *testing.T) {
+func TestRateLimitRecorded(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
 	b.RecordAnswer(c.answer(0), notice.Statements{})
 	assertLimit(t, b, -1)
-	b.RecordAnswer(c.answer(0), limit(2))
+	b.RecordAnswer(c.answer(0), rateLimit(2))
 	assertLimit(t, b, 2)
 
 	t.Run("an answer to an earlier request does not end it", func(t *testing.T) {
-		c.pass(time.Second)
+		c.advance(time.Second)
 		b.RecordAnswer(c.answer(2*time.Second), notice.Statements{})
 		assertLimit(t, b, 2)
 	})
@@ -73,32 +73,32 @@
 		assertLimit(t, b, 2)
 	})
 	t.Run("another value replaces it", func(t *testing.T) {
-		c.pass(time.Minute)
-		b.RecordAnswer(c.answer(0), limit(0))
+		c.advance(time.Minute)
+		b.RecordAnswer(c.answer(0), rateLimit(0))
 		assertLimit(t, b, 0)
 	})
 	t.Run("an answer without it ends it", func(t *testing.T) {
-		c.pass(time.Second)
+		c.advance(time.Second)
 		b.RecordAnswer(c.answer(0), notice.Statements{})
 		assertLimit(t, b, -1)
 	})
 }
 
-// TestChangingRateLimit lets each answer name another value.
-func TestChangingRateLimit(t *testing.T) {
+// TestRateLimitChangesAreThrottled lets each answer name another value.
+func TestRateLimitChangesAreThrottled(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
 	told := 0
 	b.OnChange(func(notice.Notice) { told++ })
 	for i := range 1000 {
-		b.RecordAnswer(c.answer(0), limit(float64(i)))
-		c.pass(10 * time.Millisecond)
+		b.RecordAnswer(c.answer(0), rateLimit(float64(i)))
+		c.advance(10 * time.Millisecond)
 	}
 	is.New(t).Equal(told, 10)
 }
 
-// TestMalformedOnce counts the lines of an endpoint that never says what can be read.
-func TestMalformedOnce(t *testing.T) {
+// TestMalformedLoggedOnce counts the lines of an endpoint that never says what can be read.
+func TestMalformedLoggedOnce(t *testing.T) {
 	lines := 0
 	c := newClock()
 	b := notice.New(c.now, funcr.New(func(_, _ string) { lines++ }, funcr.Options{}))
@@ -109,18 +109,18 @@
 	assertLimit(t, b, -1)
 }
 
-// TestLimitOfAnotherStart lets an endpoint start again under its name.
-func TestLimitOfAnotherStart(t *testing.T) {
+// TestLimitOfRestartedEndpoint lets an endpoint start again under its name.
+func TestLimitOfRestartedEndpoint(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
 	first, second := c.answer(0), c.answer(0)
-	first.StartedAt = c.at
-	second.StartedAt = c.at.Add(time.Second)
-	b.RecordAnswer(first, limit(2))
+	first.StartedAt = c.time
+	second.StartedAt = c.time.Add(time.Second)
+	b.RecordAnswer(first, rateLimit(2))
 	assertLimit(t, b, 2)
-	b.RecordAnswer(second, limit(5))
+	b.RecordAnswer(second, rateLimit(5))
 	assertLimit(t, b, 5)
-	b.RecordAnswer(first, limit(1))
+	b.RecordAnswer(first, rateLimit(1))
 	assertLimit(t, b, 5)
 }
 
@@ -128,61 +128,61 @@
 func TestNoticesConverge(t *testing.T) {
 	c := newClock()
 	one, other := notice.New(c.now, logr.Discard()), notice.New(c.now, logr.Discard())
-	first, _ := one.RecordAnswer(c.answer(0), limit(2))
-	second, _ := other.RecordAnswer(c.answer(0), limit(3))
+	first, _ := one.RecordAnswer(c.answer(0), rateLimit(2))
+	second, _ := other.RecordAnswer(c.answer(0), rateLimit(3))
 	one.ApplyNotice(second)
 	other.ApplyNotice(first)
 	assertLimit(t, one, 2)
 	assertLimit(t, other, 2)
 
-	c.pass(time.Second)
+	c.advance(time.Second)
 	ended, _ := one.RecordAnswer(c.answer(0), notice.Statements{})
 	other.ApplyNotice(ended)
 	other.ApplyNotice(first)
 	assertLimit(t, other, -1)
 }
 
-// TestKeepForgets drops endpoints that are not listed any more.
-func TestKeepForgets(t *testing.T) {
+// TestRemoveUnlisted drops endpoints that are not listed any more.
+func TestRemoveUnlisted(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
-	b.RecordAnswer(c.answer(0), limit(2))
+	b.RecordAnswer(c.answer(0), rateLimit(2))
 	none := func(string) bool { return false }
 	b.RemoveUnlisted(none)
 	assertLimit(t, b, 2)
-	c.pass(time.Hour)
+	c.advance(time.Hour)
 	b.RemoveUnlisted(func(string) bool { return true })
 	assertLimit(t, b, 2)
 	b.RemoveUnlisted(none)
 	assertLimit(t, b, -1)
 }
 
-// TestLeavingHeard looks that a start of an endpoint which leaves does not come back, whatever
+// TestLeavingRecorded looks that a start of an endpoint which leaves does not come back, whatever
 // later answers and other instances say.
-func TestLeavingHeard(t *testing.T) {
+func TestLeavingRecorded(t *testing.T) {
 	c := newClock()
 	b, other := notice.New(c.now, logr.Discard()), notice.New(c.now, logr.Discard())
 	first := c.answer(0)
-	first.StartedAt = c.at
+	first.StartedAt = c.time
 	n, changed := b.RecordAnswer(first, notice.Statements{Leaving: true})
 	is.New(t).True(changed && n.Leaving)
-	c.pass(time.Second)
-	first.SentAt = c.at
+	c.advance(time.Second)
+	first.SentAt = c.time
 	_, changed = b.RecordAnswer(first, notice.Statements{})
 	is.New(t).True(!changed)
 	other.ApplyNotice(n)
-	again, changed := other.RecordAnswer(first, limit(2))
+	again, changed := other.RecordAnswer(first, rateLimit(2))
 	is.New(t).True(changed && again.Leaving && again.Limited)
 
 	t.Run("the next start", func(t *testing.T) {
 		next := c.answer(0)
-		next.StartedAt = c.at
-		n, changed := b.RecordAnswer(next, limit(2))
+		next.StartedAt = c.time
+		n, changed := b.RecordAnswer(next, rateLimit(2))
 		is.New(t).True(changed && !n.Leaving)
 	})
 }
 
-func TestBackoffHeard(t *testing.T) {
+func TestBackoffRecorded(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		backoff time.Duration
@@ -205,35 +205,35 @@
 				{row.least - 1, row.backoff > 0},
 				{row.most + 1 - row.least + 1, false},
 			} {
-				c.pass(at.pass)
+				c.advance(at.pass)
 				is.New(t).Equal(b.ExclusionReason("e", time.Time{}) != "", at.declines)
 			}
 		})
 	}
 }
 
-// TestBackoffsForgotten looks that back-offs that have ended are not kept.
-func TestBackoffsForgotten(t *testing.T) {
+// TestExpiredBackoffsRemoved looks that back-offs that have ended are not kept.
+func TestExpiredBackoffsRemoved(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
 	for i := range 10 {
 		a := c.answer(0)
 		a.Instance = string(rune('a' + i))
 		b.RecordAnswer(a, notice.Statements{Backoff: time.Second})
-		c.pass(2 * time.Second)
+		c.advance(2 * time.Second)
 	}
 	is.New(t).Equal(len(b.View().BackedOff()), 1)
 }
 
-// TestLeavingOutlastsLimits tells a book that an endpoint leaves, and of newer limits by one that has
+// TestLeavingSurvivesNewerLimits tells a book that an endpoint leaves, and of newer limits by one that has
 // not heard of it, in either order.
-func TestLeavingOutlastsLimits(t *testing.T) {
+func TestLeavingSurvivesNewerLimits(t *testing.T) {
 	c := newClock()
 	leaves, _ := notice.New(c.now, logr.Discard()).RecordAnswer(c.answer(0), notice.Statements{Leaving: true})
 	ignorant := notice.New(c.now, logr.Discard())
-	ignorant.RecordAnswer(c.answer(0), limit(2))
-	c.pass(time.Minute)
-	limited, _ := ignorant.RecordAnswer(c.answer(0), limit(3))
+	ignorant.RecordAnswer(c.answer(0), rateLimit(2))
+	c.advance(time.Minute)
+	limited, _ := ignorant.RecordAnswer(c.answer(0), rateLimit(3))
 	for _, order := range [][]notice.Notice{{leaves, limited}, {limited, leaves}} {
 		b := notice.New(c.now, logr.Discard())
 		changes := 0
@@ -247,15 +247,15 @@
 	}
 }
 
-// TestBackoffOfAnotherStart tells a book of the next start of an endpoint that asked for a back-off.
-func TestBackoffOfAnotherStart(t *testing.T) {
+// TestBackoffEndsWithRestart tells a book of the next start of an endpoint that asked for a back-off.
+func TestBackoffEndsWithRestart(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
 	first := c.answer(0)
-	first.StartedAt = c.at
+	first.StartedAt = c.time
 	b.RecordAnswer(first, notice.Statements{Backoff: 10 * time.Second})
 	is.New(t).True(b.ExclusionReason("e", first.StartedAt) != "")
-	next := c.at.Add(time.Second)
+	next := c.time.Add(time.Second)
 	b.ApplyNotice(notice.Notice{
 		Instance:  "e",
 		StartedAt: next,
@@ -267,13 +267,13 @@
 	assertLimit(t, b, 2)
 }
 
-func BenchmarkHeard(b *testing.B) {
+func BenchmarkRecordAnswer(b *testing.B) {
 	c := newClock()
 	book := notice.New(c.now, logr.Discard())
 	for i := range 100 {
 		a := c.answer(0)
 		a.Instance = string(rune('A' + i))
-		book.RecordAnswer(a, limit(2))
+		book.RecordAnswer(a, rateLimit(2))
 	}
 	a := c.answer(0)
 	a.Instance = "other"
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -67,12 +67,12 @@
 	}
 }
 
-// still is a fleet on which nothing answers.
-type still struct {
+// unresponsive is a fleet on which nothing answers.
+type unresponsive struct {
 	Endpoints
 }
 
-func (still) Held(context.Context, string, []string) ([]string, error) {
+func (unresponsive) Held(context.Context, string, []string) ([]string, error) {
 	return nil, context.DeadlineExceeded
 }
 
@@ -81,7 +81,7 @@
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			o := New(Settings{
 				SweepInterval: time.Hour,
-			}, still{}, still{}, nil, logr.Discard())
+			}, unresponsive{}, unresponsive{}, nil, logr.Discard())
 			<-time.After(time.Millisecond)
 			defer o.Close()
 			e := newEndpoint()
@@ -100,7 +100,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			acquire(b, o, n)
+			acquireLeases(b, o, n)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
@@ -111,7 +111,7 @@
 	}
 }
 
-func acquire(b *testing.B, o *Owner, n int) {
+func acquireLeases(b *testing.B, o *Owner, n int) {
 	b.Helper()
 	now := time.Now()
 	for i := range n {
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -17,8 +17,8 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// granting is an owner that grants everything after a while.
-type granting struct {
+// delayedGrants is an owner that grants everything after a while.
+type delayedGrants struct {
 	ownerpb.OwnerClient
 	grpc.ServerStreamingClient[ownerpb.AcquireUpdate]
 
@@ -26,12 +26,12 @@
 }
 
 // Acquire implements ownerpb.OwnerClient.
-func (g *granting) Acquire(context.Context, *ownerpb.AcquireRequest, ...grpc.CallOption) (grpc.ServerStreamingClient[ownerpb.AcquireUpdate], error) {
+func (g *delayedGrants) Acquire(context.Context, *ownerpb.AcquireRequest, ...grpc.CallOption) (grpc.ServerStreamingClient[ownerpb.AcquireUpdate], error) {
 	return g, nil
 }
 
 // Recv implements grpc.ServerStreamingClient.
-func (g *granting) Recv() (*ownerpb.AcquireUpdate, error) {
+func (g *delayedGrants) Recv() (*ownerpb.AcquireUpdate, error) {
 	g.wait()
 	return update(Grant{
 		Address:     "e1:1",
@@ -39,9 +39,9 @@
 	}, nil), nil
 }
 
-// TestGrantOverSuspension has the machine suspended while it waits for a lease. The grant may have
+// TestGrantLapsesDuringSuspension has the machine suspended while it waits for a lease. The grant may have
 // been made before, and have lapsed.
-func TestGrantOverSuspension(t *testing.T) {
+func TestGrantLapsesDuringSuspension(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		suspended time.Duration
@@ -55,7 +55,7 @@
 			m := steadytest.New(t)
 			is := is.New(t)
 			c := &Client{
-				rpc: &granting{
+				rpc: &delayedGrants{
 					wait: func() { m.Suspend(row.suspended) },
 				},
 			}
--- a/quarantine/admission.go
+++ b/quarantine/admission.go
@@ -21,30 +21,30 @@
 // request of the identity runs at a time at this instance, and instances begin to let one run
 // one after the other, up to tryAfter apart. Else a request that comes to all at the end of its
 // ban crashes as many endpoints as there are instances: 8 where 6 of them let it run, 1 now
-// (TestTurns).
-func (b *Registry) Admit(id Identity) (p Admission, after time.Duration, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// (TestRetestTurns).
+func (r *Registry) Admit(id Identity) (p Admission, after time.Duration, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	free := Admission{
 		Release: func() {},
 	}
-	now := b.now()
-	one := b.retainedBan(id, now)
-	if one == nil {
+	now := r.now()
+	b := r.retainedBan(id, now)
+	if b == nil {
 		return free, 0, true
 	}
-	if one.active(now) || one.retestRunning || now.Before(b.retestAllowedFrom(id, one)) {
-		b.stats.Refused++
-		return Admission{}, max(one.until.Sub(now), retestDelay), false
+	if b.active(now) || b.retestRunning || now.Before(r.retestAllowedFrom(id, b)) {
+		r.stats.Refused++
+		return Admission{}, max(b.until.Sub(now), retestDelay), false
 	}
-	one.retestRunning = true
+	b.retestRunning = true
 	return Admission{
 		SingleEndpoint: true,
 		Release: func() {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			one.retestRunning = false
-			one.retestFrom = b.now().Add(retestDelay)
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			b.retestRunning = false
+			b.retestFrom = r.now().Add(retestDelay)
 		},
 	}, 0, true
 }
@@ -67,9 +67,9 @@
 
 // retestAllowedFrom returns from when this instance may let a request run whose ban is over. The caller
 // holds the lock.
-func (b *Registry) retestAllowedFrom(id Identity, one *ban) time.Time {
-	if one.retestFrom.IsZero() {
-		one.retestFrom = one.until.Add(b.turn(id).delay())
+func (r *Registry) retestAllowedFrom(id Identity, b *ban) time.Time {
+	if b.retestFrom.IsZero() {
+		b.retestFrom = b.until.Add(r.turn(id).delay())
 	}
-	return one.retestFrom
+	return b.retestFrom
 }
--- a/quarantine/admission_test.go
+++ b/quarantine/admission_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// TestEnter gives requests leave to run: none in a ban, after it one at a time that runs once.
-func TestEnter(t *testing.T) {
+// TestAdmit gives requests leave to run: none in a ban, after it one at a time that runs once.
+func TestAdmit(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newTestRegistry()
@@ -62,9 +62,9 @@
 	return all
 }
 
-// TestTurns has callers come to all instances at once, again and again, with a request whose ban
+// TestRetestTurns has callers come to all instances at once, again and again, with a request whose ban
 // is over. One of them shows what it does now; the others wait for that.
-func TestTurns(t *testing.T) {
+func TestRetestTurns(t *testing.T) {
 	const (
 		instances = 6
 		every     = 200 * time.Millisecond
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestTurn looks that instances begin one after the other, and that many of them don't take
+// TestRetestTurnDelay looks that instances begin one after the other, and that many of them don't take
 // longer than a first ban.
-func TestTurn(t *testing.T) {
+func TestRetestTurnDelay(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		turn RetestTurn
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -36,14 +36,14 @@
 
 // recordEnd returns the end of an endpoint that a crash tells of. The caller holds the lock, as
 // for the functions below.
-func (b *Registry) recordEnd(c Crash, now time.Time) *endpointEnd {
-	e := b.ends[c.Endpoint]
+func (r *Registry) recordEnd(c Crash, now time.Time) *endpointEnd {
+	e := r.ends[c.Endpoint]
 	if e == nil || c.EndedAt.Sub(e.at).Abs() > sameEndWindow {
-		maps.DeleteFunc(b.ends, func(_ string, old *endpointEnd) bool { return now.Sub(old.at) > endRetention })
+		maps.DeleteFunc(r.ends, func(_ string, old *endpointEnd) bool { return now.Sub(old.at) > endRetention })
 		e = &endpointEnd{
 			at: c.EndedAt,
 		}
-		b.ends[c.Endpoint] = e
+		r.ends[c.Endpoint] = e
 	}
 	if len(e.identities) < maxIdentitiesPerEnd && !slices.Contains(e.identities, c.Identity) {
 		e.identities = append(e.identities, c.Identity)
@@ -55,8 +55,8 @@
 // suspect, so that these are not what ended them. Those of a joint reading ran it: when their
 // ends were known from other requests alone, a prompt that crashes its readers reached 6 to 11
 // attempts and was not banned (test with six engines that answer others).
-func (b *Registry) hasCommonCause(id Identity, s *suspect, e *endpointEnd) bool {
-	for address, other := range b.ends {
+func (r *Registry) hasCommonCause(id Identity, s *suspect, e *endpointEnd) bool {
+	for address, other := range r.ends {
 		if other == e || other.at.Sub(e.at).Abs() > commonCauseWindow {
 			continue
 		}
@@ -69,10 +69,10 @@
 
 // settle counts a crash unless it has another cause, and bans the identity if it is one too
 // many.
-func (b *Registry) settle(id Identity, attempt string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[id]
+func (r *Registry) settle(id Identity, attempt string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.suspects[id]
 	if s == nil {
 		return
 	}
@@ -80,28 +80,28 @@
 	if i < 0 {
 		return
 	}
-	if b.hasCommonCause(id, s, s.chain[i].end) {
-		b.stats.Common++
+	if r.hasCommonCause(id, s, s.chain[i].end) {
+		r.stats.Common++
 		s.chain = slices.Delete(s.chain, i, i+1)
 		return
 	}
 	s.chain[i].settled = true
-	b.stats.Counted++
-	now := b.now()
+	r.stats.Counted++
+	now := r.now()
 	limit := crashLimit
-	if b.retainedBan(id, now) != nil {
+	if r.retainedBan(id, now) != nil {
 		limit = 1
 	}
 	n := s.settledCount()
-	b.log.Info("request crashed its endpoint", "identity", id.String(), "attempt", attempt, "in_a_row", n, "limit", limit)
+	r.log.Info("request crashed its endpoint", "identity", id.String(), "attempt", attempt, "in_a_row", n, "limit", limit)
 	switch {
-	case n >= limit && b.isExplained(id, s):
-		b.stats.Common++
+	case n >= limit && r.isExplained(id, s):
+		r.stats.Common++
 		s.chain = nil
 	case n >= limit:
-		b.ban(id, now)
+		r.ban(id, now)
 	case n == limit-1:
-		b.notifyListeners(Verdict{
+		r.notifyListeners(Verdict{
 			Identity: id,
 			State:    Suspected,
 		})
--- a/quarantine/evict.go
+++ b/quarantine/evict.go
@@ -16,34 +16,34 @@
 // evictSuspects makes room: what is over goes, and if that is not enough those of the
 // fewest crashes, the oldest of them first. The caller holds the lock, as for the functions
 // below.
-func (b *Registry) evictSuspects(now time.Time) {
-	maps.DeleteFunc(b.suspects, func(_ Identity, s *suspect) bool { return now.Sub(s.lastSeen) > suspectRetention })
-	if len(b.suspects) < maxSuspects {
+func (r *Registry) evictSuspects(now time.Time) {
+	maps.DeleteFunc(r.suspects, func(_ Identity, s *suspect) bool { return now.Sub(s.lastSeen) > suspectRetention })
+	if len(r.suspects) < maxSuspects {
 		return
 	}
-	ids := slices.SortedFunc(maps.Keys(b.suspects), func(x, y Identity) int {
-		a, c := b.suspects[x], b.suspects[y]
+	ids := slices.SortedFunc(maps.Keys(r.suspects), func(x, y Identity) int {
+		a, c := r.suspects[x], r.suspects[y]
 		return cmp.Or(cmp.Compare(len(a.chain), len(c.chain)), a.lastSeen.Compare(c.lastSeen))
 	})
 	for _, id := range ids[:maxSuspects/evictionFraction] {
-		delete(b.suspects, id)
+		delete(r.suspects, id)
 	}
 }
 
 // evictBans makes room: bans that are over and remembered for long enough go, and if that
 // is not enough those that end first.
-func (b *Registry) evictBans(now time.Time) {
-	ids := slices.SortedFunc(maps.Keys(b.bans), func(x, y Identity) int {
-		return b.bans[x].until.Compare(b.bans[y].until)
+func (r *Registry) evictBans(now time.Time) {
+	ids := slices.SortedFunc(maps.Keys(r.bans), func(x, y Identity) int {
+		return r.bans[x].until.Compare(r.bans[y].until)
 	})
 	for i, id := range ids {
-		one := b.bans[id]
-		if i >= maxBans/evictionFraction && !now.After(one.retainUntil()) {
+		b := r.bans[id]
+		if i >= maxBans/evictionFraction && !now.After(b.retainUntil()) {
 			continue
 		}
-		delete(b.bans, id)
-		if one.recorded {
-			b.pendingErasures[id] = now
+		delete(r.bans, id)
+		if b.recorded {
+			r.pendingErasures[id] = now
 		}
 	}
 }
--- a/quarantine/explain.go
+++ b/quarantine/explain.go
@@ -10,8 +10,8 @@
 // isExplained states whether the crashes of a suspect are those of another one, which ran on the
 // same endpoints and each time began later: others ran there before it without harm. The
 // caller holds the lock, as for the functions below.
-func (b *Registry) isExplained(id Identity, s *suspect) bool {
-	for other, o := range b.suspects {
+func (r *Registry) isExplained(id Identity, s *suspect) bool {
+	for other, o := range r.suspects {
 		if other != id && o.containsEndsOf(s) && o.meanRunTime() < s.meanRunTime() {
 			return true
 		}
@@ -21,14 +21,14 @@
 
 // dropExplained takes the crashes of a request that is banned off the others that ran on the same
 // endpoints and had begun before it.
-func (b *Registry) dropExplained(banned *suspect) {
-	for _, s := range b.suspects {
+func (r *Registry) dropExplained(banned *suspect) {
+	for _, s := range r.suspects {
 		if s == banned {
 			continue
 		}
-		s.chain = slices.DeleteFunc(s.chain, func(one chainLink) bool {
+		s.chain = slices.DeleteFunc(s.chain, func(l chainLink) bool {
 			return slices.ContainsFunc(banned.chain, func(cause chainLink) bool {
-				return cause.end == one.end && one.crash.StartedAt.Before(cause.crash.StartedAt)
+				return cause.end == l.end && l.crash.StartedAt.Before(cause.crash.StartedAt)
 			})
 		})
 	}
@@ -36,20 +36,20 @@
 
 // hasEnd states whether an end is one of the chain's.
 func (s *suspect) hasEnd(e *endpointEnd) bool {
-	return slices.ContainsFunc(s.chain, func(one chainLink) bool { return one.end == e })
+	return slices.ContainsFunc(s.chain, func(l chainLink) bool { return l.end == e })
 }
 
 // containsEndsOf states whether all ends of another suspect's chain are among this one's.
 func (s *suspect) containsEndsOf(other *suspect) bool {
-	return !slices.ContainsFunc(other.chain, func(one chainLink) bool { return !s.hasEnd(one.end) })
+	return !slices.ContainsFunc(other.chain, func(l chainLink) bool { return !s.hasEnd(l.end) })
 }
 
 // meanRunTime returns how long the attempts of the chain had been under way at the ends of their
 // endpoints, in the mean; zero for an empty chain.
 func (s *suspect) meanRunTime() time.Duration {
 	sum := time.Duration(0)
-	for _, one := range s.chain {
-		sum += one.crash.EndedAt.Sub(one.crash.StartedAt)
+	for _, l := range s.chain {
+		sum += l.crash.EndedAt.Sub(l.crash.StartedAt)
 	}
 	return sum / time.Duration(max(len(s.chain), 1))
 }
--- a/quarantine/peerguard.go
+++ b/quarantine/peerguard.go
@@ -84,66 +84,66 @@
 }
 
 // Run tells others until ctx ends.
-func (s *PeerGuard) Run(ctx context.Context) {
-	defer close(s.Done)
-	defer s.registry.OnVerdict(s.broadcastDecision)()
+func (g *PeerGuard) Run(ctx context.Context) {
+	defer close(g.Done)
+	defer g.registry.OnVerdict(g.broadcastDecision)()
 	var parts sync.WaitGroup
 	for range crashSenders {
-		parts.Go(func() { s.sendCrashes(ctx) })
+		parts.Go(func() { g.sendCrashes(ctx) })
 	}
-	parts.Go(func() { s.sendVerdicts(ctx) })
+	parts.Go(func() { g.sendVerdicts(ctx) })
 	parts.Wait()
 }
 
 // sendCrashes tells of crashes until ctx ends.
-func (s *PeerGuard) sendCrashes(ctx context.Context) {
+func (g *PeerGuard) sendCrashes(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-s.crashes:
-			s.sendToAll(ctx, n)
+		case n := <-g.crashes:
+			g.sendToAll(ctx, n)
 		}
 	}
 }
 
 // sendVerdicts tells of verdicts, and greets instances that have come, until ctx ends.
-func (s *PeerGuard) sendVerdicts(ctx context.Context) {
+func (g *PeerGuard) sendVerdicts(ctx context.Context) {
 	tick := time.NewTicker(newInstanceInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-s.verdicts:
-			s.sendToAll(ctx, n)
+		case n := <-g.verdicts:
+			g.sendToAll(ctx, n)
 		case <-tick.C:
-			s.sendBansToNew(ctx)
+			g.sendBansToNew(ctx)
 		}
 	}
 }
 
 // broadcastDecision tells all others of a verdict if this instance counts for its identity. It is called
 // by the book.
-func (s *PeerGuard) broadcastDecision(v Verdict) {
-	if slices.Contains(s.peers.CountingInstances(v.Identity), s.peers.Self()) {
-		s.enqueue(outgoing{
-			to:      s.peers.Others(),
+func (g *PeerGuard) broadcastDecision(v Verdict) {
+	if slices.Contains(g.peers.CountingInstances(v.Identity), g.peers.Self()) {
+		g.enqueue(outgoing{
+			to:      g.peers.Others(),
 			verdict: v,
 		})
 	}
 }
 
 // enqueue has something told.
-func (s *PeerGuard) enqueue(n outgoing) {
-	queue := s.verdicts
+func (g *PeerGuard) enqueue(n outgoing) {
+	queue := g.verdicts
 	if n.crash != nil {
-		queue = s.crashes
+		queue = g.crashes
 	}
 	select {
 	case queue <- n:
 	default:
-		s.log.Info("not told", "identity", n.identity().String(), "cause", "too much waits to be told")
+		g.log.Info("not told", "identity", n.identity().String(), "cause", "too much waits to be told")
 	}
 }
 
@@ -156,41 +156,41 @@
 }
 
 // sendToAll tells each instance that a notice names.
-func (s *PeerGuard) sendToAll(ctx context.Context, n outgoing) {
-	var g errgroup.Group
-	g.SetLimit(maxParallelSends)
+func (g *PeerGuard) sendToAll(ctx context.Context, n outgoing) {
+	var group errgroup.Group
+	group.SetLimit(maxParallelSends)
 	for _, to := range n.to {
-		g.Go(func() error {
-			s.sendWithRetry(ctx, to, n)
+		group.Go(func() error {
+			g.sendWithRetry(ctx, to, n)
 			return nil
 		})
 	}
 	// The parts return no error.
-	_ = g.Wait()
+	_ = group.Wait()
 }
 
 // sendWithRetry tells one instance, in a few tries.
-func (s *PeerGuard) sendWithRetry(ctx context.Context, to string, n outgoing) {
+func (g *PeerGuard) sendWithRetry(ctx context.Context, to string, n outgoing) {
 	var err error
 	for try := range maxSendAttempts {
 		if try > 0 {
 			sleep(ctx, sendRetryDelay)
 		}
-		if err = s.send(ctx, to, n); err == nil || ctx.Err() != nil {
+		if err = g.send(ctx, to, n); err == nil || ctx.Err() != nil {
 			return
 		}
 	}
-	s.log.Info("not told", "identity", n.identity().String(), "instance", to, "cause", err.Error())
+	g.log.Info("not told", "identity", n.identity().String(), "instance", to, "cause", err.Error())
 }
 
 // send makes one send.
-func (s *PeerGuard) send(ctx context.Context, to string, n outgoing) error {
+func (g *PeerGuard) send(ctx context.Context, to string, n outgoing) error {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if n.crash != nil {
-		return s.peers.SendCrash(ctx, to, *n.crash)
+		return g.peers.SendCrash(ctx, to, *n.crash)
 	}
-	return s.peers.SendVerdict(ctx, to, n.verdict)
+	return g.peers.SendVerdict(ctx, to, n.verdict)
 }
 
 // sleep waits for a time, or until ctx ends.
@@ -202,24 +202,24 @@
 }
 
 // sendBansToNew tells instances that have come of the bans for whose identities this one counts.
-func (s *PeerGuard) sendBansToNew(ctx context.Context) {
-	there := s.peers.Others()
+func (g *PeerGuard) sendBansToNew(ctx context.Context) {
+	there := g.peers.Others()
 	var come []string
 	for _, id := range there {
-		if !s.greeted[id] {
+		if !g.greeted[id] {
 			come = append(come, id)
 		}
 	}
-	s.greeted = make(map[string]bool, len(there))
+	g.greeted = make(map[string]bool, len(there))
 	for _, id := range there {
-		s.greeted[id] = true
+		g.greeted[id] = true
 	}
 	if len(come) == 0 {
 		return
 	}
-	for _, v := range s.registry.Verdicts() {
-		if v.State == Banned && slices.Contains(s.peers.CountingInstances(v.Identity), s.peers.Self()) {
-			s.sendToAll(ctx, outgoing{
+	for _, v := range g.registry.Verdicts() {
+		if v.State == Banned && slices.Contains(g.peers.CountingInstances(v.Identity), g.peers.Self()) {
+			g.sendToAll(ctx, outgoing{
 				to:      come,
 				verdict: v,
 			})
@@ -228,37 +228,37 @@
 }
 
 // otherCountingInstances returns the instances that count for an identity, without this one.
-func (s *PeerGuard) otherCountingInstances(id Identity) []string {
-	return slices.DeleteFunc(s.peers.CountingInstances(id), func(one string) bool { return one == s.peers.Self() })
+func (g *PeerGuard) otherCountingInstances(id Identity) []string {
+	return slices.DeleteFunc(g.peers.CountingInstances(id), func(one string) bool { return one == g.peers.Self() })
 }
 
 // Admit implements Guard.
-func (s *PeerGuard) Admit(id Identity) (Admission, time.Duration, bool) { return s.registry.Admit(id) }
+func (g *PeerGuard) Admit(id Identity) (Admission, time.Duration, bool) { return g.registry.Admit(id) }
 
 // BanRemaining implements Guard.
-func (s *PeerGuard) BanRemaining(id Identity) (time.Duration, bool) {
-	return s.registry.BanRemaining(id)
+func (g *PeerGuard) BanRemaining(id Identity) (time.Duration, bool) {
+	return g.registry.BanRemaining(id)
 }
 
 // Suspected implements Guard.
-func (s *PeerGuard) Suspected(id Identity) bool { return s.registry.Suspected(id) }
+func (g *PeerGuard) Suspected(id Identity) bool { return g.registry.Suspected(id) }
 
 // ReportCrash implements Guard.
-func (s *PeerGuard) ReportCrash(c Crash) {
-	s.registry.ReportCrash(c)
-	s.enqueue(outgoing{
-		to:    s.otherCountingInstances(c.Identity),
+func (g *PeerGuard) ReportCrash(c Crash) {
+	g.registry.ReportCrash(c)
+	g.enqueue(outgoing{
+		to:    g.otherCountingInstances(c.Identity),
 		crash: &c,
 	})
 }
 
 // ReportAnswered implements Guard.
-func (s *PeerGuard) ReportAnswered(id Identity) {
-	if !s.registry.ReportAnswered(id) {
+func (g *PeerGuard) ReportAnswered(id Identity) {
+	if !g.registry.ReportAnswered(id) {
 		return
 	}
-	s.enqueue(outgoing{
-		to: s.otherCountingInstances(id),
+	g.enqueue(outgoing{
+		to: g.otherCountingInstances(id),
 		verdict: Verdict{
 			Identity: id,
 			State:    Cleared,
--- a/quarantine/peerguard_test.go
+++ b/quarantine/peerguard_test.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestSharing has a request crash endpoints at instances none of which sees it thrice, with
+// TestPeerGuard has a request crash endpoints at instances none of which sees it thrice, with
 // something else happening.
-func TestSharing(t *testing.T) {
+func TestPeerGuard(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		run  func(t *testing.T, c *cluster)
@@ -214,8 +214,8 @@
 	}
 }
 
-// TestSharingBounded reports more crashes than can be told while nobody answers: no caller waits.
-func TestSharingBounded(t *testing.T) {
+// TestPeerGuardNeverBlocks reports more crashes than can be told while nobody answers: no caller waits.
+func TestPeerGuardNeverBlocks(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		c := &cluster{
 			stopped: map[string]bool{
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -39,41 +39,41 @@
 // missing now was cleared by another instance or an operator, or is over. A record stays for
 // as long as its ban is remembered, so that the end of one ban isn't taken for that of the
 // next.
-func (b *Registry) SyncStored(former, bans map[Identity]Verdict) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
+func (r *Registry) SyncStored(former, bans map[Identity]Verdict) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
 	for id, v := range bans {
 		if former[id] != v {
-			b.applyBan(v, now)
+			r.applyBan(v, now)
 		}
-		if one := b.bans[id]; one != nil {
-			one.recorded = true
+		if b := r.bans[id]; b != nil {
+			b.recorded = true
 		}
 	}
 	for id := range former {
 		if _, kept := bans[id]; kept {
 			continue
 		}
-		one := b.bans[id]
+		b := r.bans[id]
 		switch {
-		case one == nil || !one.recorded:
-		case one.active(now):
-			b.clear(id)
+		case b == nil || !b.recorded:
+		case b.active(now):
+			r.clear(id)
 		default:
-			delete(b.bans, id)
+			delete(r.bans, id)
 		}
-		delete(b.pendingErasures, id)
+		delete(r.pendingErasures, id)
 	}
-	b.signalChange()
+	r.signalChange()
 }
 
 // storeCalls returns what is to be written to the store now, and when there may be more to do; zero
 // for never. Owner states that this instance writes first.
-func (b *Registry) storeCalls(owner bool) (calls []storeCall, next time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
+func (r *Registry) storeCalls(owner bool) (calls []storeCall, next time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
 	wait := standbyDelay
 	if owner {
 		wait = 0
@@ -86,20 +86,20 @@
 			next = at
 		}
 	}
-	for id, at := range b.pendingErasures {
+	for id, at := range r.pendingErasures {
 		add(at, eraseCall(id))
 	}
-	for id, one := range b.bans {
+	for id, b := range r.bans {
 		switch {
-		case one.recorded:
-			add(one.retainUntil(), eraseCall(id))
-		case !one.decidedAt.IsZero() && one.active(now):
-			add(one.decidedAt, storeCall{
+		case b.recorded:
+			add(b.retainUntil(), eraseCall(id))
+		case !b.decidedAt.IsZero() && b.active(now):
+			add(b.decidedAt, storeCall{
 				verdict: Verdict{
 					Identity:  id,
 					State:     Banned,
-					Remaining: one.until.Sub(now),
-					BanCount:  one.count,
+					Remaining: b.until.Sub(now),
+					BanCount:  b.count,
 				},
 			})
 		}
@@ -118,21 +118,21 @@
 }
 
 // confirmWritten notes that a call of the store was made.
-func (b *Registry) confirmWritten(d storeCall) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Registry) confirmWritten(d storeCall) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	id := d.verdict.Identity
-	one := b.bans[id]
+	b := r.bans[id]
 	switch {
-	case !d.erase && one != nil:
-		one.recorded = true
+	case !d.erase && b != nil:
+		b.recorded = true
 	case !d.erase:
 		// It was cleared meanwhile: its record is to go.
-		b.pendingErasures[id] = b.now()
+		r.pendingErasures[id] = r.now()
 	default:
-		delete(b.pendingErasures, id)
-		if one != nil && !one.active(b.now()) {
-			delete(b.bans, id)
+		delete(r.pendingErasures, id)
+		if b != nil && !b.active(r.now()) {
+			delete(r.bans, id)
 		}
 	}
 }
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -128,128 +128,128 @@
 
 // OnVerdict has a function called with each verdict that is new to this instance, until stop
 // is called. It must not call the book.
-func (b *Registry) OnVerdict(tell func(Verdict)) (stop func()) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.listeners[&tell] = struct{}{}
+func (r *Registry) OnVerdict(tell func(Verdict)) (stop func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.listeners[&tell] = struct{}{}
 	return func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		delete(b.listeners, &tell)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		delete(r.listeners, &tell)
 	}
 }
 
 // ReportCrash takes over a crash. It counts a moment later, once it is known what else ended then.
-func (b *Registry) ReportCrash(c Crash) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
-	b.stats.Crashes++
-	e := b.recordEnd(c, now)
-	if old := b.retainedBan(c.Identity, now); old != nil && c.StartedAt.Before(old.until) {
+func (r *Registry) ReportCrash(c Crash) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
+	r.stats.Crashes++
+	e := r.recordEnd(c, now)
+	if old := r.retainedBan(c.Identity, now); old != nil && c.StartedAt.Before(old.until) {
 		// Its attempt began before the ban was known everywhere.
 		return
 	}
-	if b.suspectFor(c.Identity, now).extend(c, e) {
-		time.AfterFunc(SettleDelay, func() { b.settle(c.Identity, c.Attempt) })
+	if r.suspectFor(c.Identity, now).extend(c, e) {
+		time.AfterFunc(SettleDelay, func() { r.settle(c.Identity, c.Attempt) })
 	}
 }
 
 // retainedBan returns the ban of an identity, in force or over, while it is retainedBan. The
 // caller holds the lock, as for the functions below.
-func (b *Registry) retainedBan(id Identity, now time.Time) *ban {
-	one := b.bans[id]
-	if one == nil || now.After(one.retainUntil()) {
+func (r *Registry) retainedBan(id Identity, now time.Time) *ban {
+	b := r.bans[id]
+	if b == nil || now.After(b.retainUntil()) {
 		return nil
 	}
-	return one
+	return b
 }
 
 // suspectFor returns the suspectFor of an identity, a new one if none is remembered.
-func (b *Registry) suspectFor(id Identity, now time.Time) *suspect {
-	s := b.suspects[id]
+func (r *Registry) suspectFor(id Identity, now time.Time) *suspect {
+	s := r.suspects[id]
 	if s == nil || now.Sub(s.lastSeen) > suspectRetention {
-		if len(b.suspects) >= maxSuspects {
-			b.evictSuspects(now)
+		if len(r.suspects) >= maxSuspects {
+			r.evictSuspects(now)
 		}
 		s = &suspect{}
-		b.suspects[id] = s
+		r.suspects[id] = s
 	}
 	s.lastSeen = now
 	return s
 }
 
 // ban bans an identity, for longer than the time before.
-func (b *Registry) ban(id Identity, now time.Time) {
-	b.dropExplained(b.suspects[id])
+func (r *Registry) ban(id Identity, now time.Time) {
+	r.dropExplained(r.suspects[id])
 	length, times := firstBanDuration, 1
-	if old := b.retainedBan(id, now); old != nil {
+	if old := r.retainedBan(id, now); old != nil {
 		length, times = min(old.duration*banGrowthFactor, maxBanDuration), old.count+1
 	}
-	b.storeBan(id, &ban{
+	r.storeBan(id, &ban{
 		until:     now.Add(length),
 		duration:  length,
 		count:     times,
 		decidedAt: now,
 	}, now)
-	b.log.Info("request is banned", "identity", id.String(), "for_ms", length.Milliseconds(), "times", times)
-	b.notifyListeners(Verdict{
+	r.log.Info("request is banned", "identity", id.String(), "for_ms", length.Milliseconds(), "times", times)
+	r.notifyListeners(Verdict{
 		Identity:  id,
 		State:     Banned,
 		Remaining: length,
 		BanCount:  times,
 	})
-	b.signalChange()
+	r.signalChange()
 }
 
 // storeBan keeps a ban.
-func (b *Registry) storeBan(id Identity, one *ban, now time.Time) {
-	if len(b.bans) >= maxBans {
-		b.evictBans(now)
+func (r *Registry) storeBan(id Identity, b *ban, now time.Time) {
+	if len(r.bans) >= maxBans {
+		r.evictBans(now)
 	}
-	b.bans[id] = one
-	delete(b.suspects, id)
-	delete(b.pendingErasures, id)
+	r.bans[id] = b
+	delete(r.suspects, id)
+	delete(r.pendingErasures, id)
 }
 
 // notifyListeners tells all who want to hear of a verdict.
-func (b *Registry) notifyListeners(v Verdict) {
-	for tell := range b.listeners {
+func (r *Registry) notifyListeners(v Verdict) {
+	for tell := range r.listeners {
 		(*tell)(v)
 	}
 }
 
 // signalChange notes that the store may have to be written to.
-func (b *Registry) signalChange() {
+func (r *Registry) signalChange() {
 	select {
-	case b.changed <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
 
 // ReportAnswered notes a whole answer: requests of the identity don't crash each endpoint that runs
 // them. It returns whether anything was thought of them.
-func (b *Registry) ReportAnswered(id Identity) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.clear(id)
+func (r *Registry) ReportAnswered(id Identity) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.clear(id)
 }
 
 // clear ends what is thought of an identity, and returns whether there was anything.
-func (b *Registry) clear(id Identity) bool {
-	s, one := b.suspects[id], b.bans[id]
-	if s == nil && one == nil {
+func (r *Registry) clear(id Identity) bool {
+	s, b := r.suspects[id], r.bans[id]
+	if s == nil && b == nil {
 		return false
 	}
-	delete(b.suspects, id)
-	delete(b.bans, id)
-	b.stats.Cleared++
-	b.log.Info("request is cleared", "identity", id.String(), "banned", one != nil)
-	if one != nil && (one.recorded || !one.decidedAt.IsZero()) {
-		b.pendingErasures[id] = b.now()
-		b.signalChange()
+	delete(r.suspects, id)
+	delete(r.bans, id)
+	r.stats.Cleared++
+	r.log.Info("request is cleared", "identity", id.String(), "banned", b != nil)
+	if b != nil && (b.recorded || !b.decidedAt.IsZero()) {
+		r.pendingErasures[id] = r.now()
+		r.signalChange()
 	}
-	b.notifyListeners(Verdict{
+	r.notifyListeners(Verdict{
 		Identity: id,
 		State:    Cleared,
 	})
@@ -257,18 +257,18 @@
 }
 
 // ApplyVerdict takes over a verdict of another instance.
-func (b *Registry) ApplyVerdict(v Verdict) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
+func (r *Registry) ApplyVerdict(v Verdict) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
 	switch v.State {
 	case Cleared:
-		b.clear(v.Identity)
+		r.clear(v.Identity)
 	case Suspected:
-		b.suspectFor(v.Identity, now)
+		r.suspectFor(v.Identity, now)
 	case Banned:
-		if b.applyBan(v, now) {
-			b.notifyListeners(v)
+		if r.applyBan(v, now) {
+			r.notifyListeners(v)
 		}
 	}
 }
@@ -279,69 +279,69 @@
 
 // applyBan takes over a ban that is new or longer than what is known, and returns whether it
 // did.
-func (b *Registry) applyBan(v Verdict, now time.Time) bool {
+func (r *Registry) applyBan(v Verdict, now time.Time) bool {
 	length := min(v.Remaining, maxBanDuration)
 	until := now.Add(length)
-	if old := b.bans[v.Identity]; old != nil && !until.After(old.until.Add(sameBanTolerance)) {
+	if old := r.bans[v.Identity]; old != nil && !until.After(old.until.Add(sameBanTolerance)) {
 		return false
 	}
 	if length <= 0 {
 		return false
 	}
-	b.storeBan(v.Identity, &ban{
+	r.storeBan(v.Identity, &ban{
 		until:    until,
 		duration: length,
 		count:    v.BanCount,
 	}, now)
-	b.log.Info("request is banned", "identity", v.Identity.String(), "for_ms", length.Milliseconds(), "times", v.BanCount,
+	r.log.Info("request is banned", "identity", v.Identity.String(), "for_ms", length.Milliseconds(), "times", v.BanCount,
 		"by", "another instance")
 	return true
 }
 
 // Suspected states whether anything is thought of an identity.
-func (b *Registry) Suspected(id Identity) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.suspects[id] != nil || b.bans[id] != nil
+func (r *Registry) Suspected(id Identity) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.suspects[id] != nil || r.bans[id] != nil
 }
 
 // HasSuspect states whether crashes of an identity are being counted.
-func (b *Registry) HasSuspect(id Identity) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.suspects[id] != nil
+func (r *Registry) HasSuspect(id Identity) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.suspects[id] != nil
 }
 
 // BanRemaining states whether requests of an identity must not run, and for how much longer.
-func (b *Registry) BanRemaining(id Identity) (time.Duration, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	one := b.bans[id]
-	if one == nil {
+func (r *Registry) BanRemaining(id Identity) (time.Duration, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	b := r.bans[id]
+	if b == nil {
 		return 0, false
 	}
-	left := one.until.Sub(b.now())
+	left := b.until.Sub(r.now())
 	return left, left > 0
 }
 
 // Verdicts returns what another instance should know that has just come: bans, and who is
 // suspected.
-func (b *Registry) Verdicts() []Verdict {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.now()
+func (r *Registry) Verdicts() []Verdict {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
 	var out []Verdict
-	for id, one := range b.bans {
-		if one.active(now) {
+	for id, b := range r.bans {
+		if b.active(now) {
 			out = append(out, Verdict{
 				Identity:  id,
 				State:     Banned,
-				Remaining: one.until.Sub(now),
-				BanCount:  one.count,
+				Remaining: b.until.Sub(now),
+				BanCount:  b.count,
 			})
 		}
 	}
-	for id, s := range b.suspects {
+	for id, s := range r.suspects {
 		if s.settledCount() >= crashLimit-1 {
 			out = append(out, Verdict{
 				Identity: id,
@@ -353,14 +353,14 @@
 }
 
 // Stats returns what was counted.
-func (b *Registry) Stats() Stats {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	f := b.stats
-	now := b.now()
-	f.Suspects = len(b.suspects)
-	for _, one := range b.bans {
-		if one.active(now) {
+func (r *Registry) Stats() Stats {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	f := r.stats
+	now := r.now()
+	f.Suspects = len(r.suspects)
+	for _, b := range r.bans {
+		if b.active(now) {
 			f.Bans++
 		}
 	}
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -61,9 +61,9 @@
 	is.New(t).Equal(banned, want)
 }
 
-// TestInARow reports crashes of attempts that follow each other, or don't, and of endpoints
+// TestConsecutiveCrashes reports crashes of attempts that follow each other, or don't, and of endpoints
 // that end for another cause.
-func TestInARow(t *testing.T) {
+func TestConsecutiveCrashes(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		runs   []crashedAttempt
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestInARowOfOneTry counts attempts of one try that crash their endpoints within milliseconds
+// TestConsecutiveCrashesOfOneRequest counts attempts of one try that crash their endpoints within milliseconds
 // of each other; those of different tries are taken for one moment.
-func TestInARowOfOneTry(t *testing.T) {
+func TestConsecutiveCrashesOfOneRequest(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		before [3]string
@@ -140,9 +140,9 @@
 	}
 }
 
-// TestJointReading has a request crash both endpoints that work on each attempt. The end of the
+// TestJointPrefillCrashes has a request crash both endpoints that work on each attempt. The end of the
 // second is told by another request that it answered, which knows nothing of the first.
-func TestJointReading(t *testing.T) {
+func TestJointPrefillCrashes(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		others func(i int) []string
@@ -236,8 +236,8 @@
 	reportCrashes(b, crashedAttempt{at + "a", "e1", 0, 90, 0}, crashedAttempt{at + "b", "e2", 100, 190, 0}, crashedAttempt{at + "c", "e3", 200, 290, 0})
 }
 
-// TestServedClears has an attempt answered whole at some moment.
-func TestServedClears(t *testing.T) {
+// TestAnswerClears has an attempt answered whole at some moment.
+func TestAnswerClears(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		run  func(is *is.I, b *Registry)
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestBanLapses lets bans end.
-func TestBanLapses(t *testing.T) {
+// TestBanExpires lets bans end.
+func TestBanExpires(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		run  func(t *testing.T, is *is.I, b *Registry)
@@ -334,8 +334,8 @@
 	}
 }
 
-// TestVerdicts tells one book what another one decides.
-func TestVerdicts(t *testing.T) {
+// TestVerdictsPropagate tells one book what another one decides.
+func TestVerdictsPropagate(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		is := is.New(t)
 		one, other := newTestRegistry(), newTestRegistry()
@@ -359,8 +359,8 @@
 	})
 }
 
-// TestBanToldOnce tells a book of a ban that it knows.
-func TestBanToldOnce(t *testing.T) {
+// TestKnownBanNotifiedOnce tells a book of a ban that it knows.
+func TestKnownBanNotifiedOnce(t *testing.T) {
 	is := is.New(t)
 	b := newTestRegistry()
 	told := 0
@@ -424,9 +424,9 @@
 	})
 }
 
-// BenchmarkReport reports crashes of requests of their own to a full book, as the loss of a
+// BenchmarkReportCrash reports crashes of requests of their own to a full book, as the loss of a
 // failure domain does.
-func BenchmarkReport(b *testing.B) {
+func BenchmarkReportCrash(b *testing.B) {
 	book := newTestRegistry()
 	for i := 0; b.Loop(); i++ {
 		book.ReportCrash(Crash{
@@ -439,8 +439,8 @@
 	}
 }
 
-// BenchmarkEnter gives requests leave to run while many others are banned.
-func BenchmarkEnter(b *testing.B) {
+// BenchmarkAdmit gives requests leave to run while many others are banned.
+func BenchmarkAdmit(b *testing.B) {
 	book := newTestRegistry()
 	for i := range maxBans {
 		book.ApplyVerdict(Verdict{
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -33,10 +33,10 @@
 // extend adds a crash to the chain if it fits before, between or after those that are there.
 // It returns whether it did.
 func (s *suspect) extend(c Crash, e *endpointEnd) bool {
-	if slices.ContainsFunc(s.chain, func(one chainLink) bool { return one.end == e || one.crash.Attempt == c.Attempt }) {
+	if slices.ContainsFunc(s.chain, func(l chainLink) bool { return l.end == e || l.crash.Attempt == c.Attempt }) {
 		return false
 	}
-	i := slices.IndexFunc(s.chain, func(one chainLink) bool { return one.crash.EndedAt.After(c.EndedAt) })
+	i := slices.IndexFunc(s.chain, func(l chainLink) bool { return l.crash.EndedAt.After(c.EndedAt) })
 	if i < 0 {
 		i = len(s.chain)
 	}
@@ -65,19 +65,19 @@
 
 // indexOfAttempt returns the link of an attempt, or -1.
 func (s *suspect) indexOfAttempt(attempt string) int {
-	return slices.IndexFunc(s.chain, func(one chainLink) bool { return one.crash.Attempt == attempt })
+	return slices.IndexFunc(s.chain, func(l chainLink) bool { return l.crash.Attempt == attempt })
 }
 
 // ranOnHelper states whether an endpoint worked on one of the attempts, in a joint reading.
 func (s *suspect) ranOnHelper(address string) bool {
-	return slices.ContainsFunc(s.chain, func(one chainLink) bool { return slices.Contains(one.crash.OtherEndpoints, address) })
+	return slices.ContainsFunc(s.chain, func(l chainLink) bool { return slices.Contains(l.crash.OtherEndpoints, address) })
 }
 
 // settledCount counts the links that are settledCount.
 func (s *suspect) settledCount() int {
 	n := 0
-	for _, one := range s.chain {
-		if one.settled {
+	for _, l := range s.chain {
+		if l.settled {
 			n++
 		}
 	}
