--- /dev/null
+++ b/quarantine/admission_test.go
@@ -0,0 +1,142 @@
+// Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
+
+package quarantine
+
+import (
+	"strconv"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/go-logr/logr"
+	"github.com/matryer/is"
+)
+
+// TestAdmit gives requests leave to run: none in a ban, after it one at a time that runs once.
+func TestAdmit(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
+		is := is.New(t)
+		b := newTestRegistry()
+		p, _, ok := b.Admit(1)
+		is.True(ok && !p.SingleEndpoint)
+		p.Release()
+		crashThrice(b)
+		_, after, ok := b.Admit(1)
+		is.True(!ok)
+		is.True(after <= firstBanDuration && after > firstBanDuration-time.Second)
+		_, _, ok = b.Admit(2)
+		is.True(ok)
+		time.Sleep(firstBanDuration)
+		p, _, ok = b.Admit(1)
+		is.True(ok && p.SingleEndpoint)
+		_, after, ok = b.Admit(1)
+		is.True(!ok)
+		is.Equal(after, retestDelay)
+		p.Release()
+		_, _, ok = b.Admit(1)
+		is.True(!ok) // what came of it may not be known yet
+		time.Sleep(retestDelay)
+		_, _, ok = b.Admit(1)
+		is.True(ok)
+	})
+}
+
+// bannedRegistries starts the books of some instances that tell each other everything and take turns, in
+// which the request 1 has just been bannedRegistries.
+func bannedRegistries(n int) []*Registry {
+	var all []*Registry
+	for i := range n {
+		all = append(all, New(time.Now, func(Identity) RetestTurn {
+			return RetestTurn{
+				Position:  i,
+				Instances: n,
+			}
+		}, logr.Discard()))
+	}
+	crashThrice(all[0])
+	for _, b := range all[1:] {
+		for _, v := range all[0].Verdicts() {
+			b.ApplyVerdict(v)
+		}
+	}
+	return all
+}
+
+// TestRetestTurns has callers come to all instances at once, again and again, with a request whose ban
+// is over. One of them shows what it does now; the others wait for that.
+func TestRetestTurns(t *testing.T) {
+	const (
+		instances = 6
+		every     = 200 * time.Millisecond
+		takes     = 100 * time.Millisecond
+	)
+	for _, row := range []struct {
+		name string
+		// crashes states that the request still crashes endpoints.
+		crashes bool
+		// least and most are how many of its tries run within a minute after the ban.
+		least, most int
+	}{
+		{"still crashes", true, 1, 1},
+		{"does no harm", false, instances * int(time.Minute/every) * 9 / 10, instances * int(time.Minute/every)},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			inVirtualTime(t, func(t *testing.T) {
+				is := is.New(t)
+				all := bannedRegistries(instances)
+				time.Sleep(firstBanDuration)
+				ran := 0
+				for range int(time.Minute / every) {
+					for i, b := range all {
+						p, _, ok := b.Admit(1)
+						if !ok {
+							continue
+						}
+						ran++
+						began := time.Now()
+						attempt := strconv.Itoa(ran)
+						time.AfterFunc(takes, func() {
+							p.Release()
+							for _, other := range all {
+								if !row.crashes {
+									other.ReportAnswered(1)
+									continue
+								}
+								other.ReportCrash(Crash{
+									Attempt:   attempt,
+									Endpoint:  "late" + strconv.Itoa(i),
+									Identity:  1,
+									StartedAt: began,
+									EndedAt:   time.Now(),
+								})
+							}
+						})
+					}
+					time.Sleep(every)
+				}
+				synctest.Wait()
+				t.Logf("%d tries ran", ran)
+				is.True(ran >= row.least && ran <= row.most)
+			})
+		})
+	}
+}
+
+// TestRetestTurnDelay looks that instances begin one after the other, and that many of them don't take
+// longer than a first ban.
+func TestRetestTurnDelay(t *testing.T) {
+	for _, row := range []struct {
+		name string
+		turn RetestTurn
+		wait time.Duration
+	}{
+		{"alone", RetestTurn{}, 0},
+		{"the first of six", RetestTurn{Position: 0, Instances: 6}, 0},
+		{"the last of six", RetestTurn{Position: 5, Instances: 6}, 5 * retestDelay},
+		{"the last of 1,200", RetestTurn{Position: 1199, Instances: 1200}, firstBanDuration - firstBanDuration/1200},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			is.New(t).Equal(row.turn.delay(), row.wait)
+		})
+	}
+}
