--- a/catalog/announcing.go
+++ b/catalog/announcing.go
@@ -14,30 +14,30 @@
 // The times of writing the entries of instances that have started. Those of many go into
 // the store with one call: it takes such calls in turn.
 const (
-	// gatherFor is how long entries are gathered after the first one.
-	gatherFor = 100 * time.Millisecond
-	// announceWithin bounds one call.
-	announceWithin = 2 * time.Second
-	// announceRetry is how long after a call that failed it is made again, unless the
+	// announceBatchDelay is how long entries are gathered after the first one.
+	announceBatchDelay = 100 * time.Millisecond
+	// announceTimeout bounds one call.
+	announceTimeout = 2 * time.Second
+	// announceRetryDelay is how long after a call that failed it is made again, unless the
 	// entries stand by then: it may have been done all the same.
-	announceRetry = 2 * time.Second
-	// tellRetry is how long after an instance that did not take them over entries are
+	announceRetryDelay = 2 * time.Second
+	// forwardRetryDelay is how long after an instance that did not take them over entries are
 	// handed on again: one that starts at the same time may not listen yet.
-	tellRetry = 100 * time.Millisecond
-	// ownEntryCheck is how often an instance looks whether its own entry stands. It takes
+	forwardRetryDelay = 100 * time.Millisecond
+	// ownEntryCheckInterval is how often an instance looks whether its own entry stands. It takes
 	// so long until others have written it.
-	ownEntryCheck = 3 * time.Second
+	ownEntryCheckInterval = 3 * time.Second
 )
 
-// mostAnnounced bounds how many entries one call or message has.
-const mostAnnounced = 1000
+// maxAnnounced bounds how many entries one call or message has.
+const maxAnnounced = 1000
 
 // announceLoop sees to the entries of this instance and of those that have told it of
 // theirs, until ctx ends.
 func (c *Catalog) announceLoop(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		arrived, joining := c.newcomers.arrived.next(), c.joining
+		arrived, joining := c.pending.arrived.next(), c.joinedCh
 		if c.joined.Load() {
 			joining = nil
 		}
@@ -47,12 +47,12 @@
 		} else {
 			failures++
 		}
-		pause := min(ownEntryCheck, c.newcomers.next())
+		pause := min(ownEntryCheckInterval, c.pending.next())
 		select {
 		case <-ctx.Done():
 		case <-joining:
 		case <-arrived:
-			sleep(ctx, gatherFor)
+			sleep(ctx, announceBatchDelay)
 		case <-time.After(pause):
 		}
 	}
@@ -61,13 +61,13 @@
 // checkOwnEntry adds this instance to the newcomers if its entry lacks although it was
 // there to be written for a while.
 func (c *Catalog) checkOwnEntry() {
-	due := c.entryDue.Load()
-	if due == nil || steady.Now().Before(*due) || !c.knowsPeers() || c.stands(c.settings.Self) {
+	due := c.ownEntryDue.Load()
+	if due == nil || steady.Now().Before(*due) || !c.knowsPeers() || c.entryStored(c.settings.Self) {
 		return
 	}
-	next := steady.Now().Add(ownEntryCheck)
-	c.entryDue.Store(&next)
-	c.newcomers.add(c.settings.Self)
+	next := steady.Now().Add(ownEntryCheckInterval)
+	c.ownEntryDue.Store(&next)
+	c.pending.add(c.settings.Self)
 }
 
 // knowsPeers states whether the entries of the instances are known.
@@ -78,8 +78,8 @@
 	return known
 }
 
-// stands states whether the entry of an instance is known to be in the store.
-func (c *Catalog) stands(p Peer) bool {
+// entryStored states whether the entry of an instance is known to be in the store.
+func (c *Catalog) entryStored(p Peer) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known, _ := c.peers.get(p.ID)
@@ -90,51 +90,51 @@
 // follows, so that those of many instances go into the store together. It returns false when
 // that failed, after a number of failures in a row.
 func (c *Catalog) announceDue(ctx context.Context, failures int) bool {
-	to, known := c.superior()
+	to, known := c.announceTarget()
 	if !known {
 		return true
 	}
-	due := c.newcomers.take(c.stands)
+	due := c.pending.take(c.entryStored)
 	if len(due) == 0 {
 		return true
 	}
-	retry := announceRetry
+	retry := announceRetryDelay
 	var err error
 	if to == "" {
 		err = c.announce(ctx, due)
 	} else {
-		retry = tellRetry
-		err = c.tell(ctx, to, due)
+		retry = forwardRetryDelay
+		err = c.forwardEntries(ctx, to, due)
 	}
 	if err != nil {
-		c.newcomers.postpone(due, steady.Now().Add(retry))
-		if hasLine(failures + 1) {
+		c.pending.postpone(due, steady.Now().Add(retry))
+		if shouldLogFailure(failures + 1) {
 			c.log.Info("entries of instances not written", "instances", len(due), "failures", failures+1, "by", to, "cause", err.Error())
 		}
 		return false
 	}
-	c.newcomers.forget(due)
+	c.pending.forget(due)
 	return true
 }
 
-// superior returns the address of the instance that this one hands entries to, which is
+// announceTarget returns the address of the instance that this one hands entries to, which is
 // empty if it writes them itself; false while it can do neither.
-func (c *Catalog) superior() (address string, known bool) {
-	if c.read.within(c.fresh()) {
+func (c *Catalog) announceTarget() (address string, known bool) {
+	if c.storeAnswered.within(c.freshFor()) {
 		return "", true
 	}
-	if followed := c.followed.Load(); followed != nil {
+	if followed := c.upstreamAddress.Load(); followed != nil {
 		return *followed, true
 	}
-	if at := slices.Index(c.settings.Contacts, c.settings.Self.Address); at > 0 && !c.knowsPeers() {
-		return c.settings.Contacts[0], true
+	if at := slices.Index(c.settings.Seeds, c.settings.Self.Address); at > 0 && !c.knowsPeers() {
+		return c.settings.Seeds[0], true
 	}
 	return "", c.joined.Load() && c.knowsPeers()
 }
 
 // announce writes entries.
 func (c *Catalog) announce(ctx context.Context, due []Peer) error {
-	ctx, cancel := context.WithTimeout(ctx, announceWithin)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	if err := c.store.Announce(ctx, due); err != nil {
 		return err
@@ -143,9 +143,9 @@
 	return nil
 }
 
-// tell hands entries on to another instance.
-func (c *Catalog) tell(ctx context.Context, address string, due []Peer) error {
-	ctx, cancel := context.WithTimeout(ctx, joinWithin)
+// forwardEntries hands entries on to another instance.
+func (c *Catalog) forwardEntries(ctx context.Context, address string, due []Peer) error {
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	conn, err := c.dialer.Conn(address)
 	if err != nil {
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -21,10 +21,10 @@
 	Self Peer
 	// Readers is how many instances read the store at least; the default is 2.
 	Readers int
-	// Contacts are addresses of instances that others ask, when they start, whom to
+	// Seeds are addresses of instances that others ask, when they start, whom to
 	// follow, the same ones at all instances; some may be gone. Without any, each
 	// instance that starts reads the store to know who is there.
-	Contacts []string
+	Seeds []string
 	// FirstStart states that all instances start now, so that it takes a moment
 	// until they are all announced.
 	FirstStart bool
@@ -35,8 +35,8 @@
 	// store does not always wake a poll when there is something new, and an
 	// endpoint that leaves must be known within two seconds.
 	EndpointPoll time.Duration
-	// LongPoll is how long a poll for instances waits; the default is 20s.
-	LongPoll time.Duration
+	// InstancePoll is how long a poll for instances waits; the default is 20s.
+	InstancePoll time.Duration
 	// Hold is how long endpoints that vanished in an outage of the store are
 	// kept after its return; the default is 2s.
 	Hold time.Duration
@@ -79,89 +79,89 @@
 	confirmed atomic.Pointer[time.Time]
 	// snapshot is what was last published.
 	snapshot atomic.Pointer[Snapshot]
-	// read is when the store last answered this instance, and heard when an
+	// storeAnswered is when the store last answered this instance, and heard when an
 	// instance that it follows last confirmed the configuration.
-	read  clock
-	heard clock
-	// contact is when another instance last answered, whatever it knew.
-	contact clock
-	// unheard is when this instance found that no other one tells it enough;
+	storeAnswered     timestamp
+	upstreamConfirmed timestamp
+	// peerAnswered is when another instance last answered, whatever it knew.
+	peerAnswered timestamp
+	// upstreamLost is when this instance found that no other one tells it enough;
 	// unmarked while one does.
-	unheard clock
+	upstreamLost timestamp
 	// failing has a bit for each feed whose last read failed.
 	failing atomic.Int64
-	// via is what the instance that this one follows said last of where it knows
+	// upstreamFreshness is what the instance that this one follows said last of where it knows
 	// from; nil before the first.
-	via atomic.Pointer[standing]
-	// fresher fires when what is known was confirmed.
-	fresher *kick
-	// ranks are how the instances that are known divide the work.
-	ranks atomic.Pointer[ranks]
+	upstreamFreshness atomic.Pointer[freshness]
+	// confirmation fires when what is known was confirmed.
+	confirmation *signal
+	// topology are how the instances that are known divide the work.
+	topology atomic.Pointer[topology]
 	// followers are the instances that follow this one.
 	followers followers
 	// introduced fires when another instance has introduced itself to this one, that
 	// knew nobody.
-	introduced *kick
+	introduced *signal
 	// joined is set, and joining closed, once it is known who is there.
-	joined  atomic.Bool
-	joining chan struct{}
-	// entryDue is from when on this instance sees to its own entry; nil before it is
+	joined   atomic.Bool
+	joinedCh chan struct{}
+	// ownEntryDue is from when on this instance sees to its own entry; nil before it is
 	// known who is there.
-	entryDue atomic.Pointer[time.Time]
-	// newcomers are instances whose entries the store may lack.
-	newcomers newcomers
-	// followed is the address of the instance that this one follows; nil without one.
-	followed atomic.Pointer[string]
+	ownEntryDue atomic.Pointer[time.Time]
+	// pending are instances whose entries the store may lack.
+	pending pendingEntries
+	// upstreamAddress is the address of the instance that this one follows; nil without one.
+	upstreamAddress atomic.Pointer[string]
 
 	mu sync.Mutex
 	// table, endpoints and peers are what the records say, and tableKey is the key of
 	// the record that the table is of.
 	table     *route.Table
 	tableKey  string
-	endpoints sharedMap[Endpoint]
-	peers     sharedMap[Peer]
-	// unranked states that the ranks do not yet have the latest changes of the instances.
-	unranked bool
-	// quiet states that the records being taken over have no line each.
-	quiet bool
-	// told is how many instances there are, by the one that said whom to follow.
-	told int
+	endpoints cowMap[Endpoint]
+	peers     cowMap[Peer]
+	// topologyStale states that the ranks do not yet have the latest changes of the instances.
+	topologyStale bool
+	// suppressRecordLogs states that the records being taken over have no line each.
+	suppressRecordLogs bool
+	// reportedTotal is how many instances there are, by the one that said whom to follow.
+	reportedTotal int
 	// records are the newest records by feed and key, as far as they took
 	// effect, and next the offsets after the last ones.
 	records map[Feed]map[string]Record
 	next    map[Feed]int64
-	// sums tell what there is of each feed, and long are the packed values of long
+	// checksums tell what there is of each feed, and long are the packed values of long
 	// records.
-	sums map[Feed]*sums
-	long map[longKey]*packed
+	checksums    map[Feed]*checksums
+	packedValues map[recordKey]*packedValue
 	// journal has the latest changes for followers.
 	journal journal
-	// doubt is until when removals of endpoints are not taken for real.
-	doubt time.Time
-	// vanished are removals that wait for their time, by endpoint.
-	vanished map[string]removal
+	// holdRemovalsUntil is until when removals of endpoints are not taken for real.
+	holdRemovalsUntil time.Time
+	// heldRemovals are removals that wait for their time, by endpoint.
+	heldRemovals map[string]heldRemoval
 	// departed are the endpoints that leave or are gone, with when this became
 	// known.
 	departed map[string]time.Time
-	// emptied are the failure domains that get nothing new, with when this became
+	// drained are the failure domains that get nothing new, with when this became
 	// known.
-	emptied map[string]time.Time
+	drained map[string]time.Time
 	// banned are the requests that are kept from endpoints.
 	banned map[quarantine.Identity]quarantine.Verdict
-	// lives tells late entries of older lives apart.
-	lives lives
+	// incarnations tells late entries of older incarnations apart.
+	incarnations incarnations
 	// changed is closed at the next change.
 	changed chan struct{}
 }
 
-// longKey names a long record.
-type longKey struct {
+// recordKey names a long record.
+type recordKey struct {
 	feed Feed
 	key  string
 }
 
-// removal is the end of an endpoint's entry that has not taken effect.
-type removal struct {
+// heldRemoval is the end of an endpoint's entry that has not taken effect.
+type heldRemoval struct {
 	record Record
 	due    time.Time
 }
@@ -177,48 +177,48 @@
 	if s.EndpointPoll == 0 {
 		s.EndpointPoll = defaultEndpointPoll
 	}
-	if s.LongPoll == 0 {
-		s.LongPoll = defaultLongPoll
+	if s.InstancePoll == 0 {
+		s.InstancePoll = defaultLongPoll
 	}
 	if s.Hold == 0 {
 		s.Hold = defaultHold
 	}
 	c := &Catalog{
-		settings:   s,
-		store:      store,
-		dialer:     d,
-		log:        log,
-		records:    make(map[Feed]map[string]Record),
-		next:       make(map[Feed]int64),
-		vanished:   make(map[string]removal),
-		departed:   make(map[string]time.Time),
-		emptied:    make(map[string]time.Time),
-		banned:     make(map[quarantine.Identity]quarantine.Verdict),
-		lives:      make(lives),
-		changed:    make(chan struct{}),
-		sums:       make(map[Feed]*sums),
-		long:       make(map[longKey]*packed),
-		fresher:    newKick(),
-		introduced: newKick(),
-		joining:    make(chan struct{}),
-		newcomers:  newNewcomers(),
+		settings:     s,
+		store:        store,
+		dialer:       d,
+		log:          log,
+		records:      make(map[Feed]map[string]Record),
+		next:         make(map[Feed]int64),
+		heldRemovals: make(map[string]heldRemoval),
+		departed:     make(map[string]time.Time),
+		drained:      make(map[string]time.Time),
+		banned:       make(map[quarantine.Identity]quarantine.Verdict),
+		incarnations: make(incarnations),
+		changed:      make(chan struct{}),
+		checksums:    make(map[Feed]*checksums),
+		packedValues: make(map[recordKey]*packedValue),
+		confirmation: newSignal(),
+		introduced:   newSignal(),
+		joinedCh:     make(chan struct{}),
+		pending:      newPendingEntries(),
 	}
 	for _, f := range feeds {
 		c.records[f] = make(map[string]Record)
-		c.sums[f] = &sums{}
+		c.checksums[f] = &checksums{}
 	}
-	c.rank()
+	c.updateTopology()
 	return c
 }
 
-// rank divides the work among the instances that are known. The caller holds the lock,
+// updateTopology divides the work among the instances that are known. The caller holds the lock,
 // or is the only one that has the catalog.
-func (c *Catalog) rank() {
+func (c *Catalog) updateTopology() {
 	total := c.peers.len()
 	if _, all := c.next[Peers]; !all {
-		total = max(total, c.told)
+		total = max(total, c.reportedTotal)
 	}
-	c.ranks.Store(newRanks(c.settings.Self, c.peers.values, c.settings.Readers, total))
+	c.topology.Store(newTopology(c.settings.Self, c.peers.values, c.settings.Readers, total))
 }
 
 // feeds are all feeds.
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -31,21 +31,21 @@
 	down    bool
 	calls   int
 	changed chan struct{}
-	// slow is how long a whole read takes.
-	slow time.Duration
-	// turn is how long the partition of the instances takes for an append, one after the
+	// pageDelay is how long a whole read takes.
+	pageDelay time.Duration
+	// appendTime is how long the partition of the instances takes for an append, one after the
 	// other, and busy is until when it is at work.
-	turn time.Duration
-	busy time.Time
-	// lose states that appends are done and not answered.
-	lose bool
+	appendTime     time.Duration
+	appendingUntil time.Time
+	// loseReplies states that appends are done and not answered.
+	loseReplies bool
 	// pageSize is how many records a page has; zero means all. Readers share the bytes
 	// that the store sends: read is until when it is at work, at readRate bytes a second.
-	pageSize int
-	readRate float64
-	read     time.Time
-	// deaf states that polls are not woken by the next changes.
-	deaf bool
+	pageSize     int
+	readRate     float64
+	readingUntil time.Time
+	// missWakeUps states that polls are not woken by the next changes.
+	missWakeUps bool
 }
 
 func newFakeStore() *fakeStore {
@@ -63,15 +63,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feeds[f] = append(s.feeds[f], s.record(f, c, s.first[f]+int64(len(s.feeds[f]))))
-	if s.deaf {
+	if s.missWakeUps {
 		return
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// emptiedPrefix begins the keys of emptied failure domains.
-const emptiedPrefix = "emptied/"
+// drainedPrefix begins the keys of emptied failure domains.
+const drainedPrefix = "emptied/"
 
 // bannedPrefix begins the keys of requests that are kept from endpoints.
 const bannedPrefix = "banned/"
@@ -86,15 +86,15 @@
 		r.Key = "config"
 	case *catalog.EndpointChange:
 		r.Key = v.Endpoint.Instance
-	case *catalog.EndpointGone:
+	case *catalog.EndpointRemoved:
 		r.Key = v.Instance
 		return r
 	case *catalog.PeerChange:
 		r.Key = v.Peer.ID
-	case *catalog.DomainEmptied:
-		r.Key = emptiedPrefix + v.Domain
-	case *catalog.DomainRestored:
-		r.Key = emptiedPrefix + v.Domain
+	case *catalog.DomainDrained:
+		r.Key = drainedPrefix + v.Domain
+	case *catalog.DomainUndrained:
+		r.Key = drainedPrefix + v.Domain
 		return r
 	case *catalog.RequestBanned:
 		r.Key = bannedPrefix + v.Verdict.Identity.String()
@@ -115,8 +115,8 @@
 
 // Decode implements catalog.Store.
 func (s *fakeStore) Decode(_ catalog.Feed, r catalog.Record) catalog.Change {
-	if domain, ok := strings.CutPrefix(r.Key, emptiedPrefix); ok && len(r.Value) == 0 {
-		return &catalog.DomainRestored{
+	if domain, ok := strings.CutPrefix(r.Key, drainedPrefix); ok && len(r.Value) == 0 {
+		return &catalog.DomainUndrained{
 			Domain: domain,
 		}
 	}
@@ -130,7 +130,7 @@
 		}
 	}
 	if len(r.Value) == 0 {
-		return &catalog.EndpointGone{
+		return &catalog.EndpointRemoved{
 			Instance: r.Key,
 		}
 	}
@@ -147,16 +147,16 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *fakeStore) setDeaf() {
+func (s *fakeStore) setMissWakeUps() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = true
+	s.missWakeUps = true
 }
 
-func (s *fakeStore) setSlow(d time.Duration) {
+func (s *fakeStore) setPageDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = d
+	s.pageDelay = d
 }
 
 // outage makes the store fail for a time, and changes it before it is back.
@@ -182,7 +182,7 @@
 
 func (s *fakeStore) Page(ctx context.Context, f catalog.Feed, after string) (catalog.Page, error) {
 	s.mu.Lock()
-	slow := s.slow
+	slow := s.pageDelay
 	s.mu.Unlock()
 	select {
 	case <-time.After(slow):
@@ -220,8 +220,8 @@
 		page.Records, page.More = all[:s.pageSize], true
 	}
 	if s.readRate > 0 {
-		s.read = later(s.read, time.Now()).Add(time.Duration(float64(len(page.Records)*recordBytes) / s.readRate * float64(time.Second)))
-		wait = time.Until(s.read)
+		s.readingUntil = later(s.readingUntil, time.Now()).Add(time.Duration(float64(len(page.Records)*recordBytes) / s.readRate * float64(time.Second)))
+		wait = time.Until(s.readingUntil)
 	}
 	return page, wait, nil
 }
@@ -283,9 +283,9 @@
 func (s *fakeStore) Announce(ctx context.Context, started []catalog.Peer) error {
 	s.mu.Lock()
 	s.calls++
-	down, lose, slow := s.down, s.lose, s.slow
-	s.busy = later(s.busy, time.Now()).Add(s.turn)
-	wait := time.Until(s.busy) + slow
+	down, lose, slow := s.down, s.loseReplies, s.pageDelay
+	s.appendingUntil = later(s.appendingUntil, time.Now()).Add(s.appendTime)
+	wait := time.Until(s.appendingUntil) + slow
 	s.mu.Unlock()
 	if down {
 		return errDown
@@ -380,7 +380,7 @@
 // TestLapsedEntries looks when an endpoint ends whose entry is removed: at once in calm,
 // and only after a while when the store was down.
 func TestLapsedEntries(t *testing.T) {
-	gone := &catalog.EndpointGone{
+	gone := &catalog.EndpointRemoved{
 		Instance: "e1",
 	}
 	t.Run("removed in calm", func(t *testing.T) {
@@ -388,7 +388,7 @@
 			s.put(catalog.Endpoints, gone)
 			time.Sleep(10 * time.Millisecond)
 			is.Equal(len(c.Snapshot().Endpoints), 1)
-			is.True(c.Snapshot().Gone("e1"))
+			is.True(c.Snapshot().HasDeparted("e1"))
 		})
 	})
 	t.Run("kept after an outage and back", func(t *testing.T) {
@@ -401,7 +401,7 @@
 			s.put(catalog.Endpoints, endpoint("e1", false))
 			time.Sleep(3 * time.Second)
 			is.Equal(len(c.Snapshot().Endpoints), 2)
-			is.True(!c.Snapshot().Gone("e1"))
+			is.True(!c.Snapshot().HasDeparted("e1"))
 		})
 	})
 	t.Run("kept after an outage and gone", func(t *testing.T) {
@@ -411,7 +411,7 @@
 			})
 			time.Sleep(3 * time.Second)
 			is.Equal(len(c.Snapshot().Endpoints), 1)
-			is.True(c.Snapshot().Gone("e1"))
+			is.True(c.Snapshot().HasDeparted("e1"))
 		})
 	})
 	t.Run("gone with the history", func(t *testing.T) {
@@ -430,7 +430,7 @@
 // that takes longer than a poll may.
 func TestSlowAfterOutage(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
-		s.setSlow(time.Second)
+		s.setPageDelay(time.Second)
 		s.outage(time.Second, func() {
 			s.put(catalog.Configurations, version(2))
 			s.forget(catalog.Configurations, version(3))
@@ -445,10 +445,10 @@
 // seconds after it said so.
 func TestMissedWakeUp(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
-		s.setDeaf()
+		s.setMissWakeUps()
 		s.put(catalog.Endpoints, endpoint("e1", true))
 		time.Sleep(1500 * time.Millisecond)
-		is.True(c.Snapshot().Gone("e1"))
+		is.True(c.Snapshot().HasDeparted("e1"))
 	})
 }
 
@@ -460,7 +460,7 @@
 		s.put(catalog.Endpoints, endpoint("e1", false))
 		time.Sleep(10 * time.Millisecond)
 		is.True(c.Snapshot().Endpoints["e1"].Leaving)
-		is.True(c.Snapshot().Gone("e1"))
+		is.True(c.Snapshot().HasDeparted("e1"))
 	})
 }
 
@@ -478,13 +478,13 @@
 		s.put(catalog.Endpoints, malformed("e3"))
 		time.Sleep(settled)
 		is.Equal(len(c.Snapshot().Endpoints), 1)
-		is.True(c.Snapshot().Gone("e1"))
-		is.True(!c.Snapshot().Gone("e2"))
+		is.True(c.Snapshot().HasDeparted("e1"))
+		is.True(!c.Snapshot().HasDeparted("e2"))
 		s.put(catalog.Endpoints, endpoint("e1", false))
 		s.put(catalog.Endpoints, endpoint("e3", false))
 		time.Sleep(settled)
 		is.Equal(len(c.Snapshot().Endpoints), 3)
-		is.True(!c.Snapshot().Gone("e1"))
+		is.True(!c.Snapshot().HasDeparted("e1"))
 	})
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.put(catalog.Configurations, malformed("config"))
--- a/catalog/shared.go
+++ b/catalog/cow_map.go
@@ -4,46 +4,46 @@
 
 import "maps"
 
-// sharedMap is a map that snapshots share. It is copied at the first change after it was
+// cowMap is a map that snapshots share. It is copied at the first change after it was
 // shared, so that a change of one part of what is known copies no other part. The zero value
 // is empty.
-type sharedMap[V comparable] struct {
+type cowMap[V comparable] struct {
 	values map[string]V
 	// shared states that a snapshot has the values.
 	shared bool
 }
 
 // get returns the value of a key.
-func (m *sharedMap[V]) get(key string) (V, bool) {
+func (m *cowMap[V]) get(key string) (V, bool) {
 	v, ok := m.values[key]
 	return v, ok
 }
 
 // len returns how many keys there are.
-func (m *sharedMap[V]) len() int {
+func (m *cowMap[V]) len() int {
 	return len(m.values)
 }
 
 // set sets the value of a key.
-func (m *sharedMap[V]) set(key string, v V) {
+func (m *cowMap[V]) set(key string, v V) {
 	if old, known := m.values[key]; known && old == v {
 		return
 	}
-	m.own()
+	m.unshare()
 	m.values[key] = v
 }
 
 // remove removes a key.
-func (m *sharedMap[V]) remove(key string) {
+func (m *cowMap[V]) remove(key string) {
 	if _, known := m.values[key]; !known {
 		return
 	}
-	m.own()
+	m.unshare()
 	delete(m.values, key)
 }
 
-// own makes the values those of this map alone.
-func (m *sharedMap[V]) own() {
+// unshare makes the values those of this map alone.
+func (m *cowMap[V]) unshare() {
 	switch {
 	case m.values == nil:
 		m.values = make(map[string]V)
@@ -54,7 +54,7 @@
 }
 
 // share returns the values, which must not be changed by who gets them.
-func (m *sharedMap[V]) share() map[string]V {
+func (m *cowMap[V]) share() map[string]V {
 	if m.values == nil {
 		m.values = make(map[string]V)
 	}
--- a/catalog/shared_test.go
+++ b/catalog/cow_map_test.go
@@ -12,12 +12,12 @@
 	"github.com/matryer/is"
 )
 
-// TestSharedMap changes a map and a plain one alike and shares it now and then. Both stay the
+// TestCOWMap changes a map and a plain one alike and shares it now and then. Both stay the
 // same, and what was shared stays as it was.
-func TestSharedMap(t *testing.T) {
+func TestCOWMap(t *testing.T) {
 	is := is.New(t)
 	draw := rand.New(rand.NewPCG(1, 2))
-	var m sharedMap[int]
+	var m cowMap[int]
 	plain := make(map[string]int)
 	var shared, copies []map[string]int
 	for range 2000 {
--- a/catalog/emptied.go
+++ b/catalog/drained.go
@@ -6,23 +6,23 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// empty notes that the endpoints of a failure domain get nothing new. The caller holds the
+// drainDomain notes that the endpoints of a failure domain get nothing new. The caller holds the
 // lock, as for the functions below.
-func (c *Catalog) empty(domain string) {
-	if _, known := c.emptied[domain]; known {
+func (c *Catalog) drainDomain(domain string) {
+	if _, known := c.drained[domain]; known {
 		return
 	}
-	c.emptied[domain] = steady.Now()
+	c.drained[domain] = steady.Now()
 	c.log.Info("failure domain is emptied", "failure_domain", domain, "endpoints", c.endpointsIn(domain))
 }
 
-// restore notes that the endpoints of a failure domain may get requests again.
-func (c *Catalog) restore(domain string) {
-	since, known := c.emptied[domain]
+// undrainDomain notes that the endpoints of a failure domain may get requests again.
+func (c *Catalog) undrainDomain(domain string) {
+	since, known := c.drained[domain]
 	if !known {
 		return
 	}
-	delete(c.emptied, domain)
+	delete(c.drained, domain)
 	c.log.Info("failure domain is restored", "failure_domain", domain, "endpoints", c.endpointsIn(domain),
 		"emptied_ms", steady.Since(since).Milliseconds())
 }
--- a/catalog/encoding.go
+++ b/catalog/encoding.go
@@ -37,9 +37,9 @@
 	return out, nil
 }
 
-// errBase ends following when a change refers to a record that is not known; what is
+// errUnknownBase ends following when a change refers to a record that is not known; what is
 // lacking comes with the next stream.
-var errBase = errors.New("a change builds on an unknown record")
+var errUnknownBase = errors.New("a change builds on an unknown record")
 
 // base returns the value that a packed record builds on: that of a record before it in
 // the message, by key, or of one that is known.
@@ -54,7 +54,7 @@
 		c.mu.Unlock()
 	}
 	if !ok || r.Offset != m.GetBase() {
-		return nil, errBase
+		return nil, errUnknownBase
 	}
 	return r.Value, nil
 }
--- a/catalog/following.go
+++ b/catalog/following.go
@@ -18,11 +18,11 @@
 // The times of following other instances. Round trips between them take a few
 // milliseconds, and a pause of the garbage collector some tens.
 const (
-	// pingSilence is how long a follower waits for an answer before it goes to
+	// pingTimeout is how long a follower waits for an answer before it goes to
 	// another instance.
-	pingSilence = 600 * time.Millisecond
-	// openWithin bounds the time until the first answer.
-	openWithin = 600 * time.Millisecond
+	pingTimeout = 600 * time.Millisecond
+	// openTimeout bounds the time until the first answer.
+	openTimeout = 600 * time.Millisecond
 )
 
 // maxUpdate bounds a message between instances, in bytes: a whole configuration.
@@ -40,13 +40,13 @@
 // followLoop follows one instance after the other while that is needed.
 func (c *Catalog) followLoop(ctx context.Context) {
 	for try := 0; ctx.Err() == nil; try++ {
-		r := c.ranks.Load()
-		if !c.shouldFollow() || len(r.sources) == 0 {
+		r := c.topology.Load()
+		if !c.shouldFollow() || len(r.upstreams) == 0 {
 			try = -1
-			sleep(ctx, lookEvery)
+			sleep(ctx, roleCheckInterval)
 			continue
 		}
-		p, patient := r.source(try)
+		p, patient := r.upstreamFor(try)
 		began := steady.Now()
 		// Those that start together are all about to know something.
 		err := c.followOne(ctx, p, patient || c.Snapshot() == nil)
@@ -55,37 +55,37 @@
 		}
 		// With nobody to follow, this instance reads the store after the delay of
 		// its place in the order.
-		c.heard.reset()
-		c.leave(p, err, steady.Since(began))
-		if steady.Since(began) > openWithin {
+		c.upstreamConfirmed.reset()
+		c.handleFollowEnd(p, err, steady.Since(began))
+		if steady.Since(began) > openTimeout {
 			// It worked for a while: the order is tried from its start.
 			try = -1
 		}
-		if try >= 0 && try < startTries && c.Snapshot() == nil {
+		if try >= 0 && try < startupTries && c.Snapshot() == nil {
 			patient = false
 		}
-		sleep(ctx, lookPause(patient, steady.Since(began)))
+		sleep(ctx, retryPause(patient, steady.Since(began)))
 	}
 }
 
-// lookPause returns the pause after a try to follow somebody. A patient one that was
+// retryPause returns the pause after a try to follow somebody. A patient one that was
 // held has waited already.
-func lookPause(patient bool, took time.Duration) time.Duration {
+func retryPause(patient bool, took time.Duration) time.Duration {
 	switch {
 	case !patient:
-		return quickLook
-	case took >= holdFollower:
-		return lookEvery
+		return quickRetryPause
+	case took >= maxFollowerHold:
+		return roleCheckInterval
 	}
-	return longestLook
+	return maxRetryPause
 }
 
-// leave notes why an instance is no longer followed.
-func (c *Catalog) leave(p Peer, err error, after time.Duration) {
+// handleFollowEnd notes why an instance is no longer followed.
+func (c *Catalog) handleFollowEnd(p Peer, err error, after time.Duration) {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.ResourceExhausted:
 		// It answered, and would tell when the store is back.
-		c.contact.mark(steady.Now())
+		c.peerAnswered.mark(steady.Now())
 		c.log.V(1).Info("can't follow", "peer", p.ID, "cause", err.Error(), "ms", after.Milliseconds())
 		return
 	default:
@@ -99,25 +99,25 @@
 
 // The pauses between tries to follow somebody.
 const (
-	// quickLook is that between the first ones: in a second an instance of 300 has
+	// quickRetryPause is that between the first ones: in a second an instance of 300 has
 	// asked all that are likely to be in touch with the store.
-	quickLook = 50 * time.Millisecond
-	// longestLook is that between later ones while nobody answers.
-	longestLook = 500 * time.Millisecond
+	quickRetryPause = 50 * time.Millisecond
+	// maxRetryPause is that between later ones while nobody answers.
+	maxRetryPause = 500 * time.Millisecond
 )
 
-// startTries is how many tries follow one soon after the other while nothing is known yet:
+// startupTries is how many tries follow one soon after the other while nothing is known yet:
 // of instances that start within a second those to follow may come last.
-const startTries = 20
+const startupTries = 20
 
-// errEnough ends following when this instance reads the store.
-var errEnough = errors.New("reads the store itself")
+// errReadsStore ends following when this instance reads the store.
+var errReadsStore = errors.New("reads the store itself")
 
 // errStale ends following an instance that knows too little.
 var errStale = errors.New("knows too little")
 
-// errOwn ends following an instance that knows only what this one has told.
-var errOwn = errors.New("knows by this instance")
+// errLoop ends following an instance that knows only what this one has told.
+var errLoop = errors.New("knows by this instance")
 
 // errSilent ends following an instance that does not answer.
 var errSilent = errors.New("does not answer")
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	f := &following{
+	f := &followStream{
 		catalog: c,
 		stream:  stream,
 		sent:    make(map[int64]time.Time),
@@ -146,8 +146,8 @@
 	return f.run(ctx, p, patient)
 }
 
-// following is a follower's side of a stream.
-type following struct {
+// followStream is a follower's side of a stream.
+type followStream struct {
 	catalog *Catalog
 	stream  grpc.BidiStreamingClient[catalogpb.Ping, catalogpb.Update]
 	// seq is the number of the last ping, and sent are when those without an
@@ -159,7 +159,7 @@
 }
 
 // receive hands on what the instance says until the stream ends.
-func (f *following) receive(ctx context.Context) {
+func (f *followStream) receive(ctx context.Context) {
 	for {
 		u, err := f.stream.Recv()
 		if err != nil {
@@ -176,13 +176,13 @@
 
 // run takes over what the instance says, and asks for the age, until either
 // fails or it need not be followed any more.
-func (f *following) run(ctx context.Context, p Peer, patient bool) error {
+func (f *followStream) run(ctx context.Context, p Peer, patient bool) error {
 	tick := time.NewTicker(f.catalog.pingEvery())
 	defer tick.Stop()
-	silent := time.NewTimer(openWithin)
+	silent := time.NewTimer(openTimeout)
 	defer silent.Stop()
-	defer f.catalog.followed.Store(nil)
-	if err := f.hello(patient); err != nil {
+	defer f.catalog.upstreamAddress.Store(nil)
+	if err := f.sendFirstPing(patient); err != nil {
 		return err
 	}
 	said := false
@@ -196,28 +196,28 @@
 			return errSilent
 		case <-tick.C:
 			if !f.catalog.shouldFollow() {
-				return errEnough
+				return errReadsStore
 			}
 			if err := f.ping(); err != nil {
 				return err
 			}
 		case u := <-f.updates:
-			silent.Reset(pingSilence)
-			if err := f.take(u); err != nil {
+			silent.Reset(pingTimeout)
+			if err := f.applyUpdate(u); err != nil {
 				return err
 			}
 			if !said {
 				said = true
-				f.catalog.followed.Store(&p.Address)
+				f.catalog.upstreamAddress.Store(&p.Address)
 				f.catalog.log.Info("follows", "peer", p.ID)
 			}
 		}
 	}
 }
 
-// hello says what this instance has, and asks for the age.
-func (f *following) hello(patient bool) error {
-	p := f.catalog.have()
+// sendFirstPing says what this instance has, and asks for the age.
+func (f *followStream) sendFirstPing(patient bool) error {
+	p := f.catalog.firstPing()
 	p.Patient = patient
 	f.seq++
 	p.Seq = f.seq
@@ -226,7 +226,7 @@
 }
 
 // ping asks for the age.
-func (f *following) ping() error {
+func (f *followStream) ping() error {
 	f.seq++
 	f.sent[f.seq] = steady.Now()
 	return f.stream.Send(&catalogpb.Ping{
@@ -235,8 +235,8 @@
 	})
 }
 
-// take takes over an update.
-func (f *following) take(u *catalogpb.Update) error {
+// applyUpdate takes over an update.
+func (f *followStream) applyUpdate(u *catalogpb.Update) error {
 	c := f.catalog
 	switch k := u.GetKind().(type) {
 	case *catalogpb.Update_Records:
@@ -254,22 +254,22 @@
 			from:    fromPeer,
 		})
 	case *catalogpb.Update_Age:
-		return f.takeAge(k.Age)
+		return f.applyAge(k.Age)
 	}
 	return nil
 }
 
-// takeAge takes over an age. It counts from when its ping was sent.
-func (f *following) takeAge(a *catalogpb.Age) error {
+// applyAge takes over an age. It counts from when its ping was sent.
+func (f *followStream) applyAge(a *catalogpb.Age) error {
 	c := f.catalog
-	c.contact.mark(steady.Now())
+	c.peerAnswered.mark(steady.Now())
 	sent := f.sent[a.GetSeq()]
 	for seq := range f.sent {
 		if seq <= a.GetSeq() {
 			delete(f.sent, seq)
 		}
 	}
-	s := standing{
+	s := freshness{
 		answered: time.Duration(a.GetAnsweredUs()) * time.Microsecond,
 		root:     a.GetRoot(),
 		hops:     int(a.GetHops()),
@@ -280,15 +280,15 @@
 	}
 	switch {
 	case s.root == c.settings.Self.ID:
-		return errOwn
+		return errLoop
 	case !a.GetKnown() || c.stale(s):
 		return errStale
 	}
-	c.via.Store(&standing{
+	c.upstreamFreshness.Store(&freshness{
 		root: s.root,
 		hops: s.hops + 1,
 	})
-	c.heard.mark(sent.Add(-s.answered))
-	c.fresher.fire()
+	c.upstreamConfirmed.mark(sent.Add(-s.answered))
+	c.confirmation.fire()
 	return nil
 }
--- a/catalog/handed_test.go
+++ b/catalog/forwarding_test.go
@@ -24,11 +24,11 @@
 	case f != Configurations:
 		return nil
 	case emptied && len(r.Value) == 0:
-		return &DomainRestored{
+		return &DomainUndrained{
 			Domain: domain,
 		}
 	case emptied:
-		return &DomainEmptied{
+		return &DomainDrained{
 			Domain: domain,
 		}
 	}
@@ -46,26 +46,26 @@
 	}
 }
 
-// newOperated returns a catalog that knows a configuration and an emptied failure domain.
-func newOperated() *Catalog {
+// newOperatorCatalog returns a catalog that knows a configuration and an emptied failure domain.
+func newOperatorCatalog() *Catalog {
 	c := New(Settings{}, operatorStore{}, nil, logr.Discard())
 	c.apply(Configurations, []Record{written("config", "a", 0), written("empty/d1", "{}", 1)}, 2, allParts, fromStore)
 	return c
 }
 
-// assertHanded checks what a follower knows, and that it was sent so many records.
-func assertHanded(is *is.I, from, to *Catalog, records int) {
+// assertForwarded checks what a follower knows, and that it was sent so many records.
+func assertForwarded(is *is.I, from, to *Catalog, records int) {
 	is.Helper()
-	is.Equal(hand(from, to), records)
-	is.Equal(to.emptiedDomains(), from.emptiedDomains())
+	is.Equal(transfer(from, to), records)
+	is.Equal(to.drainedDomains(), from.drainedDomains())
 	is.Equal(to.table.Version, from.table.Version)
-	is.Equal(*to.sums[Configurations], *from.sums[Configurations])
-	is.Equal(hand(from, to), 0)
+	is.Equal(*to.checksums[Configurations], *from.checksums[Configurations])
+	is.Equal(transfer(from, to), 0)
 }
 
-// TestEmptiedHandedOn hands what is known of failure domains on to a follower that was away
+// TestDrainedForwarded hands what is known of failure domains on to a follower that was away
 // meanwhile.
-func TestEmptiedHandedOn(t *testing.T) {
+func TestDrainedForwarded(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		change  func(from *Catalog)
@@ -87,10 +87,10 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			from, to := newOperated(), New(Settings{}, operatorStore{}, nil, logr.Discard())
-			assertHanded(is, from, to, 2)
+			from, to := newOperatorCatalog(), New(Settings{}, operatorStore{}, nil, logr.Discard())
+			assertForwarded(is, from, to, 2)
 			row.change(from)
-			assertHanded(is, from, to, row.records)
+			assertForwarded(is, from, to, row.records)
 		})
 	}
 }
--- a/catalog/standing.go
+++ b/catalog/freshness.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// answerSlack is how much longer than its wait a poll may take before the store counts
+// stalenessSlack is how much longer than its wait a poll may take before the store counts
 // as out of reach for followers.
-const answerSlack = 300 * time.Millisecond
+const stalenessSlack = 300 * time.Millisecond
 
-// standing is how fresh what an instance knows is.
-type standing struct {
+// freshness is how fresh what an instance knows is.
+type freshness struct {
 	// answered is how long ago the store answered the root.
 	answered time.Duration
 	// root names the instance that the store answered, and hops counts the
@@ -24,15 +24,15 @@
 // neverAnswered stands for an answer that never came: longer than any that counts.
 const neverAnswered = time.Hour
 
-// standing returns where what this instance knows comes from.
-func (c *Catalog) standing() standing {
-	read, ok := c.read.since()
+// freshness returns where what this instance knows comes from.
+func (c *Catalog) freshness() freshness {
+	read, ok := c.storeAnswered.since()
 	// With a feed that can't be read it is not known what others must know.
 	ok = ok && c.failing.Load() == 0
-	heard, also := c.heard.since()
-	via := c.via.Load()
+	heard, also := c.upstreamConfirmed.since()
+	via := c.upstreamFreshness.Load()
 	if also && via != nil && (!ok || heard < read) {
-		return standing{
+		return freshness{
 			answered: heard,
 			root:     via.root,
 			hops:     via.hops,
@@ -41,7 +41,7 @@
 	if !ok {
 		read = neverAnswered
 	}
-	return standing{
+	return freshness{
 		answered: read,
 		root:     c.settings.Self.ID,
 	}
@@ -50,29 +50,29 @@
 // stale states whether somebody knows too little for others to follow. Each hop adds
 // the time between two pings. Followers must know changes soon, so they leave long
 // before the age becomes a matter of safety.
-func (c *Catalog) stale(s standing) bool {
-	return s.answered > c.settings.Poll+answerSlack+time.Duration(s.hops)*c.pingEvery()
+func (c *Catalog) stale(s freshness) bool {
+	return s.answered > c.settings.Poll+stalenessSlack+time.Duration(s.hops)*c.pingEvery()
 }
 
 // followable states whether others can follow this instance.
 func (c *Catalog) followable() bool {
 	_, known := c.Age()
-	return known && !c.stale(c.standing())
+	return known && !c.stale(c.freshness())
 }
 
-// holdFollower is how long an instance that knows too little holds a patient one that
+// maxFollowerHold is how long an instance that knows too little holds a patient one that
 // wants to follow it. Instances that start together, and all of them when the store is back
 // from an outage, are told at once so, and in an outage ask seldom. It leaves a third
 // of openWithin for the way.
-const holdFollower = 400 * time.Millisecond
+const maxFollowerHold = 400 * time.Millisecond
 
 // awaitFollowable waits until others can follow this instance, for holdFollower at
 // most, and returns whether they can.
 func (c *Catalog) awaitFollowable(ctx context.Context, closing <-chan struct{}) bool {
-	timeout := time.NewTimer(holdFollower)
+	timeout := time.NewTimer(maxFollowerHold)
 	defer timeout.Stop()
 	for {
-		changed := c.fresher.next()
+		changed := c.confirmation.next()
 		if c.followable() {
 			return true
 		}
--- a/catalog/whole.go
+++ b/catalog/full_read.go
@@ -9,10 +9,10 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// wholeRead is a read of a whole feed, page by page. One that fails goes on from its last
+// fullRead is a read of a whole feed, page by page. One that fails goes on from its last
 // page: a store that is too slow for all pages within one limit is still read to the end.
 // The zero value of all but the feed is a read that has not begun.
-type wholeRead struct {
+type fullRead struct {
 	feed Feed
 	// due states that the feed can't be followed from what is known of it.
 	due bool
@@ -28,14 +28,14 @@
 }
 
 // reset forgets the pages.
-func (w *wholeRead) reset() {
-	*w = wholeRead{
+func (w *fullRead) reset() {
+	*w = fullRead{
 		feed: w.feed,
 	}
 }
 
-// take takes over a page.
-func (w *wholeRead) take(p Page, sent time.Time) {
+// addPage takes over a page.
+func (w *fullRead) addPage(p Page, sent time.Time) {
 	if !w.begun {
 		w.begun, w.next, w.sent = true, p.Next, sent
 	}
@@ -45,23 +45,23 @@
 	}
 }
 
-// readWhole reads the pages of a feed that are left, and takes over what they say. It
+// readFull reads the pages of a feed that are left, and takes over what they say. It
 // returns the offset to follow from.
-func (c *Catalog) readWhole(ctx context.Context, w *wholeRead) (int64, error) {
+func (c *Catalog) readFull(ctx context.Context, w *fullRead) (int64, error) {
 	for {
 		sent := steady.Now()
 		page, err := c.readPage(ctx, w)
 		if err != nil {
 			return unread, err
 		}
-		w.take(page, sent)
+		w.addPage(page, sent)
 		if page.More {
 			continue
 		}
 		next := w.next
 		c.apply(w.feed, w.records, next, allParts, fromStore)
 		if w.feed == Configurations && len(w.records) > 0 {
-			c.answered(w.sent)
+			c.confirmByStore(w.sent)
 		}
 		w.reset()
 		return next, nil
@@ -69,7 +69,7 @@
 }
 
 // readPage reads the next page of a feed.
-func (c *Catalog) readPage(ctx context.Context, w *wholeRead) (Page, error) {
+func (c *Catalog) readPage(ctx context.Context, w *fullRead) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return c.store.Page(ctx, w.feed, w.after)
--- a/catalog/whole_test.go
+++ b/catalog/full_read_test.go
@@ -44,25 +44,25 @@
 	return Page{}, nil
 }
 
-// TestReadGoesOn looks that a read which fails on the way goes on from its last page, and is
+// TestFullReadResumes looks that a read which fails on the way goes on from its last page, and is
 // followed from where the first page said.
-func TestReadGoesOn(t *testing.T) {
+func TestFullReadResumes(t *testing.T) {
 	is := is.New(t)
 	s := &pagedStore{
 		pages: []string{"a", "b", "c", "d"},
 	}
 	c := New(Settings{}, s, nil, logr.Discard())
-	whole := &wholeRead{
+	whole := &fullRead{
 		feed: Endpoints,
 	}
 	var next int64
 	err := errPage
 	for failures := 0; err != nil; failures++ {
 		is.True(failures <= len(s.pages))
-		next, err = c.readWhole(t.Context(), whole)
+		next, err = c.readFull(t.Context(), whole)
 	}
 	is.Equal(s.asked, []string{"", "", "a", "a", "b", "b", "c", "c"}) // each page once more, none anew
 	is.Equal(next, int64(len(s.pages)+2))
 	is.Equal(c.endpoints.len(), len(s.pages))
-	is.Equal(*whole, wholeRead{feed: Endpoints})
+	is.Equal(*whole, fullRead{feed: Endpoints})
 }
--- a/catalog/lives.go
+++ b/catalog/incarnations.go
@@ -4,26 +4,26 @@
 
 import "time"
 
-// lives is when the newest known life of each endpoint started, by name. It has those
+// incarnations is when the newest known life of each endpoint started, by name. It has those
 // that say so, and those that are gone for as long as their departure is remembered: an
 // entry that an older life wrote may come after the end of a newer one.
-type lives map[string]time.Time
+type incarnations map[string]time.Time
 
-// note takes over an entry's life, and returns false when it is older than the newest one.
+// accept takes over an entry's life, and returns false when it is older than the newest one.
 // An entry that does not say when its endpoint started counts as one of the newest life.
-func (l lives) note(e Endpoint) bool {
-	if e.Born.IsZero() {
+func (l incarnations) accept(e Endpoint) bool {
+	if e.StartedAt.IsZero() {
 		return true
 	}
-	if e.Born.Before(l[e.Instance]) {
+	if e.StartedAt.Before(l[e.Instance]) {
 		return false
 	}
-	l[e.Instance] = e.Born
+	l[e.Instance] = e.StartedAt
 	return true
 }
 
 // forget forgets an endpoint unless it is there.
-func (l lives) forget(name string, there map[string]Endpoint) {
+func (l incarnations) forget(name string, there map[string]Endpoint) {
 	if _, known := there[name]; !known {
 		delete(l, name)
 	}
--- a/catalog/lives_test.go
+++ b/catalog/incarnations_test.go
@@ -14,22 +14,22 @@
 // settled is how long a change takes to be known at most: the pause between two reads.
 const settled = 500 * time.Millisecond
 
-// lifeOf returns the entry of endpoint e3 that started so many seconds after the first
+// incarnation returns the entry of endpoint e3 that started so many seconds after the first
 // life did.
-func lifeOf(second int64, leaving bool) catalog.Change {
+func incarnation(second int64, leaving bool) catalog.Change {
 	return &catalog.EndpointChange{
 		Endpoint: catalog.Endpoint{
-			Instance: "e3",
-			Leaving:  leaving,
-			Born:     time.Unix(1_000_000_000+second, 0),
+			Instance:  "e3",
+			Leaving:   leaving,
+			StartedAt: time.Unix(1_000_000_000+second, 0),
 		},
 	}
 }
 
-// TestLives writes entries of two lives of an endpoint in turn.
-func TestLives(t *testing.T) {
+// TestIncarnations writes entries of two lives of an endpoint in turn.
+func TestIncarnations(t *testing.T) {
 	const first, second = 0, 10
-	gone := &catalog.EndpointGone{
+	gone := &catalog.EndpointRemoved{
 		Instance: "e3",
 	}
 	for _, row := range []struct {
@@ -38,14 +38,14 @@
 		known   bool
 		barred  bool
 	}{
-		{"leaving ends with its life", []catalog.Change{lifeOf(first, true), lifeOf(second, false)}, true, false},
-		{"leaving stays in its life", []catalog.Change{lifeOf(second, true), lifeOf(second, false)}, true, true},
-		{"departure ends with its life", []catalog.Change{lifeOf(first, false), gone, lifeOf(second, false)}, true, false},
-		{"leaving of an older life", []catalog.Change{lifeOf(second, false), lifeOf(first, true)}, true, false},
-		{"readiness of an older life", []catalog.Change{lifeOf(second, true), lifeOf(first, false)}, true, true},
-		{"an older life after the end", []catalog.Change{lifeOf(second, false), gone, lifeOf(first, false)}, false, true},
-		{"the same life after a lapse", []catalog.Change{lifeOf(second, false), gone, lifeOf(second, false)}, true, false},
-		{"an entry that does not say", []catalog.Change{lifeOf(second, false), endpoint("e3", true)}, true, true},
+		{"leaving ends with its life", []catalog.Change{incarnation(first, true), incarnation(second, false)}, true, false},
+		{"leaving stays in its life", []catalog.Change{incarnation(second, true), incarnation(second, false)}, true, true},
+		{"departure ends with its life", []catalog.Change{incarnation(first, false), gone, incarnation(second, false)}, true, false},
+		{"leaving of an older life", []catalog.Change{incarnation(second, false), incarnation(first, true)}, true, false},
+		{"readiness of an older life", []catalog.Change{incarnation(second, true), incarnation(first, false)}, true, true},
+		{"an older life after the end", []catalog.Change{incarnation(second, false), gone, incarnation(first, false)}, false, true},
+		{"the same life after a lapse", []catalog.Change{incarnation(second, false), gone, incarnation(second, false)}, true, false},
+		{"an entry that does not say", []catalog.Change{incarnation(second, false), endpoint("e3", true)}, true, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
@@ -55,24 +55,24 @@
 				}
 				_, known := c.Snapshot().Endpoints["e3"]
 				is.Equal(known, row.known)
-				is.Equal(c.Snapshot().Gone("e3"), row.barred)
+				is.Equal(c.Snapshot().HasDeparted("e3"), row.barred)
 			})
 		})
 	}
 }
 
-// TestLivesForgotten looks that an endpoint that has been gone for long may return
+// TestIncarnationsForgotten looks that an endpoint that has been gone for long may return
 // whatever it says of its start.
-func TestLivesForgotten(t *testing.T) {
+func TestIncarnationsForgotten(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
-		s.put(catalog.Endpoints, lifeOf(10, false))
-		s.put(catalog.Endpoints, &catalog.EndpointGone{
+		s.put(catalog.Endpoints, incarnation(10, false))
+		s.put(catalog.Endpoints, &catalog.EndpointRemoved{
 			Instance: "e3",
 		})
 		time.Sleep(3 * time.Minute)
 		s.put(catalog.Endpoints, endpoint("e4", false))
 		time.Sleep(settled)
-		s.put(catalog.Endpoints, lifeOf(0, false))
+		s.put(catalog.Endpoints, incarnation(0, false))
 		time.Sleep(settled)
 		_, known := c.Snapshot().Endpoints["e3"]
 		is.True(known)
@@ -86,7 +86,7 @@
 		return &catalog.EndpointChange{
 			Endpoint: catalog.Endpoint{
 				Instance: "e1",
-				Cold:     d,
+				ColdFor:  d,
 			},
 		}
 	}
--- a/catalog/joining.go
+++ b/catalog/joining.go
@@ -20,22 +20,22 @@
 	firstStartWait = 700 * time.Millisecond
 	// joinHold is how long a contact that does not know yet who is there holds one that
 	// asks, and joinWithin bounds that call with its way and its connection.
-	joinHold   = 700 * time.Millisecond
-	joinWithin = 1200 * time.Millisecond
+	joinHold    = 700 * time.Millisecond
+	joinTimeout = 1200 * time.Millisecond
 	// joinPause is the pause after a contact that did not answer: some round trips.
 	joinPause = 50 * time.Millisecond
-	// contactPatience is how long a contact waits for one that comes before it and may not
+	// seedStartWait is how long a contact waits for one that comes before it and may not
 	// have started yet, and contactTrust for one that answers but does not know yet who is
 	// there.
-	contactPatience = 500 * time.Millisecond
-	contactTrust    = 1500 * time.Millisecond
-	// contactSilence is how long no contact answers until an instance reads the store
+	seedStartWait  = 500 * time.Millisecond
+	seedAnswerWait = 1500 * time.Millisecond
+	// seedTimeout is how long no contact answers until an instance reads the store
 	// itself. Many may come to this at the same time: each waits up to readSpread more, in
 	// which the first ones introduce themselves to others, and twice that after each
 	// failure, up to longestReadSpread.
-	contactSilence    = time.Second
-	readSpread        = 3 * time.Second
-	longestReadSpread = 8 * time.Second
+	seedTimeout   = time.Second
+	readSpread    = 3 * time.Second
+	maxReadSpread = 8 * time.Second
 )
 
 // join finds out who is there: of the contacts, from the store, or by an instance that
@@ -45,35 +45,35 @@
 	defer cancel()
 	_, stop := c.introduced.watch(cancel)
 	defer stop()
-	switch at := slices.Index(c.settings.Contacts, c.settings.Self.Address); {
-	case len(c.settings.Contacts) == 0:
-		c.joinAlone(joining)
+	switch at := slices.Index(c.settings.Seeds, c.settings.Self.Address); {
+	case len(c.settings.Seeds) == 0:
+		c.joinWithoutSeeds(joining)
 	case at >= 0:
-		c.joinAsContact(joining, at)
+		c.joinAsSeed(joining, at)
 	default:
-		c.joinThrough(joining)
+		c.joinThroughSeeds(joining)
 	}
 	return ctx.Err() == nil
 }
 
-// joinAlone finds out from the store who is there.
-func (c *Catalog) joinAlone(ctx context.Context) {
+// joinWithoutSeeds finds out from the store who is there.
+func (c *Catalog) joinWithoutSeeds(ctx context.Context) {
 	if c.settings.FirstStart {
 		sleep(ctx, firstStartWait)
 	}
-	whole := &wholeRead{
+	whole := &fullRead{
 		feed: Peers,
 	}
 	for failures := 1; !c.joined.Load() && ctx.Err() == nil; failures++ {
 		if err := c.joinByReading(ctx, whole); err != nil {
-			c.failed(ctx, Peers, failures, err)
+			c.handleReadFailure(ctx, Peers, failures, err)
 		}
 	}
 }
 
 // joinByReading reads from the store who is there.
-func (c *Catalog) joinByReading(ctx context.Context, whole *wholeRead) error {
-	if _, err := c.readWhole(ctx, whole); err != nil {
+func (c *Catalog) joinByReading(ctx context.Context, whole *fullRead) error {
+	if _, err := c.readFull(ctx, whole); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -82,96 +82,96 @@
 	return nil
 }
 
-// joinThrough asks the contacts, of which one answers for all that start; each instance has
+// joinThroughSeeds asks the contacts, of which one answers for all that start; each instance has
 // an order of its own. It reads the store once no contact has answered for a while.
-func (c *Catalog) joinThrough(ctx context.Context) {
-	contacts := slices.Clone(c.settings.Contacts)
+func (c *Catalog) joinThroughSeeds(ctx context.Context) {
+	contacts := slices.Clone(c.settings.Seeds)
 	rendezvous.Sort(c.settings.Self.ID, contacts, func(address string) (string, int) { return address, 1 })
-	whole := &wholeRead{
+	whole := &fullRead{
 		feed: Peers,
 	}
 	spread := readSpread
-	reads := steady.Now().Add(contactSilence + rand.N(spread))
+	reads := steady.Now().Add(seedTimeout + rand.N(spread))
 	for at, failures := 0, 0; !c.joined.Load() && ctx.Err() == nil; {
-		if err := c.ask(ctx, contacts[at], true); err == nil {
-			reads = steady.Now().Add(contactSilence + rand.N(spread))
+		if err := c.askSeed(ctx, contacts[at], true); err == nil {
+			reads = steady.Now().Add(seedTimeout + rand.N(spread))
 			continue
 		}
 		at = (at + 1) % len(contacts)
 		if !steady.Now().Before(reads) {
 			failures++
 			if err := c.joinByReading(ctx, whole); err == nil {
-				c.introduceToHeads(ctx)
+				c.introduceToRelays(ctx)
 				return
 			} else if ctx.Err() == nil {
-				c.noteFailure(Peers, failures, err)
+				c.recordReadFailure(Peers, failures, err)
 			}
-			spread = min(2*spread, longestReadSpread)
+			spread = min(2*spread, maxReadSpread)
 			reads = steady.Now().Add(rand.N(spread))
 		}
 		sleep(ctx, joinPause)
 	}
 }
 
-// joinAsContact finds out who is there for all that ask this instance. It asks the contacts
+// joinAsSeed finds out who is there for all that ask this instance. It asks the contacts
 // that come before it, so that one of them reads the store, and reads it when none of these
 // says who is there; when the store can't be read, it asks those that come after it.
-func (c *Catalog) joinAsContact(ctx context.Context, at int) {
-	before, after := c.settings.Contacts[:at], c.settings.Contacts[at+1:]
+func (c *Catalog) joinAsSeed(ctx context.Context, at int) {
+	before, after := c.settings.Seeds[:at], c.settings.Seeds[at+1:]
 	began := steady.Now()
-	whole := &wholeRead{
+	whole := &fullRead{
 		feed: Peers,
 	}
 	for failures := 0; !c.joined.Load() && ctx.Err() == nil; {
-		waits := len(before) > 0 && steady.Since(began) < contactTrust
-		answered := c.askAll(ctx, before, waits)
+		waits := len(before) > 0 && steady.Since(began) < seedAnswerWait
+		answered := c.askSeeds(ctx, before, waits)
 		if c.joined.Load() {
 			return
 		}
-		if waits && (answered || steady.Since(began) < contactPatience) {
+		if waits && (answered || steady.Since(began) < seedStartWait) {
 			sleep(ctx, joinPause)
 			continue
 		}
-		if err := c.joinFirst(ctx, whole); err != nil {
+		if err := c.joinAsFirstSeed(ctx, whole); err != nil {
 			failures++
-			c.askAll(ctx, after, false)
-			c.failed(ctx, Peers, failures, err)
+			c.askSeeds(ctx, after, false)
+			c.handleReadFailure(ctx, Peers, failures, err)
 		}
 	}
 }
 
-// joinFirst reads from the store who is there, and at the first start of all waits for the
+// joinAsFirstSeed reads from the store who is there, and at the first start of all waits for the
 // instances that ask this one.
-func (c *Catalog) joinFirst(ctx context.Context, whole *wholeRead) error {
-	if _, err := c.readWhole(ctx, whole); err != nil {
+func (c *Catalog) joinAsFirstSeed(ctx context.Context, whole *fullRead) error {
+	if _, err := c.readFull(ctx, whole); err != nil {
 		return err
 	}
 	if c.settings.FirstStart {
-		c.newcomers.settle(ctx)
+		c.pending.settle(ctx)
 	}
-	c.learn(c.newcomers.all(), 0, "those that ask", 0)
+	c.adoptPeers(c.pending.all(), 0, "those that ask", 0)
 	return nil
 }
 
-// askAll asks contacts whom to follow, and returns whether one of them answered.
-func (c *Catalog) askAll(ctx context.Context, contacts []string, wait bool) bool {
+// askSeeds asks contacts whom to follow, and returns whether one of them answered.
+func (c *Catalog) askSeeds(ctx context.Context, contacts []string, wait bool) bool {
 	answered := false
 	for _, address := range contacts {
 		if c.joined.Load() || ctx.Err() != nil {
 			return answered
 		}
-		if err := c.ask(ctx, address, wait); err == nil {
+		if err := c.askSeed(ctx, address, wait); err == nil {
 			answered = true
 		}
 	}
 	return answered
 }
 
-// ask asks a contact whom to follow, and takes that over if it is not known yet who is
+// askSeed asks a contact whom to follow, and takes that over if it is not known yet who is
 // there. A contact that does not know it either holds one that waits for a moment. It sees
 // to this instance's entry.
-func (c *Catalog) ask(ctx context.Context, address string, wait bool) error {
-	ctx, cancel := context.WithTimeout(ctx, joinWithin)
+func (c *Catalog) askSeed(ctx context.Context, address string, wait bool) error {
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	conn, err := c.dialer.Conn(address)
 	if err != nil {
@@ -185,7 +185,7 @@
 		return err
 	}
 	known := peersOf(reply.GetKnown())
-	c.learn(known, int(reply.GetTotal()), "contact "+address, ownEntryCheck)
+	c.adoptPeers(known, int(reply.GetTotal()), "contact "+address, ownEntryCheckInterval)
 	if !slices.ContainsFunc(known, func(p Peer) bool { return p.Address == address }) {
 		// It answers all that start; most of them don't need it again.
 		c.dialer.Forsake(address)
--- a/catalog/journal.go
+++ b/catalog/journal.go
@@ -12,11 +12,11 @@
 // The bounds of the changes that followers may be behind before they get all records
 // anew.
 const (
-	// journalLength counts changes.
-	journalLength = 512
-	// journalBytes bounds the values of these changes. Configurations of 100 KB in
+	// maxJournalEntries counts changes.
+	maxJournalEntries = 512
+	// maxJournalBytes bounds the values of these changes. Configurations of 100 KB in
 	// quick succession would else hold 50 MB on each instance.
-	journalBytes = 4 << 20
+	maxJournalBytes = 4 << 20
 )
 
 // entry is a record that took effect.
@@ -25,7 +25,7 @@
 	// record is the record; a long one's value is in packed.
 	record Record
 	// packed is a long record's value against that of the record before.
-	packed *packed
+	packed *packedValue
 	// size is how many bytes of values the entry holds at most.
 	size int
 }
@@ -49,13 +49,13 @@
 	return m, nil
 }
 
-// packedFrom is the size from which values are packed, in bytes.
-const packedFrom = 2 << 10
+// minPackedBytes is the size from which values are packed, in bytes.
+const minPackedBytes = 2 << 10
 
-// packed is a value against an earlier one of its key, which may be none, packed when
+// packedValue is a value against an earlier one of its key, which may be none, packedValue when
 // it is first sent. All followers share it: 150 that came at once and got a
-// configuration packed anew each took 490 MB, mostly of the compressor's.
-type packed struct {
+// configuration packedValue anew each took 490 MB, mostly of the compressor's.
+type packedValue struct {
 	value Record
 	base  Record
 
@@ -64,19 +64,19 @@
 	err  error
 }
 
-// packedRecord returns a record's value against that of the record before.
-func packedRecord(r, before Record) *packed {
+// newPackedValue returns a record's value against that of the record before.
+func newPackedValue(r, before Record) *packedValue {
 	if len(before.Value) == 0 {
 		before.Offset = noOffset
 	}
-	return &packed{
+	return &packedValue{
 		value: r,
 		base:  before,
 	}
 }
 
 // bytes returns the packed value.
-func (p *packed) bytes() ([]byte, error) {
+func (p *packedValue) bytes() ([]byte, error) {
 	p.once.Do(func() {
 		p.data, p.err = zdelta.Pack(p.value.Value, p.base.Value)
 		p.value, p.base = Record{}, Record{
@@ -102,13 +102,13 @@
 		record: r,
 		size:   len(r.Value),
 	}
-	if len(r.Value) >= packedFrom {
-		e.packed = packedRecord(r, before)
+	if len(r.Value) >= minPackedBytes {
+		e.packed = newPackedValue(r, before)
 		e.record.Value = nil
 	}
 	j.entries = append(j.entries, e)
 	j.size += e.size
-	for len(j.entries) > journalLength || j.size > journalBytes && len(j.entries) > 1 {
+	for len(j.entries) > maxJournalEntries || j.size > maxJournalBytes && len(j.entries) > 1 {
 		j.size -= j.entries[0].size
 		j.entries[0] = entry{}
 		j.entries = j.entries[1:]
--- a/catalog/crowd_test.go
+++ b/catalog/large_fleet_test.go
@@ -12,9 +12,9 @@
 	"github.com/linkmast/linkmast/catalog"
 )
 
-// crowdSize is how many instances the tests of many start: enough for carriers beside
+// fleetSize is how many instances the tests of many start: enough for carriers beside
 // the readers, and for delays in a line to show.
-const crowdSize = 120
+const fleetSize = 120
 
 // TestStartTogether starts many instances at one moment. All are ready soon, and call the
 // store for who is there only; but for the readers, and the few that are next in line when the
@@ -33,7 +33,7 @@
 		{"after twice that", 100 * time.Millisecond, 8},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			virtualGroup(t, crowdSize, row.read, func(t *testing.T, _ *memoryNet, fake *fakeStore, all []*instance) {
+			virtualGroup(t, fleetSize, row.read, func(t *testing.T, _ *memoryNet, fake *fakeStore, all []*instance) {
 				is := is.New(t)
 				reading := awaitReaders(t, all)
 				more := 0
@@ -54,7 +54,7 @@
 // all know soon after its return what has changed.
 func TestOutageOfMany(t *testing.T) {
 	is := is.New(t)
-	fake, all := group(t, crowdSize)
+	fake, all := group(t, fleetSize)
 	reading := awaitReaders(t, all)
 	before := calls(all)
 	fake.setDown(true)
@@ -67,13 +67,13 @@
 		}
 	}
 	t.Log("calls of all but the readers:", asked)
-	is.True(asked <= 3*crowdSize)
+	is.True(asked <= 3*fleetSize)
 	fake.put(catalog.Configurations, version(2))
 	fake.setDown(false)
 	back := time.Now()
 	for i, x := range all {
 		await(t, "version 2", func() bool { return x.Snapshot().Table.Version == 2 })
-		if i == crowdSize*9/10 {
+		if i == fleetSize*9/10 {
 			t.Log("nine in ten know after", time.Since(back))
 		}
 	}
@@ -94,7 +94,7 @@
 		began := time.Now()
 		x := net.start(t, fake, all[5].self, net.listen(all[5].self.Address))
 		await(t, "snapshot", func() bool { return x.Snapshot() != nil })
-		is.True(time.Since(began) <= startsWithin)
+		is.True(time.Since(began) <= startTimeout)
 		is.Equal(x.Snapshot().Table.Version, int64(1))
 		age, known := x.Age()
 		is.True(known)
@@ -103,6 +103,6 @@
 	})
 }
 
-// startsWithin is how soon an instance knows what others do that starts while the store is
+// startTimeout is how soon an instance knows what others do that starts while the store is
 // away; it took 1.7 s in six runs, in virtual time as in real time.
-const startsWithin = 2 * time.Second
+const startTimeout = 2 * time.Second
--- a/catalog/missing_test.go
+++ b/catalog/missing_test.go
@@ -24,7 +24,7 @@
 	case f != Endpoints:
 		return nil
 	case len(r.Value) == 0:
-		return &EndpointGone{
+		return &EndpointRemoved{
 			Instance: r.Key,
 		}
 	}
@@ -54,10 +54,10 @@
 	}
 }
 
-// hand gives a follower what it lacks, and returns how many records that took.
-func hand(from, to *Catalog) int {
+// transfer gives a follower what it lacks, and returns how many records that took.
+func transfer(from, to *Catalog) int {
 	n := 0
-	for _, l := range from.missing(to.have()) {
+	for _, l := range from.missingFor(to.firstPing()) {
 		n += len(l.records)
 		to.apply(l.feed, l.records, l.next, l.parts, fromPeer)
 	}
@@ -68,20 +68,20 @@
 func assertSame(is *is.I, a, b *Catalog) {
 	is.Helper()
 	is.Equal(a.endpoints, b.endpoints)
-	is.Equal(*a.sums[Endpoints], *b.sums[Endpoints])
+	is.Equal(*a.checksums[Endpoints], *b.checksums[Endpoints])
 }
 
-// take applies the messages of what a follower lacks, so many at most. It returns how many
+// transferParts applies the messages of what a follower lacks, so many at most. It returns how many
 // records these had, and whether they were all.
-func take(is *is.I, from, to *Catalog, most int) (records int, all bool) {
+func transferParts(is *is.I, from, to *Catalog, most int) (records int, all bool) {
 	is.Helper()
-	for i, l := range from.missing(to.have()) {
+	for i, l := range from.missingFor(to.firstPing()) {
 		if i == most {
 			return records, false
 		}
 		u, err := l.encode()
 		is.NoErr(err)
-		is.True(proto.Size(u) < 2*lackBytes)
+		is.True(proto.Size(u) < 2*maxMissingBytes)
 		m := u.GetRecords()
 		got, err := to.decode(l.feed, m.GetRecords())
 		is.NoErr(err)
@@ -111,12 +111,12 @@
 		all = append(all, r)
 	}
 	from.apply(Endpoints, all, n, allParts, fromStore)
-	first, whole := take(is, from, to, 10)
+	first, whole := transferParts(is, from, to, 10)
 	is.True(!whole)
 	_, known := to.next[Endpoints]
 	is.True(!known)
 	is.Equal(to.resume(Endpoints), int64(unread))
-	rest, whole := take(is, from, to, n)
+	rest, whole := transferParts(is, from, to, n)
 	is.True(whole)
 	is.Equal(to.next[Endpoints], int64(n))
 	is.Equal(first+rest, n)
@@ -152,12 +152,12 @@
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			from, to := newPlain(n), New(Settings{}, plainStore{}, nil, logr.Discard())
-			is.Equal(hand(from, to), n) // nothing is known at first
+			is.Equal(transfer(from, to), n) // nothing is known at first
 			assertSame(is, from, to)
 			row.change(from)
-			is.True(hand(from, to) <= row.most)
+			is.True(transfer(from, to) <= row.most)
 			assertSame(is, from, to)
-			is.Equal(hand(from, to), 0)
+			is.Equal(transfer(from, to), 0)
 		})
 	}
 }
@@ -166,7 +166,7 @@
 func TestNewerStays(t *testing.T) {
 	is := is.New(t)
 	from, to := newPlain(10), newPlain(20)
-	hand(from, to)
+	transfer(from, to)
 	is.Equal(to.endpoints.len(), 20)
 }
 
@@ -183,7 +183,7 @@
 	c.apply(Configurations, []Record{long}, 2, allParts, fromStore)
 	var sent []*catalogpb.Record
 	for range 2 {
-		u, err := c.missing(&catalogpb.Ping{
+		u, err := c.missingFor(&catalogpb.Ping{
 			Has: noOffset,
 		})[0].encode()
 		is.NoErr(err)
@@ -208,7 +208,7 @@
 			Offset: n,
 		}, Record{})
 	}
-	is.True(len(j.entries) <= journalBytes/size)
+	is.True(len(j.entries) <= maxJournalBytes/size)
 	is.Equal(j.end(), int64(200))
 	_, kept := j.from(0)
 	is.True(!kept)
--- a/catalog/outage.go
+++ b/catalog/outage.go
@@ -15,84 +15,84 @@
 	// each further one up to lastBackoff, so that a store that is back is
 	// noticed within half a second.
 	firstBackoff = 100 * time.Millisecond
-	lastBackoff  = 400 * time.Millisecond
-	// lastUnknownBackoff bounds the wait of instances that know no configuration yet
+	maxBackoff   = 400 * time.Millisecond
+	// maxUnconfiguredBackoff bounds the wait of instances that know no configuration yet
 	// and can serve nobody. With lastBackoff the first of nine instances was ready
 	// 0.37 s after the store's return, with this 0.05 and 0.18 s, and the last one 0.24
 	// and 0.30 s (the loss of all instances in an outage, two runs).
-	lastUnknownBackoff = 200 * time.Millisecond
-	// lastSharedBackoff bounds the wait of the first instances that hear from others
+	maxUnconfiguredBackoff = 200 * time.Millisecond
+	// maxConnectedBackoff bounds the wait of the first instances that hear from others
 	// that the store is back; it doubles with each failure. Each call has a price,
 	// and there are many of these instances.
-	lastSharedBackoff = 2 * time.Second
-	// contactWithin is how recently another instance must have answered for this
+	maxConnectedBackoff = 2 * time.Second
+	// peerAnswerWindow is how recently another instance must have answered for this
 	// one to rely on hearing from it that the store is back: the time of some
 	// tries to follow another one.
-	contactWithin = 2 * time.Second
+	peerAnswerWindow = 2 * time.Second
 )
 
-// backoffPlaces is how many places of the order later an instance waits by one more
+// positionsPerBackoffStep is how many places of the order later an instance waits by one more
 // measure of the first ones: with it 120 instances beside the readers make 270
 // calls in an outage of 3 s, without it 590.
-const backoffPlaces = 4
+const positionsPerBackoffStep = 4
 
 // maxDoublings keeps the doubling of waits from overflowing; lastSharedBackoff is
 // reached before.
 const maxDoublings = 8
 
-// inTouch states whether this instance would hear from others that the store is
+// reliesOnPeers states whether this instance would hear from others that the store is
 // back: it is not among the first readers, and others answer it.
-func (c *Catalog) inTouch() bool {
-	return c.contact.within(contactWithin) && !c.ranks.Load().isReader()
+func (c *Catalog) reliesOnPeers() bool {
+	return c.peerAnswered.within(peerAnswerWindow) && !c.topology.Load().isReader()
 }
 
-// pauses states whether a feed is not read because the feed of configurations was not
+// skipsFeed states whether a feed is not read because the feed of configurations was not
 // read of late. That one is enough to see that the store is there. The first readers
 // try all feeds, as the store may be down in parts.
-func (c *Catalog) pauses(f Feed) bool {
-	return f != Configurations && !c.read.within(c.fresh()) && c.inTouch()
+func (c *Catalog) skipsFeed(f Feed) bool {
+	return f != Configurations && !c.storeAnswered.within(c.freshFor()) && c.reliesOnPeers()
 }
 
 // backoff returns the wait after a number of failures in a row. Those that hear from
 // others that the store is back wait in proportion to their place in the order, so that
 // all of them together ask a store that is down about as often as the first few do.
 func (c *Catalog) backoff(failures int) time.Duration {
-	if c.inTouch() {
-		share := time.Duration(max(c.ranks.Load().self/backoffPlaces, 1))
-		return share * min(firstBackoff<<min(failures-1, maxDoublings), lastSharedBackoff)
+	if c.reliesOnPeers() {
+		share := time.Duration(max(c.topology.Load().self/positionsPerBackoffStep, 1))
+		return share * min(firstBackoff<<min(failures-1, maxDoublings), maxConnectedBackoff)
 	}
-	longest := lastBackoff
+	longest := maxBackoff
 	if c.Snapshot() == nil {
-		longest = lastUnknownBackoff
+		longest = maxUnconfiguredBackoff
 	}
 	return min(firstBackoff*time.Duration(failures), longest)
 }
 
-// failed notes a failed read and waits before the next.
-func (c *Catalog) failed(ctx context.Context, f Feed, failures int, err error) {
+// handleReadFailure notes a handleReadFailure read and waits before the next.
+func (c *Catalog) handleReadFailure(ctx context.Context, f Feed, failures int, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	c.noteFailure(f, failures, err)
+	c.recordReadFailure(f, failures, err)
 	sleep(ctx, c.backoff(failures))
 }
 
-// hasLine states whether the last of a number of failures in a row has a line: the first,
+// shouldLogFailure states whether the last of a number of failures in a row has a line: the first,
 // second, fourth, eighth and so on, so that one that goes on shows.
-func hasLine(failures int) bool {
+func shouldLogFailure(failures int) bool {
 	return failures&(failures-1) == 0
 }
 
-// noteFailure notes the last of a number of reads in a row that failed.
-func (c *Catalog) noteFailure(f Feed, failures int, err error) {
-	c.troubled(steady.Now())
-	if hasLine(failures) {
+// recordReadFailure notes the last of a number of reads in a row that failed.
+func (c *Catalog) recordReadFailure(f Feed, failures int, err error) {
+	c.holdRemovals(steady.Now())
+	if shouldLogFailure(failures) {
 		c.log.Info("store can't be read", "feed", f.String(), "failures", failures, "cause", err.Error())
 	}
 }
 
-// back notes that a feed can be read again.
-func (c *Catalog) back(f Feed, failures int, retry *kick) {
+// recordRecovery notes that a feed can be read again.
+func (c *Catalog) recordRecovery(f Feed, failures int, retry *signal) {
 	c.log.Info("store is back", "feed", f.String(), "failures", failures)
 	if f == Configurations {
 		// The other feeds may hang on connections that died.
--- a/catalog/outage_test.go
+++ b/catalog/outage_test.go
@@ -38,13 +38,13 @@
 			Capacity: 400,
 		})
 	}
-	c.rank()
+	c.updateTopology()
 	const many = 20
-	is.Equal(c.backoff(many), lastUnknownBackoff) // it can serve nobody
+	is.Equal(c.backoff(many), maxUnconfiguredBackoff) // it can serve nobody
 	c.snapshot.Store(&Snapshot{})
-	is.Equal(c.backoff(many), lastBackoff)
-	c.contact.mark(time.Now())
-	is.Equal(c.backoff(many), lastSharedBackoff)
-	time.Sleep(contactWithin + 10*time.Millisecond)
-	is.Equal(c.backoff(many), lastBackoff)
+	is.Equal(c.backoff(many), maxBackoff)
+	c.peerAnswered.mark(time.Now())
+	is.Equal(c.backoff(many), maxConnectedBackoff)
+	time.Sleep(peerAnswerWindow + 10*time.Millisecond)
+	is.Equal(c.backoff(many), maxBackoff)
 }
--- a/catalog/newcomers.go
+++ b/catalog/pending_entries.go
@@ -15,60 +15,60 @@
 // start with it: until no other one has asked for settleQuiet, and within the bounds.
 const (
 	settleQuiet = 250 * time.Millisecond
-	settleLeast = 500 * time.Millisecond
-	settleMost  = 1200 * time.Millisecond
+	minSettle   = 500 * time.Millisecond
+	maxSettle   = 1200 * time.Millisecond
 )
 
-// newcomers are instances whose entries the store may lack, with when they are next
+// pendingEntries are instances whose entries the store may lack, with when they are next
 // written or handed on.
-type newcomers struct {
-	mu   sync.Mutex
-	due  map[string]newcomer
-	last time.Time
+type pendingEntries struct {
+	mu        sync.Mutex
+	entries   map[string]pendingEntry
+	lastAdded time.Time
 	// arrived fires when there is a new one.
-	arrived *kick
+	arrived *signal
 }
 
-// newcomer is one of newcomers.
-type newcomer struct {
+// pendingEntry is one of newcomers.
+type pendingEntry struct {
 	peer Peer
 	due  time.Time
 }
 
-// newNewcomers returns none.
-func newNewcomers() newcomers {
-	return newcomers{
-		due:     make(map[string]newcomer),
-		arrived: newKick(),
+// newPendingEntries returns none.
+func newPendingEntries() pendingEntries {
+	return pendingEntries{
+		entries: make(map[string]pendingEntry),
+		arrived: newSignal(),
 	}
 }
 
 // add adds instances; those that are there already keep their time.
-func (n *newcomers) add(started ...Peer) {
+func (n *pendingEntries) add(started ...Peer) {
 	if len(started) == 0 {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.last = steady.Now()
+	n.lastAdded = steady.Now()
 	for _, p := range started {
-		if n.due[p.ID].peer == p {
+		if n.entries[p.ID].peer == p {
 			continue
 		}
-		n.due[p.ID] = newcomer{
+		n.entries[p.ID] = pendingEntry{
 			peer: p,
-			due:  n.last,
+			due:  n.lastAdded,
 		}
 	}
 	n.arrived.fire()
 }
 
 // all returns all of them.
-func (n *newcomers) all() []Peer {
+func (n *pendingEntries) all() []Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := make([]Peer, 0, len(n.due))
-	for _, one := range n.due {
+	out := make([]Peer, 0, len(n.entries))
+	for _, one := range n.entries {
 		out = append(out, one.peer)
 	}
 	return out
@@ -76,16 +76,16 @@
 
 // take returns those that are due and don't stand yet, mostAnnounced at most, and forgets
 // those that stand.
-func (n *newcomers) take(stands func(Peer) bool) []Peer {
+func (n *pendingEntries) take(stands func(Peer) bool) []Peer {
 	now := steady.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []Peer
-	for id, one := range n.due {
+	for id, one := range n.entries {
 		switch {
 		case stands(one.peer):
-			delete(n.due, id)
-		case !now.Before(one.due) && len(out) < mostAnnounced:
+			delete(n.entries, id)
+		case !now.Before(one.due) && len(out) < maxAnnounced:
 			out = append(out, one.peer)
 		}
 	}
@@ -93,32 +93,32 @@
 }
 
 // count returns how many there are.
-func (n *newcomers) count() int {
+func (n *pendingEntries) count() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.due)
+	return len(n.entries)
 }
 
 // forget forgets instances that others see to from now on.
-func (n *newcomers) forget(done []Peer) {
+func (n *pendingEntries) forget(done []Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range done {
-		if n.due[p.ID].peer == p {
-			delete(n.due, p.ID)
+		if n.entries[p.ID].peer == p {
+			delete(n.entries, p.ID)
 		}
 	}
 }
 
 // settle waits until no other instance has come for settleQuiet.
-func (n *newcomers) settle(ctx context.Context) {
+func (n *pendingEntries) settle(ctx context.Context) {
 	began := steady.Now()
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		quiet := steady.Since(n.last) >= settleQuiet
+		quiet := steady.Since(n.lastAdded) >= settleQuiet
 		n.mu.Unlock()
 		waited := steady.Since(began)
-		if waited >= settleMost || waited >= settleLeast && quiet {
+		if waited >= maxSettle || waited >= minSettle && quiet {
 			return
 		}
 		sleep(ctx, settleQuiet/4)
@@ -126,25 +126,25 @@
 }
 
 // postpone makes instances that others did not see to due again at a moment.
-func (n *newcomers) postpone(some []Peer, due time.Time) {
+func (n *pendingEntries) postpone(some []Peer, due time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range some {
-		if one := n.due[p.ID]; one.peer == p {
+		if one := n.entries[p.ID]; one.peer == p {
 			one.due = due
-			n.due[p.ID] = one
+			n.entries[p.ID] = one
 		}
 	}
 }
 
 // next returns how long it takes until one is due; longer than anything without one.
-func (n *newcomers) next() time.Duration {
+func (n *pendingEntries) next() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	least := time.Duration(math.MaxInt64)
 	now := steady.Now()
-	for _, one := range n.due {
+	for _, one := range n.entries {
 		least = min(least, one.due.Sub(now))
 	}
-	return max(least, tellRetry)
+	return max(least, forwardRetryDelay)
 }
--- a/catalog/readers.go
+++ b/catalog/readers.go
@@ -9,14 +9,14 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// lookEvery is how often an instance looks whether it should read the store, or
+// roleCheckInterval is how often an instance looks whether it should read the store, or
 // follow another one: well below the two seconds in which changes must be in
 // force.
-const lookEvery = 100 * time.Millisecond
+const roleCheckInterval = 100 * time.Millisecond
 
-// fresh is how long ago a reader's last answer of the store, or a follower's
+// freshFor is how long ago a reader's last answer of the store, or a follower's
 // last confirmation, may be: two polls and a little.
-func (c *Catalog) fresh() time.Duration {
+func (c *Catalog) freshFor() time.Duration {
 	return 2*c.settings.Poll + c.settings.Poll/2
 }
 
@@ -34,11 +34,11 @@
 // instances come to this at the same time, those that come first in the order read
 // first, and the others can follow them.
 const (
-	// firstReaders is how many instances of the order read after the shortest delay,
+	// earlyReaders is how many instances of the order read after the shortest delay,
 	// and leastReadDelay is that delay: some round trips between instances, in which
 	// those find one to follow that start together.
-	firstReaders   = 8
-	leastReadDelay = 50 * time.Millisecond
+	earlyReaders = 8
+	minReadDelay = 50 * time.Millisecond
 	// readDelayStep is after how long twice as many read: 0.78 s for the last of
 	// 295 instances, 1.1 s for the last of 1,200, below the two seconds in which
 	// changes must be in force. It is some tens of round trips between instances.
@@ -52,8 +52,8 @@
 // waits for another one to follow before it reads the store itself: readDelayStep more
 // for each doubling of the place beyond firstReaders.
 func readDelay(at int) time.Duration {
-	doublings := math.Log2(max(float64(at+1)/firstReaders, 1))
-	return leastReadDelay + time.Duration(doublings*float64(readDelayStep))
+	doublings := math.Log2(max(float64(at+1)/earlyReaders, 1))
+	return minReadDelay + time.Duration(doublings*float64(readDelayStep))
 }
 
 // shouldRead states whether this instance reads the store: as one of the first, or
@@ -61,30 +61,30 @@
 // reads for that reason goes on while others follow it, until it hears of the store by
 // one that comes before it in the order.
 func (c *Catalog) shouldRead() bool {
-	r := c.ranks.Load()
+	r := c.topology.Load()
 	if r.isReader() {
-		c.unheard.reset()
+		c.upstreamLost.reset()
 		return true
 	}
-	if c.heard.within(c.fresh()) {
-		c.unheard.reset()
-		return c.read.within(c.fresh()) && c.followers.count() > 0 && !r.before(c.via.Load().root)
+	if c.upstreamConfirmed.within(c.freshFor()) {
+		c.upstreamLost.reset()
+		return c.storeAnswered.within(c.freshFor()) && c.followers.count() > 0 && !r.precedes(c.upstreamFreshness.Load().root)
 	}
-	if _, marked := c.unheard.since(); !marked {
-		c.unheard.mark(steady.Now())
+	if _, marked := c.upstreamLost.since(); !marked {
+		c.upstreamLost.mark(steady.Now())
 	}
 	delay := readDelay(r.self)
-	if c.Snapshot() == nil && len(c.settings.Contacts) > 0 {
+	if c.Snapshot() == nil && len(c.settings.Seeds) > 0 {
 		delay += startReadDelay
 	}
-	return !c.unheard.within(delay)
+	return !c.upstreamLost.within(delay)
 }
 
 // shouldFollow states whether this instance follows another one: all do but the first
 // readers while the store answers them.
 func (c *Catalog) shouldFollow() bool {
-	if !c.read.within(c.fresh()) || c.failing.Load() != 0 {
+	if !c.storeAnswered.within(c.freshFor()) || c.failing.Load() != 0 {
 		return true
 	}
-	return !c.ranks.Load().isReader()
+	return !c.topology.Load().isReader()
 }
--- a/catalog/readers_test.go
+++ b/catalog/readers_test.go
@@ -22,8 +22,8 @@
 	"github.com/linkmast/linkmast/peer"
 )
 
-// seen is the store as one instance sees it.
-type seen struct {
+// countingStore is the store as one instance sees it.
+type countingStore struct {
 	*fakeStore
 
 	// refused states that the store turns this instance away.
@@ -34,7 +34,7 @@
 	calls atomic.Int64
 }
 
-func (s *seen) Page(ctx context.Context, f catalog.Feed, after string) (catalog.Page, error) {
+func (s *countingStore) Page(ctx context.Context, f catalog.Feed, after string) (catalog.Page, error) {
 	s.calls.Add(1)
 	if s.refused.Load() {
 		return catalog.Page{}, errDown
@@ -42,7 +42,7 @@
 	return s.fakeStore.Page(ctx, f, after)
 }
 
-func (s *seen) Announce(ctx context.Context, started []catalog.Peer) error {
+func (s *countingStore) Announce(ctx context.Context, started []catalog.Peer) error {
 	s.calls.Add(1)
 	if s.refused.Load() {
 		return errDown
@@ -50,7 +50,7 @@
 	return s.fakeStore.Announce(ctx, started)
 }
 
-func (s *seen) Follow(ctx context.Context, f catalog.Feed, from int64, wait time.Duration) ([]catalog.Record, int64, error) {
+func (s *countingStore) Follow(ctx context.Context, f catalog.Feed, from int64, wait time.Duration) ([]catalog.Record, int64, error) {
 	s.calls.Add(1)
 	if s.refused.Load() {
 		return nil, 0, errDown
@@ -71,7 +71,7 @@
 	*catalog.Catalog
 
 	self  catalog.Peer
-	store *seen
+	store *countingStore
 	rpc   *grpc.Server
 	// stop ends the instance. It may be called more than once.
 	stop func()
@@ -133,7 +133,7 @@
 	s.Poll = poll
 	x := &instance{
 		self: s.Self,
-		store: &seen{
+		store: &countingStore{
 			fakeStore: fake,
 		},
 		rpc: grpc.NewServer(),
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestTwoRead(t *testing.T) {
+func TestTwoInstancesReadStore(t *testing.T) {
 	fake, all := group(t, 6)
 	awaitReaders(t, all)
 	fake.put(catalog.Configurations, version(2))
@@ -217,7 +217,7 @@
 	assertInForce(t, all, 22)
 	fake.put(catalog.Endpoints, endpoint("e1", true))
 	for _, x := range all {
-		await(t, "leaving", func() bool { return x.Snapshot().Gone("e1") })
+		await(t, "leaving", func() bool { return x.Snapshot().HasDeparted("e1") })
 	}
 }
 
@@ -253,7 +253,7 @@
 			changed := time.Now()
 			assertInForce(t, left, 2)
 			for _, x := range left {
-				await(t, "leaving", func() bool { return x.Snapshot().Gone("e1") })
+				await(t, "leaving", func() bool { return x.Snapshot().HasDeparted("e1") })
 			}
 			is.True(time.Since(changed) < row.within)
 			is.True(len(readers(left)) >= 1)
@@ -261,9 +261,9 @@
 	}
 }
 
-// TestTurnedAway looks that instances that the store turns away learn from the one that
+// TestReadersRejectedByStore looks that instances that the store turns away learn from the one that
 // it does not, wherever that is in their order.
-func TestTurnedAway(t *testing.T) {
+func TestReadersRejectedByStore(t *testing.T) {
 	for i := range 4 {
 		t.Run(fmt.Sprint("all but ", i), func(t *testing.T) {
 			fake, all := group(t, 4)
@@ -272,13 +272,13 @@
 			}
 			time.Sleep(500 * time.Millisecond)
 			fake.put(catalog.Configurations, version(2))
-			fake.put(catalog.Endpoints, &catalog.EndpointGone{
+			fake.put(catalog.Endpoints, &catalog.EndpointRemoved{
 				Instance: "e1",
 			})
 			gone := time.Now()
 			assertInForce(t, all, 2)
 			for _, x := range all {
-				await(t, "gone", func() bool { return x.Snapshot().Gone("e1") })
+				await(t, "gone", func() bool { return x.Snapshot().HasDeparted("e1") })
 			}
 			// Those that are turned away themselves don't doubt what others tell them.
 			is.New(t).True(time.Since(gone) < time.Second)
@@ -388,7 +388,7 @@
 		var places []int
 		for _, x := range all {
 			await(t, "all others", func() bool { return len(x.Snapshot().Peers) == len(all) })
-			before, of := x.Place(duty)
+			before, of := x.Rank(duty)
 			is.Equal(of, len(all))
 			places = append(places, before)
 		}
--- a/catalog/reading.go
+++ b/catalog/reading.go
@@ -18,19 +18,19 @@
 	pollSlack = 800 * time.Millisecond
 	// pageTimeout bounds the read of one page.
 	pageTimeout = 2 * time.Second
-	// spacing is the least time between two polls for endpoints or instances
+	// minPollInterval is the least time between two polls for endpoints or instances
 	// that bring something: after an outage entries come back one by one, and
 	// what comes together costs one call.
-	spacing = 100 * time.Millisecond
-	// expireEvery is how often it is looked whether removals have come due.
-	expireEvery = 100 * time.Millisecond
+	minPollInterval = 100 * time.Millisecond
+	// expireInterval is how often it is looked whether removals have come due.
+	expireInterval = 100 * time.Millisecond
 )
 
-// answered notes that the store showed the newest configuration to a read.
-func (c *Catalog) answered(sent time.Time) {
+// confirmByStore notes that the store showed the newest configuration to a read.
+func (c *Catalog) confirmByStore(sent time.Time) {
 	c.confirm(sent)
-	c.read.mark(steady.Now())
-	c.fresher.fire()
+	c.storeAnswered.mark(steady.Now())
+	c.confirmation.fire()
 }
 
 // Run follows the store until ctx ends.
@@ -40,16 +40,16 @@
 	parts.Go(func() { c.announceLoop(ctx) })
 	parts.Go(func() {
 		if c.join(ctx) {
-			c.follow(ctx)
+			c.runFeeds(ctx)
 		}
 	})
 	parts.Wait()
 }
 
-// follow reads the store and follows other instances as either is needed.
-func (c *Catalog) follow(ctx context.Context) {
+// runFeeds reads the store and follows other instances as either is needed.
+func (c *Catalog) runFeeds(ctx context.Context) {
 	var parts sync.WaitGroup
-	retry := newKick()
+	retry := newSignal()
 	for _, f := range feeds {
 		parts.Go(func() { c.readLoop(ctx, f, retry) })
 	}
@@ -68,7 +68,7 @@
 
 // expireLoop removes endpoints as their time comes.
 func (c *Catalog) expireLoop(ctx context.Context) {
-	tick := time.NewTicker(expireEvery)
+	tick := time.NewTicker(expireInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -82,15 +82,15 @@
 
 // readLoop keeps one feed up to date from the store while this instance should
 // read it.
-func (c *Catalog) readLoop(ctx context.Context, f Feed, retry *kick) {
+func (c *Catalog) readLoop(ctx context.Context, f Feed, retry *signal) {
 	next := int64(unread)
 	failures := 0
-	whole := &wholeRead{
+	whole := &fullRead{
 		feed: f,
 	}
 	for ctx.Err() == nil {
-		if !c.shouldRead() || c.pauses(f) {
-			sleep(ctx, lookEvery)
+		if !c.shouldRead() || c.skipsFeed(f) {
+			sleep(ctx, roleCheckInterval)
 			c.setFailing(f, false)
 			next, failures = unread, 0
 			whole.reset()
@@ -101,7 +101,7 @@
 		}
 		var err error
 		if next == unread {
-			next, err = c.readWhole(ctx, whole)
+			next, err = c.readFull(ctx, whole)
 		} else {
 			next, err = c.poll(ctx, f, next, failures > 0, retry)
 			if errors.Is(err, ErrCompacted) {
@@ -115,12 +115,12 @@
 		if err != nil {
 			failures++
 			c.setFailing(f, true)
-			c.failed(ctx, f, failures, err)
+			c.handleReadFailure(ctx, f, failures, err)
 			continue
 		}
 		c.setFailing(f, false)
 		if failures > 0 {
-			c.back(f, failures, retry)
+			c.recordRecovery(f, failures, retry)
 		}
 		failures = 0
 	}
@@ -151,12 +151,12 @@
 	case f == Endpoints:
 		return c.settings.EndpointPoll
 	}
-	return c.settings.LongPoll
+	return c.settings.InstancePoll
 }
 
 // poll waits for the next records of a feed, and returns the offset after them. The error
 // is ErrCompacted when the feed must be read whole.
-func (c *Catalog) poll(ctx context.Context, f Feed, from int64, failed bool, retry *kick) (int64, error) {
+func (c *Catalog) poll(ctx context.Context, f Feed, from int64, failed bool, retry *signal) (int64, error) {
 	wait := c.pollWait(f, failed)
 	ctx, cancel := context.WithTimeout(ctx, wait+pollSlack)
 	defer cancel()
@@ -177,9 +177,9 @@
 	c.apply(f, records, next, 0, fromStore)
 	switch {
 	case f == Configurations:
-		c.answered(sent)
+		c.confirmByStore(sent)
 	case len(records) > 0:
-		sleep(ctx, spacing-steady.Since(sent))
+		sleep(ctx, minPollInterval-steady.Since(sent))
 	}
 	return next, nil
 }
--- a/catalog/server.go
+++ b/catalog/server.go
@@ -39,13 +39,13 @@
 	}
 	c := s.catalog
 	defer c.followers.leave(first.GetId())
-	if !c.followers.enter(first.GetId(), c.ranks.Load().limit) {
+	if !c.followers.enter(first.GetId(), c.topology.Load().followerLimit) {
 		return status.Error(codes.ResourceExhausted, "has enough followers")
 	}
 	if !c.admits(stream.Context(), first, s.closing) {
 		return status.Error(codes.FailedPrecondition, "knows too little")
 	}
-	f := &follower{
+	f := &followerStream{
 		catalog: c,
 		stream:  stream,
 		pings:   make(chan *catalogpb.Ping),
@@ -66,8 +66,8 @@
 	return first.GetPatient() && c.awaitFollowable(ctx, closing)
 }
 
-// follower is an instance that follows this one. One goroutine sends to it.
-type follower struct {
+// followerStream is an instance that follows this one. One goroutine sends to it.
+type followerStream struct {
 	catalog *Catalog
 	stream  grpc.BidiStreamingServer[catalogpb.Ping, catalogpb.Update]
 	pings   chan *catalogpb.Ping
@@ -77,7 +77,7 @@
 }
 
 // receive hands on the follower's pings until the stream ends.
-func (f *follower) receive(ctx context.Context) {
+func (f *followerStream) receive(ctx context.Context) {
 	for {
 		p, err := f.stream.Recv()
 		if err != nil {
@@ -93,7 +93,7 @@
 }
 
 // serve sends what the follower lacks, each change, and an age for each ping.
-func (f *follower) serve(first *catalogpb.Ping, closing <-chan struct{}) error {
+func (f *followerStream) serve(first *catalogpb.Ping, closing <-chan struct{}) error {
 	if err := f.sendMissing(first); err != nil {
 		return err
 	}
@@ -121,10 +121,10 @@
 
 // answer tells the age. All changes that it covers go first, so that the follower
 // never takes an older configuration for one that was confirmed.
-func (f *follower) answer(p *catalogpb.Ping) error {
+func (f *followerStream) answer(p *catalogpb.Ping) error {
 	c := f.catalog
 	age, known := c.Age()
-	now := c.standing()
+	now := c.freshness()
 	if err := f.sendChanges(); err != nil {
 		return err
 	}
@@ -144,11 +144,11 @@
 
 // sendMissing sends what the follower lacks, as it says in its first ping. The changes
 // from then on come after it.
-func (f *follower) sendMissing(first *catalogpb.Ping) error {
+func (f *followerStream) sendMissing(first *catalogpb.Ping) error {
 	c := f.catalog
 	c.mu.Lock()
 	f.at = c.journal.end()
-	lacks := c.missing(first)
+	lacks := c.missingFor(first)
 	c.mu.Unlock()
 	for _, l := range lacks {
 		u, err := l.encode()
@@ -164,7 +164,7 @@
 
 // sendChanges sends the changes that the follower has not got; all records when those
 // are no longer kept.
-func (f *follower) sendChanges() error {
+func (f *followerStream) sendChanges() error {
 	c := f.catalog
 	c.mu.Lock()
 	entries, kept := c.journal.from(f.at)
@@ -193,7 +193,7 @@
 // Introduce implements catalogpb.CatalogServer.
 func (s *Server) Introduce(_ context.Context, in *catalogpb.Introducing) (*catalogpb.Introduced, error) {
 	return &catalogpb.Introduced{
-		Known: !s.catalog.learn(peersOf(in.GetKnown()), int(in.GetTotal()), "introduction", ownEntryCheck),
+		Known: !s.catalog.adoptPeers(peersOf(in.GetKnown()), int(in.GetTotal()), "introduction", ownEntryCheckInterval),
 	}, nil
 }
 
@@ -205,17 +205,17 @@
 		// Entries are written together: one that can't be would keep the others out.
 		return nil, status.Error(codes.InvalidArgument, "an instance without a name or an address")
 	}
-	c.newcomers.add(slices.DeleteFunc(slices.Clone(started), c.stands)...)
+	c.pending.add(slices.DeleteFunc(slices.Clone(started), c.entryStored)...)
 	if in.GetWait() {
 		c.awaitJoined(ctx, s.closing)
 	}
 	if len(started) == 0 || !c.joined.Load() {
 		return &catalogpb.JoinReply{}, nil
 	}
-	r := c.ranks.Load()
-	collects := slices.Contains(c.settings.Contacts, started[0].Address)
+	r := c.topology.Load()
+	collects := slices.Contains(c.settings.Seeds, started[0].Address)
 	return &catalogpb.JoinReply{
-		Known: introductions(r.invited(started[0], collects)),
+		Known: introductions(r.bootstrapPeers(started[0], collects)),
 		Total: int64(r.total),
 	}, nil
 }
@@ -225,7 +225,7 @@
 	timeout := time.NewTimer(joinHold)
 	defer timeout.Stop()
 	select {
-	case <-c.joining:
+	case <-c.joinedCh:
 	case <-timeout.C:
 	case <-closing:
 	case <-ctx.Done():
--- a/catalog/server_test.go
+++ b/catalog/server_test.go
@@ -15,15 +15,15 @@
 	"github.com/linkmast/linkmast/catalog/catalogpb"
 )
 
-// sentStream keeps what is sent to a follower. Only Send may be called.
-type sentStream struct {
+// recordingStream keeps what is sent to a follower. Only Send may be called.
+type recordingStream struct {
 	grpc.BidiStreamingServer[catalogpb.Ping, catalogpb.Update]
 
 	sent []*catalogpb.Update
 }
 
 // Send implements grpc.BidiStreamingServer.
-func (s *sentStream) Send(u *catalogpb.Update) error {
+func (s *recordingStream) Send(u *catalogpb.Update) error {
 	s.sent = append(s.sent, u)
 	return nil
 }
@@ -33,13 +33,13 @@
 func TestChangesBeforeAge(t *testing.T) {
 	is := is.New(t)
 	c := New(Settings{}, plainStore{}, nil, logr.Discard())
-	stream := &sentStream{}
-	f := &follower{
+	stream := &recordingStream{}
+	f := &followerStream{
 		catalog: c,
 		stream:  stream,
 	}
 	c.apply(Configurations, []Record{record(0, 1)}, 2, allParts, fromStore)
-	c.answered(time.Now())
+	c.confirmByStore(time.Now())
 	is.NoErr(f.answer(&catalogpb.Ping{
 		Seq: 1,
 	}))
@@ -88,7 +88,7 @@
 				Started: []*catalogpb.Introduction{{Id: "n0", Address: "10.0.0.2:1"}, row.in},
 			})
 			is.Equal(status.Code(err), codes.InvalidArgument)
-			is.Equal(c.newcomers.count(), 0)
+			is.Equal(c.pending.count(), 0)
 		})
 	}
 }
--- a/catalog/kick.go
+++ b/catalog/signal.go
@@ -7,21 +7,21 @@
 	"sync/atomic"
 )
 
-// kick wakes or ends what watches it.
-type kick struct {
+// signal wakes or ends what watches it.
+type signal struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
-// newKick returns a kick that nothing watches.
-func newKick() *kick {
-	return &kick{
+// newSignal returns a kick that nothing watches.
+func newSignal() *signal {
+	return &signal{
 		ch: make(chan struct{}),
 	}
 }
 
 // fire ends all that watch now.
-func (k *kick) fire() {
+func (k *signal) fire() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	close(k.ch)
@@ -29,7 +29,7 @@
 }
 
 // next returns a channel that is closed at the next fire.
-func (k *kick) next() <-chan struct{} {
+func (k *signal) next() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ch
@@ -37,7 +37,7 @@
 
 // watch calls f at the next fire, until it is stopped. Fired states whether it
 // was called.
-func (k *kick) watch(f func()) (fired func() bool, stop func()) {
+func (k *signal) watch(f func()) (fired func() bool, stop func()) {
 	ch := k.next()
 	done := make(chan struct{})
 	var called atomic.Bool
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -24,9 +24,9 @@
 	// Departed are the endpoints that leave or are gone, for departedFor after
 	// this became known. Another instance may not know of it yet.
 	Departed map[string]time.Time
-	// Emptied are the failure domains whose endpoints get nothing new, with when this
+	// Drained are the failure domains whose endpoints get nothing new, with when this
 	// became known.
-	Emptied map[string]time.Time
+	Drained map[string]time.Time
 	// Banned are the requests that are kept from endpoints, by their identity.
 	Banned map[quarantine.Identity]quarantine.Verdict
 	// Peers are all instances by id, this one included.
@@ -37,8 +37,8 @@
 // outages of the store usually last.
 const departedFor = 2 * time.Minute
 
-// Leaving returns the endpoints that must get nothing new, in any order.
-func (s *Snapshot) Leaving() []string {
+// DepartedEndpoints returns the endpoints that must get nothing new, in any order.
+func (s *Snapshot) DepartedEndpoints() []string {
 	out := make([]string, 0, len(s.Departed))
 	for instance := range s.Departed {
 		out = append(out, instance)
@@ -46,19 +46,19 @@
 	return out
 }
 
-// Gone states whether an endpoint must get nothing new.
-func (s *Snapshot) Gone(instance string) bool {
+// HasDeparted states whether an endpoint must get nothing new.
+func (s *Snapshot) HasDeparted(instance string) bool {
 	_, gone := s.Departed[instance]
 	return gone
 }
 
-// Barred states whether an endpoint must get nothing new, by itself or as its failure
+// Unavailable states whether an endpoint must get nothing new, by itself or as its failure
 // domain is emptied.
-func (s *Snapshot) Barred(instance string) bool {
-	if s.Gone(instance) {
+func (s *Snapshot) Unavailable(instance string) bool {
+	if s.HasDeparted(instance) {
 		return true
 	}
-	_, emptied := s.Emptied[s.Endpoints[instance].FailureDomain]
+	_, emptied := s.Drained[s.Endpoints[instance].FailureDomain]
 	return emptied
 }
 
@@ -76,14 +76,14 @@
 		Complete:  endpoints && instances,
 		Endpoints: c.endpoints.share(),
 		Departed:  make(map[string]time.Time, len(c.departed)),
-		Emptied:   maps.Clone(c.emptied),
+		Drained:   maps.Clone(c.drained),
 		Banned:    maps.Clone(c.banned),
 		Peers:     c.peers.share(),
 	}
 	for k, at := range c.departed {
 		if steady.Since(at) > departedFor {
 			delete(c.departed, k)
-			c.lives.forget(k, c.endpoints.values)
+			c.incarnations.forget(k, c.endpoints.values)
 			continue
 		}
 		s.Departed[k] = at
--- a/catalog/start_test.go
+++ b/catalog/start_test.go
@@ -35,8 +35,8 @@
 	startCallsShare = 10
 )
 
-// crowd are instances that start in virtual time, of which one in twenty can carry others.
-type crowd struct {
+// testFleet are instances that start in virtual time, of which one in twenty can carry others.
+type testFleet struct {
 	t     *testing.T
 	net   *memoryNet
 	store *fakeStore
@@ -45,19 +45,19 @@
 	all      []*instance
 }
 
-// withCrowd runs a test with a store like the platform's: a partition that takes appends in
+// withFleet runs a test with a store like the platform's: a partition that takes appends in
 // turn, pages, and a rate that all reads share.
-func withCrowd(t *testing.T, run func(c *crowd)) {
+func withFleet(t *testing.T, run func(c *testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
 		store.put(catalog.Configurations, version(1))
 		store.put(catalog.Endpoints, endpoint("e1", false))
-		store.turn = 4 * time.Millisecond
-		store.slow = 4 * time.Millisecond
+		store.appendTime = 4 * time.Millisecond
+		store.pageDelay = 4 * time.Millisecond
 		store.pageSize = 50
 		store.readRate = 10e6
-		run(&crowd{
+		run(&testFleet{
 			t:        t,
 			net:      newMemoryNet(),
 			store:    store,
@@ -72,7 +72,7 @@
 }
 
 // start starts the instances from one number to before another, all within 0.3 s.
-func (c *crowd) start(from, to int, first bool) []*instance {
+func (c *testFleet) start(from, to int, first bool) []*instance {
 	c.t.Helper()
 	const within = 300 * time.Millisecond
 	began := time.Now()
@@ -90,7 +90,7 @@
 		d := newMemoryDialer(c.net)
 		out = append(out, startInstanceWith(c.t, c.store, catalog.Settings{
 			Self:       p,
-			Contacts:   c.contacts,
+			Seeds:      c.contacts,
 			FirstStart: first,
 		}, c.net.listen(p.Address), d, d.close))
 		time.Sleep(time.Until(began.Add(within * time.Duration(i-from+1) / time.Duration(to-from))))
@@ -100,7 +100,7 @@
 }
 
 // stop ends instances at one moment, as a loss of power does.
-func (c *crowd) stop(some []*instance) {
+func (c *testFleet) stop(some []*instance) {
 	for _, x := range some {
 		x.stop()
 	}
@@ -109,14 +109,14 @@
 
 // assertReady checks that instances know the configuration soon, counted from when the last
 // of them started, with few calls of the store since a count of them.
-func (c *crowd) assertReady(some []*instance, within time.Duration, before int) {
+func (c *testFleet) assertReady(some []*instance, within time.Duration, before int) {
 	c.t.Helper()
-	c.assertKnowing(some, within)
+	c.assertConfigured(some, within)
 	c.assertCalls(some, before)
 }
 
-// assertKnowing checks that instances know the configuration within a time.
-func (c *crowd) assertKnowing(some []*instance, within time.Duration) {
+// assertConfigured checks that instances know the configuration within a time.
+func (c *testFleet) assertConfigured(some []*instance, within time.Duration) {
 	c.t.Helper()
 	began := time.Now()
 	for _, x := range some {
@@ -132,7 +132,7 @@
 
 // assertCalls checks that a start of some instances took few calls of the store since a
 // count of them.
-func (c *crowd) assertCalls(some []*instance, before int) {
+func (c *testFleet) assertCalls(some []*instance, before int) {
 	c.t.Helper()
 	got := c.calls() - before
 	c.t.Logf("%d calls", got)
@@ -142,14 +142,14 @@
 }
 
 // calls returns how many calls the store had.
-func (c *crowd) calls() int {
+func (c *testFleet) calls() int {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	return c.store.calls
 }
 
 // assertEntries checks that all instances have an entry in the store within a time.
-func (c *crowd) assertEntries(n int, within time.Duration) {
+func (c *testFleet) assertEntries(n int, within time.Duration) {
 	c.t.Helper()
 	time.Sleep(within)
 	c.store.mu.Lock()
@@ -157,8 +157,8 @@
 	is.New(c.t).Equal(len(newest(c.store.feeds[catalog.Peers])), n)
 }
 
-// atBothSizes runs a test at two sizes.
-func atBothSizes(t *testing.T, run func(t *testing.T, n int)) {
+// atTwoSizes runs a test at two sizes.
+func atTwoSizes(t *testing.T, run func(t *testing.T, n int)) {
 	t.Helper()
 	for _, n := range []int{*instances / 2, *instances} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) { run(t, n) })
@@ -168,8 +168,8 @@
 // TestFirstStart starts all instances for the first time. All are ready soon with few calls,
 // and each has an entry.
 func TestFirstStart(t *testing.T) {
-	atBothSizes(t, func(t *testing.T, n int) {
-		withCrowd(t, func(c *crowd) {
+	atTwoSizes(t, func(t *testing.T, n int) {
+		withFleet(t, func(c *testFleet) {
 			c.assertReady(c.start(0, n, true), firstStartWithin, 0)
 			c.assertEntries(n, 2*time.Second)
 		})
@@ -178,8 +178,8 @@
 
 // TestStartAfterLossOfAll starts all instances at one moment after all have lost power.
 func TestStartAfterLossOfAll(t *testing.T) {
-	atBothSizes(t, func(t *testing.T, n int) {
-		withCrowd(t, func(c *crowd) {
+	atTwoSizes(t, func(t *testing.T, n int) {
+		withFleet(t, func(c *testFleet) {
 			c.assertReady(c.start(0, n, true), firstStartWithin, 0)
 			c.assertEntries(n, 3*time.Second)
 			c.stop(c.all)
@@ -190,10 +190,10 @@
 	})
 }
 
-// TestManyAdded starts three quarters more beside instances that are there.
-func TestManyAdded(t *testing.T) {
-	atBothSizes(t, func(t *testing.T, n int) {
-		withCrowd(t, func(c *crowd) {
+// TestManyInstancesAdded starts three quarters more beside instances that are there.
+func TestManyInstancesAdded(t *testing.T) {
+	atTwoSizes(t, func(t *testing.T, n int) {
+		withFleet(t, func(c *testFleet) {
 			had := n * 4 / 7
 			c.assertReady(c.start(0, had, true), firstStartWithin, 0)
 			c.assertEntries(had, 3*time.Second)
@@ -204,29 +204,29 @@
 	})
 }
 
-// TestStartTroubled starts all instances while something is wrong. They are ready within a
+// TestStartWithFaults starts all instances while something is wrong. They are ready within a
 // time, with few calls where others can tell them what they need.
-func TestStartTroubled(t *testing.T) {
+func TestStartWithFaults(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		within time.Duration
 		// alone states that nobody tells an instance whom to follow, so that each reads the
 		// store.
 		alone bool
-		fault func(c *crowd)
+		fault func(c *testFleet)
 	}{
-		{"the first contact is gone", firstStartWithin, false, func(c *crowd) { c.contacts[0] = "gone:1" }},
-		{"two contacts are gone", firstStartWithin, false, func(c *crowd) { c.contacts[0], c.contacts[1] = "gone:1", "gone:2" }},
-		{"all contacts are gone", 5 * time.Second, true, func(c *crowd) { c.contacts = []string{"gone:1", "gone:2"} }},
-		{"no contacts", 5 * time.Second, true, func(c *crowd) { c.contacts = nil }},
-		{"a slow store", 5 * time.Second, false, func(c *crowd) { c.store.slow = 240 * time.Millisecond }},
-		{"appends without an answer", firstStartWithin, false, func(c *crowd) { c.store.lose = true }},
+		{"the first contact is gone", firstStartWithin, false, func(c *testFleet) { c.contacts[0] = "gone:1" }},
+		{"two contacts are gone", firstStartWithin, false, func(c *testFleet) { c.contacts[0], c.contacts[1] = "gone:1", "gone:2" }},
+		{"all contacts are gone", 5 * time.Second, true, func(c *testFleet) { c.contacts = []string{"gone:1", "gone:2"} }},
+		{"no contacts", 5 * time.Second, true, func(c *testFleet) { c.contacts = nil }},
+		{"a slow store", 5 * time.Second, false, func(c *testFleet) { c.store.pageDelay = 240 * time.Millisecond }},
+		{"appends without an answer", firstStartWithin, false, func(c *testFleet) { c.store.loseReplies = true }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			withCrowd(t, func(c *crowd) {
+			withFleet(t, func(c *testFleet) {
 				row.fault(c)
 				all := c.start(0, fewStart, true)
-				c.assertKnowing(all, row.within)
+				c.assertConfigured(all, row.within)
 				if !row.alone {
 					c.assertCalls(all, 0)
 				}
@@ -236,10 +236,10 @@
 	}
 }
 
-// TestFirstContactDies ends the instance that all others wait for in the middle of their
+// TestFirstSeedDies ends the instance that all others wait for in the middle of their
 // start.
-func TestFirstContactDies(t *testing.T) {
-	withCrowd(t, func(c *crowd) {
+func TestFirstSeedDies(t *testing.T) {
+	withFleet(t, func(c *testFleet) {
 		all := c.start(0, fewStart, true)
 		all[0].stop()
 		c.assertReady(all[1:], firstStartWithin, 0)
@@ -250,7 +250,7 @@
 // TestStartInOutageOfStore starts a third of the instances anew while the store is away.
 // They serve by what the others know.
 func TestStartInOutageOfStore(t *testing.T) {
-	withCrowd(t, func(c *crowd) {
+	withFleet(t, func(c *testFleet) {
 		all := c.start(0, fewStart, true)
 		c.assertReady(all, firstStartWithin, 0)
 		c.assertEntries(fewStart, 2*time.Second)
@@ -263,9 +263,9 @@
 	})
 }
 
-// TestFirstAlone starts the only instance, which is the only contact.
-func TestFirstAlone(t *testing.T) {
-	withCrowd(t, func(c *crowd) {
+// TestSingleInstance starts the only instance, which is the only contact.
+func TestSingleInstance(t *testing.T) {
+	withFleet(t, func(c *testFleet) {
 		c.contacts = c.contacts[:1]
 		c.assertReady(c.start(0, 1, true), firstStartWithin, 0)
 		c.assertEntries(1, time.Second)
@@ -275,8 +275,8 @@
 // TestStartBeforeStore starts all instances while the store is away. The contacts alone ask
 // it, and all are ready soon after it is back.
 func TestStartBeforeStore(t *testing.T) {
-	atBothSizes(t, func(t *testing.T, n int) {
-		withCrowd(t, func(c *crowd) {
+	atTwoSizes(t, func(t *testing.T, n int) {
+		withFleet(t, func(c *testFleet) {
 			c.store.setDown(true)
 			all := c.start(0, n, false)
 			const (
--- a/catalog/figures.go
+++ b/catalog/stats.go
@@ -7,16 +7,16 @@
 	"slices"
 )
 
-// Figures are an instance's place among those that hand on what the store says.
-type Figures struct {
+// Stats are an instance's place among those that hand on what the store says.
+type Stats struct {
 	// Role is "reader", "carrier" or "follower", by the order of all instances.
 	Role string `json:"role"`
 	// Joined states that it is known who is there: an instance that starts can't do
 	// anything before.
 	Joined bool `json:"joined"`
 	// Instances counts all instances, and Newcomers those whose entries this one sees to.
-	Instances int `json:"instances"`
-	Newcomers int `json:"newcomers"`
+	Instances      int `json:"instances"`
+	PendingEntries int `json:"newcomers"`
 	// Reads states that the store answers this instance.
 	Reads bool `json:"reads"`
 	// Followers counts the instances that follow this one.
@@ -28,40 +28,40 @@
 	// AnsweredMS is how long ago the store answered the root, in ms; an hour when
 	// it never did.
 	AnsweredMS int64 `json:"answered_ms"`
-	// Emptied are the failure domains that get nothing new, in order.
-	Emptied []string `json:"emptied"`
+	// Drained are the failure domains that get nothing new, in order.
+	Drained []string `json:"emptied"`
 }
 
-// Figures returns the figures of now.
-func (c *Catalog) Figures() Figures {
-	now := c.standing()
-	return Figures{
-		Role:       c.ranks.Load().role(),
-		Joined:     c.joined.Load(),
-		Instances:  c.ranks.Load().total,
-		Newcomers:  c.newcomers.count(),
-		Reads:      c.read.within(c.fresh()),
-		Followers:  c.followers.count(),
-		Hops:       now.hops,
-		Root:       now.root,
-		AnsweredMS: now.answered.Milliseconds(),
-		Emptied:    c.emptiedDomains(),
+// Stats returns the figures of now.
+func (c *Catalog) Stats() Stats {
+	now := c.freshness()
+	return Stats{
+		Role:           c.topology.Load().role(),
+		Joined:         c.joined.Load(),
+		Instances:      c.topology.Load().total,
+		PendingEntries: c.pending.count(),
+		Reads:          c.storeAnswered.within(c.freshFor()),
+		Followers:      c.followers.count(),
+		Hops:           now.hops,
+		Root:           now.root,
+		AnsweredMS:     now.answered.Milliseconds(),
+		Drained:        c.drainedDomains(),
 	}
 }
 
-// emptiedDomains returns the failure domains that are emptied, in order.
-func (c *Catalog) emptiedDomains() []string {
+// drainedDomains returns the failure domains that are emptied, in order.
+func (c *Catalog) drainedDomains() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Sorted(maps.Keys(c.emptied))
+	return slices.Sorted(maps.Keys(c.drained))
 }
 
 // role returns what an instance is meant to do.
-func (r *ranks) role() string {
+func (r *topology) role() string {
 	switch {
 	case r.isReader():
 		return "reader"
-	case r.self < r.carriers:
+	case r.self < r.relays:
 		return "carrier"
 	}
 	return "follower"
--- a/catalog/suspended_test.go
+++ b/catalog/suspension_test.go
@@ -33,7 +33,7 @@
 func TestAnswerFromBeforeSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
-		s.setSlow(500 * time.Millisecond)
+		s.setPageDelay(500 * time.Millisecond)
 		time.Sleep(1200 * time.Millisecond)
 		m.Suspend(20 * time.Second)
 		s.put(catalog.Configurations, version(2)) // ends the poll that is under way
@@ -44,13 +44,13 @@
 	})
 }
 
-// TestDoubtOverSuspension suspends the machine between an outage of the store and the moment up to
+// TestHeldRemovalsOverSuspension suspends the machine between an outage of the store and the moment up to
 // which entries that lapsed in it are kept.
-func TestDoubtOverSuspension(t *testing.T) {
+func TestHeldRemovalsOverSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.outage(3*time.Second, func() {
-			s.put(catalog.Endpoints, &catalog.EndpointGone{
+			s.put(catalog.Endpoints, &catalog.EndpointRemoved{
 				Instance: "e1",
 			})
 		})
--- a/catalog/clock.go
+++ b/catalog/timestamp.go
@@ -9,23 +9,23 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// clock is a moment that several goroutines mark and read. The zero value was never marked.
-type clock struct {
+// timestamp is a moment that several goroutines mark and read. The zero value was never marked.
+type timestamp struct {
 	at atomic.Pointer[time.Time]
 }
 
 // mark sets the clock to a moment.
-func (k *clock) mark(now time.Time) {
+func (k *timestamp) mark(now time.Time) {
 	k.at.Store(&now)
 }
 
 // reset makes the clock one that was never marked.
-func (k *clock) reset() {
+func (k *timestamp) reset() {
 	k.at.Store(nil)
 }
 
 // since returns how long ago the clock was marked; false when it never was.
-func (k *clock) since() (time.Duration, bool) {
+func (k *timestamp) since() (time.Duration, bool) {
 	at := k.at.Load()
 	if at == nil {
 		return 0, false
@@ -34,7 +34,7 @@
 }
 
 // within states whether the clock was marked at most so long ago.
-func (k *clock) within(d time.Duration) bool {
+func (k *timestamp) within(d time.Duration) bool {
 	ago, ok := k.since()
 	return ok && ago <= d
 }
--- a/catalog/ranks_test.go
+++ b/catalog/topology_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// fleet returns instances, so many of them able to carry, in five failure domains.
-func fleet(able, weak int) map[string]Peer {
+// instanceSet returns instances, so many of them able to carry, in five failure domains.
+func instanceSet(able, weak int) map[string]Peer {
 	out := make(map[string]Peer)
 	for i := range able + weak {
 		p := Peer{
@@ -26,9 +26,9 @@
 	return out
 }
 
-// TestRanks looks at how instances divide the work at several sizes: followers by
+// TestTopology looks at how instances divide the work at several sizes: followers by
 // first choice, and the depth of the tree.
-func TestRanks(t *testing.T) {
+func TestTopology(t *testing.T) {
 	for _, row := range []struct {
 		able, weak int
 		readers    int
@@ -44,27 +44,27 @@
 	} {
 		t.Run(fmt.Sprint(row.able, "+", row.weak), func(t *testing.T) {
 			is := is.New(t)
-			peers := fleet(row.able, row.weak)
+			peers := instanceSet(row.able, row.weak)
 			if len(peers) > 2000 {
-				r := newRanks(peers["n0"], peers, 2, 0)
+				r := newTopology(peers["n0"], peers, 2, 0)
 				is.Equal(r.readers, row.readers)
-				is.Equal(r.carriers, row.carriers)
+				is.Equal(r.relays, row.carriers)
 				return
 			}
 			followers := make(map[string]int)
 			for _, p := range peers {
-				r := newRanks(p, peers, 2, 0)
+				r := newTopology(p, peers, 2, 0)
 				is.Equal(r.readers, row.readers)
-				is.Equal(r.carriers, row.carriers)
-				is.Equal(len(r.sources), len(peers)-1)
-				if len(r.sources) > 0 && !r.isReader() {
-					followers[r.sources[0].ID]++
+				is.Equal(r.relays, row.carriers)
+				is.Equal(len(r.upstreams), len(peers)-1)
+				if len(r.upstreams) > 0 && !r.isReader() {
+					followers[r.upstreams[0].ID]++
 				}
 			}
 			for id, n := range followers {
-				r := newRanks(peers[id], peers, 2, 0)
-				is.True(r.self < r.carriers)
-				is.True(n <= r.limit)
+				r := newTopology(peers[id], peers, 2, 0)
+				is.True(r.self < r.relays)
+				is.True(n <= r.followerLimit)
 				if row.able >= row.carriers {
 					is.Equal(peers[id].Capacity, 800) // weak ones carry nobody
 				}
@@ -73,20 +73,20 @@
 	}
 }
 
-// TestSource looks whom an instance tries to follow: mostly those that are meant to be,
+// TestUpstreamOrder looks whom an instance tries to follow: mostly those that are meant to be,
 // and everybody in the end.
-func TestSource(t *testing.T) {
+func TestUpstreamOrder(t *testing.T) {
 	for _, row := range []struct{ able, weak int }{{2, 0}, {22, 0}, {15, 280}, {1, 3}} {
 		t.Run(fmt.Sprint(row.able, "+", row.weak), func(t *testing.T) {
 			is := is.New(t)
-			peers := fleet(row.able, row.weak)
+			peers := instanceSet(row.able, row.weak)
 			for id, p := range peers {
-				r := newRanks(p, peers, 2, 0)
+				r := newTopology(p, peers, 2, 0)
 				seen := make(map[string]bool)
 				heads := 0
-				quick := r.quickTries()
+				quick := r.quickAttempts()
 				for try := range quick + 30*len(peers) {
-					s, patient := r.source(try)
+					s, patient := r.upstreamFor(try)
 					seen[s.ID] = true
 					if patient {
 						is.True(try >= quick)
@@ -95,23 +95,23 @@
 				}
 				is.True(!seen[id])
 				is.Equal(len(seen), len(peers)-1)
-				is.True(r.heads == 0 || heads >= 30*len(peers)/patientTry)
+				is.True(r.preferred == 0 || heads >= 30*len(peers)/patientEvery)
 			}
 		})
 	}
 }
 
-// TestWards looks that each instance is the ward of the one that it follows first.
-func TestWards(t *testing.T) {
+// TestPrimaryFollowers looks that each instance is the ward of the one that it follows first.
+func TestPrimaryFollowers(t *testing.T) {
 	is := is.New(t)
-	peers := fleet(15, 280)
+	peers := instanceSet(15, 280)
 	first := make(map[string]string)
 	for _, p := range peers {
-		first[p.ID] = newRanks(p, peers, 2, 0).sources[0].ID
+		first[p.ID] = newTopology(p, peers, 2, 0).upstreams[0].ID
 	}
 	wards := 0
 	for _, p := range peers {
-		for _, w := range newRanks(p, peers, 2, 0).wards() {
+		for _, w := range newTopology(p, peers, 2, 0).primaryFollowers() {
 			is.Equal(first[w.ID], p.ID)
 			wards++
 		}
@@ -119,25 +119,25 @@
 	is.Equal(wards, len(peers))
 }
 
-// TestBefore looks at the order of two that read the store for the same reason.
-func TestBefore(t *testing.T) {
+// TestPrecedes looks at the order of two that read the store for the same reason.
+func TestPrecedes(t *testing.T) {
 	is := is.New(t)
-	peers := fleet(5, 0)
-	a, b := newRanks(peers["n0"], peers, 2, 0), newRanks(peers["n1"], peers, 2, 0)
-	is.True(a.before("n1") != b.before("n0"))
-	is.True(!a.before("n0"))
-	is.True(!a.before("unknown"))
+	peers := instanceSet(5, 0)
+	a, b := newTopology(peers["n0"], peers, 2, 0), newTopology(peers["n1"], peers, 2, 0)
+	is.True(a.precedes("n1") != b.precedes("n0"))
+	is.True(!a.precedes("n0"))
+	is.True(!a.precedes("unknown"))
 }
 
-// BenchmarkRanks is what each change of the instances costs a carrier: 0.29 ms with 295
+// BenchmarkTopology is what each change of the instances costs a carrier: 0.29 ms with 295
 // instances and 1.7 ms with 1,200 (one run, beside other work on the machine). It was 1.3
 // and 23 ms when the carriers were sorted anew for each instance to find the wards.
-func BenchmarkRanks(b *testing.B) {
+func BenchmarkTopology(b *testing.B) {
 	for _, n := range []int{295, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			peers := fleet(n/20, n-n/20)
+			peers := instanceSet(n/20, n-n/20)
 			for b.Loop() {
-				newRanks(peers["n0"], peers, 2, 0).wards()
+				newTopology(peers["n0"], peers, 2, 0).primaryFollowers()
 			}
 		})
 	}
--- a/catalog/types.go
+++ b/catalog/types.go
@@ -26,23 +26,23 @@
 	Slots int
 	// Leaving endpoints get no new request.
 	Leaving bool
-	// Born is when this life of the endpoint started, by the platform's clock; zero
+	// StartedAt is when this life of the endpoint started, by the platform's clock; zero
 	// when it does not say. A later one under the same name holds and knows nothing
 	// of before.
-	Born time.Time
-	// Cold is how much longer the endpoint bears only a limited rate of requests, as
+	StartedAt time.Time
+	// ColdFor is how much longer the endpoint bears only a limited rate of requests, as
 	// its entry says.
-	Cold time.Duration
+	ColdFor time.Duration
 	// ColdUntil is when that ends, counted from when the entry was first known here,
 	// so that it is never too early; zero for an endpoint that is not cold.
 	ColdUntil time.Time
 }
 
-// says states whether two entries of an endpoint say the same, but for how much longer
+// equalExceptCold states whether two entries of an endpoint say the same, but for how much longer
 // it is cold.
-func (e Endpoint) says(other Endpoint) bool {
-	if e.Cold > 0 && other.Cold > 0 {
-		e.Cold, e.ColdUntil = other.Cold, other.ColdUntil
+func (e Endpoint) equalExceptCold(other Endpoint) bool {
+	if e.ColdFor > 0 && other.ColdFor > 0 {
+		e.ColdFor, e.ColdUntil = other.ColdFor, other.ColdUntil
 	}
 	return e == other
 }
@@ -50,7 +50,7 @@
 // Succeeds states whether the endpoint is a later life of another one under the same
 // name.
 func (e Endpoint) Succeeds(old Endpoint) bool {
-	return !old.Born.IsZero() && e.Born.After(old.Born)
+	return !old.StartedAt.IsZero() && e.StartedAt.After(old.StartedAt)
 }
 
 // Peer is another instance of the system.
@@ -91,8 +91,8 @@
 	return "peers"
 }
 
-// Change is a record of a feed: *TableChange, *EndpointChange, *EndpointGone,
-// *PeerChange, *PeerGone, *DomainEmptied, *DomainRestored, *RequestBanned,
+// Change is a record of a feed: *TableChange, *EndpointChange, *EndpointRemoved,
+// *PeerChange, *PeerRemoved, *DomainDrained, *DomainUndrained, *RequestBanned,
 // *RequestReleased or *Malformed.
 type Change interface {
 	change()
@@ -110,8 +110,8 @@
 	Endpoint Endpoint
 }
 
-// EndpointGone is the end of an endpoint's entry.
-type EndpointGone struct {
+// EndpointRemoved is the end of an endpoint's entry.
+type EndpointRemoved struct {
 	// Instance names the endpoint.
 	Instance string
 }
@@ -122,21 +122,21 @@
 	Peer Peer
 }
 
-// PeerGone is the end of an instance's entry.
-type PeerGone struct {
+// PeerRemoved is the end of an instance's entry.
+type PeerRemoved struct {
 	// ID names the instance.
 	ID string
 }
 
-// DomainEmptied asks that nothing new be sent to the endpoints of a failure domain. It is
+// DomainDrained asks that nothing new be sent to the endpoints of a failure domain. It is
 // a record of the feed of configurations.
-type DomainEmptied struct {
+type DomainDrained struct {
 	// Domain names the failure domain.
 	Domain string
 }
 
-// DomainRestored ends what DomainEmptied asked for.
-type DomainRestored struct {
+// DomainUndrained ends what DomainDrained asked for.
+type DomainUndrained struct {
 	// Domain names the failure domain.
 	Domain string
 }
@@ -165,11 +165,11 @@
 
 func (*TableChange) change()     {}
 func (*EndpointChange) change()  {}
-func (*EndpointGone) change()    {}
+func (*EndpointRemoved) change() {}
 func (*PeerChange) change()      {}
-func (*PeerGone) change()        {}
-func (*DomainEmptied) change()   {}
-func (*DomainRestored) change()  {}
+func (*PeerRemoved) change()     {}
+func (*DomainDrained) change()   {}
+func (*DomainUndrained) change() {}
 func (*RequestBanned) change()   {}
 func (*RequestReleased) change() {}
 func (*Malformed) change()       {}
--- a/catalog/virtual_test.go
+++ b/catalog/virtual_test.go
@@ -148,7 +148,7 @@
 				Peer: selves[i],
 			})
 		}
-		fake.setSlow(slow)
+		fake.setPageDelay(slow)
 		all := make([]*instance, n)
 		for i, self := range selves {
 			all[i] = net.start(t, fake, self, listeners[i])
--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -42,13 +42,13 @@
 	Departed int `json:"departed"`
 	Peers    int `json:"peers"`
 	// Following is the instance's place among those that hand on what the store says.
-	Following catalog.Figures `json:"following"`
+	Following catalog.Stats `json:"following"`
 }
 
 // storeFigures returns the figures; zero while nothing is known.
 func (g *Gateway) storeFigures() storeFigures {
 	f := storeFigures{
-		Following: g.catalog.Figures(),
+		Following: g.catalog.Stats(),
 	}
 	if s := g.catalog.Snapshot(); s != nil {
 		f.Version = s.Table.Version
--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -38,7 +38,7 @@
 	store := platform.NewStore(wirehttp.Client(), f.Platform.Store)
 	g.catalog = catalog.New(catalog.Settings{
 		Self:       g.self,
-		Contacts:   f.Peers,
+		Seeds:      f.Peers,
 		FirstStart: f.FirstStart,
 		Poll:       time.Duration(f.Times.Revoke) / pollsPerRevoke,
 	}, store, g.peers, g.log.WithName("catalog"))
@@ -81,7 +81,7 @@
 
 // turn returns the place of this instance in showing whether a request still crashes endpoints.
 func (g *Gateway) turn(id quarantine.Identity) quarantine.Turn {
-	before, of := g.catalog.Place("ban/" + id.String())
+	before, of := g.catalog.Rank("ban/" + id.String())
 	return quarantine.Turn{
 		Before: before,
 		Of:     of,
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -25,6 +25,6 @@
 	}
 	g.placer.Heard(notice.Answer{
 		Instance: at[0].Instance,
-		Born:     at[0].Born,
+		Born:     at[0].StartedAt,
 	}, s)
 }
--- a/pool/client.go
+++ b/pool/client.go
@@ -191,14 +191,14 @@
 	if c.known == nil {
 		return nil, nil
 	}
-	leaving = c.known.Leaving()
+	leaving = c.known.DepartedEndpoints()
 	v := c.local.settings.Notices.View()
 	for _, instance := range v.Leaving() {
-		if v.Leaves(instance, c.known.Endpoints[instance].Born) {
+		if v.Leaves(instance, c.known.Endpoints[instance].StartedAt) {
 			leaving = append(leaving, instance)
 		}
 	}
-	return leaving, slices.Sorted(maps.Keys(c.known.Emptied))
+	return leaving, slices.Sorted(maps.Keys(c.known.Drained))
 }
 
 // note remembers an attempt and tells all but the one who placed it.
--- a/pool/client_notices.go
+++ b/pool/client_notices.go
@@ -29,7 +29,7 @@
 	var out []Backoff
 	for _, instance := range endpoints {
 		e := c.known.Endpoints[instance]
-		until := v.BackoffUntil(instance, e.Born)
+		until := v.BackoffUntil(instance, e.StartedAt)
 		if e.Service == service && until.After(now) {
 			out = append(out, Backoff{
 				Instance: instance,
--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -311,9 +311,9 @@
 		returns func(w *coldWorld)
 	}{
 		{"its failure domain is restored", func(w *coldWorld) {
-			w.snap.Emptied = map[string]time.Time{"d-e0": w.now}
+			w.snap.Drained = map[string]time.Time{"d-e0": w.now}
 			w.update()
-			w.snap.Emptied = nil
+			w.snap.Drained = nil
 			w.update()
 		}},
 		{"it failed", func(w *coldWorld) {
--- a/pool/emptied_test.go
+++ b/pool/emptied_test.go
@@ -27,7 +27,7 @@
 			{Name: "plain"},
 		}, nil, false, route.Limits{}),
 		Endpoints: make(map[string]catalog.Endpoint),
-		Emptied:   make(map[string]time.Time),
+		Drained:   make(map[string]time.Time),
 	}
 	for i := range 4 {
 		for _, service := range []string{"engines", "plain"} {
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, d := range emptied {
-		s.Emptied[d] = time.Now()
+		s.Drained[d] = time.Now()
 	}
 	return s
 }
@@ -155,7 +155,7 @@
 			continue
 		}
 		told := *f.snap
-		told.Emptied = map[string]time.Time{"d-e0": time.Now()}
+		told.Drained = map[string]time.Time{"d-e0": time.Now()}
 		n.client.Update(&told)
 		for i := range 12 {
 			g := n.place(t, ask(fmt.Sprintf("%s-%d", n.self.ID, i)))
--- a/pool/lives.go
+++ b/pool/lives.go
@@ -20,9 +20,9 @@
 		return 0, false
 	}
 	h := p.health[c.Instance]
-	again = !h.born.IsZero() && c.Born.After(h.born)
+	again = !h.born.IsZero() && c.StartedAt.After(h.born)
 	if again {
-		ended = p.endLives(c.Instance, c.Born)
+		ended = p.endLives(c.Instance, c.StartedAt)
 		*e = placement.Engine{
 			Instance: e.Instance,
 			Jobs:     e.Jobs,
@@ -32,8 +32,8 @@
 		}
 		delete(p.paces.of, c.Instance)
 	}
-	if c.Born.After(h.born) {
-		h.born = c.Born
+	if c.StartedAt.After(h.born) {
+		h.born = c.StartedAt
 	}
 	return ended, again
 }
--- a/pool/lives_test.go
+++ b/pool/lives_test.go
@@ -66,11 +66,11 @@
 // start makes the entry of an endpoint known that started at a moment.
 func (w *lifeWorld) start(name, service string, born time.Time) {
 	w.snap.Endpoints[name] = catalog.Endpoint{
-		Instance: name,
-		Service:  service,
-		Address:  name + ":1",
-		Slots:    2,
-		Born:     born,
+		Instance:  name,
+		Service:   service,
+		Address:   name + ":1",
+		Slots:     2,
+		StartedAt: born,
 	}
 	w.s.Update(w.snap)
 }
--- a/pool/pace_test.go
+++ b/pool/pace_test.go
@@ -380,7 +380,7 @@
 		{"nothing said", func(*catalog.Snapshot, *catalog.Endpoint) {}, 1},
 		{"leaving", func(_ *catalog.Snapshot, e *catalog.Endpoint) { e.Leaving = true }, 0},
 		{"failure domain emptied", func(s *catalog.Snapshot, e *catalog.Endpoint) {
-			s.Emptied = map[string]time.Time{
+			s.Drained = map[string]time.Time{
 				e.FailureDomain: time.Now(),
 			}
 		}, 0},
@@ -406,7 +406,7 @@
 	born := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	start := func(f *pacePool, at time.Time) {
 		e := f.snap.Endpoints["e0"]
-		e.Born = at
+		e.StartedAt = at
 		f.snap.Endpoints["e0"] = e
 		f.pool.Update(f.snap)
 	}
--- a/pool/rates_test.go
+++ b/pool/rates_test.go
@@ -321,11 +321,11 @@
 		Table: route.New(2, nil, []route.Service{{Name: "s", Engine: rateModel()}}, nil, false, route.Limits{}),
 		Endpoints: map[string]catalog.Endpoint{
 			"e0": {
-				Instance: "e0",
-				Service:  "s",
-				Address:  "e0:1",
-				Slots:    16,
-				Born:     w.now.Add(time.Second),
+				Instance:  "e0",
+				Service:   "s",
+				Address:   "e0:1",
+				Slots:     16,
+				StartedAt: w.now.Add(time.Second),
 			},
 		},
 	}
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -104,15 +104,15 @@
 		}
 		p := s.pool(e.Service)
 		if ended, again := p.renew(e); again {
-			s.log.Info("endpoint has started again", "service", e.Service, "endpoint", e.Instance, "born", e.Born, "ended", ended)
+			s.log.Info("endpoint has started again", "service", e.Service, "endpoint", e.Instance, "born", e.StartedAt, "ended", ended)
 		}
 		p.upsert(e, svc)
 	}
 	for name, p := range s.pools {
 		p.prune(name, snap)
 		p.cold.configure(s.settings.Cold, snap.Table.Services[name], s.settings.Self, snap.Peers)
-		p.cold.restored(p.list, p.emptied, snap.Emptied, s.settings.Now())
-		p.emptied = snap.Emptied
+		p.cold.restored(p.list, p.emptied, snap.Drained, s.settings.Now())
+		p.emptied = snap.Drained
 		p.share(s.settings.Retries, len(snap.Peers))
 	}
 }
--- a/pool/state.go
+++ b/pool/state.go
@@ -116,7 +116,7 @@
 		p.engines[c.Instance] = e
 		p.health[c.Instance] = &health{
 			preference: rendezvous.Score(p.self, c.Instance, 1),
-			born:       c.Born,
+			born:       c.StartedAt,
 		}
 		p.list = append(p.list, e)
 		slices.SortFunc(p.list, func(a, b *placement.Engine) int {
--- a/relay/barred.go
+++ b/relay/barred.go
@@ -40,7 +40,7 @@
 func (l *Relay) barredOne(instance string, born time.Time) *barredError {
 	reason := ""
 	switch {
-	case l.parts.Known().Barred(instance):
+	case l.parts.Known().Unavailable(instance):
 		reason = "it is leaving or its failure domain is emptied"
 	case l.parts.Notices != nil:
 		reason = l.parts.Notices.Declines(instance, born)
