--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -25,6 +25,6 @@
 	}
 	g.placer.RecordAnswer(notice.Answer{
 		Instance:  at[0].Instance,
-		StartedAt: at[0].Born,
+		StartedAt: at[0].StartedAt,
 	}, s)
 }
