--- a/emulator/attempt.go
+++ b/emulator/attempt.go
@@ -99,7 +99,7 @@
 		a.heard = p.clock.now
 		a.events++
 		if a.events == 1 {
-			p.clock.after(p.hops(1), func() { p.pool.FirstBy(a.id, service, a.caller.entry()) })
+			p.clock.after(p.hops(1), func() { p.pool.FirstEventFrom(a.id, service, a.caller.entry()) })
 		}
 		p.clock.after(p.hops(1), func() { a.caller.event(last) })
 	})
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -192,12 +192,12 @@
 				Spread:  row.spread,
 			}}
 			requests := emulator.Draw(s, 1)
-			day := func(way pool.PaceWay) float64 {
+			day := func(way pool.SlowdownMode) float64 {
 				return emulator.Play(s, requests, pool.Settings{
-					Pace: way,
+					SlowdownMode: way,
 				}, 1).Day()
 			}
-			known, ignored := day(pool.PaceBoth), day(pool.PaceIgnored)
+			known, ignored := day(pool.SlowdownQueriedOrEstimated), day(pool.SlowdownIgnored)
 			t.Log("known", known, "ignored", ignored)
 			is.True(known > ignored+0.02)
 		})
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -59,7 +59,7 @@
 }
 
 // Play runs requests by a scheduler with some settings, and returns what became of each.
-// Settings.Now, Draw and Reports are the emulator's. The same seed, requests and settings
+// Settings.Now, Draw and SlowdownQuerier are the emulator's. The same seed, requests and settings
 // give the same result.
 func Play(s *Sheet, requests []Request, settings pool.Settings, seed uint64) *Result {
 	p := &play{
@@ -72,7 +72,7 @@
 	settings.Retries = retryBudget
 	settings.Now = func() time.Time { return p.clock.now }
 	settings.Draw = func(below time.Duration) time.Duration { return time.Duration(p.draw.Int64N(int64(below))) }
-	settings.Reports = reports{
+	settings.SlowdownQuerier = reports{
 		play: p,
 	}
 	p.pool = pool.NewScheduler(settings, logr.Discard())
@@ -213,7 +213,7 @@
 		}
 		p.pending = left
 		if waiting {
-			p.review(pool.QueueTick)
+			p.review(pool.ReviewInterval)
 		}
 	})
 }
@@ -221,7 +221,7 @@
 // end tells the scheduler how an attempt ended.
 func (p *play) end(c *caller, id string, o pool.Outcome, in time.Duration) {
 	p.clock.after(in, func() {
-		p.pool.EndBy(id, service, o, "", c.entry())
+		p.pool.EndFrom(id, service, o, "", c.entry())
 		if len(p.pending) > 0 {
 			p.review(0)
 		}
--- a/emulator/reports.go
+++ b/emulator/reports.go
@@ -25,13 +25,13 @@
 	return slow
 }
 
-// reports lets engines tell their pace. It implements pool.Reports.
+// reports lets engines tell their pace. It implements pool.SlowdownQuerier.
 type reports struct {
 	play *play
 }
 
-// Pace implements pool.Reports. An engine that stands still doesn't answer.
-func (r reports) Pace(address string, told func(pace float64)) {
+// QuerySlowdown implements pool.SlowdownQuerier. An engine that stands still doesn't answer.
+func (r reports) QuerySlowdown(address string, told func(pace float64)) {
 	p := r.play
 	e := p.engines[address]
 	p.clock.after(p.ways(1), func() {
--- a/experiment/plan.go
+++ b/experiment/plan.go
@@ -42,17 +42,17 @@
 // settings returns the scheduler's settings.
 func (v *Variant) settings() pool.Settings {
 	return pool.Settings{
-		Pace:  paceWays[v.Pace],
-		Worth: v.Worth,
+		SlowdownMode: paceWays[v.Pace],
+		Worth:        v.Worth,
 	}
 }
 
 // paceWays are the ways in which the pace of engines becomes known, by name.
-var paceWays = map[string]pool.PaceWay{
-	"":        pool.PaceBoth,
-	"learned": pool.PaceLearned,
-	"told":    pool.PaceTold,
-	"ignored": pool.PaceIgnored,
+var paceWays = map[string]pool.SlowdownMode{
+	"":        pool.SlowdownQueriedOrEstimated,
+	"learned": pool.SlowdownEstimated,
+	"told":    pool.SlowdownQueried,
+	"ignored": pool.SlowdownIgnored,
 }
 
 // Load reads a plan and its sheets.
--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -15,54 +15,54 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(a.Service)
-	if at, ok := p.placed[a.ID]; ok {
-		at.orphan = 0
+	if at, ok := p.attempts[a.ID]; ok {
+		at.orphanMark = 0
 		return
 	}
 	now := s.settings.Now()
 	if !a.Again {
-		p.retry.first(now)
+		p.ownerRetries.countFirst(now)
 	}
-	w := s.waiter(p, a, now)
-	p.returning.claim(w, now)
+	w := s.newWaiter(p, a, now)
+	p.reconnects.match(w, now)
 	e := p.engines[g.Instance]
-	if e == nil || p.outlived(&g) {
+	if e == nil || p.isStale(&g) {
 		return
 	}
-	at := &placed{
-		instance: g.Instance,
-		born:     g.Born,
-		at:       now,
-		first:    g.First,
-		begun:    begun,
-		work:     w.work(),
-		entry:    entry,
-		watched:  a.watched(),
+	at := &attempt{
+		instance:       g.Instance,
+		startedAt:      g.Born,
+		placedAt:       now,
+		predictedFirst: g.First,
+		begun:          begun,
+		workload:       w.workload(),
+		entry:          entry,
+		watched:        a.watched(),
 	}
 	if !begun {
-		p.cold.give(g.Instance, now)
+		p.cold.recordPlacement(g.Instance, now)
 	}
 	if p.plain {
 		p.give(at, now)
 		addPlain(e, a.ID)
-		p.placed[a.ID] = at
+		p.attempts[a.ID] = at
 		return
 	}
 	plan := p.planOf(&a, &g, e)
 	for _, o := range plan.Others {
-		at.readers = append(at.readers, o.Engine.Instance)
+		at.joint = append(at.joint, o.Engine.Instance)
 	}
 	p.give(at, now)
 	plan.Apply(w.request, now)
-	p.placed[a.ID] = at
+	p.attempts[a.ID] = at
 	if begun {
-		p.begin(a.ID, at, now)
+		p.applyFirstEvent(a.ID, at, now)
 	}
 }
 
 // planOf returns the plan that a grant was made from, as far as its endpoints are
 // known.
-func (p *state) planOf(a *Ask, g *Grant, e *placement.Engine) placement.Plan {
+func (p *poolState) planOf(a *Ask, g *Grant, e *placement.Engine) placement.Plan {
 	plan := placement.Plan{
 		Engine: e,
 		Read:   e.Model.Read(a.Prompt, len(g.Readers)+1),
@@ -86,14 +86,14 @@
 func (s *Scheduler) orphan(attempts map[string]string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.marks++
+	s.lastOrphanMark++
 	now := s.settings.Now()
 	for id, service := range attempts {
-		if at := s.pool(service).placed[id]; at != nil {
-			at.orphan, at.cutAt = s.marks, now
+		if at := s.pool(service).attempts[id]; at != nil {
+			at.orphanMark, at.cutAt = s.lastOrphanMark, now
 		}
 	}
-	return s.marks
+	return s.lastOrphanMark
 }
 
 // forget ends the attempts that still have a mark.
@@ -102,9 +102,9 @@
 	defer s.mu.Unlock()
 	for id, service := range attempts {
 		p := s.pool(service)
-		if at := p.placed[id]; at != nil && at.orphan == mark {
-			p.returning.note(at, at.cutAt)
-			p.end(id)
+		if at := p.attempts[id]; at != nil && at.orphanMark == mark {
+			p.reconnects.note(at, at.cutAt)
+			p.endAttempt(id)
 		}
 	}
 }
--- a/pool/budget.go
+++ b/pool/budget.go
@@ -17,54 +17,54 @@
 	Window time.Duration
 }
 
-// budgetSlots is the number of parts of a window.
-const budgetSlots = 10
+// budgetBuckets is the number of parts of a window.
+const budgetBuckets = 10
 
-// spender counts sends against a budget.
-type spender struct {
-	budget Budget
-	slots  [budgetSlots]struct {
+// retryCounter counts sends against a budget.
+type retryCounter struct {
+	budget  Budget
+	buckets [budgetBuckets]struct {
 		first int
 		again int
 	}
-	at int64
-	// began is when the first send was counted.
-	began time.Time
+	bucket int64
+	// startedAt is when the first send was counted.
+	startedAt time.Time
 }
 
 // roll forgets what lies before the window. It goes by the time since the first send: a step
 // of the time of day would else give the budget once more, or keep it spent.
-func (s *spender) roll(now time.Time) int {
-	if s.began.IsZero() {
-		s.began = now
+func (s *retryCounter) roll(now time.Time) int {
+	if s.startedAt.IsZero() {
+		s.startedAt = now
 	}
-	slot := max(int64(now.Sub(s.began)), 0) / max(int64(s.budget.Window)/budgetSlots, 1)
-	if gap := slot - s.at; gap > 0 {
-		for i := range min(gap, budgetSlots) {
-			s.slots[(slot-i)%budgetSlots].first = 0
-			s.slots[(slot-i)%budgetSlots].again = 0
+	slot := max(int64(now.Sub(s.startedAt)), 0) / max(int64(s.budget.Window)/budgetBuckets, 1)
+	if gap := slot - s.bucket; gap > 0 {
+		for i := range min(gap, budgetBuckets) {
+			s.buckets[(slot-i)%budgetBuckets].first = 0
+			s.buckets[(slot-i)%budgetBuckets].again = 0
 		}
-		s.at = slot
+		s.bucket = slot
 	}
-	return int(slot % budgetSlots)
+	return int(slot % budgetBuckets)
 }
 
-// first counts a request that is sent for the first time.
-func (s *spender) first(now time.Time) {
-	s.slots[s.roll(now)].first++
+// countFirst counts a request that is sent for the first time.
+func (s *retryCounter) countFirst(now time.Time) {
+	s.buckets[s.roll(now)].first++
 }
 
-// again states whether a request may be sent once more, and counts it.
-func (s *spender) again(now time.Time) bool {
+// allowRetry states whether a request may be sent once more, and counts it.
+func (s *retryCounter) allowRetry(now time.Time) bool {
 	i := s.roll(now)
 	first, again := 0, 0
-	for _, one := range s.slots {
+	for _, one := range s.buckets {
 		first += one.first
 		again += one.again
 	}
 	if float64(again+1) > s.budget.Ratio*float64(first)+s.budget.Extra {
 		return false
 	}
-	s.slots[i].again++
+	s.buckets[i].again++
 	return true
 }
--- a/pool/check.go
+++ b/pool/check.go
@@ -73,18 +73,18 @@
 
 // checkAll checks the endpoints of a pool that have not been set aside, if one was found to
 // have stopped soon after another. The caller holds the lock.
-func (s *Scheduler) checkAll(p *state, service, found string, now time.Time) {
+func (s *Scheduler) checkAll(p *poolState, service, found string, now time.Time) {
 	if s.settings.Check == nil || !p.checks.noteStopped(found, now) {
 		return
 	}
-	addresses := p.addresses(func(h *health) bool { return h.usable(now) })
+	addresses := p.addresses(func(h *endpointHealth) bool { return h.usable(now) })
 	p.checks.checked += len(addresses)
 	go s.check(service, addresses)
 }
 
 // addresses returns the addresses of the endpoints that take part, of those whose health
 // is as wanted, by instance.
-func (p *state) addresses(wanted func(h *health) bool) map[string]string {
+func (p *poolState) addresses(wanted func(h *endpointHealth) bool) map[string]string {
 	out := make(map[string]string)
 	for _, e := range p.list {
 		if p.takesPart(e) && wanted(p.health[e.Instance]) {
@@ -97,8 +97,8 @@
 // takesPart states whether an endpoint gets requests when it is well: it does not leave,
 // and its failure domain is not emptied as far as this instance knows. Others are not
 // asked for anything either.
-func (p *state) takesPart(e *placement.Engine) bool {
-	return !p.leaves(e, p.notices.View()) && !p.emptied.bars(&Ask{}, e)
+func (p *poolState) takesPart(e *placement.Engine) bool {
+	return !p.isLeaving(e, p.notices.View()) && !p.drained.excludes(&Ask{}, e)
 }
 
 // check checks endpoints, given by instance with their address.
@@ -125,7 +125,7 @@
 // that is busy takes connections still. It guards against streams that leave engines which
 // work, but whose passes have grown long as many callers came back. The caller holds the
 // lock.
-func (s *Scheduler) verify(p *state, service string, e *placement.Engine, silent int, now time.Time) {
+func (s *Scheduler) verify(p *poolState, service string, e *placement.Engine, silent int, now time.Time) {
 	h := p.health[e.Instance]
 	switch {
 	case !h.usable(now) || now.Sub(h.verifiedAt) < verifyEvery:
@@ -157,7 +157,7 @@
 
 // answered states whether the endpoint is busy rather than gone, as it took a connection
 // just now.
-func (h *health) answered(now time.Time) bool {
+func (h *endpointHealth) answered(now time.Time) bool {
 	return !h.answeredAt.IsZero() && now.Sub(h.answeredAt) < verifyEvery
 }
 
@@ -204,27 +204,27 @@
 }
 
 // usable states whether the endpoint may get a request.
-func (h *health) usable(now time.Time) bool {
+func (h *endpointHealth) usable(now time.Time) bool {
 	if !h.absentSince.IsZero() && now.Sub(h.absentSince) < absentMost {
 		return false
 	}
-	return h.all.usable(now)
+	return h.shared.usable(now)
 }
 
 // leftOut states whether an engine is left out or set aside, so that the work of the pool
 // is spread over the others. It guards against a price that engines which have stopped,
 // counted as idle, halve while the others are full.
-func (p *state) leftOut(e *placement.Engine, now time.Time) bool {
+func (p *poolState) leftOut(e *placement.Engine, now time.Time) bool {
 	h := p.health[e.Instance]
 	return h != nil && !h.usable(now)
 }
 
 // leaveOut leaves an endpoint out that has stopped: until it answers a check, or for a
 // while where endpoints are not checked. The caller holds the lock.
-func (s *Scheduler) leaveOut(p *state, service, instance string, now time.Time) {
+func (s *Scheduler) leaveOut(p *poolState, service, instance string, now time.Time) {
 	h := p.health[instance]
 	if s.settings.Check == nil {
-		h.all.note(Unreachable, now)
+		h.shared.note(Unreachable, now)
 		return
 	}
 	h.absentSince = now
@@ -238,7 +238,7 @@
 func (s *Scheduler) recheck(service string) {
 	s.mu.Lock()
 	p := s.pool(service)
-	addresses := p.addresses(func(h *health) bool { return !h.absentSince.IsZero() })
+	addresses := p.addresses(func(h *endpointHealth) bool { return !h.absentSince.IsZero() })
 	p.checks.again = len(addresses) > 0
 	p.checks.checked += len(addresses)
 	s.mu.Unlock()
@@ -267,13 +267,13 @@
 	s.log.Info("endpoint answers again", "service", service, "endpoint", instance,
 		"after_ms", now.Sub(h.absentSince).Milliseconds())
 	h.absentSince = time.Time{}
-	h.all = record{}
-	s.poke()
+	h.shared = ejectionRecord{}
+	s.wakeUp()
 }
 
 // hasLife states whether a stream that an endpoint answers has a sign of life.
-func (p *state) hasLife(instance string, now time.Time) bool {
-	for id, at := range p.placed {
+func (p *poolState) hasLife(instance string, now time.Time) bool {
+	for id, at := range p.attempts {
 		if at.instance == instance && p.shows(id, at, now) == aliveSign {
 			return true
 		}
--- a/pool/client.go
+++ b/pool/client.go
@@ -117,7 +117,7 @@
 
 // Place implements Placer.
 func (c *Client) Place(ctx context.Context, a Ask) (Grant, error) {
-	a.Avoid = c.local.Shunned(a.Service)
+	a.Avoid = c.local.UnusableEndpoints(a.Service)
 	leaving, emptied := c.barred()
 	a.Exclude = append(slices.Clone(a.Exclude), leaving...)
 	a.Emptied = emptied
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -29,11 +29,11 @@
 	// quarter of a second after where its entry is slow or memory has to be set aside
 	// first.
 	coldWindow = 1250 * time.Millisecond
-	// coldOwner is the part of the bound that an owner gives away. Two may act at a
+	// coldOwnerShare is the part of the bound that an owner gives away. Two may act at a
 	// time, while one follows another or where instances see different ones.
-	coldOwner = 3.0 / 8
-	// coldAlone is the part that all instances share that place alone.
-	coldAlone = 1 - 2*coldOwner
+	coldOwnerShare = 3.0 / 8
+	// coldFallbackShare is the part that all instances share that place alone.
+	coldFallbackShare = 1 - 2*coldOwnerShare
 )
 
 // decider is who decides on a request.
@@ -43,20 +43,20 @@
 const (
 	// byOwner is the owner of a pool.
 	byOwner decider = iota
-	// byAlone is an instance that can't ask the owner of a pool.
-	byAlone
-	// byEach is each instance, for a pool that has no owner.
-	byEach
+	// byFallback is an instance that can't ask the owner of a pool.
+	byFallback
+	// byInstance is each instance, for a pool that has no owner.
+	byInstance
 )
 
-// cold is the ledger of a service's cold endpoints: how many requests each of them was
+// coldLedger is the ledger of a service's cold endpoints: how many requests each of them was
 // given of late. The zero value has no bound.
-type cold struct {
+type coldLedger struct {
 	limit ColdLimit
 	// perSecond is the rate that a cold endpoint bears, and start how long one stays
 	// cold that has started.
 	perSecond float64
-	start     time.Duration
+	duration  time.Duration
 	// self names this instance, and instances are all.
 	self      string
 	instances []string
@@ -69,28 +69,28 @@
 // coldEndpoint is one endpoint's part of the ledger. It is kept while the endpoint is
 // warm, as it may turn cold at any moment.
 type coldEndpoint struct {
-	// told is until when the endpoint is cold by its entry, and assumed until when it
+	// reportedUntil is until when the endpoint is cold by its entry, and assumed until when it
 	// is taken to be for its return.
-	told    time.Time
-	assumed time.Time
-	// given is when requests were given to it within the last window.
-	given []time.Time
+	reportedUntil time.Time
+	assumedUntil  time.Time
+	// placedAt is when requests were given to it within the last window.
+	placedAt []time.Time
 	// rank is the instance's place among all for this endpoint; negative while that is
 	// not known.
 	rank int
 }
 
-// until returns when the endpoint is warm.
-func (e *coldEndpoint) until() time.Time {
-	return later(e.told, e.assumed)
+// coldUntil returns when the endpoint is warm.
+func (e *coldEndpoint) coldUntil() time.Time {
+	return later(e.reportedUntil, e.assumedUntil)
 }
 
 // configure takes over the bounds, and the instances that share them.
-func (c *cold) configure(l ColdLimit, svc *route.Service, self string, peers map[string]catalog.Peer) {
+func (c *coldLedger) configure(l ColdLimit, svc *route.Service, self string, peers map[string]catalog.Peer) {
 	c.limit = l
-	c.perSecond, c.start = 0, 0
+	c.perSecond, c.duration = 0, 0
 	if svc != nil {
-		c.perSecond, c.start = svc.ColdPerSecond, svc.ColdStart
+		c.perSecond, c.duration = svc.ColdPerSecond, svc.ColdStart
 	}
 	if c.self == self && c.sameInstances(peers) {
 		return
@@ -106,7 +106,7 @@
 }
 
 // sameInstances states whether the instances are those that are known.
-func (c *cold) sameInstances(peers map[string]catalog.Peer) bool {
+func (c *coldLedger) sameInstances(peers map[string]catalog.Peer) bool {
 	if len(peers) != len(c.instances) {
 		return false
 	}
@@ -116,13 +116,13 @@
 	})
 }
 
-// binds states whether cold endpoints of the service have a bound.
-func (c *cold) binds() bool {
+// enabled states whether cold endpoints of the service have a bound.
+func (c *coldLedger) enabled() bool {
 	return c.perSecond > 0 && c.limit.Overage > 0
 }
 
-// of returns an endpoint's part of the ledger.
-func (c *cold) of(instance string) *coldEndpoint {
+// endpoint returns an endpoint's part of the ledger.
+func (c *coldLedger) endpoint(instance string) *coldEndpoint {
 	e := c.endpoints[instance]
 	if e == nil {
 		if c.endpoints == nil {
@@ -136,86 +136,86 @@
 	return e
 }
 
-// tell takes over until when an endpoint is cold by its entry.
-func (c *cold) tell(instance string, until time.Time) {
+// setColdUntil takes over until when an endpoint is cold by its entry.
+func (c *coldLedger) setColdUntil(instance string, until time.Time) {
 	if e := c.endpoints[instance]; e != nil || !until.IsZero() {
-		c.of(instance).told = until
+		c.endpoint(instance).reportedUntil = until
 	}
 }
 
-// assume notes that an endpoint may have started just now, without its entry saying so:
+// assumeCold notes that an endpoint may have started just now, without its entry saying so:
 // it failed of late, or its failure domain was emptied.
-func (c *cold) assume(instance string, now time.Time) {
-	if c.binds() {
-		c.of(instance).assumed = now.Add(c.start)
+func (c *coldLedger) assumeCold(instance string, now time.Time) {
+	if c.enabled() {
+		c.endpoint(instance).assumedUntil = now.Add(c.duration)
 	}
 }
 
-// restored notes the return of the endpoints whose failure domain is no longer emptied.
-func (c *cold) restored(list []*placement.Engine, before, after emptied, now time.Time) {
+// undrained notes the return of the endpoints whose failure domain is no longer emptied.
+func (c *coldLedger) undrained(list []*placement.Engine, before, after drainedDomains, now time.Time) {
 	for _, e := range list {
 		_, was := before[e.FailureDomain]
 		_, is := after[e.FailureDomain]
 		if was && !is {
-			c.assume(e.Instance, now)
+			c.assumeCold(e.Instance, now)
 		}
 	}
 }
 
-// forget drops an endpoint.
-func (c *cold) forget(instance string) {
+// remove drops an endpoint.
+func (c *coldLedger) remove(instance string) {
 	delete(c.endpoints, instance)
 }
 
-// give notes that a request was given to an endpoint, by whomever.
-func (c *cold) give(instance string, now time.Time) {
-	if !c.binds() {
+// recordPlacement notes that a request was given to an endpoint, by whomever.
+func (c *coldLedger) recordPlacement(instance string, now time.Time) {
+	if !c.enabled() {
 		return
 	}
-	e := c.of(instance)
-	e.given = append(e.recent(now), now)
+	e := c.endpoint(instance)
+	e.placedAt = append(e.recent(now), now)
 }
 
 // recent returns when requests were given to the endpoint within the window.
 func (e *coldEndpoint) recent(now time.Time) []time.Time {
 	from := now.Add(-coldWindow)
-	return slices.DeleteFunc(e.given, func(at time.Time) bool {
+	return slices.DeleteFunc(e.placedAt, func(at time.Time) bool {
 		return !at.After(from)
 	})
 }
 
-// freeAt returns when an endpoint may get a request: now, if it is warm or has not been
+// availableAt returns when an endpoint may get a request: now, if it is warm or has not been
 // given its part.
-func (c *cold) freeAt(instance string, by decider, now time.Time) time.Time {
+func (c *coldLedger) availableAt(instance string, by decider, now time.Time) time.Time {
 	e := c.endpoints[instance]
-	if !c.binds() || e == nil || !now.Before(e.until()) {
+	if !c.enabled() || e == nil || !now.Before(e.coldUntil()) {
 		return now
 	}
 	quota := c.quota(instance, e, by)
 	if quota == 0 {
-		return e.until()
+		return e.coldUntil()
 	}
-	e.given = e.recent(now)
-	if len(e.given) < quota {
+	e.placedAt = e.recent(now)
+	if len(e.placedAt) < quota {
 		return now
 	}
-	at := e.given[len(e.given)-quota].Add(coldWindow)
-	if e.until().Before(at) {
-		return e.until()
+	at := e.placedAt[len(e.placedAt)-quota].Add(coldWindow)
+	if e.coldUntil().Before(at) {
+		return e.coldUntil()
 	}
 	return at
 }
 
 // full states whether an endpoint must not get a request now.
-func (c *cold) full(instance string, by decider, now time.Time) bool {
-	return c.freeAt(instance, by, now).After(now)
+func (c *coldLedger) full(instance string, by decider, now time.Time) bool {
+	return c.availableAt(instance, by, now).After(now)
 }
 
 // soonest returns when the first of some endpoints may get a request.
-func (c *cold) soonest(list []*placement.Engine, by decider, now time.Time) time.Time {
+func (c *coldLedger) soonest(list []*placement.Engine, by decider, now time.Time) time.Time {
 	var first time.Time
 	for _, e := range list {
-		at := c.freeAt(e.Instance, by, now)
+		at := c.availableAt(e.Instance, by, now)
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
@@ -227,20 +227,20 @@
 // gives at least one, or nobody would know when the endpoint is of use. Of a part that is
 // shared by all instances each has a whole number of requests, some one more than
 // others: who, is another for each endpoint.
-func (c *cold) quota(instance string, e *coldEndpoint, by decider) int {
+func (c *coldLedger) quota(instance string, e *coldEndpoint, by decider) int {
 	bound := c.perSecond*c.limit.Overage + c.limit.Slack
 	switch by {
-	case byAlone:
-		return c.share(int(coldAlone*bound), instance, e)
-	case byEach:
+	case byFallback:
+		return c.share(int(coldFallbackShare*bound), instance, e)
+	case byInstance:
 		return c.share(int(bound), instance, e)
 	case byOwner:
 	}
-	return max(int(min(c.perSecond, coldOwner*bound)), 1)
+	return max(int(min(c.perSecond, coldOwnerShare*bound)), 1)
 }
 
 // share returns this instance's share of so many requests to an endpoint.
-func (c *cold) share(requests int, instance string, e *coldEndpoint) int {
+func (c *coldLedger) share(requests int, instance string, e *coldEndpoint) int {
 	n := max(len(c.instances), 1)
 	if e.rank < 0 {
 		e.rank = c.rank(instance)
@@ -252,7 +252,7 @@
 }
 
 // rank returns this instance's place in the order of all for an endpoint.
-func (c *cold) rank(instance string) int {
+func (c *coldLedger) rank(instance string) int {
 	own := rendezvous.Score(instance, c.self, 1)
 	n := 0
 	for _, id := range c.instances {
@@ -263,9 +263,9 @@
 	return n
 }
 
-// mark tells the engines' models which of them get no request now. They may still help
+// markFull tells the engines' models which of them get no request now. They may still help
 // to read: that is no request to them.
-func (c *cold) mark(list []*placement.Engine, by decider, now time.Time) {
+func (c *coldLedger) markFull(list []*placement.Engine, by decider, now time.Time) {
 	for _, e := range list {
 		e.Full = c.full(e.Instance, by, now)
 		if e.Full {
@@ -274,9 +274,9 @@
 	}
 }
 
-// open returns the endpoints that may get a request now.
-func (c *cold) open(list []*placement.Engine, by decider, now time.Time) []*placement.Engine {
-	if !c.binds() {
+// withinLimit returns the endpoints that may get a request now.
+func (c *coldLedger) withinLimit(list []*placement.Engine, by decider, now time.Time) []*placement.Engine {
+	if !c.enabled() {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(e *placement.Engine) bool {
@@ -289,10 +289,10 @@
 }
 
 // count returns how many endpoints are cold.
-func (c *cold) count(now time.Time) int {
+func (c *coldLedger) count(now time.Time) int {
 	n := 0
 	for _, e := range c.endpoints {
-		if now.Before(e.until()) {
+		if now.Before(e.coldUntil()) {
 			n++
 		}
 	}
@@ -300,22 +300,22 @@
 }
 
 // decider returns who decides on a request of the pool.
-func (p *state) decider(w *Waiter) decider {
+func (p *poolState) decider(w *Waiter) decider {
 	switch {
 	case p.plain:
-		return byEach
-	case w.alone:
-		return byAlone
+		return byInstance
+	case w.fallback:
+		return byFallback
 	}
 	return byOwner
 }
 
-// coldUntil returns a refusal for a request all of whose endpoints are cold and have been
+// refuseCold returns a refusal for a request all of whose endpoints are cold and have been
 // given what they may get, until after it would be refused for having waited; nil for
 // others. It guards against callers that wait in vain.
-func (s *Scheduler) coldUntil(p *state, w *Waiter, list []*placement.Engine, now time.Time) *Refusal {
+func (s *Scheduler) refuseCold(p *poolState, w *Waiter, list []*placement.Engine, now time.Time) *Refusal {
 	at := p.cold.soonest(list, p.decider(w), now)
-	if !at.After(now) || !at.After(w.arrived.Add(time.Duration(waitedShare*float64(w.ask.Deadline)))) {
+	if !at.After(now) || !at.After(w.arrived.Add(time.Duration(maxWaitShare*float64(w.ask.Deadline)))) {
 		return nil
 	}
 	return s.refusal("all endpoints have just started", at.Sub(now))
--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -26,8 +26,8 @@
 	coldBound   = coldRate*coldOverage + coldSlack
 )
 
-// coldWorld is some instances that place on endpoints of which some are cold.
-type coldWorld struct {
+// coldHarness is some instances that place on endpoints of which some are cold.
+type coldHarness struct {
 	t    *testing.T
 	now  time.Time
 	snap *catalog.Snapshot
@@ -37,10 +37,10 @@
 	count int
 }
 
-// newColdWorld returns instances that know endpoints with 100 slots each, which are warm.
-func newColdWorld(t *testing.T, instances, endpoints int, limit ColdLimit) *coldWorld {
+// newColdHarness returns instances that know endpoints with 100 slots each, which are warm.
+func newColdHarness(t *testing.T, instances, endpoints int, limit ColdLimit) *coldHarness {
 	t.Helper()
-	w := &coldWorld{
+	w := &coldHarness{
 		t:   t,
 		now: time.Unix(1_700_000_000, 0),
 		snap: &catalog.Snapshot{
@@ -99,7 +99,7 @@
 }
 
 // enter sets the entry of an endpoint that is cold for a time.
-func (w *coldWorld) enter(name, service string, cold time.Duration) {
+func (w *coldHarness) enter(name, service string, cold time.Duration) {
 	e := catalog.Endpoint{
 		Instance:      name,
 		Service:       service,
@@ -113,14 +113,14 @@
 }
 
 // update tells all instances what is known.
-func (w *coldWorld) update() {
+func (w *coldHarness) update() {
 	for _, s := range w.all {
 		s.Update(w.snap)
 	}
 }
 
 // ask returns a request that has an id of its own.
-func (w *coldWorld) ask(service string) Ask {
+func (w *coldHarness) ask(service string) Ask {
 	w.count++
 	return Ask{
 		ID:       fmt.Sprint("a", w.count),
@@ -134,7 +134,7 @@
 
 // place lets an instance place a request if there is a place at once, and tells those who
 // hear of it. It returns the endpoint, or "".
-func (w *coldWorld) place(s *Scheduler, a Ask, alone bool, hear ...*Scheduler) string {
+func (w *coldHarness) place(s *Scheduler, a Ask, alone bool, hear ...*Scheduler) string {
 	w.t.Helper()
 	wait := s.submit(a, alone)
 	g, _, ok := wait.Decision()
@@ -151,7 +151,7 @@
 
 // assertBound looks that no endpoint gets more than the bound in any second, when its
 // requests need up to most to reach it.
-func (w *coldWorld) assertBound(bound float64, most time.Duration) {
+func (w *coldHarness) assertBound(bound float64, most time.Duration) {
 	w.t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
 	for name, given := range w.given {
@@ -179,7 +179,7 @@
 // endpoints.
 func TestColdSum(t *testing.T) {
 	is := is.New(t)
-	w := newColdWorld(t, 40, 3, defaultLimit())
+	w := newColdHarness(t, 40, 3, defaultLimit())
 	for i := range 3 {
 		w.enter(fmt.Sprintf("e%d", i), "engines", time.Minute)
 	}
@@ -205,7 +205,7 @@
 // TestColdOwners lets one owner follow the other in the same second, each of which has
 // heard of what those before it gave.
 func TestColdOwners(t *testing.T) {
-	w := newColdWorld(t, 6, 1, defaultLimit())
+	w := newColdHarness(t, 6, 1, defaultLimit())
 	w.enter("e0", "engines", time.Minute)
 	w.update()
 	for i, owner := range w.all {
@@ -214,13 +214,13 @@
 		}
 		w.now = w.now.Add(50 * time.Millisecond)
 	}
-	w.assertBound(coldBound*coldOwner, 0)
+	w.assertBound(coldBound*coldOwnerShare, 0)
 }
 
 // TestColdAlone lets only instances place that have no owner to ask.
 func TestColdAlone(t *testing.T) {
 	is := is.New(t)
-	w := newColdWorld(t, 40, 20, defaultLimit())
+	w := newColdHarness(t, 40, 20, defaultLimit())
 	for i := range 20 {
 		w.enter(fmt.Sprintf("e%d", i), "engines", time.Minute)
 	}
@@ -234,7 +234,7 @@
 			}
 		}
 	}
-	w.assertBound(coldBound*coldAlone, 0)
+	w.assertBound(coldBound*coldFallbackShare, 0)
 	is.Equal(len(w.given), 20)
 	is.True(len(served) > 30) // most instances have a part at some endpoint
 }
@@ -244,7 +244,7 @@
 	for _, instances := range []int{1, 7, 40} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			is := is.New(t)
-			w := newColdWorld(t, instances, 3, defaultLimit())
+			w := newColdHarness(t, instances, 3, defaultLimit())
 			for i := range 3 {
 				w.enter(fmt.Sprintf("p%d", i), "plain", time.Minute)
 			}
@@ -268,7 +268,7 @@
 // get the rest, and nobody is refused.
 func TestColdHalf(t *testing.T) {
 	is := is.New(t)
-	w := newColdWorld(t, 1, 4, defaultLimit())
+	w := newColdHarness(t, 1, 4, defaultLimit())
 	w.enter("e0", "engines", time.Minute)
 	w.enter("e1", "engines", time.Minute)
 	w.update()
@@ -287,7 +287,7 @@
 // TestColdAgain lets a warm endpoint turn cold that was given much just before.
 func TestColdAgain(t *testing.T) {
 	is := is.New(t)
-	w := newColdWorld(t, 1, 1, defaultLimit())
+	w := newColdHarness(t, 1, 1, defaultLimit())
 	s := w.all[0]
 	for range 30 {
 		is.Equal(w.place(s, w.ask("engines"), false), "e0") // no bound while warm
@@ -308,28 +308,28 @@
 func TestColdReturns(t *testing.T) {
 	for _, row := range []struct {
 		name    string
-		returns func(w *coldWorld)
+		returns func(w *coldHarness)
 	}{
-		{"its failure domain is restored", func(w *coldWorld) {
+		{"its failure domain is restored", func(w *coldHarness) {
 			w.snap.Emptied = map[string]time.Time{"d-e0": w.now}
 			w.update()
 			w.snap.Emptied = nil
 			w.update()
 		}},
-		{"it failed", func(w *coldWorld) {
-			for i := range failuresTolerated + 2 {
+		{"it failed", func(w *coldHarness) {
+			for i := range toleratedFailures + 2 {
 				a := w.ask("engines")
 				w.place(w.all[0], a, false)
-				w.all[0].EndBy(a.ID, "engines", Unreachable, "", fmt.Sprint("m", i))
+				w.all[0].EndFrom(a.ID, "engines", Unreachable, "", fmt.Sprint("m", i))
 			}
-			w.now = w.now.Add(lastAside)
+			w.now = w.now.Add(maxEjection)
 			a := w.ask("engines")
 			w.place(w.all[0], a, false)
 			w.all[0].First(a.ID, "engines")
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			w := newColdWorld(t, 1, 1, defaultLimit())
+			w := newColdHarness(t, 1, 1, defaultLimit())
 			row.returns(w)
 			clear(w.given)
 			for range 100 {
@@ -351,7 +351,7 @@
 	for _, service := range []string{"engines", "plain"} {
 		t.Run(service, func(t *testing.T) {
 			is := is.New(t)
-			w := newColdWorld(t, 1, 1, defaultLimit())
+			w := newColdHarness(t, 1, 1, defaultLimit())
 			w.enter("e0", "engines", time.Minute)
 			w.enter("p0", "plain", time.Minute)
 			w.update()
@@ -379,7 +379,7 @@
 	for _, service := range []string{"engines", "plain"} {
 		t.Run(service, func(t *testing.T) {
 			is := is.New(t)
-			w := newColdWorld(t, 1, 1, defaultLimit())
+			w := newColdHarness(t, 1, 1, defaultLimit())
 			w.enter("e0", "engines", time.Minute)
 			w.enter("p0", "plain", time.Minute)
 			w.update()
@@ -402,7 +402,7 @@
 // part is no request to it.
 func TestColdReader(t *testing.T) {
 	is := is.New(t)
-	w := newColdWorld(t, 1, 2, defaultLimit())
+	w := newColdHarness(t, 1, 2, defaultLimit())
 	w.enter("e0", "engines", time.Minute)
 	w.update()
 	s := w.all[0]
@@ -422,7 +422,7 @@
 // configuration set no bound.
 func TestColdUnbound(t *testing.T) {
 	is := is.New(t)
-	w := newColdWorld(t, 1, 1, ColdLimit{})
+	w := newColdHarness(t, 1, 1, ColdLimit{})
 	w.enter("e0", "engines", time.Minute)
 	w.update()
 	for range 50 {
@@ -433,7 +433,7 @@
 // TestColdFigures looks at what operators see.
 func TestColdFigures(t *testing.T) {
 	is := is.New(t)
-	w := newColdWorld(t, 1, 2, defaultLimit())
+	w := newColdHarness(t, 1, 2, defaultLimit())
 	w.enter("e0", "engines", time.Second)
 	w.update()
 	for range 30 {
--- a/pool/crowd_test.go
+++ b/pool/crowd_test.go
@@ -225,7 +225,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(row.ask.hurried(), row.want)
+			is.Equal(row.ask.isShort(), row.want)
 		})
 	}
 }
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -12,24 +12,24 @@
 
 // The measures of a decision.
 const (
-	// spoilsTolerated is what a request may cost others without waiting for a better
+	// toleratedHarm is what a request may cost others without waiting for a better
 	// moment, in units of worth: a fifth of a short one.
-	spoilsTolerated = 0.25
-	// spoilsPrice is how much of its worth a request must keep for each unit that
+	toleratedHarm = 0.25
+	// harmFactor is how much of its worth a request must keep for each unit that
 	// others lose.
-	spoilsPrice = 1.7
-	// waitShare is the part of the time until a request would be late that its
+	harmFactor = 1.7
+	// deferFirstShare is the part of the time until a request would be late that its
 	// first event may take for the request to be put off still.
-	waitShare = 0.7
-	// soonShare is the part of the time until a request would be late that
+	deferFirstShare = 0.7
+	// deferPrefillShare is the part of the time until a request would be late that
 	// reading its prompt may take for it to be put off when there is no plan in
 	// time: the rest is for engines to become free.
-	soonShare = 0.7
+	deferPrefillShare = 0.7
 )
 
-// try places a request if this is the moment for it: its best plan covers what it
+// tryPlace places a request if this is the moment for it: its best plan covers what it
 // costs others, and no later moment is likely to be better. The caller holds the lock.
-func (s *Scheduler) try(p *state, w *Waiter, now time.Time) (Grant, bool) {
+func (s *Scheduler) tryPlace(p *poolState, w *Waiter, now time.Time) (Grant, bool) {
 	list := p.usable(w, now)
 	if len(list) == 0 {
 		return Grant{}, false
@@ -37,49 +37,49 @@
 	if p.plain {
 		return s.tryPlain(p, w, list, now)
 	}
-	p.cold.mark(list, p.decider(w), now)
-	if w.alone {
-		list = s.turned(list)
+	p.cold.markFull(list, p.decider(w), now)
+	if w.fallback {
+		list = s.rotated(list)
 	}
-	w.request.Readings = p.readings(w, now)
+	w.request.Readings = p.prefillLoad(w, now)
 	plan, ok := placement.Make(list, w.request, now)
-	w.late = !ok || plan.Loses > lateFrom*w.request.Worth
+	w.late = !ok || plan.Loses > lateLossShare*w.request.Worth
 	switch {
 	case !ok:
-	case now.Add(plan.First).After(w.gone()):
-	case w.outOfSlots(list) || w.yields() && crowded(list):
-	case w.betterLater(&plan, list, now):
-	case s.crowdGoesFirst(p, w, &plan, len(list), now):
-	case !p.covers(w, &plan, now):
+	case now.Add(plan.First).After(w.givesUpAt()):
+	case w.outOfSlots(list) || w.yields() && mostSlotsUsed(list):
+	case w.shouldDefer(&plan, list, now):
+	case s.yieldsToBurst(p, w, &plan, len(list), now):
+	case !p.coversCost(w, &plan, now):
 	default:
-		p.price.note(p.work(w), w.lost(&plan), now)
+		p.price.note(p.engineTime(w), w.worthLost(&plan), now)
 		plan.Apply(w.request, now)
 		return s.grant(p, w, &plan, now), true
 	}
 	return Grant{}, false
 }
 
-// turned returns the engines in an order that begins at another one on each instance.
+// rotated returns the engines in an order that begins at another one on each instance.
 // Prompts fill the engines from the front, which is right where one instance decides.
 // Many that place alone all filled the same ones: of 300 instances that started
 // together, 420 of the first 500 requests were rejected by full engines.
-func (s *Scheduler) turned(list []*placement.Engine) []*placement.Engine {
+func (s *Scheduler) rotated(list []*placement.Engine) []*placement.Engine {
 	at := rendezvous.Index(s.settings.Self, len(list))
 	return slices.Concat(list[at:], list[:at])
 }
 
-// betterLater states whether a request should wait for a better moment: it would be
+// shouldDefer states whether a request should wait for a better moment: it would be
 // late now and may still be in time, or costs others something now and has time left.
 // With a short target no such moment comes early enough.
-func (w *Waiter) betterLater(plan *placement.Plan, list []*placement.Engine, now time.Time) bool {
+func (w *Waiter) shouldDefer(plan *placement.Plan, list []*placement.Engine, now time.Time) bool {
 	left := w.request.TargetAt.Sub(now)
-	if w.ask.hurried() || left <= 0 {
+	if w.ask.isShort() || left <= 0 {
 		return false
 	}
-	if w.late && placement.Soonest(list, w.request) < time.Duration(soonShare*float64(left)) {
+	if w.late && placement.Soonest(list, w.request) < time.Duration(deferPrefillShare*float64(left)) {
 		return true
 	}
-	return plan.Spoils > spoilsTolerated && plan.First < time.Duration(waitShare*float64(left))
+	return plan.Spoils > toleratedHarm && plan.First < time.Duration(deferFirstShare*float64(left))
 }
 
 // lateFromStart states whether a request was late when it came: its caller has come
@@ -88,17 +88,17 @@
 	return !w.request.TargetAt.After(w.arrived)
 }
 
-// covers states whether what a request keeps covers what others lose by its plan, and
+// coversCost states whether what a request keeps covers what others lose by its plan, and
 // the price of the engines' time that it takes.
-func (p *state) covers(w *Waiter, plan *placement.Plan, now time.Time) bool {
+func (p *poolState) coversCost(w *Waiter, plan *placement.Plan, now time.Time) bool {
 	keeps := w.request.Worth - plan.Loses
-	if !w.yields() && keeps < p.priceNow(now)*p.work(w).Seconds() {
+	if !w.yields() && keeps < p.priceNow(now)*p.engineTime(w).Seconds() {
 		return false
 	}
-	if plan.Spoils <= spoilsTolerated {
+	if plan.Spoils <= toleratedHarm {
 		return true
 	}
-	return keeps > spoilsPrice*plan.Spoils
+	return keeps > harmFactor*plan.Spoils
 }
 
 // yields states whether a request is short and was late when its caller came back. It
@@ -110,21 +110,21 @@
 // and 169 when callers that have come back counted as new ones (emulated pool of the
 // tests).
 func (w *Waiter) yields() bool {
-	return w.lateFromStart() && !w.ask.Again && w.ask.hurried()
+	return w.lateFromStart() && !w.ask.Again && w.ask.isShort()
 }
 
-// gives returns what a request keeps still if it is served at once: one that was late when
+// remainingWorth returns what a request keeps still if it is served at once: one that was late when
 // it came keeps what a late answer is worth.
-func (w *Waiter) gives() float64 {
+func (w *Waiter) remainingWorth() float64 {
 	if w.lateFromStart() {
 		return w.request.LateWorth
 	}
 	return w.request.Worth
 }
 
-// lost returns what a request loses for want of room by a plan that makes it late. One
+// worthLost returns what a request loses for want of room by a plan that makes it late. One
 // that was late when it came, like one whose first engine failed, loses nothing more.
-func (w *Waiter) lost(plan *placement.Plan) float64 {
+func (w *Waiter) worthLost(plan *placement.Plan) float64 {
 	if !w.late || w.lateFromStart() {
 		return 0
 	}
--- a/pool/decide_test.go
+++ b/pool/decide_test.go
@@ -33,7 +33,7 @@
 }
 
 // busyPool returns a pool of one engine that reads 100 000 tokens a second and is busy.
-func busyPool() *state {
+func busyPool() *poolState {
 	e := &placement.Engine{
 		Instance: "e0",
 		Slots:    4,
@@ -46,7 +46,7 @@
 		Tokens:   1_000_000,
 		PerToken: 10 * time.Microsecond,
 	}, moment)
-	return &state{
+	return &poolState{
 		list: []*placement.Engine{e},
 	}
 }
@@ -65,7 +65,7 @@
 	}{
 		{"costs nothing", 0, 0, 0, 0, true},
 		{"late and costs nothing", 0, 0.75, 0, 0, true},
-		{"costs others little", spoilsTolerated, 0.75, 0, 0, true},
+		{"costs others little", toleratedHarm, 0.75, 0, 0, true},
 		{"costs others less than it keeps", 0.5, 0, 0, 0, true},
 		{"costs others more than it keeps", 0.8, 0, 0, 0, false},
 		{"costs others more, has waited for long", 0.8, 0, 0, 4 * time.Second, false},
@@ -79,7 +79,7 @@
 			now := moment.Add(row.waited)
 			// All work was displaced, so that the price holds in full.
 			p.price.note(time.Second, row.price/priceShare, now)
-			got := p.covers(waiting(50_000, 3*time.Second), &placement.Plan{
+			got := p.coversCost(waiting(50_000, 3*time.Second), &placement.Plan{
 				Spoils: row.spoils,
 				Loses:  row.loses,
 			}, now)
@@ -91,7 +91,7 @@
 		p := busyPool()
 		p.list[0].Remove("before")
 		p.price.note(time.Second, 100, moment)
-		is.True(p.covers(waiting(50_000, 3*time.Second), &placement.Plan{}, moment))
+		is.True(p.coversCost(waiting(50_000, 3*time.Second), &placement.Plan{}, moment))
 	})
 }
 
@@ -116,7 +116,7 @@
 			is := is.New(t)
 			w := waiting(50_000, row.target)
 			w.late = row.late
-			is.Equal(w.betterLater(&row.plan, busyPool().list, moment.Add(row.now)), row.want)
+			is.Equal(w.shouldDefer(&row.plan, busyPool().list, moment.Add(row.now)), row.want)
 		})
 	}
 }
--- a/pool/emptied.go
+++ b/pool/drained.go
@@ -9,26 +9,26 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// emptiedAfter is when the callers of a service may come back all of whose endpoints are in
+// drainedRetryAfter is when the callers of a service may come back all of whose endpoints are in
 // emptied failure domains: an operator takes a domain back after seconds at the least, and a
 // caller has few tries.
-const emptiedAfter = 2 * time.Second
+const drainedRetryAfter = 2 * time.Second
 
-// emptied are the failure domains whose endpoints get nothing new, with when this became
+// drainedDomains are the failure domains whose endpoints get nothing new, with when this became
 // known. What runs there goes on: streams end by themselves, and reservations of memory are
 // renewed until their requests end.
-type emptied map[string]time.Time
+type drainedDomains map[string]time.Time
 
-// bars states whether an endpoint must not get a request, by what this instance knows or by
+// excludes states whether an endpoint must not get a request, by what this instance knows or by
 // what the entry that asks does: either may be cut off from the store.
-func (d emptied) bars(a *Ask, e *placement.Engine) bool {
+func (d drainedDomains) excludes(a *Ask, e *placement.Engine) bool {
 	_, known := d[e.FailureDomain]
 	return known || slices.Contains(a.Emptied, e.FailureDomain)
 }
 
-// barsAny states whether at least one of the endpoints must not get a request.
-func (d emptied) barsAny(a *Ask, list []*placement.Engine) bool {
+// excludesAny states whether at least one of the endpoints must not get a request.
+func (d drainedDomains) excludesAny(a *Ask, list []*placement.Engine) bool {
 	return slices.ContainsFunc(list, func(e *placement.Engine) bool {
-		return d.bars(a, e)
+		return d.excludes(a, e)
 	})
 }
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -9,16 +9,16 @@
 )
 
 // grant notes a place and returns it.
-func (s *Scheduler) grant(p *state, w *Waiter, plan *placement.Plan, now time.Time) Grant {
-	born := p.health[plan.Engine.Instance].born
-	at := &placed{
-		instance: plan.Engine.Instance,
-		born:     born,
-		at:       now,
-		first:    plan.First,
-		work:     w.work(),
-		entry:    w.entry,
-		watched:  w.ask.watched(),
+func (s *Scheduler) grant(p *poolState, w *Waiter, plan *placement.Plan, now time.Time) Grant {
+	born := p.health[plan.Engine.Instance].startedAt
+	at := &attempt{
+		instance:       plan.Engine.Instance,
+		startedAt:      born,
+		placedAt:       now,
+		predictedFirst: plan.First,
+		workload:       w.workload(),
+		entry:          w.entry,
+		watched:        w.ask.watched(),
 	}
 	g := Grant{
 		Instance: plan.Engine.Instance,
@@ -29,7 +29,7 @@
 		By:       s.settings.Self,
 	}
 	for _, o := range plan.Others {
-		at.readers = append(at.readers, o.Engine.Instance)
+		at.joint = append(at.joint, o.Engine.Instance)
 		g.Readers = append(g.Readers, Reader{
 			Instance: o.Engine.Instance,
 			Address:  o.Engine.Address,
@@ -38,41 +38,41 @@
 	}
 	withheld := p.withheld(w, now)
 	p.passedOver += int64(withheld)
-	limit, _ := p.limit(plan.Engine, p.notices.View())
+	limit, _ := p.rateLimit(plan.Engine, p.notices.View())
 	p.give(at, now)
 	p.probe(at, now)
-	p.cold.give(at.instance, now)
-	p.paces.decided, p.paces.alone = now, w.alone
-	p.placed[w.ask.ID] = at
+	p.cold.recordPlacement(at.instance, now)
+	p.slowdowns.decidedAt, p.slowdowns.fallback = now, w.fallback
+	p.attempts[w.ask.ID] = at
 	s.log.Info("place", "attempt", w.ask.ID, "service", w.ask.Service, "prompt", w.ask.Prompt,
 		"returning", w.ask.Returning, "rank", w.ask.Rank, "route_rank", w.ask.RouteRank, "worth", w.request.Worth, "endpoint", g.Instance,
-		"readers", at.readers, "first_ms", g.First.Milliseconds(), "read_ms", plan.Read.Milliseconds(),
+		"readers", at.joint, "first_ms", g.First.Milliseconds(), "read_ms", plan.Read.Milliseconds(),
 		"spoils", plan.Spoils, "loses", plan.Loses, "waited_ms", g.Waited.Milliseconds(), "queue", len(p.queue),
-		"work_ms", p.work(w).Milliseconds(), "price", p.priceNow(now),
+		"work_ms", p.engineTime(w).Milliseconds(), "price", p.priceNow(now),
 		"due_ms", w.request.TargetAt.Sub(now).Milliseconds(), "resumed", w.ask.Resumed,
 		"withheld", withheld, "limit", limit.Rate, "limit_age_ms", limit.Age(now).Milliseconds())
 	return g
 }
 
 // give notes that the endpoints of an attempt have a request more.
-func (p *state) give(at *placed, now time.Time) {
+func (p *poolState) give(at *attempt, now time.Time) {
 	for _, name := range at.endpoints() {
 		if h := p.health[name]; h != nil {
-			h.given.note(now)
+			h.placements.note(now)
 		}
 	}
 }
 
 // probe notes that an attempt tries endpoints that had failed.
-func (p *state) probe(at *placed, now time.Time) {
+func (p *poolState) probe(at *attempt, now time.Time) {
 	for _, name := range at.endpoints() {
 		h := p.health[name]
 		if h == nil {
 			continue
 		}
-		h.all.probing = h.all.failures > failuresTolerated
-		if h.all.probing {
-			p.cold.assume(name, now)
+		h.shared.probing = h.shared.failures > toleratedFailures
+		if h.shared.probing {
+			p.cold.assumeCold(name, now)
 		}
 	}
 }
--- a/pool/lives.go
+++ b/pool/incarnation.go
@@ -10,54 +10,54 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// renew takes over that an endpoint may have started again under its name. What was
+// detectRestart takes over that an endpoint may have started again under its name. What was
 // thought to run, to hold or to be reserved there has ended, and its record of failures
 // is that of another life. It returns how many attempts ended, and whether the endpoint
 // has started again.
-func (p *state) renew(c catalog.Endpoint) (ended int, again bool) {
+func (p *poolState) detectRestart(c catalog.Endpoint) (ended int, again bool) {
 	e, known := p.engines[c.Instance]
 	if !known {
 		return 0, false
 	}
 	h := p.health[c.Instance]
-	again = !h.born.IsZero() && c.Born.After(h.born)
+	again = !h.startedAt.IsZero() && c.Born.After(h.startedAt)
 	if again {
-		ended = p.endLives(c.Instance, c.Born)
+		ended = p.endEarlierIncarnations(c.Instance, c.Born)
 		*e = placement.Engine{
 			Instance: e.Instance,
 			Jobs:     e.Jobs,
 		}
-		*h = health{
+		*h = endpointHealth{
 			preference: h.preference,
 		}
-		delete(p.paces.of, c.Instance)
+		delete(p.slowdowns.records, c.Instance)
 	}
-	if c.Born.After(h.born) {
-		h.born = c.Born
+	if c.Born.After(h.startedAt) {
+		h.startedAt = c.Born
 	}
 	return ended, again
 }
 
-// endLives ends the attempts at the lives of an endpoint before the one that started at a
+// endEarlierIncarnations ends the attempts at the lives of an endpoint before the one that started at a
 // moment, and the parts of prompts that it read for others: their requests fail, as
 // those notice. It returns how many attempts ended.
-func (p *state) endLives(instance string, born time.Time) int {
+func (p *poolState) endEarlierIncarnations(instance string, born time.Time) int {
 	n := 0
-	for id, at := range p.placed {
+	for id, at := range p.attempts {
 		switch {
-		case at.instance == instance && at.born.Before(born):
-			p.end(id)
+		case at.instance == instance && at.startedAt.Before(born):
+			p.endAttempt(id)
 			n++
-		case slices.Contains(at.readers, instance):
+		case slices.Contains(at.joint, instance):
 			p.engines[instance].Remove(id)
 		}
 	}
 	return n
 }
 
-// outlived states whether a place was given at a life of an endpoint that is over. One
+// isStale states whether a place was given at a life of an endpoint that is over. One
 // that does not say counts as given at the present life.
-func (p *state) outlived(g *Grant) bool {
+func (p *poolState) isStale(g *Grant) bool {
 	h := p.health[g.Instance]
-	return h != nil && !g.Born.IsZero() && g.Born.Before(h.born)
+	return h != nil && !g.Born.IsZero() && g.Born.Before(h.startedAt)
 }
--- a/pool/lives_test.go
+++ b/pool/incarnation_test.go
@@ -15,22 +15,22 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// lifeWorld is a scheduler with endpoints that may start again.
-type lifeWorld struct {
+// incarnationHarness is a scheduler with endpoints that may start again.
+type incarnationHarness struct {
 	t    *testing.T
 	s    *Scheduler
 	snap *catalog.Snapshot
 	now  time.Time
 }
 
-// firstLife is when the endpoints of a lifeWorld started.
-var firstLife = time.UnixMilli(1796256000000)
+// firstIncarnation is when the endpoints of a lifeWorld started.
+var firstIncarnation = time.UnixMilli(1796256000000)
 
-// newLifeWorld returns a scheduler that knows n endpoints of the services "engines" and
+// newIncarnationHarness returns a scheduler that knows n endpoints of the services "engines" and
 // "plain" each, with two slots.
-func newLifeWorld(t *testing.T, n int) *lifeWorld {
+func newIncarnationHarness(t *testing.T, n int) *incarnationHarness {
 	t.Helper()
-	w := &lifeWorld{
+	w := &incarnationHarness{
 		t: t,
 		snap: &catalog.Snapshot{
 			Table: route.New(1, nil, []route.Service{
@@ -50,21 +50,21 @@
 			}, nil, false, route.Limits{}),
 			Endpoints: make(map[string]catalog.Endpoint),
 		},
-		now: firstLife.Add(time.Hour),
+		now: firstIncarnation.Add(time.Hour),
 	}
 	w.s = NewScheduler(Settings{
 		Self: "n0",
 		Now:  func() time.Time { return w.now },
 	}, logr.Discard())
 	for i := range n {
-		w.start(fmt.Sprintf("e%d", i), "engines", firstLife)
-		w.start(fmt.Sprintf("p%d", i), "plain", firstLife)
+		w.start(fmt.Sprintf("e%d", i), "engines", firstIncarnation)
+		w.start(fmt.Sprintf("p%d", i), "plain", firstIncarnation)
 	}
 	return w
 }
 
 // start makes the entry of an endpoint known that started at a moment.
-func (w *lifeWorld) start(name, service string, born time.Time) {
+func (w *incarnationHarness) start(name, service string, born time.Time) {
 	w.snap.Endpoints[name] = catalog.Endpoint{
 		Instance: name,
 		Service:  service,
@@ -76,7 +76,7 @@
 }
 
 // place places a request and fails the test when it gets no place at once.
-func (w *lifeWorld) place(id, service string, prompt int) Grant {
+func (w *incarnationHarness) place(id, service string, prompt int) Grant {
 	w.t.Helper()
 	wait := w.s.Submit(w.ask(id, service, prompt))
 	g, _, ok := wait.Decision()
@@ -86,7 +86,7 @@
 	return g
 }
 
-func (w *lifeWorld) ask(id, service string, prompt int) Ask {
+func (w *incarnationHarness) ask(id, service string, prompt int) Ask {
 	return Ask{
 		ID:       id,
 		Service:  service,
@@ -98,18 +98,18 @@
 }
 
 // running returns how many jobs an endpoint is thought to have.
-func (w *lifeWorld) running(name, service string) int {
+func (w *incarnationHarness) running(name, service string) int {
 	return len(w.s.pools[service].engines[name].Jobs)
 }
 
 // failing states whether an endpoint is set aside.
-func (w *lifeWorld) failing(name, service string) bool {
+func (w *incarnationHarness) failing(name, service string) bool {
 	h := w.s.pools[service].health[name]
-	return !h.all.usable(w.now) || !h.own.usable(w.now)
+	return !h.shared.usable(w.now) || !h.own.usable(w.now)
 }
 
 // fail makes an endpoint fail until it is set aside.
-func (w *lifeWorld) fail(name, service string) {
+func (w *incarnationHarness) fail(name, service string) {
 	w.t.Helper()
 	for i := range 20 {
 		if w.failing(name, service) {
@@ -117,7 +117,7 @@
 		}
 		id := fmt.Sprintf("fails-%s-%d", name, i)
 		w.place(id, service, 100)
-		w.s.EndBy(id, service, Unreachable, name, fmt.Sprint("n", i%2))
+		w.s.EndFrom(id, service, Unreachable, name, fmt.Sprint("n", i%2))
 	}
 	w.t.Fatal("the endpoint is not set aside")
 }
@@ -128,23 +128,23 @@
 	for service, name := range map[string]string{"engines": "e0", "plain": "p0"} {
 		t.Run(service, func(t *testing.T) {
 			is := is.New(t)
-			w := newLifeWorld(t, 1)
+			w := newIncarnationHarness(t, 1)
 			w.fail(name, service)
-			w.now = w.now.Add(lastAside)
+			w.now = w.now.Add(maxEjection)
 			w.place("one", service, 1000)
 			w.place("two", service, 1000)
-			w.s.Shunned(service)
-			w.start(name, service, firstLife.Add(time.Minute))
+			w.s.UnusableEndpoints(service)
+			w.start(name, service, firstIncarnation.Add(time.Minute))
 			is.Equal(w.running(name, service), 0)
-			is.Equal(len(w.s.pools[service].placed), 0)
+			is.Equal(len(w.s.pools[service].attempts), 0)
 			is.True(!w.failing(name, service))
-			is.Equal(w.s.pools[service].health[name].rate, 0.0)
+			is.Equal(w.s.pools[service].health[name].failureRate, 0.0)
 			g := w.place("three", service, 1000)
-			is.Equal(g.Born, firstLife.Add(time.Minute))
+			is.Equal(g.Born, firstIncarnation.Add(time.Minute))
 			// What the older life's requests came to is no matter of the new one.
 			for range 5 {
-				w.s.EndBy("one", service, Unreachable, name, "n1")
-				w.s.EndBy("two", service, Unreachable, name, "n2")
+				w.s.EndFrom("one", service, Unreachable, name, "n1")
+				w.s.EndFrom("two", service, Unreachable, name, "n2")
 			}
 			is.True(!w.failing(name, service))
 			is.Equal(w.running(name, service), 1)
@@ -155,13 +155,13 @@
 // TestSameLife looks that an entry of the life that is known, or one that does not say,
 // ends nothing.
 func TestSameLife(t *testing.T) {
-	for _, born := range []time.Time{firstLife, {}} {
+	for _, born := range []time.Time{firstIncarnation, {}} {
 		is := is.New(t)
-		w := newLifeWorld(t, 1)
+		w := newIncarnationHarness(t, 1)
 		w.place("one", "engines", 1000)
 		w.start("e0", "engines", born)
 		is.Equal(w.running("e0", "engines"), 1)
-		w.start("e0", "engines", firstLife)
+		w.start("e0", "engines", firstIncarnation)
 		is.Equal(w.running("e0", "engines"), 1)
 	}
 }
@@ -169,7 +169,7 @@
 // TestNewLifeOfReader lets one of the engines start again that read a prompt together.
 func TestNewLifeOfReader(t *testing.T) {
 	is := is.New(t)
-	w := newLifeWorld(t, 4)
+	w := newIncarnationHarness(t, 4)
 	a := w.ask("long", "engines", 90_000)
 	a.Target = 500 * time.Millisecond
 	g, _, _ := w.s.Submit(a).Decision()
@@ -177,9 +177,9 @@
 	w.place("beside", "engines", 1000)
 	reader := g.Readers[0].Instance
 	before := w.running(reader, "engines")
-	w.start(reader, "engines", firstLife.Add(time.Minute))
+	w.start(reader, "engines", firstIncarnation.Add(time.Minute))
 	is.Equal(w.running(reader, "engines"), before-1)
-	is.True(w.s.pools["engines"].placed["long"] != nil) // its engine has to notice
+	is.True(w.s.pools["engines"].attempts["long"] != nil) // its engine has to notice
 	w.s.End("long", "engines", Failed, "")
 	is.Equal(w.running(g.Instance, "engines"), 0)
 }
@@ -188,12 +188,12 @@
 // endpoint.
 func TestOlderLifeAdopted(t *testing.T) {
 	is := is.New(t)
-	w := newLifeWorld(t, 1)
-	second, third := firstLife.Add(time.Minute), firstLife.Add(2*time.Minute)
+	w := newIncarnationHarness(t, 1)
+	second, third := firstIncarnation.Add(time.Minute), firstIncarnation.Add(2*time.Minute)
 	w.start("e0", "engines", second)
 	w.s.Adopt(w.ask("old", "engines", 1000), Grant{
 		Instance: "e0",
-		Born:     firstLife,
+		Born:     firstIncarnation,
 	}, true)
 	is.Equal(w.running("e0", "engines"), 0)
 	w.s.Adopt(w.ask("new", "engines", 1000), Grant{
@@ -206,5 +206,5 @@
 	is.Equal(w.running("e0", "engines"), 2)
 	w.start("e0", "engines", third)
 	is.Equal(w.running("e0", "engines"), 1)
-	is.True(w.s.pools["engines"].placed["new"] != nil)
+	is.True(w.s.pools["engines"].attempts["new"] != nil)
 }
--- a/pool/plain.go
+++ b/pool/plain.go
@@ -15,12 +15,12 @@
 // its own: with one order for all, 300 instances that had nothing running all sent to
 // the same of twelve endpoints, now to each at most twice its share (TestPlainSpread).
 // An instance goes where it has a connection as long as it has little to do.
-func (s *Scheduler) tryPlain(p *state, w *Waiter, list []*placement.Engine, now time.Time) (Grant, bool) {
-	list = p.cold.open(list, byEach, now)
+func (s *Scheduler) tryPlain(p *poolState, w *Waiter, list []*placement.Engine, now time.Time) (Grant, bool) {
+	list = p.cold.withinLimit(list, byInstance, now)
 	if len(list) == 0 {
 		return Grant{}, false
 	}
-	paces := p.plainPaces(now)
+	paces := p.plainSlowdowns(now)
 	best := slices.MinFunc(list, func(a, b *placement.Engine) int {
 		return cmp.Or(cmp.Compare(p.load(a, paces), p.load(b, paces)),
 			cmp.Compare(p.health[b.Instance].preference, p.health[a.Instance].preference))
@@ -38,15 +38,15 @@
 	})
 }
 
-// failureLoad is what a failure rate of one adds to the load of an endpoint.
-const failureLoad = 4
+// failureWeight is what a failure rate of one adds to the load of an endpoint.
+const failureWeight = 4
 
 // load returns how busy a plain endpoint would be beside one more request, in requests for
 // each of its slots. Those of one that is slow, by its pace, count for more.
-func (p *state) load(e *placement.Engine, paces map[string]float64) float64 {
+func (p *poolState) load(e *placement.Engine, paces map[string]float64) float64 {
 	busy := float64(len(e.Jobs))
 	if pace, slow := paces[e.Instance]; slow {
 		busy = (busy+1)*pace - 1
 	}
-	return busy/float64(e.Slots) + failureLoad*p.health[e.Instance].rate
+	return busy/float64(e.Slots) + failureWeight*p.health[e.Instance].failureRate
 }
--- a/pool/readings.go
+++ b/pool/prefill_load.go
@@ -8,12 +8,12 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// longReading is the time of reading from which on an engine counts as reading a long
+// longPrefill is the time of reading from which on an engine counts as reading a long
 // prompt: with a pass it is more than the shortest pauses on the sheets, 200 ms.
-const longReading = 150 * time.Millisecond
+const longPrefill = 150 * time.Millisecond
 
-// readings returns what long prompts want of the engines when a request is decided on.
-func (p *state) readings(w *Waiter, now time.Time) placement.Readings {
+// prefillLoad returns what long prompts want of the engines when a request is decided on.
+func (p *poolState) prefillLoad(w *Waiter, now time.Time) placement.Readings {
 	p.longestGap = max(p.longestGap, w.ask.Gap)
 	reading, all := 0, 0
 	for _, e := range p.list {
@@ -21,7 +21,7 @@
 			continue
 		}
 		all++
-		if e.Unread() > longReading {
+		if e.Unread() > longPrefill {
 			reading++
 		}
 	}
--- a/pool/price.go
+++ b/pool/price.go
@@ -9,19 +9,19 @@
 
 // The measures of the price of engines' time.
 const (
-	// priceFades is the time in which what was displaced counts by a factor of e less:
+	// priceDecay is the time in which what was displaced counts by a factor of e less:
 	// slots and long reads turn over in about as long.
-	priceFades = 2 * time.Second
+	priceDecay = 2 * time.Second
 	// priceShare is the part of what displaced requests would have earned that a
 	// request must keep for the same time of engines. Late requests keep a quarter and
 	// yield; those in time pass whose prompts are too long to earn as much a second.
 	// With 0.5 more callers came back in vain: 0.691 of all worth in place of 0.698
 	// (18 engines, fifteen plays of bursts with faults, same seeds).
 	priceShare = 0.3
-	// priceFull is the part of the work asked for that must have been displaced for the
+	// priceFullShare is the part of the work asked for that must have been displaced for the
 	// price to hold in full. With less it is smaller in proportion: a few late requests
 	// need not be told that others are.
-	priceFull = 0.1
+	priceFullShare = 0.1
 )
 
 // price learns what a second of the engines' time is worth to others, from what was
@@ -68,14 +68,14 @@
 	if p.displaced == 0 {
 		return 0
 	}
-	full := min(1, p.displaced/(priceFull*p.asked))
+	full := min(1, p.displaced/(priceFullShare*p.asked))
 	return priceShare * p.lost / p.displaced * full
 }
 
 // fade lets what was noted count less.
 func (p *price) fade(now time.Time) {
 	if !p.at.IsZero() {
-		kept := math.Exp(-now.Sub(p.at).Seconds() / priceFades.Seconds())
+		kept := math.Exp(-now.Sub(p.at).Seconds() / priceDecay.Seconds())
 		p.lost *= kept
 		p.displaced *= kept
 		p.asked *= kept
@@ -84,13 +84,13 @@
 }
 
 // priceNow returns what a second of one engine costs now, in units of worth.
-func (p *state) priceNow(now time.Time) float64 {
-	return p.price.perSecond(now) * p.inUse(now)
+func (p *poolState) priceNow(now time.Time) float64 {
+	return p.price.perSecond(now) * p.utilization(now)
 }
 
-// inUse returns the part of the engines that are in use: of each that does not read, the
+// utilization returns the part of the engines that are in use: of each that does not read, the
 // part of its slots that run.
-func (p *state) inUse(now time.Time) float64 {
+func (p *poolState) utilization(now time.Time) float64 {
 	used, all := 0.0, 0
 	for _, e := range p.list {
 		if p.leftOut(e, now) {
--- a/pool/price_test.go
+++ b/pool/price_test.go
@@ -35,7 +35,7 @@
 		{"half displaced", 50, 50, 0, priceShare * 10},
 		{"a tenth displaced", 90, 10, 0, priceShare * 10},
 		{"a hundredth displaced", 99, 1, 0, priceShare},
-		{"half displaced some time ago", 50, 50, priceFades, priceShare * 10},
+		{"half displaced some time ago", 50, 50, priceDecay, priceShare * 10},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			var p price
--- a/pool/trial_test.go
+++ b/pool/probe_test.go
@@ -15,7 +15,7 @@
 func TestFailedTrialIsNotTheLast(t *testing.T) {
 	for _, o := range []Outcome{Failed, Unreachable} {
 		t.Run(o.String(), func(t *testing.T) {
-			w := newRateWorld(t, 1, 2, rateModel())
+			w := newRateLimitHarness(t, 1, 2, rateModel())
 			s := w.instances[0]
 			end := func(entry string, fails bool) (tried bool) {
 				w.asked++
@@ -32,7 +32,7 @@
 				if fails && g.Instance == "e0" {
 					outcome = o
 				}
-				s.EndBy(id, "s", outcome, "", entry)
+				s.EndFrom(id, "s", outcome, "", entry)
 				return g.Instance == "e0"
 			}
 			for i := range 8 {
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -24,7 +24,7 @@
 
 // reviewPool places or refuses the waiting requests of a pool, the most urgent
 // ones first. The caller holds the lock.
-func (s *Scheduler) reviewPool(p *state, now time.Time) {
+func (s *Scheduler) reviewPool(p *poolState, now time.Time) {
 	if len(p.queue) == 0 {
 		return
 	}
@@ -32,18 +32,18 @@
 		return cmp.Compare(a.urgency(now), b.urgency(now))
 	})
 	ahead := backlog{
-		work: p.unread(),
+		prefill: p.pendingPrefill(),
 	}
 	kept := p.queue[:0]
 	for _, w := range p.queue {
-		if g, ok := s.try(p, w, now); ok {
-			ahead.work += p.reading(w)
-			w.reply <- g
+		if g, ok := s.tryPlace(p, w, now); ok {
+			ahead.prefill += p.prefillTime(w)
+			w.granted <- g
 			continue
 		}
 		if r := s.refuse(p, w, ahead, now); r != nil {
-			s.refused(p, w, r, now)
-			w.refuse <- r
+			s.recordRefusal(p, w, r, now)
+			w.refused <- r
 			continue
 		}
 		ahead.add(p, w)
@@ -59,27 +59,27 @@
 func (w *Waiter) urgency(now time.Time) float64 {
 	left := w.request.TargetAt.Sub(now)
 	if left <= 0 {
-		left += lateSeconds * time.Second
+		left += latePenalty * time.Second
 	}
-	return left.Seconds() + rankSeconds*float64(w.ask.Rank)
+	return left.Seconds() + rankPenalty*float64(w.ask.Rank)
 }
 
 // The weights of urgency, in seconds.
 const (
-	// lateSeconds puts late requests behind all others: targets are shorter.
-	lateSeconds = 100
-	// rankSeconds is how much later a request counts for each rank of its
+	// latePenalty puts late requests behind all others: targets are shorter.
+	latePenalty = 100
+	// rankPenalty is how much later a request counts for each rank of its
 	// customer.
-	rankSeconds = 0.3
+	rankPenalty = 0.3
 )
 
-// QueueTick is how often waiting requests are looked at anew: a fraction of a
+// ReviewInterval is how often waiting requests are looked at anew: a fraction of a
 // pass.
-const QueueTick = 15 * time.Millisecond
+const ReviewInterval = 15 * time.Millisecond
 
 // Run looks at waiting requests until ctx ends.
 func (s *Scheduler) Run(ctx context.Context) {
-	tick := time.NewTicker(QueueTick)
+	tick := time.NewTicker(ReviewInterval)
 	defer tick.Stop()
 	for {
 		if s.Review() {
@@ -98,8 +98,8 @@
 	}
 }
 
-// poke makes Run look at the waiting requests.
-func (s *Scheduler) poke() {
+// wakeUp makes Run look at the waiting requests.
+func (s *Scheduler) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -116,8 +116,8 @@
 		return
 	}
 	select {
-	case <-w.reply:
-		p.end(w.ask.ID)
+	case <-w.granted:
+		p.endAttempt(w.ask.ID)
 	default:
 	}
 }
--- a/pool/rates_test.go
+++ b/pool/rate_limit_test.go
@@ -61,7 +61,7 @@
 				draw := rand.New(rand.NewPCG(1, uint64(rate*100)))
 				now := time.Unix(0, 0)
 				begin, lasts := now, seconds(max(200/rate, 60))
-				var a arrivals
+				var a placementTimes
 				var at []time.Time
 				for now.Before(begin.Add(lasts)) {
 					now = now.Add(seconds(draw.ExpFloat64() / rate / offered))
@@ -84,8 +84,8 @@
 	}
 }
 
-// rateWorld is some instances that place on endpoints of one service, on a common clock.
-type rateWorld struct {
+// rateLimitHarness is some instances that place on endpoints of one service, on a common clock.
+type rateLimitHarness struct {
 	t         *testing.T
 	now       time.Time
 	instances []*Scheduler
@@ -94,10 +94,10 @@
 	asked int
 }
 
-// newRateWorld returns instances that know some endpoints; a nil model makes these plain.
-func newRateWorld(t *testing.T, instances, endpoints int, m *batch.Model) *rateWorld {
+// newRateLimitHarness returns instances that know some endpoints; a nil model makes these plain.
+func newRateLimitHarness(t *testing.T, instances, endpoints int, m *batch.Model) *rateLimitHarness {
 	t.Helper()
-	w := &rateWorld{
+	w := &rateLimitHarness{
 		t:     t,
 		now:   time.Unix(1_000_000, 0),
 		given: make(map[string][]time.Time),
@@ -133,7 +133,7 @@
 }
 
 // limit has all instances know the rate limit of endpoints.
-func (w *rateWorld) limit(rate float64, names ...string) {
+func (w *rateLimitHarness) limit(rate float64, names ...string) {
 	for _, s := range w.instances {
 		for _, name := range names {
 			s.settings.Notices.Learn(notice.Notice{
@@ -148,7 +148,7 @@
 
 // ask asks one instance for a place and ends the attempt at once. It returns the decision, of
 // which there may be none yet.
-func (w *rateWorld) ask(s *Scheduler, alone bool) (*Refusal, bool) {
+func (w *rateLimitHarness) ask(s *Scheduler, alone bool) (*Refusal, bool) {
 	w.asked++
 	id := fmt.Sprint("r", w.asked)
 	x := s.submit(Ask{
@@ -171,7 +171,7 @@
 }
 
 // run lets a time pass in steps of a millisecond.
-func (w *rateWorld) run(d time.Duration, each func(ms int)) {
+func (w *rateLimitHarness) run(d time.Duration, each func(ms int)) {
 	for ms := range int(d.Milliseconds()) {
 		w.now = w.now.Add(time.Millisecond)
 		each(ms)
@@ -198,7 +198,7 @@
 	} {
 		for _, rate := range []float64{0.01, 0.5, 1, 1.8, 7} {
 			t.Run(fmt.Sprint(name, " ", rate), func(t *testing.T) {
-				w := newRateWorld(t, 1, 2, model)
+				w := newRateLimitHarness(t, 1, 2, model)
 				each := func(ms int) {
 					if ms%20 == 0 {
 						r, decided := w.ask(w.instances[0], false)
@@ -225,7 +225,7 @@
 // TestAllAtRateLimit looks that requests are refused at once when no endpoint takes them in time,
 // with a time to come back at which one does.
 func TestAllAtRateLimit(t *testing.T) {
-	w := newRateWorld(t, 1, 2, rateModel())
+	w := newRateLimitHarness(t, 1, 2, rateModel())
 	w.limit(0.5, "e0", "e1")
 	s := w.instances[0]
 	for range 2 {
@@ -241,7 +241,7 @@
 	is.New(t).True(decided && r == nil)
 
 	t.Run("one that takes it in time is waited for", func(t *testing.T) {
-		w := newRateWorld(t, 1, 1, rateModel())
+		w := newRateLimitHarness(t, 1, 1, rateModel())
 		w.limit(10, "e0")
 		s := w.instances[0]
 		w.ask(s, false)
@@ -249,7 +249,7 @@
 		is.New(t).True(!decided)
 	})
 	t.Run("those that wait count", func(t *testing.T) {
-		w := newRateWorld(t, 1, 1, rateModel())
+		w := newRateLimitHarness(t, 1, 1, rateModel())
 		w.limit(10, "e0")
 		s := w.instances[0]
 		w.ask(s, false)
@@ -274,7 +274,7 @@
 func TestAloneShareRateLimit(t *testing.T) {
 	for _, instances := range []int{3, 30, 300} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
-			w := newRateWorld(t, instances, 1, rateModel())
+			w := newRateLimitHarness(t, instances, 1, rateModel())
 			w.limit(2, "e0")
 			w.run(20*time.Second, func(ms int) {
 				if ms%10 == 0 {
@@ -294,7 +294,7 @@
 func TestOwnerChangeKeepsRateLimit(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 3, 10} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
-			w := newRateWorld(t, 2, 1, rateModel())
+			w := newRateLimitHarness(t, 2, 1, rateModel())
 			w.limit(rate, "e0")
 			w.run(12*time.Second, func(ms int) {
 				w.ask(w.instances[ms/6000], false)
@@ -306,7 +306,7 @@
 
 // TestRateLimitOfAnotherStart has an endpoint start again under its name.
 func TestRateLimitOfAnotherStart(t *testing.T) {
-	w := newRateWorld(t, 1, 1, rateModel())
+	w := newRateLimitHarness(t, 1, 1, rateModel())
 	s := w.instances[0]
 	s.settings.Notices.Learn(notice.Notice{
 		Instance: "e0",
@@ -339,7 +339,7 @@
 func BenchmarkUsableWithRateLimits(b *testing.B) {
 	for _, limited := range []int{0, 10, 1000} {
 		b.Run(fmt.Sprint(limited, " of 1000"), func(b *testing.B) {
-			w := newRateWorld(&testing.T{}, 1, 1000, rateModel())
+			w := newRateLimitHarness(&testing.T{}, 1, 1000, rateModel())
 			for i := range limited {
 				w.limit(2, fmt.Sprint("e", i))
 			}
--- a/pool/arrival_test.go
+++ b/pool/refused_callers_test.go
@@ -39,43 +39,43 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			var r refusedBefore
+			var r refusedCallers
 			for _, content := range []uint64{0, 7} {
 				w := waiting(50_000, 3*time.Second)
 				w.ask = refusedAsk("c", content)
-				r.note(w, moment)
+				r.add(w, moment)
 			}
-			r.recall(&row.ask, moment.Add(row.after))
+			r.recognize(&row.ask, moment.Add(row.after))
 			is.Equal(row.ask.Returning, row.want > 0)
 			is.Equal(row.ask.Spent, row.want)
 		})
 	}
 	t.Run("refused again", func(t *testing.T) {
 		is := is.New(t)
-		var r refusedBefore
+		var r refusedCallers
 		w := waiting(50_000, 3*time.Second)
 		w.ask = refusedAsk("c", 7)
-		r.note(w, moment)
+		r.add(w, moment)
 		second := refusedAsk("c", 7)
-		r.recall(&second, moment.Add(back))
+		r.recognize(&second, moment.Add(back))
 		w.ask, w.arrived = second, moment.Add(back)
-		r.note(w, moment.Add(back))
+		r.add(w, moment.Add(back))
 		third := refusedAsk("c", 7)
-		r.recall(&third, moment.Add(back+time.Second))
+		r.recognize(&third, moment.Add(back+time.Second))
 		is.Equal(third.Spent, back+time.Second)
 	})
 	t.Run("many", func(t *testing.T) {
 		is := is.New(t)
-		var r refusedBefore
+		var r refusedCallers
 		w := waiting(50_000, 3*time.Second)
-		for i := range mostRefused + 100 {
+		for i := range maxRefusedCallers + 100 {
 			w.ask = refusedAsk("c", uint64(i)+1)
-			r.note(w, moment)
+			r.add(w, moment)
 		}
-		is.Equal(len(r.callers), mostRefused)
+		is.Equal(len(r.callers), maxRefusedCallers)
 		// Once their callers have gone, there is room for others.
 		w.arrived = moment.Add(time.Minute)
-		r.note(w, w.arrived)
+		r.add(w, w.arrived)
 		is.Equal(len(r.callers), 1)
 	})
 }
@@ -94,7 +94,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			w := waiting(50_000, 3*time.Second-row.spent)
 			w.request.LateWorth = 0.25
-			assertNear(t, w.gives(), row.want)
+			assertNear(t, w.remainingWorth(), row.want)
 		})
 	}
 }
@@ -130,7 +130,7 @@
 			w := waiting(50_000, row.target)
 			w.request.LateWorth = 0.25
 			w.ask.Again = row.again
-			r := s.overdue(p, w, moment.Add(row.ready), now)
+			r := s.refuseLate(p, w, moment.Add(row.ready), now)
 			is.Equal(r != nil, row.refuse)
 		})
 	}
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -27,10 +27,10 @@
 	Retries Budget
 	// Cold bounds what endpoints get that are cold; the zero value sets no bound.
 	Cold ColdLimit
-	// Reports asks engines for their pace; without it that is learned alone.
-	Reports Reports
-	// Pace is how the pace of engines becomes known; for comparisons.
-	Pace PaceWay
+	// SlowdownQuerier asks engines for their pace; without it that is learned alone.
+	SlowdownQuerier SlowdownQuerier
+	// SlowdownMode is how the pace of engines becomes known; for comparisons.
+	SlowdownMode SlowdownMode
 	// Check opens a connection to an endpoint, to see whether it is there; nil means that
 	// endpoints are not checked.
 	Check quarantine.Checker
@@ -56,13 +56,13 @@
 
 	mu sync.Mutex
 	// pools are the services' states by name.
-	pools map[string]*state
+	pools map[string]*poolState
 	// wake gets a value when there may be something to review.
 	wake chan struct{}
-	// marks counts the sessions that ended.
-	marks int64
-	// tell are what tells entries which of their attempts are to move.
-	tell map[string]*func(move)
+	// lastOrphanMark counts the sessions that ended.
+	lastOrphanMark int64
+	// notifyMove are what tells entries which of their attempts are to move.
+	notifyMove map[string]*func(move)
 }
 
 // NewScheduler returns a scheduler without endpoints.
@@ -80,11 +80,11 @@
 		s.Notices = notice.New(s.Now, log)
 	}
 	return &Scheduler{
-		settings: s,
-		log:      log,
-		pools:    make(map[string]*state),
-		wake:     make(chan struct{}, 1),
-		tell:     make(map[string]*func(move)),
+		settings:   s,
+		log:        log,
+		pools:      make(map[string]*poolState),
+		wake:       make(chan struct{}, 1),
+		notifyMove: make(map[string]*func(move)),
 	}
 }
 
@@ -103,7 +103,7 @@
 			continue
 		}
 		p := s.pool(e.Service)
-		if ended, again := p.renew(e); again {
+		if ended, again := p.detectRestart(e); again {
 			s.log.Info("endpoint has started again", "service", e.Service, "endpoint", e.Instance, "born", e.Born, "ended", ended)
 		}
 		p.upsert(e, svc)
@@ -111,23 +111,23 @@
 	for name, p := range s.pools {
 		p.prune(name, snap)
 		p.cold.configure(s.settings.Cold, snap.Table.Services[name], s.settings.Self, snap.Peers)
-		p.cold.restored(p.list, p.emptied, snap.Emptied, s.settings.Now())
-		p.emptied = snap.Emptied
-		p.share(s.settings.Retries, len(snap.Peers))
+		p.cold.undrained(p.list, p.drained, snap.Emptied, s.settings.Now())
+		p.drained = snap.Emptied
+		p.shareRetryBudget(s.settings.Retries, len(snap.Peers))
 	}
 }
 
 // pool returns the state of a service. The caller holds the lock.
-func (s *Scheduler) pool(service string) *state {
+func (s *Scheduler) pool(service string) *poolState {
 	p, ok := s.pools[service]
 	if !ok {
-		p = &state{
-			self:    s.settings.Self,
-			engines: make(map[string]*placement.Engine),
-			health:  make(map[string]*health),
-			placed:  make(map[string]*placed),
-			worth:   worth.New(s.settings.Worth),
-			notices: s.settings.Notices,
+		p = &poolState{
+			self:     s.settings.Self,
+			engines:  make(map[string]*placement.Engine),
+			health:   make(map[string]*endpointHealth),
+			attempts: make(map[string]*attempt),
+			worth:    worth.New(s.settings.Worth),
+			notices:  s.settings.Notices,
 		}
 		s.pools[service] = p
 	}
@@ -149,9 +149,9 @@
 func (s *Scheduler) placeFor(ctx context.Context, a Ask, entry string, alone bool) (Grant, error) {
 	w := s.submitFor(a, entry, alone)
 	select {
-	case g := <-w.reply:
+	case g := <-w.granted:
 		return g, nil
-	case r := <-w.refuse:
+	case r := <-w.refused:
 		return Grant{}, r
 	case <-ctx.Done():
 		s.Withdraw(w)
@@ -176,52 +176,52 @@
 	defer s.mu.Unlock()
 	now := s.settings.Now()
 	p := s.pool(a.Service)
-	p.refusedBefore.recall(&a, now)
+	p.refusedCallers.recognize(&a, now)
 	if !a.Returning && !a.Again {
 		p.worth.Note(a.kind())
 	}
 	s.lookForStopped(p, a.Service, now)
-	w := s.waiter(p, a, now)
-	w.entry, w.alone = entry, alone
-	s.noteAlone(p, alone, now)
+	w := s.newWaiter(p, a, now)
+	w.entry, w.fallback = entry, alone
+	s.noteFallback(p, alone, now)
 	if r := p.keeps(a.Replaces, now); r != nil {
-		w.refuse <- r
+		w.refused <- r
 		return w
 	}
 	if r := p.admit(a, alone, now); r != nil {
-		w.refuse <- r
+		w.refused <- r
 		return w
 	}
-	p.returning.claim(w, now)
-	w.request.Travel = p.travel.length
-	s.lookAtPaces(p, now)
+	p.reconnects.match(w, now)
+	w.request.Travel = p.transit.time
+	s.updateSlowdowns(p, now)
 	s.decide(p, w, now)
 	return w
 }
 
 // decide places or refuses a request that has come, or lets it wait in the queue. The
 // caller holds the lock.
-func (s *Scheduler) decide(p *state, w *Waiter, now time.Time) {
-	if g, ok := s.try(p, w, now); ok {
-		w.reply <- g
+func (s *Scheduler) decide(p *poolState, w *Waiter, now time.Time) {
+	if g, ok := s.tryPlace(p, w, now); ok {
+		w.granted <- g
 		return
 	}
-	if r := s.refuse(p, w, p.before(w, now), now); r != nil {
-		s.refused(p, w, r, now)
-		w.refuse <- r
+	if r := s.refuse(p, w, p.backlogBefore(w, now), now); r != nil {
+		s.recordRefusal(p, w, r, now)
+		w.refused <- r
 		return
 	}
 	p.queue = append(p.queue, w)
-	s.poke()
+	s.wakeUp()
 }
 
-// refused notes a refusal and writes its line.
-func (s *Scheduler) refused(p *state, w *Waiter, r *Refusal, now time.Time) {
-	work := p.work(w)
-	p.price.note(work, w.gives(), now)
-	p.refusedBefore.note(w, now)
+// recordRefusal notes a refusal and writes its line.
+func (s *Scheduler) recordRefusal(p *poolState, w *Waiter, r *Refusal, now time.Time) {
+	work := p.engineTime(w)
+	p.price.note(work, w.remainingWorth(), now)
+	p.refusedCallers.add(w, now)
 	usable := p.usable(w, now)
-	used, slots := slotsOf(usable)
+	used, slots := slotUsage(usable)
 	s.log.Info("refuse", "attempt", w.ask.ID, "service", w.ask.Service, "prompt", w.ask.Prompt, "reason", r.Reason,
 		"after_ms", r.After.Milliseconds(), "waited_ms", now.Sub(w.arrived).Milliseconds(), "queue", len(p.queue),
 		"endpoints", len(usable), "withheld", p.withheld(w, now), "running", used, "slots", slots, "worth", w.request.Worth,
@@ -231,44 +231,44 @@
 
 // First implements Placer.
 func (s *Scheduler) First(id, service string) {
-	s.FirstBy(id, service, s.settings.Self)
+	s.FirstEventFrom(id, service, s.settings.Self)
 }
 
-// FirstBy takes over the first event of an attempt, as an instance reports it.
-func (s *Scheduler) FirstBy(id, service, reporter string) {
+// FirstEventFrom takes over the first event of an attempt, as an instance reports it.
+func (s *Scheduler) FirstEventFrom(id, service, reporter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
-	at, ok := p.placed[id]
+	at, ok := p.attempts[id]
 	if !ok || at.begun {
 		return
 	}
 	now := s.settings.Now()
 	at.begun = true
-	p.errors.add(at.first, now.Sub(at.at))
-	if p.steady(at) {
-		p.travel.note(now.Sub(at.at) - at.first)
+	p.predictions.add(at.predictedFirst, now.Sub(at.placedAt))
+	if p.atModelSpeed(at) {
+		p.transit.observe(now.Sub(at.placedAt) - at.predictedFirst)
 	}
-	late := p.begin(id, at, now)
-	s.noteFirst(p, at, late, now)
+	late := p.applyFirstEvent(id, at, now)
+	s.recordFirstEvent(p, at, late, now)
 	for _, name := range at.endpoints() {
 		if h := p.health[name]; h != nil {
-			h.alive(reporter == s.settings.Self)
+			h.markAlive(reporter == s.settings.Self)
 		}
 	}
 }
 
 // End implements Placer.
 func (s *Scheduler) End(id, service string, o Outcome, culprit string) {
-	s.EndBy(id, service, o, culprit, s.settings.Self)
+	s.EndFrom(id, service, o, culprit, s.settings.Self)
 }
 
-// EndBy takes over how an attempt ended, as an instance reports it.
-func (s *Scheduler) EndBy(id, service string, o Outcome, culprit, reporter string) {
+// EndFrom takes over how an attempt ended, as an instance reports it.
+func (s *Scheduler) EndFrom(id, service string, o Outcome, culprit, reporter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
-	at, ok := p.placed[id]
+	at, ok := p.attempts[id]
 	if !ok {
 		return
 	}
@@ -278,12 +278,12 @@
 		o = Abandoned
 	}
 	if o == Abandoned || o == Failed {
-		p.returning.note(at, now)
+		p.reconnects.note(at, now)
 	}
-	p.end(id)
+	p.endAttempt(id)
 	instance := at.instance
 	if culprit != "" {
-		instance = p.named(culprit)
+		instance = p.resolve(culprit)
 	}
 	h := p.health[instance]
 	if h == nil {
@@ -291,18 +291,18 @@
 	}
 	if h.note(o, reporter, reporter == s.settings.Self, now) {
 		s.log.Info("endpoint set aside", "service", service, "endpoint", instance, "outcome", o.String(),
-			"failures", h.all.failures, "for_ms", h.all.until.Sub(now).Milliseconds(), "attempt", id,
+			"failures", h.shared.failures, "for_ms", h.shared.until.Sub(now).Milliseconds(), "attempt", id,
 			"reporter", reporter)
 		if o == Unreachable {
 			s.unreachable(p, service, instance, now)
 		}
 	}
-	s.poke()
+	s.wakeUp()
 }
 
-// Shunned returns the endpoints that this instance's own requests can't use
+// UnusableEndpoints returns the endpoints that this instance's own requests can't use
 // now.
-func (s *Scheduler) Shunned(service string) []string {
+func (s *Scheduler) UnusableEndpoints(service string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
--- a/pool/server.go
+++ b/pool/server.go
@@ -151,10 +151,10 @@
 			s.adoptFor(a, decodeGrant(k.Running.GetGrant()), x.entry, k.Running.GetBegun())
 		}
 	case *poolpb.FromEntry_First:
-		s.FirstBy(k.First.GetId(), k.First.GetService(), x.entry)
+		s.FirstEventFrom(k.First.GetId(), k.First.GetService(), x.entry)
 	case *poolpb.FromEntry_End:
 		x.drop(k.End.GetId())
-		s.EndBy(k.End.GetId(), k.End.GetService(), Outcome(k.End.GetOutcome()), k.End.GetCulprit(), x.entry)
+		s.EndFrom(k.End.GetId(), k.End.GetService(), Outcome(k.End.GetOutcome()), k.End.GetCulprit(), x.entry)
 	case *poolpb.FromEntry_Suspicion:
 		s.Suspect(k.Suspicion.GetId(), k.Suspicion.GetService(), microseconds(k.Suspicion.GetSilenceUs()))
 	case *poolpb.FromEntry_Crashed:
@@ -238,7 +238,7 @@
 	switch {
 	case err == nil:
 		if !x.note(a.ID, a.Service) {
-			x.server.scheduler.EndBy(a.ID, a.Service, Abandoned, "", x.entry)
+			x.server.scheduler.EndFrom(a.ID, a.Service, Abandoned, "", x.entry)
 			return
 		}
 		err = x.send(&poolpb.FromOwner{
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -10,24 +10,24 @@
 
 // The measures of refusing at once.
 const (
-	// lateFrom is the part of its worth that a request must lose to count as
+	// lateLossShare is the part of its worth that a request must lose to count as
 	// late.
-	lateFrom = 0.4
-	// crowdedShare is the part of the slots in use from which on a request that
+	lateLossShare = 0.4
+	// usedSlotsLimit is the part of the slots in use from which on a request that
 	// would be late is refused: its caller is better off with another try when
 	// there is room, and those who come now are in time.
-	crowdedShare = 0.8
-	// shedTarget is the longest target of requests that wait for slots rather than
+	usedSlotsLimit = 0.8
+	// shortTarget is the longest target of requests that wait for slots rather than
 	// for reading: their prompts are read within a pass.
-	shedTarget = time.Second
-	// shedAfter and shedSpread are when a refused caller may come back at the
+	shortTarget = time.Second
+	// minRetryAfter and shedSpread are when a refused caller may come back at the
 	// earliest: slots become free within a second, and not all should return at
 	// once.
-	shedAfter  = 600 * time.Millisecond
-	shedSpread = 800 * time.Millisecond
-	// waitedShare is the part of its deadline after which a request that found no
+	minRetryAfter    = 600 * time.Millisecond
+	retryAfterSpread = 800 * time.Millisecond
+	// maxWaitShare is the part of its deadline after which a request that found no
 	// place is refused, so that its caller can come back in time.
-	waitedShare = 0.6
+	maxWaitShare = 0.6
 )
 
 // refuse returns the refusal of a request that can't be served as its caller needs
@@ -38,39 +38,39 @@
 // Refusing long prompts at once raised the worth of bursts of them from 0.683 to 0.705
 // (18 engines, fifteen plays of days with faults, same seeds): late readings no longer
 // take the engines from those that are in time.
-func (s *Scheduler) refuse(p *state, w *Waiter, ahead backlog, now time.Time) *Refusal {
+func (s *Scheduler) refuse(p *poolState, w *Waiter, ahead backlog, now time.Time) *Refusal {
 	list := p.usable(w, now)
-	if len(list) == 0 && p.emptied.barsAny(&w.ask, p.list) {
-		return s.refusal("failure domains of the service are emptied", emptiedAfter)
+	if len(list) == 0 && p.drained.excludesAny(&w.ask, p.list) {
+		return s.refusal("failure domains of the service are emptied", drainedRetryAfter)
 	}
 	if r := s.refuseUnavailable(p, w, list, ahead.requests, now); r != nil {
 		return r
 	}
-	if r := s.coldUntil(p, w, list, now); r != nil {
+	if r := s.refuseCold(p, w, list, now); r != nil {
 		return r
 	}
 	if p.plain || len(list) == 0 {
-		return s.waitedOut(w, now)
+		return s.refuseWaited(w, now)
 	}
 	if w.outOfSlots(list) {
 		return s.refusal("no endpoint can answer in time now", 0)
 	}
 	unread := time.Duration(0)
-	if !w.ask.hurried() {
+	if !w.ask.isShort() {
 		// Short ones are read beside long ones, in the next pass of some engine.
-		unread = time.Duration(float64(ahead.work) / speed(list) / readShare)
+		unread = time.Duration(float64(ahead.prefill) / totalSpeed(list) / prefillShare)
 	}
 	ready := now.Add(unread + placement.Soonest(list, w.request))
 	switch {
-	case w.firstTry() && w.late && !w.ask.hurried() && ready.After(w.request.TargetAt):
+	case w.firstTry() && w.late && !w.ask.isShort() && ready.After(w.request.TargetAt):
 		return s.refusal("no endpoint can read it in time", unread)
-	case ready.After(w.gone()):
+	case ready.After(w.givesUpAt()):
 		return s.refusal("no endpoint can read it before its caller goes", unread)
 	}
-	if r := s.overdue(p, w, ready, now); r != nil {
+	if r := s.refuseLate(p, w, ready, now); r != nil {
 		return r
 	}
-	return s.waitedOut(w, now)
+	return s.refuseWaited(w, now)
 }
 
 // refusal returns a refusal for a caller that may come back once the work ahead is
@@ -78,12 +78,12 @@
 func (s *Scheduler) refusal(reason string, ahead time.Duration) *Refusal {
 	return &Refusal{
 		Reason: reason,
-		After:  max(shedAfter, ahead) + s.settings.Draw(max(shedSpread, ahead)),
+		After:  max(minRetryAfter, ahead) + s.settings.Draw(max(retryAfterSpread, ahead)),
 	}
 }
 
-// gone returns when the caller no longer waits for the first event.
-func (w *Waiter) gone() time.Time {
+// givesUpAt returns when the caller no longer waits for the first event.
+func (w *Waiter) givesUpAt() time.Time {
 	deadline := w.arrived.Add(w.ask.Deadline)
 	if w.request.GiveUpAt.Before(deadline) {
 		return w.request.GiveUpAt
@@ -91,23 +91,23 @@
 	return deadline
 }
 
-// waitedOut returns a refusal for a request that waited too long, or nil.
-func (s *Scheduler) waitedOut(w *Waiter, now time.Time) *Refusal {
-	if now.Sub(w.arrived) < time.Duration(float64(w.ask.Deadline)*waitedShare) {
+// refuseWaited returns a refusal for a request that waited too long, or nil.
+func (s *Scheduler) refuseWaited(w *Waiter, now time.Time) *Refusal {
+	if now.Sub(w.arrived) < time.Duration(float64(w.ask.Deadline)*maxWaitShare) {
 		return nil
 	}
 	return s.refusal("no endpoint can take the request now", 0)
 }
 
-// readShare is the part of their time that engines under load are taken to read; in the
+// prefillShare is the part of their time that engines under load are taken to read; in the
 // rest they write. Refusing earlier, from three quarters of the target on, the worth of
 // bursts of long prompts was 0.616 in place of 0.624 (18 engines, eight plays, same
 // seeds).
-const readShare = 0.8
+const prefillShare = 0.8
 
-// unread returns the time of reading what the engines have before them, summed over
+// pendingPrefill returns the time of reading what the engines have before them, summed over
 // them, if they work as their model says.
-func (p *state) unread() time.Duration {
+func (p *poolState) pendingPrefill() time.Duration {
 	sum := time.Duration(0)
 	for _, e := range p.list {
 		sum += time.Duration(float64(e.Unread()) * e.Speed())
@@ -117,23 +117,23 @@
 
 // backlog is what goes before a request.
 type backlog struct {
-	// work is reading, summed over the engines.
-	work time.Duration
+	// prefill is reading, summed over the engines.
+	prefill time.Duration
 	// requests are those that wait and are more urgent.
 	requests int
 }
 
 // add adds a waiting request.
-func (b *backlog) add(p *state, w *Waiter) {
-	b.work += p.reading(w)
+func (b *backlog) add(p *poolState, w *Waiter) {
+	b.prefill += p.prefillTime(w)
 	b.requests++
 }
 
-// before returns what goes before a request that has come: what the engines have to read, and
+// backlogBefore returns what goes before a request that has come: what the engines have to read, and
 // the waiting requests that are as urgent or more, on one engine each.
-func (p *state) before(w *Waiter, now time.Time) backlog {
+func (p *poolState) backlogBefore(w *Waiter, now time.Time) backlog {
 	sum := backlog{
-		work: p.unread(),
+		prefill: p.pendingPrefill(),
 	}
 	urgency := w.urgency(now)
 	for _, q := range p.queue {
@@ -144,16 +144,16 @@
 	return sum
 }
 
-// reading returns the time that one engine needs to read a request's prompt.
-func (p *state) reading(w *Waiter) time.Duration {
+// prefillTime returns the time that one engine needs to read a request's prompt.
+func (p *poolState) prefillTime(w *Waiter) time.Duration {
 	if len(p.list) == 0 {
 		return 0
 	}
 	return p.list[0].Model.Read(w.ask.Prompt, 1)
 }
 
-// work returns the time of one engine that a request takes.
-func (p *state) work(w *Waiter) time.Duration {
+// engineTime returns the time of one engine that a request takes.
+func (p *poolState) engineTime(w *Waiter) time.Duration {
 	if len(p.list) == 0 {
 		return 0
 	}
@@ -169,18 +169,18 @@
 // outOfSlots states whether a short request would be late for want of slots, so that it
 // should be refused.
 func (w *Waiter) outOfSlots(list []*placement.Engine) bool {
-	return w.firstTry() && w.late && w.ask.hurried() && crowded(list)
+	return w.firstTry() && w.late && w.ask.isShort() && mostSlotsUsed(list)
 }
 
-// crowded states whether most slots are in use.
-func crowded(list []*placement.Engine) bool {
-	used, all := slotsOf(list)
-	return float64(used) >= crowdedShare*float64(all)
+// mostSlotsUsed states whether most slots are in use.
+func mostSlotsUsed(list []*placement.Engine) bool {
+	used, all := slotUsage(list)
+	return float64(used) >= usedSlotsLimit*float64(all)
 }
 
-// slotsOf returns how many slots engines have in use, and how many they have in all. Those
+// slotUsage returns how many slots engines have in use, and how many they have in all. Those
 // of engines that get nothing now count as used.
-func slotsOf(list []*placement.Engine) (used, all int) {
+func slotUsage(list []*placement.Engine) (used, all int) {
 	for _, e := range list {
 		all += e.Slots
 		if e.Full {
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -50,8 +50,8 @@
 //
 // It guards against streams that leave an engine which reads a long prompt, to be read
 // again elsewhere, and against setting that engine aside.
-func (p *state) keeps(r Replaced, now time.Time) *Refusal {
-	at := p.placed[r.Attempt]
+func (p *poolState) keeps(r Replaced, now time.Time) *Refusal {
+	at := p.attempts[r.Attempt]
 	if at == nil || at.moved {
 		return nil
 	}
@@ -68,7 +68,7 @@
 
 // expects returns when an attempt that has been silent for a while gives a sign by the
 // model of its engines, and false when the model doesn't know of a reason for the silence.
-func (p *state) expects(id string, at *placed, silence time.Duration, now time.Time) (time.Duration, bool) {
+func (p *poolState) expects(id string, at *attempt, silence time.Duration, now time.Time) (time.Duration, bool) {
 	left, known := time.Duration(0), false
 	for _, name := range at.endpoints() {
 		e := p.engines[name]
@@ -84,7 +84,7 @@
 
 // asPlanned states whether an attempt that ended as silent was so for a reason that the
 // model knows.
-func (p *state) asPlanned(id string, at *placed, now time.Time) bool {
+func (p *poolState) asPlanned(id string, at *attempt, now time.Time) bool {
 	_, ok := p.expects(id, at, minSilence, now)
 	return ok
 }
--- a/pool/silence_test.go
+++ b/pool/silence_test.go
@@ -75,7 +75,7 @@
 				for _, id := range ids {
 					s.End(id, "engines", pool.Silent, "")
 				}
-				is.Equal(len(s.Shunned("engines")) > 0, row.aside)
+				is.Equal(len(s.UnusableEndpoints("engines")) > 0, row.aside)
 			})
 		})
 	}
--- a/pool/pace_many_test.go
+++ b/pool/slowdown_fleet_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newPacePool(t, engines, pool.PaceBoth)
+			f := newPacePool(t, engines, pool.SlowdownQueriedOrEstimated)
 			for i := range row.slow {
 				f.tells[fmt.Sprint("e", i*engines/row.slow)] = 3
 			}
--- a/pool/pace_work_test.go
+++ b/pool/slowdown_query_test.go
@@ -22,18 +22,18 @@
 	p.list = append(p.list, busyPool().list...)
 	p.list[1].SetPace(4, moment)
 	is.Equal(p.list[1].Unread(), 4*p.list[0].Unread())
-	is.Equal(p.unread(), 20*time.Second)
-	is.Equal(speed(p.list), 1.25)
-	is.Equal(p.slow(), 1)
+	is.Equal(p.pendingPrefill(), 20*time.Second)
+	is.Equal(totalSpeed(p.list), 1.25)
+	is.Equal(p.countSlow(), 1)
 }
 
-// countedReports counts questions, which nothing answers. It implements Reports.
+// countedReports counts questions, which nothing answers. It implements SlowdownQuerier.
 type countedReports struct {
 	asked int
 }
 
-// Pace implements Reports.
-func (c *countedReports) Pace(string, func(float64)) {
+// QuerySlowdown implements SlowdownQuerier.
+func (c *countedReports) QuerySlowdown(string, func(float64)) {
 	c.asked++
 }
 
@@ -53,8 +53,8 @@
 			now := moment
 			reports := &countedReports{}
 			s := NewScheduler(Settings{
-				Reports: reports,
-				Now:     func() time.Time { return now },
+				SlowdownQuerier: reports,
+				Now:             func() time.Time { return now },
 			}, logr.Discard())
 			p := s.pool("engines")
 			p.upsert(catalog.Endpoint{
@@ -73,7 +73,7 @@
 				Target:   time.Second,
 				Deadline: time.Minute,
 			}, row.alone)
-			is.True(len(w.reply) == 1)
+			is.True(len(w.granted) == 1)
 			now = now.Add(300 * time.Millisecond)
 			s.First("a", "engines")
 			is.Equal(reports.asked, row.asked)
--- a/pool/pace_test.go
+++ b/pool/slowdown_test.go
@@ -34,8 +34,8 @@
 	snap    *catalog.Snapshot
 }
 
-// Pace implements pool.Reports.
-func (f *pacePool) Pace(address string, told func(pace float64)) {
+// QuerySlowdown implements pool.SlowdownQuerier.
+func (f *pacePool) QuerySlowdown(address string, told func(pace float64)) {
 	f.asked[address]++
 	if pace, ok := f.tells[address]; ok {
 		f.answers = append(f.answers, func() { told(pace) })
@@ -43,7 +43,7 @@
 }
 
 // newPacePool returns one with some engines that read 100 000 tokens a second.
-func newPacePool(t *testing.T, engines int, way pool.PaceWay) *pacePool {
+func newPacePool(t *testing.T, engines int, way pool.SlowdownMode) *pacePool {
 	t.Helper()
 	f := &pacePool{
 		t:       t,
@@ -58,10 +58,10 @@
 		}
 	}, funcr.Options{})
 	f.pool = pool.NewScheduler(pool.Settings{
-		Self:    "n0",
-		Reports: f,
-		Pace:    way,
-		Now:     func() time.Time { return f.now },
+		Self:            "n0",
+		SlowdownQuerier: f,
+		SlowdownMode:    way,
+		Now:             func() time.Time { return f.now },
 	}, log)
 	snap := &catalog.Snapshot{
 		Table: route.New(1, nil, []route.Service{
@@ -167,7 +167,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newPacePool(t, 8, pool.PaceBoth)
+			f := newPacePool(t, 8, pool.SlowdownQueriedOrEstimated)
 			for range 8 {
 				f.serve(ownPrompt(), 1, 0)
 			}
@@ -189,7 +189,7 @@
 // TestLateNetwork looks that no engine is taken to be slow as all events come later than
 // predicted by the same time.
 func TestLateNetwork(t *testing.T) {
-	for _, way := range []pool.PaceWay{pool.PaceBoth, pool.PaceLearned} {
+	for _, way := range []pool.SlowdownMode{pool.SlowdownQueriedOrEstimated, pool.SlowdownEstimated} {
 		t.Run(fmt.Sprint(way), func(t *testing.T) {
 			is := is.New(t)
 			f := newPacePool(t, 4, way)
@@ -208,7 +208,7 @@
 // TestOverdue looks that an engine is asked before a first event comes that is overdue.
 func TestOverdue(t *testing.T) {
 	is := is.New(t)
-	f := newPacePool(t, 2, pool.PaceBoth)
+	f := newPacePool(t, 2, pool.SlowdownQueriedOrEstimated)
 	g, _ := f.place(prompt("", 40_000, 5*time.Second))
 	f.rest(g.First + 250*time.Millisecond)
 	other := ownPrompt()
@@ -220,7 +220,7 @@
 // TestTold looks that what an engine tells is taken over, also of its return, and that it
 // is asked seldom.
 func TestTold(t *testing.T) {
-	f := newPacePool(t, 4, pool.PaceBoth)
+	f := newPacePool(t, 4, pool.SlowdownQueriedOrEstimated)
 	f.tells["e0"] = 3
 	slow := f.serve(ownPrompt(), 3, 0)
 	t.Run("taken over", func(t *testing.T) {
@@ -267,12 +267,12 @@
 func TestPaceLearned(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		way  pool.PaceWay
+		way  pool.SlowdownMode
 		// silent engines don't answer.
 		silent bool
 	}{
-		{"engines aren't asked", pool.PaceLearned, false},
-		{"engines don't answer", pool.PaceBoth, true},
+		{"engines aren't asked", pool.SlowdownEstimated, false},
+		{"engines don't answer", pool.SlowdownQueriedOrEstimated, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -302,7 +302,7 @@
 	}
 	t.Run("tried again without events", func(t *testing.T) {
 		is := is.New(t)
-		f := newPacePool(t, 3, pool.PaceLearned)
+		f := newPacePool(t, 3, pool.SlowdownEstimated)
 		for range 5 {
 			f.serve(prompt("", 10_000, 5*time.Second), 2, 0)
 		}
@@ -323,7 +323,7 @@
 func TestOnlyDeciderAsks(t *testing.T) {
 	t.Run("another decides", func(t *testing.T) {
 		is := is.New(t)
-		f := newPacePool(t, 2, pool.PaceBoth)
+		f := newPacePool(t, 2, pool.SlowdownQueriedOrEstimated)
 		a := ownPrompt()
 		a.ID = "adopted"
 		f.pool.Adopt(a, pool.Grant{
@@ -337,7 +337,7 @@
 	})
 	t.Run("ignored", func(t *testing.T) {
 		is := is.New(t)
-		f := newPacePool(t, 2, pool.PaceIgnored)
+		f := newPacePool(t, 2, pool.SlowdownIgnored)
 		for range 5 {
 			f.serve(ownPrompt(), 3, 0)
 		}
@@ -359,7 +359,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newPacePool(t, 1, pool.PaceBoth)
+			f := newPacePool(t, 1, pool.SlowdownQueriedOrEstimated)
 			f.tells["e0"] = row.pace
 			f.serve(f.on("e0"), row.pace, 0)
 			f.place(prompt("", 100_000, 10*time.Second))
@@ -387,7 +387,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newPacePool(t, 2, pool.PaceBoth)
+			f := newPacePool(t, 2, pool.SlowdownQueriedOrEstimated)
 			g, id := f.place(ownPrompt())
 			e := f.snap.Endpoints[g.Instance]
 			row.bar(f.snap, &e)
@@ -420,7 +420,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newPacePool(t, 2, pool.PaceBoth)
+			f := newPacePool(t, 2, pool.SlowdownQueriedOrEstimated)
 			start(f, born)
 			f.tells["e0"] = 3
 			_, id := f.place(f.on("e0"))
--- a/pool/state.go
+++ b/pool/state.go
@@ -16,51 +16,51 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// state is what a scheduler knows of one service.
-type state struct {
+// poolState is what a scheduler knows of one service.
+type poolState struct {
 	// self names the instance.
 	self string
 	// engines are the endpoints by instance.
 	engines map[string]*placement.Engine
 	// list is the engines in a fixed order.
 	list []*placement.Engine
-	// health is what is known of each endpoint, by instance.
-	health map[string]*health
+	// endpointHealth is what is known of each endpoint, by instance.
+	health map[string]*endpointHealth
 	// placed are the attempts that have a place, by id.
-	placed map[string]*placed
+	attempts map[string]*attempt
 	// queue are the requests that wait.
 	queue []*Waiter
-	// retry is the budget of the pool's owner, and alone what an instance may
+	// ownerRetries is the budget of the pool's owner, and alone what an instance may
 	// spend that has no owner to ask.
-	retry  spender
-	alone  spender
-	errors errorStats
+	ownerRetries    retryCounter
+	fallbackRetries retryCounter
+	predictions     errorStats
 	// worth tells what requests are worth.
 	worth *worth.Scale
-	// refusedBefore are callers that may come back.
-	refusedBefore refusedBefore
+	// refusedCallers are callers that may come back.
+	refusedCallers refusedCallers
 	// price is what a second of the engines costs.
 	price price
 	// longestGap is the longest pause that any request has allowed.
 	longestGap time.Duration
 	// travel is how long requests are on their way to the engines.
-	travel travel
+	transit transitEstimate
 	// emptied are the failure domains that get nothing new.
-	emptied emptied
-	// cold counts what endpoints get that have just started.
-	cold cold
-	// paces is how quickly the engines work.
-	paces paces
+	drained drainedDomains
+	// coldLedger counts what endpoints get that have just started.
+	cold coldLedger
+	// slowdowns is how quickly the engines work.
+	slowdowns slowdowns
 	// suspicion is what shows that endpoints have stopped.
 	suspicion suspicion
 	// checks are how all endpoints are checked when some have stopped.
 	checks checks
-	// returning is the work that was cut and comes back.
-	returning returning
+	// reconnects is the work that was cut and comes back.
+	reconnects reconnects
 	// notices has what endpoints say of themselves.
 	notices *notice.Book
-	// rates are the rate limits that endpoints name.
-	rates rates
+	// rateLimits are the rate limits that endpoints name.
+	rateLimits rateLimits
 	// passedOver counts the endpoints that decisions passed over as they backed off or were at
 	// their rate limits, and unavailable the requests that were refused as no endpoint took
 	// any.
@@ -70,22 +70,22 @@
 	plain bool
 }
 
-// placed is an attempt that has a place.
-type placed struct {
+// attempt is an attempt that has a place.
+type attempt struct {
 	instance string
-	// born is when the life of the endpoint started that the place is at; zero when
+	// startedAt is when the life of the endpoint started that the place is at; zero when
 	// that is not known.
-	born time.Time
-	// readers are the endpoints that help to read the prompt.
-	readers []string
-	// at is when the place was given, and first the predicted time from then to
+	startedAt time.Time
+	// joint are the endpoints that help to read the prompt.
+	joint []string
+	// placedAt is when the place was given, and first the predicted time from then to
 	// the first event.
-	at    time.Time
-	first time.Duration
+	placedAt       time.Time
+	predictedFirst time.Duration
 	// begun states that the first event has come.
 	begun bool
-	// work is what comes back if the attempt is cut.
-	work work
+	// workload is what comes back if the attempt is cut.
+	workload workload
 	// entry names the instance that has the attempt.
 	entry string
 	// suspectedAt is when its entry last said that it is silent, and silentSince since
@@ -95,28 +95,28 @@
 	moved       bool
 	// watched states that its entry suspects it when it is silent.
 	watched bool
-	// orphan is the mark of the ended session that the attempt came through;
+	// orphanMark is the mark of the ended session that the attempt came through;
 	// zero while its entry is in touch. CutAt is when that session ended.
-	orphan int64
-	cutAt  time.Time
+	orphanMark int64
+	cutAt      time.Time
 }
 
 // endpoints returns all endpoints of the attempt, the one that answers last.
-func (at *placed) endpoints() []string {
-	return append(slices.Clone(at.readers), at.instance)
+func (at *attempt) endpoints() []string {
+	return append(slices.Clone(at.joint), at.instance)
 }
 
 // upsert takes over the entry of an endpoint.
-func (p *state) upsert(c catalog.Endpoint, svc *route.Service) {
+func (p *poolState) upsert(c catalog.Endpoint, svc *route.Service) {
 	e, ok := p.engines[c.Instance]
 	if !ok {
 		e = &placement.Engine{
 			Instance: c.Instance,
 		}
 		p.engines[c.Instance] = e
-		p.health[c.Instance] = &health{
+		p.health[c.Instance] = &endpointHealth{
 			preference: rendezvous.Score(p.self, c.Instance, 1),
-			born:       c.Born,
+			startedAt:  c.Born,
 		}
 		p.list = append(p.list, e)
 		slices.SortFunc(p.list, func(a, b *placement.Engine) int {
@@ -127,7 +127,7 @@
 	e.FailureDomain = c.FailureDomain
 	e.Slots = max(c.Slots, 1)
 	e.Closed = c.Leaving
-	p.cold.tell(c.Instance, c.ColdUntil)
+	p.cold.setColdUntil(c.Instance, c.ColdUntil)
 	e.Model = svc.Engine
 	p.worth.SetModel(svc.Engine, svc.Usual)
 	if e.Model == nil {
@@ -137,7 +137,7 @@
 }
 
 // prune forgets endpoints that are gone, once nothing runs there.
-func (p *state) prune(service string, snap *catalog.Snapshot) {
+func (p *poolState) prune(service string, snap *catalog.Snapshot) {
 	p.list = slices.DeleteFunc(p.list, func(e *placement.Engine) bool {
 		c, known := snap.Endpoints[e.Instance]
 		if known && c.Service == service {
@@ -149,38 +149,38 @@
 		}
 		delete(p.engines, e.Instance)
 		delete(p.health, e.Instance)
-		p.cold.forget(e.Instance)
-		delete(p.paces.of, e.Instance)
+		p.cold.remove(e.Instance)
+		delete(p.slowdowns.records, e.Instance)
 		return true
 	})
 }
 
-// share sets the parts of the retry budget. Of what may be sent again beside the
+// shareRetryBudget sets the parts of the retry budget. Of what may be sent again beside the
 // ratio, half is for the pool's owner, which may change, and half for all
 // instances that place alone. Pools without engines are always placed by each
 // instance alone, so that there the instances share all of it.
-func (p *state) share(whole Budget, instances int) {
-	p.retry.budget = Budget{
-		Ratio:  whole.Ratio * budgetShare,
-		Extra:  whole.Extra * budgetShare / 2,
+func (p *poolState) shareRetryBudget(whole Budget, instances int) {
+	p.ownerRetries.budget = Budget{
+		Ratio:  whole.Ratio * retryBudgetShare,
+		Extra:  whole.Extra * retryBudgetShare / 2,
 		Window: whole.Window,
 	}
-	p.alone.budget = p.retry.budget
-	p.alone.budget.Extra /= float64(max(instances, 1))
-	p.rates.instances = instances
+	p.fallbackRetries.budget = p.ownerRetries.budget
+	p.fallbackRetries.budget.Extra /= float64(max(instances, 1))
+	p.rateLimits.instances = instances
 	if p.plain {
-		p.alone.budget.Extra *= 2
-		p.retry.budget = p.alone.budget
+		p.fallbackRetries.budget.Extra *= 2
+		p.ownerRetries.budget = p.fallbackRetries.budget
 	}
 }
 
-// budgetShare leaves a part of the budget for what is counted twice or not at
+// retryBudgetShare leaves a part of the budget for what is counted twice or not at
 // all when owners change.
-const budgetShare = 0.75
+const retryBudgetShare = 0.75
 
-// named returns the instance of the endpoint with a name or an address; empty
+// resolve returns the instance of the endpoint with a name or an address; empty
 // when there is none.
-func (p *state) named(name string) string {
+func (p *poolState) resolve(name string) string {
 	if _, ok := p.engines[name]; ok {
 		return name
 	}
@@ -192,13 +192,13 @@
 	return ""
 }
 
-// end forgets an attempt.
-func (p *state) end(id string) {
-	at, ok := p.placed[id]
+// endAttempt forgets an attempt.
+func (p *poolState) endAttempt(id string) {
+	at, ok := p.attempts[id]
 	if !ok {
 		return
 	}
-	delete(p.placed, id)
+	delete(p.attempts, id)
 	for _, name := range at.endpoints() {
 		if e := p.engines[name]; e != nil {
 			e.Remove(id)
@@ -208,13 +208,13 @@
 
 // usable returns the endpoints that a request may be placed on. When all of them
 // failed of late, it returns them all the same: the reports may be wrong.
-func (p *state) usable(w *Waiter, now time.Time) []*placement.Engine {
+func (p *poolState) usable(w *Waiter, now time.Time) []*placement.Engine {
 	out := make([]*placement.Engine, 0, len(p.list))
 	v := p.notices.View()
 	var failed []*placement.Engine
 	for _, e := range p.list {
 		switch {
-		case p.barred(w, e, v) || p.availableAt(w, e, v).After(now):
+		case p.excluded(w, e, v) || p.availableAt(w, e, v).After(now):
 		case slices.Contains(w.ask.Avoid, e.Instance) || !p.health[e.Instance].usable(now) || p.suspicion.doubted[e.Instance]:
 			failed = append(failed, e)
 		default:
@@ -229,31 +229,31 @@
 
 // admit counts a request against the retry budget. It returns a refusal when
 // the budget is spent.
-func (p *state) admit(a Ask, alone bool, now time.Time) *Refusal {
+func (p *poolState) admit(a Ask, alone bool, now time.Time) *Refusal {
 	if !a.Again {
-		p.retry.first(now)
-		p.alone.first(now)
+		p.ownerRetries.countFirst(now)
+		p.fallbackRetries.countFirst(now)
 		return nil
 	}
-	spender := &p.retry
+	spender := &p.ownerRetries
 	if alone {
-		spender = &p.alone
+		spender = &p.fallbackRetries
 	}
-	if spender.again(now) {
+	if spender.allowRetry(now) {
 		return nil
 	}
 	return &Refusal{
 		Reason: "retry budget is spent",
-		After:  retryAfter,
+		After:  defaultRetryAfter,
 	}
 }
 
-// retryAfter is when to come back when nothing better is known.
-const retryAfter = 500 * time.Millisecond
+// defaultRetryAfter is when to come back when nothing better is known.
+const defaultRetryAfter = 500 * time.Millisecond
 
-// begin corrects the model by an attempt's first event. It returns how much later that
+// applyFirstEvent corrects the model by an attempt's first event. It returns how much later that
 // was than the model said.
-func (p *state) begin(id string, at *placed, now time.Time) time.Duration {
+func (p *poolState) applyFirstEvent(id string, at *attempt, now time.Time) time.Duration {
 	if p.plain {
 		return 0
 	}
@@ -261,7 +261,7 @@
 	if e := p.engines[at.instance]; e != nil {
 		late = e.Observe(id, now)
 	}
-	for _, name := range at.readers {
+	for _, name := range at.joint {
 		if e := p.engines[name]; e != nil {
 			e.FinishPart(id, now)
 		}
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
-	at := p.placed[id]
+	at := p.attempts[id]
 	if at == nil || p.plain {
 		return
 	}
@@ -126,7 +126,7 @@
 
 // suspect looks which endpoints have stopped, sets them aside and has their attempts move.
 // The caller holds the lock.
-func (s *Scheduler) suspect(p *state, service string, now time.Time) {
+func (s *Scheduler) suspect(p *poolState, service string, now time.Time) {
 	p.suspicion.lookedAt = now
 	seen, entries := p.signs(now)
 	p.suspicion.doubted = nil
@@ -148,7 +148,7 @@
 
 // lookForStopped does what suspect does, unless that was done just now. The caller holds
 // the lock.
-func (s *Scheduler) lookForStopped(p *state, service string, now time.Time) {
+func (s *Scheduler) lookForStopped(p *poolState, service string, now time.Time) {
 	if p.plain || now.Sub(p.suspicion.lookedAt) < suspectEvery {
 		return
 	}
@@ -157,10 +157,10 @@
 
 // signs returns what the attempts show of each endpoint, and how many entries have some
 // endpoint in doubt.
-func (p *state) signs(now time.Time) (map[string]*signs, int) {
+func (p *poolState) signs(now time.Time) (map[string]*signs, int) {
 	seen := make(map[string]*signs)
 	entries := make(map[string]bool)
-	for id, at := range p.placed {
+	for id, at := range p.attempts {
 		shown := p.shows(id, at, now)
 		if shown == noSign || at.entry == "" {
 			continue
@@ -196,24 +196,24 @@
 }
 
 // shows returns what an attempt shows of the endpoint that answers it.
-func (p *state) shows(id string, at *placed, now time.Time) sign {
+func (p *poolState) shows(id string, at *attempt, now time.Time) sign {
 	if at.begun {
 		return p.streamShows(id, at, now)
 	}
-	late := now.Sub(at.at) - at.first
+	late := now.Sub(at.placedAt) - at.predictedFirst
 	switch {
-	case late < doubtLeast || late < at.first || len(at.readers) > 0:
+	case late < doubtLeast || late < at.predictedFirst || len(at.joint) > 0:
 		return noSign
 	case p.reads(id, at, late, now):
 		return noSign
-	case late >= max(silentLeast, silentFactor*at.first):
+	case late >= max(silentLeast, silentFactor*at.predictedFirst):
 		return silentSign
 	}
 	return lateSign
 }
 
 // streamShows does what shows does for an attempt whose first event has come.
-func (p *state) streamShows(id string, at *placed, now time.Time) sign {
+func (p *poolState) streamShows(id string, at *attempt, now time.Time) sign {
 	suspected := now.Sub(at.suspectedAt) <= suspicionHolds
 	switch {
 	case suspected && !p.reads(id, at, now.Sub(at.silentSince), now):
@@ -226,7 +226,7 @@
 
 // reads states whether an endpoint of an attempt has a reason for its silence: by its model
 // it reads, or is in a pass that long, or a long reading there has not ended for certain.
-func (p *state) reads(id string, at *placed, silence time.Duration, now time.Time) bool {
+func (p *poolState) reads(id string, at *attempt, silence time.Duration, now time.Time) bool {
 	if _, reason := p.expects(id, at, silence, now); reason {
 		return true
 	}
@@ -246,12 +246,12 @@
 
 // mayRead states whether a long reading is under way, or not known to have ended though it
 // should have: predictions of long ones are off by half at most.
-func (p *state) mayRead(j *placement.Job, now time.Time) bool {
-	at := p.placed[j.ID]
-	if at == nil || at.begun || at.first < silentLong {
+func (p *poolState) mayRead(j *placement.Job, now time.Time) bool {
+	at := p.attempts[j.ID]
+	if at == nil || at.begun || at.predictedFirst < silentLong {
 		return false
 	}
-	return now.Before(at.at.Add(at.first + max(silentLeast, at.first/2)))
+	return now.Before(at.placedAt.Add(at.predictedFirst + max(silentLeast, at.predictedFirst/2)))
 }
 
 // agree states whether independent instances agree that the endpoint has stopped: two
@@ -285,7 +285,7 @@
 
 // stopped leaves an endpoint out that has stopped, and has its attempts move. Silent is how
 // many instances agree. The caller holds the lock.
-func (s *Scheduler) stopped(p *state, service, instance string, silent int, now time.Time) {
+func (s *Scheduler) stopped(p *poolState, service, instance string, silent int, now time.Time) {
 	h := p.health[instance]
 	if h == nil || !h.usable(now) || p.hasLife(instance, now) {
 		return
@@ -300,7 +300,7 @@
 // unreachable has the attempts of an endpoint move that instances agree they can't reach,
 // unless a stream there has a sign of life: an endpoint turns connections away that are
 // too many, too. The caller holds the lock.
-func (s *Scheduler) unreachable(p *state, service, instance string, now time.Time) {
+func (s *Scheduler) unreachable(p *poolState, service, instance string, now time.Time) {
 	if p.plain || p.hasLife(instance, now) {
 		return
 	}
@@ -313,9 +313,9 @@
 
 // moveAway has all attempts move that an endpoint answers or reads for, those first that
 // are due first and can still be in time. It returns how many. The caller holds the lock.
-func (s *Scheduler) moveAway(p *state, service, instance string, now time.Time) int {
+func (s *Scheduler) moveAway(p *poolState, service, instance string, now time.Time) int {
 	var out []move
-	for id, at := range p.placed {
+	for id, at := range p.attempts {
 		if at.moved || at.entry == "" || !slices.Contains(at.endpoints(), instance) {
 			continue
 		}
@@ -326,7 +326,7 @@
 			service:  service,
 			endpoint: instance,
 			due:      at.dueIn(now),
-			joint:    len(at.readers) > 0 && !at.begun,
+			joint:    len(at.joint) > 0 && !at.begun,
 		})
 	}
 	slices.SortFunc(out, func(a, b move) int {
@@ -347,14 +347,14 @@
 }
 
 // dueIn returns how long it is until the attempt's next event is late.
-func (at *placed) dueIn(now time.Time) time.Duration {
+func (at *attempt) dueIn(now time.Time) time.Duration {
 	if !at.begun {
-		return at.work.targetAt.Sub(now)
+		return at.workload.targetAt.Sub(now)
 	}
 	if now.Sub(at.suspectedAt) > suspicionHolds {
-		return at.work.gap
+		return at.workload.gap
 	}
-	return at.silentSince.Add(at.work.gap).Sub(now)
+	return at.silentSince.Add(at.workload.gap).Sub(now)
 }
 
 // tellMoves tells the entries: at once of those that can be in time, and of those that
@@ -365,7 +365,7 @@
 	atOnce := make(map[*func(move)][]move)
 	late := 0
 	for _, m := range moves {
-		tell := s.tell[m.entry]
+		tell := s.notifyMove[m.entry]
 		switch {
 		case tell == nil:
 		case m.due > 0 || m.joint:
@@ -391,12 +391,12 @@
 func (s *Scheduler) onMoves(entry string, tell func(move)) (stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell[entry] = &tell
+	s.notifyMove[entry] = &tell
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.tell[entry] == &tell {
-			delete(s.tell, entry)
+		if s.notifyMove[entry] == &tell {
+			delete(s.notifyMove, entry)
 		}
 	}
 }
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -285,7 +285,7 @@
 	})
 	p := c.pools["engines"]
 	p.engines["e03"].FailureDomain = "emptied"
-	p.emptied = emptied{
+	p.drained = drainedDomains{
 		"emptied": c.now,
 	}
 	p.engines["e04"].Closed = true
@@ -375,14 +375,14 @@
 			helper := g.Readers[0].Instance
 			for i, entry := range []string{"b", "c"} {
 				c.mu.Lock()
-				c.pools["engines"].placed[fmt.Sprint("x", i)] = &placed{
+				c.pools["engines"].attempts[fmt.Sprint("x", i)] = &attempt{
 					instance: helper,
 					entry:    entry,
 				}
 				c.mu.Unlock()
 				if row.alive && i == 1 {
 					c.mu.Lock()
-					c.pools["engines"].placed["y"] = &placed{
+					c.pools["engines"].attempts["y"] = &attempt{
 						instance: helper,
 						entry:    "d",
 						begun:    true,
@@ -390,7 +390,7 @@
 					}
 					c.mu.Unlock()
 				}
-				c.EndBy(fmt.Sprint("x", i), "engines", Unreachable, "", entry)
+				c.EndFrom(fmt.Sprint("x", i), "engines", Unreachable, "", entry)
 			}
 			is.Equal(l.want(len(row.moved)), row.moved)
 		})
@@ -411,9 +411,9 @@
 		other = "e01"
 	}
 	p := c.pools["engines"]
-	is.Equal(p.inUse(c.now), 0.5)
-	is.Equal(p.readings(c.waiter(p, a, c.now), c.now).Share, 0.5)
+	is.Equal(p.utilization(c.now), 0.5)
+	is.Equal(p.prefillLoad(c.newWaiter(p, a, c.now), c.now).Share, 0.5)
 	c.stop(other)
-	is.Equal(p.inUse(c.now), 1.0)
-	is.Equal(p.readings(c.waiter(p, a, c.now), c.now).Share, 1.0)
+	is.Equal(p.utilization(c.now), 1.0)
+	is.Equal(p.prefillLoad(c.newWaiter(p, a, c.now), c.now).Share, 1.0)
 }
--- a/pool/unavailable_test.go
+++ b/pool/unavailable_test.go
@@ -13,7 +13,7 @@
 )
 
 // leave has all instances know that endpoints leave.
-func (w *rateWorld) leave(names ...string) {
+func (w *rateLimitHarness) leave(names ...string) {
 	for _, s := range w.instances {
 		for _, name := range names {
 			s.settings.Notices.Learn(notice.Notice{
@@ -26,7 +26,7 @@
 }
 
 // assertPlaced checks that requests get places, none of them on an endpoint.
-func assertPlaced(t *testing.T, w *rateWorld, but string) {
+func assertPlaced(t *testing.T, w *rateLimitHarness, but string) {
 	t.Helper()
 	for range 5 {
 		r, decided := w.ask(w.instances[0], false)
@@ -50,13 +50,13 @@
 			if c.plain {
 				model = nil
 			}
-			w := newRateWorld(t, 1, 2, model)
+			w := newRateLimitHarness(t, 1, 2, model)
 			w.leave("e0")
 			assertPlaced(t, w, "e0")
 			w.leave("e1")
 			r, decided := w.ask(w.instances[0], false)
 			is.New(t).True(decided && r != nil)
-			is.New(t).True(r.After >= leavingAfter)
+			is.New(t).True(r.After >= leavingRetryAfter)
 		})
 	}
 }
@@ -64,7 +64,7 @@
 // TestLeavingAndLimited looks that the time to come back is that of the endpoint which takes a
 // request again.
 func TestLeavingAndLimited(t *testing.T) {
-	w := newRateWorld(t, 1, 2, rateModel())
+	w := newRateLimitHarness(t, 1, 2, rateModel())
 	w.leave("e0")
 	w.limit(0.2, "e1")
 	assert := func(refused bool) {
@@ -85,7 +85,7 @@
 // TestBackoffOfOneEntry looks that the requests of an entry that was asked for a back-off go elsewhere,
 // those of others don't, and that its requests are refused at once when all endpoints back off.
 func TestBackoffOfOneEntry(t *testing.T) {
-	w := newRateWorld(t, 1, 2, rateModel())
+	w := newRateLimitHarness(t, 1, 2, rateModel())
 	s := w.instances[0]
 	place := func(entry string, backoffs ...Backoff) (string, *Refusal) {
 		w.asked++
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -13,9 +13,9 @@
 	ask     Ask
 	request placement.Request
 	arrived time.Time
-	// reply or refuse gets the decision.
-	reply  chan Grant
-	refuse chan *Refusal
+	// granted or refuse gets the decision.
+	granted chan Grant
+	refused chan *Refusal
 	// placeBy is when a late request should have a place; zero while it isn't late.
 	placeBy time.Time
 	// backoffs are the endpoints that want nothing from the entry, with until when.
@@ -24,17 +24,17 @@
 	late bool
 	// entry names the instance that asks.
 	entry string
-	// alone states that no owner of the pool could be asked.
-	alone bool
+	// fallback states that no owner of the pool could be asked.
+	fallback bool
 }
 
 // Decision returns the decision once: a place, or a refusal. It returns false while
 // there is none.
 func (w *Waiter) Decision() (Grant, *Refusal, bool) {
 	select {
-	case g := <-w.reply:
+	case g := <-w.granted:
 		return g, nil, true
-	case r := <-w.refuse:
+	case r := <-w.refused:
 		return Grant{}, r, true
 	default:
 		return Grant{}, nil, false
@@ -54,8 +54,8 @@
 	return out
 }
 
-// waiter makes the state of an ask.
-func (s *Scheduler) waiter(p *state, a Ask, now time.Time) *Waiter {
+// newWaiter makes the state of an ask.
+func (s *Scheduler) newWaiter(p *poolState, a Ask, now time.Time) *Waiter {
 	v := p.worth.Value(a.kind())
 	return &Waiter{
 		ask:      a,
@@ -65,14 +65,14 @@
 			Prompt:    a.Prompt,
 			Output:    a.Output,
 			Gap:       a.Gap,
-			TargetAt:  now.Add(a.left()),
+			TargetAt:  now.Add(a.timeLeft()),
 			GiveUpAt:  now.Add(placement.Patience(a.Target, a.Gap)),
 			Worth:     v.InTime,
 			LateWorth: v.Late,
 			Exclude:   a.Exclude,
 		},
 		arrived: now,
-		reply:   make(chan Grant, 1),
-		refuse:  make(chan *Refusal, 1),
+		granted: make(chan Grant, 1),
+		refused: make(chan *Refusal, 1),
 	}
 }
