--- a/batch/batch.go
+++ b/batch/batch.go
@@ -19,8 +19,8 @@
 	Slots int
 	// Capacity is the memory for context, in tokens.
 	Capacity int
-	// Stride is the number of steps in a pass that has writers.
-	Stride int
+	// StepsPerPass is the number of steps in a pass that has writers.
+	StepsPerPass int
 	// Chunk bounds the prompt tokens that are read in a step; zero means no
 	// bound.
 	Chunk int
@@ -30,52 +30,52 @@
 	PerSequence time.Duration
 	// PerThousandContext is what a thousand tokens of context add to a step.
 	PerThousandContext time.Duration
-	// ReadPerSecond is the number of prompt tokens read in a second.
-	ReadPerSecond float64
+	// PrefillPerSecond is the number of prompt tokens read in a second.
+	PrefillPerSecond float64
 	// PerMillionPairs is what a million pairs of tokens add to reading.
 	PerMillionPairs time.Duration
-	// Hop is what a step takes longer when several engines hold its context.
-	Hop time.Duration
+	// JointOverhead is what a step takes longer when several engines hold its context.
+	JointOverhead time.Duration
 }
 
-// Read returns the time that each of n engines takes to read its part of a
+// PrefillTime returns the time that each of n engines takes to read its part of a
 // prompt.
-func (m *Model) Read(tokens, n int) time.Duration {
+func (m *Model) PrefillTime(tokens, n int) time.Duration {
 	if tokens <= 0 || n <= 0 {
 		return 0
 	}
 	t := float64(tokens)
 	d := time.Duration(0)
-	if m.ReadPerSecond > 0 {
-		d = time.Duration(t / m.ReadPerSecond * float64(time.Second))
+	if m.PrefillPerSecond > 0 {
+		d = time.Duration(t / m.PrefillPerSecond * float64(time.Second))
 	}
 	pairs := t * (t - 1) / 2
 	d += time.Duration(pairs / million * float64(m.PerMillionPairs))
 	return d / time.Duration(n)
 }
 
-// Pass returns the time of a pass without reading: writers requests with
-// context tokens together get Stride tokens each. Without writers it is that of
+// PassTime returns the time of a pass without reading: writers requests with
+// context tokens together get StepsPerPass tokens each. Without writers it is that of
 // one step.
-func (m *Model) Pass(writers, context int) time.Duration {
+func (m *Model) PassTime(writers, context int) time.Duration {
 	if writers == 0 {
 		return m.Step
 	}
 	step := m.Step + time.Duration(writers)*m.PerSequence
 	step += time.Duration(float64(context) / thousand * float64(m.PerThousandContext))
-	return step * time.Duration(max(m.Stride, 1))
+	return step * time.Duration(max(m.StepsPerPass, 1))
 }
 
-// Budget returns how many prompt tokens a pass reads at the most; math.MaxInt when
+// PrefillBudget returns how many prompt tokens a pass reads at the most; math.MaxInt when
 // there is no bound.
-func (m *Model) Budget(writers int) int {
+func (m *Model) PrefillBudget(writers int) int {
 	if m.Chunk <= 0 {
 		return math.MaxInt
 	}
 	if writers == 0 {
 		return m.Chunk
 	}
-	return m.Chunk * max(m.Stride, 1)
+	return m.Chunk * max(m.StepsPerPass, 1)
 }
 
 // Work returns the time of one engine that a request takes: that of reading its prompt,
@@ -83,5 +83,5 @@
 // requests of all slots share.
 func (m *Model) Work(prompt, output int) time.Duration {
 	write := time.Duration(output) * m.Step / time.Duration(max(m.Slots, 1))
-	return m.Read(prompt, 1) + write
+	return m.PrefillTime(prompt, 1) + write
 }
--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -14,11 +14,11 @@
 
 func model() batch.Model {
 	return batch.Model{
-		Stride:             43,
+		StepsPerPass:       43,
 		Step:               1020 * time.Microsecond,
 		PerSequence:        2260 * time.Nanosecond,
 		PerThousandContext: 4310 * time.Nanosecond,
-		ReadPerSecond:      206_000,
+		PrefillPerSecond:   206_000,
 		PerMillionPairs:    138 * time.Microsecond,
 	}
 }
@@ -40,7 +40,7 @@
 	} {
 		t.Run(fmt.Sprint(row.tokens, "/", row.n), func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(m.Read(row.tokens, row.n).Milliseconds(), row.ms)
+			is.Equal(m.PrefillTime(row.tokens, row.n).Milliseconds(), row.ms)
 		})
 	}
 }
@@ -48,16 +48,16 @@
 func TestPass(t *testing.T) {
 	is := is.New(t)
 	m := model()
-	is.Equal(m.Pass(0, 0), m.Step)
-	is.Equal(m.Pass(1, 0), 43*(m.Step+m.PerSequence))
-	is.Equal(m.Pass(16, 80_000).Milliseconds(), int64(60))
+	is.Equal(m.PassTime(0, 0), m.Step)
+	is.Equal(m.PassTime(1, 0), 43*(m.Step+m.PerSequence))
+	is.Equal(m.PassTime(16, 80_000).Milliseconds(), int64(60))
 }
 
-func ExampleModel_Read() {
+func ExampleModel_PrefillTime() {
 	m := batch.Model{
-		ReadPerSecond:   200_000,
-		PerMillionPairs: 100 * time.Microsecond,
+		PrefillPerSecond: 200_000,
+		PerMillionPairs:  100 * time.Microsecond,
 	}
-	fmt.Println(m.Read(100_000, 1).Round(time.Millisecond), m.Read(100_000, 4).Round(time.Millisecond))
+	fmt.Println(m.PrefillTime(100_000, 1).Round(time.Millisecond), m.PrefillTime(100_000, 4).Round(time.Millisecond))
 	// Output: 1s 250ms
 }
--- a/batch/doc.go
+++ b/batch/doc.go
@@ -2,7 +2,7 @@
 
 // Package batch is the cost model of an engine that batches continuously.
 //
-// An engine works in passes. A pass with writers plays Stride steps; each step
+// An engine works in passes. A pass with writers plays StepsPerPass steps; each step
 // takes
 //
 //	Step + n*PerSequence + c/1000*PerThousandContext
@@ -10,7 +10,7 @@
 // for n writers with c tokens of context together, and gives each writer one
 // token. Prompts that wait are read within the pass, which takes
 //
-//	t/ReadPerSecond + p/1e6*PerMillionPairs
+//	t/PrefillPerSecond + p/1e6*PerMillionPairs
 //
 // for t tokens with p pairs of a token and one before it; the writers stand
 // still meanwhile. When k engines read a prompt together, each has t/k tokens
--- a/cmd/linkmastctl/status.go
+++ b/cmd/linkmastctl/status.go
@@ -117,7 +117,7 @@
 // Execute implements flags.Commander.
 func (c *explainCommand) Execute([]string) error {
 	for _, a := range c.Admin {
-		var s entry.Story
+		var s entry.Trace
 		err := c.get(a, "/explain/"+c.Args.Request, &s)
 		if errors.Is(err, errNotThere) {
 			continue
@@ -131,7 +131,7 @@
 	return errors.New("no node that answered knows this request; a node keeps the latest 4096")
 }
 
-func (c *explainCommand) print(s *entry.Story) error {
+func (c *explainCommand) print(s *entry.Trace) error {
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
--- a/emulator/attempt.go
+++ b/emulator/attempt.go
@@ -48,7 +48,7 @@
 	}
 	c := a.caller
 	tokens := max(c.request.Prompt/a.unread, 1)
-	perToken := a.engine.model.Read(c.request.Prompt, a.unread) / time.Duration(tokens)
+	perToken := a.engine.model.PrefillTime(c.request.Prompt, a.unread) / time.Duration(tokens)
 	memory := c.request.Prompt + c.request.Events*c.play.sheet.Engines.Stride
 	joint := len(a.helpers) > 0
 	for i, e := range a.helpers {
--- a/emulator/bound.go
+++ b/emulator/bound.go
@@ -69,8 +69,8 @@
 // worksOf returns the reading and the writing of a request.
 func (s *Sheet) worksOf(i int, r *Request, m *batch.Model) []work {
 	k := &s.Kinds[r.Kind]
-	read := m.Read(r.Prompt, 1)
-	write := time.Duration(r.Events-1) * m.Pass(m.Slots, 0) / time.Duration(m.Slots)
+	read := m.PrefillTime(r.Prompt, 1)
+	write := time.Duration(r.Events-1) * m.PassTime(m.Slots, 0) / time.Duration(m.Slots)
 	due := r.At + time.Duration(k.Target)
 	last := min(due+time.Duration(r.Events-1)*time.Duration(k.Gap), r.At+time.Duration(k.Deadline))
 	perSecond := (r.Worth - r.Late) / (read + write).Seconds()
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -102,9 +102,9 @@
 	}
 	length := time.Duration(0)
 	if writers > 0 {
-		length = e.model.Pass(writers, context)
+		length = e.model.PassTime(writers, context)
 	}
-	budget := e.model.Budget(writers)
+	budget := e.model.PrefillBudget(writers)
 	for _, j := range e.readingOrder() {
 		j.inPass = min(j.tokens, budget)
 		budget -= j.inPass
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -95,7 +95,7 @@
 	model := e.Model()
 	snap := &catalog.Snapshot{
 		Table: route.New(1, nil, []route.Service{
-			{Name: service, Engine: model, Usual: p.sheet.usual()},
+			{Name: service, Engine: model, TypicalSize: p.sheet.usual()},
 		}, nil, false, route.Limits{}),
 		Endpoints: make(map[string]catalog.Endpoint),
 	}
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -64,12 +64,12 @@
 	return &batch.Model{
 		Slots:              e.Slots,
 		Capacity:           e.Capacity,
-		Stride:             e.Stride,
+		StepsPerPass:       e.Stride,
 		Chunk:              e.Chunk,
 		Step:               time.Duration(e.Step),
 		PerSequence:        time.Duration(e.PerSequence),
 		PerThousandContext: time.Duration(e.PerThousandContext),
-		ReadPerSecond:      e.ReadPerSecond,
+		PrefillPerSecond:   e.ReadPerSecond,
 		PerMillionPairs:    time.Duration(e.PerMillionPairs),
 	}
 }
--- a/entry/answers.go
+++ b/entry/answers.go
@@ -15,15 +15,15 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// maxKeptBytes bounds one answer that is kept.
-const maxKeptBytes = 4 << 20
+// maxAnswerBytes bounds one answer that is kept.
+const maxAnswerBytes = 4 << 20
 
-// maxKept bounds the answers that are kept.
-const maxKept = 4096
+// maxKeptAnswers bounds the answers that are kept.
+const maxKeptAnswers = 4096
 
-// errGivenUp is the answer to a request that was refused before it ran. Its key
+// errRefusedBeforeRun is the answer to a request that was refused before it ran. Its key
 // is free, or will be soon.
-var errGivenUp = errors.New("the request with this key was refused before it ran")
+var errRefusedBeforeRun = errors.New("the request with this key was refused before it ran")
 
 // errNoAnswer is an answer that is not, or no longer, there.
 var errNoAnswer = errors.New("the answer is not there")
@@ -34,8 +34,8 @@
 	Attach(ctx context.Context, instance, request string, out Writer) error
 }
 
-// Part is a piece of an answer on its way between instances.
-type Part = claimpb.AttachChunk
+// AnswerChunk is a piece of an answer on its way between instances.
+type AnswerChunk = claimpb.AttachChunk
 
 // Writer takes an answer as it is sent to a caller.
 type Writer interface {
@@ -53,11 +53,11 @@
 	keep time.Duration
 
 	mu   sync.Mutex
-	kept map[string]*kept
+	kept map[string]*keptAnswer
 }
 
-// kept is an answer that may still grow.
-type kept struct {
+// keptAnswer is an answer that may still grow.
+type keptAnswer struct {
 	mu          sync.Mutex
 	status      int
 	contentType string
@@ -71,13 +71,13 @@
 func newAnswers(keep time.Duration) *Answers {
 	return &Answers{
 		keep: keep,
-		kept: make(map[string]*kept),
+		kept: make(map[string]*keptAnswer),
 	}
 }
 
 // open starts to keep the answer to a request.
-func (a *Answers) open(request string) *kept {
-	k := &kept{
+func (a *Answers) open(request string) *keptAnswer {
+	k := &keptAnswer{
 		changed: make(chan struct{}),
 	}
 	a.mu.Lock()
@@ -104,13 +104,13 @@
 			oldest, at = id, endedAt
 		}
 	}
-	if len(a.kept) >= maxKept {
+	if len(a.kept) >= maxKeptAnswers {
 		delete(a.kept, oldest)
 	}
 }
 
 // get returns the answer to a request.
-func (a *Answers) get(request string) (*kept, bool) {
+func (a *Answers) get(request string) (*keptAnswer, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k, ok := a.kept[request]
@@ -118,53 +118,53 @@
 }
 
 // Head implements Writer.
-func (k *kept) Head(status int, contentType string) error {
+func (k *keptAnswer) Head(status int, contentType string) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.status = status
 	k.contentType = contentType
-	k.announce()
+	k.notifyChanged()
 	return nil
 }
 
 // Write implements Writer. An answer that is too long to be kept can't be
 // attached to any more; its first caller gets it all the same.
-func (k *kept) Write(data []byte) error {
+func (k *keptAnswer) Write(data []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.data)+len(data) > maxKeptBytes {
+	if len(k.data)+len(data) > maxAnswerBytes {
 		k.close(errNoAnswer)
 		return nil
 	}
 	k.data = append(k.data, data...)
-	k.announce()
+	k.notifyChanged()
 	return nil
 }
 
-// end notes that nothing more comes: nil after a whole answer.
-func (k *kept) end(outcome error) {
+// finish notes that nothing more comes: nil after a whole answer.
+func (k *keptAnswer) finish(outcome error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.close(outcome)
 }
 
-func (k *kept) close(outcome error) {
+func (k *keptAnswer) close(outcome error) {
 	if k.ended {
 		return
 	}
 	k.ended = true
 	k.outcome = outcome
 	k.endedAt = steady.Now()
-	k.announce()
+	k.notifyChanged()
 }
 
-func (k *kept) announce() {
+func (k *keptAnswer) notifyChanged() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
 // copyTo passes the answer on from its start, as it grows.
-func (k *kept) copyTo(ctx context.Context, out Writer) error {
+func (k *keptAnswer) copyTo(ctx context.Context, out Writer) error {
 	sent := 0
 	headed := false
 	for {
@@ -207,36 +207,36 @@
 
 // Attach implements claimpb.AnswersServer.
 func (a *Answers) Attach(in *claimpb.AttachRequest, out grpc.ServerStreamingServer[claimpb.AttachChunk]) error {
-	err := a.CopyTo(out.Context(), in.Request, &partWriter{
+	err := a.CopyTo(out.Context(), in.Request, &chunkWriter{
 		out: out,
 	})
-	if errors.Is(err, errGivenUp) {
-		return out.Send(&Part{
+	if errors.Is(err, errRefusedBeforeRun) {
+		return out.Send(&AnswerChunk{
 			GivenUp: true,
 		})
 	}
 	if err != nil {
 		return err
 	}
-	return out.Send(&Part{
+	return out.Send(&AnswerChunk{
 		End: true,
 	})
 }
 
-// partWriter sends an answer to another instance.
-type partWriter struct {
+// chunkWriter sends an answer to another instance.
+type chunkWriter struct {
 	out grpc.ServerStreamingServer[claimpb.AttachChunk]
 }
 
-func (p *partWriter) Head(status int, contentType string) error {
-	return p.out.Send(&Part{
+func (p *chunkWriter) Head(status int, contentType string) error {
+	return p.out.Send(&AnswerChunk{
 		Status:      int32(status),
 		ContentType: contentType,
 	})
 }
 
-func (p *partWriter) Write(data []byte) error {
-	return p.out.Send(&Part{
+func (p *chunkWriter) Write(data []byte) error {
+	return p.out.Send(&AnswerChunk{
 		Data: data,
 	})
 }
@@ -280,7 +280,7 @@
 		case p.End:
 			return nil
 		case p.GivenUp:
-			return errGivenUp
+			return errRefusedBeforeRun
 		case p.Status != 0:
 			err = out.Head(int(p.Status), p.ContentType)
 		default:
@@ -331,7 +331,7 @@
 // end it.
 type teeWriter struct {
 	caller *callerWriter
-	kept   *kept
+	kept   *keptAnswer
 	gone   bool
 }
 
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -53,6 +53,6 @@
 
 // pauses are the least waits before each further try for a lease.
 const (
-	firstPause = 5 * time.Millisecond
-	lastPause  = 200 * time.Millisecond
+	minBackOff = 5 * time.Millisecond
+	maxBackOff = 200 * time.Millisecond
 )
--- a/entry/call.go
+++ b/entry/call.go
@@ -17,7 +17,7 @@
 
 // callPlain makes one call of a plain service.
 func (e *Entry) callPlain(ctx context.Context, j *job, c plain.Call, out Writer) *problem.Error {
-	s := &search{
+	s := &leaseSearch{
 		job: j,
 	}
 	for {
@@ -26,7 +26,7 @@
 		if fail != nil {
 			return fail
 		}
-		if fail = cmp.Or(e.expired(ctx, j), e.barred(j)); fail != nil {
+		if fail = cmp.Or(e.expired(ctx, j), e.checkBan(j)); fail != nil {
 			e.release(h, owner.NotStarted, 0)
 			return fail
 		}
@@ -36,9 +36,9 @@
 		}
 		a, err := e.callOnce(ctx, j, h, c)
 		if err == nil {
-			return answered(a, out)
+			return writeAnswer(a, out)
 		}
-		again, fail := e.judgeCall(ctx, s, h, err)
+		again, fail := e.handleCallFailure(ctx, s, h, err)
 		if !again || !e.budget.spend() {
 			return fail
 		}
@@ -46,7 +46,7 @@
 }
 
 // callOnce dispatches a call.
-func (e *Entry) callOnce(ctx context.Context, j *job, h *held, c plain.Call) (plain.Answer, error) {
+func (e *Entry) callOnce(ctx context.Context, j *job, h *heldLease, c plain.Call) (plain.Answer, error) {
 	j.dispatches++
 	e.metrics.add("dispatches", 1)
 	c.Instance = h.Instance
@@ -55,13 +55,13 @@
 	if err != nil {
 		var ce *plain.CallError
 		if ctx.Err() == nil && (!errors.As(err, &ce) || ce.Ran != problem.NotRun) {
-			e.broke(j, began, h)
+			e.reportBroken(j, began, h)
 		}
 		return a, err
 	}
-	e.served(j)
+	e.reportServed(j)
 	e.release(h, owner.Done, 0)
-	e.stories.add(j.id, Event{
+	e.traces.add(j.id, Event{
 		What:     "answered",
 		Attempt:  h.attempt,
 		Endpoint: h.endpoint,
@@ -69,20 +69,20 @@
 	return a, nil
 }
 
-// answered passes a whole answer on.
-func answered(a plain.Answer, out Writer) *problem.Error {
+// writeAnswer passes a whole answer on.
+func writeAnswer(a plain.Answer, out Writer) *problem.Error {
 	// The call has run; a caller that went away changes nothing.
 	_ = out.Head(a.Status, a.ContentType)
 	_ = out.Write(a.Body)
 	return nil
 }
 
-// judgeCall takes over the failure of a call. It states whether another may be
+// handleCallFailure takes over the failure of a call. It states whether another may be
 // made.
-func (e *Entry) judgeCall(ctx context.Context, s *search, h *held, err error) (bool, *problem.Error) {
+func (e *Entry) handleCallFailure(ctx context.Context, s *leaseSearch, h *heldLease, err error) (bool, *problem.Error) {
 	j := s.job
-	s.skip = append(s.skip, h.endpoint)
-	e.stories.add(j.id, Event{
+	s.exclude = append(s.exclude, h.endpoint)
+	e.traces.add(j.id, Event{
 		What:     "call failed",
 		Attempt:  h.attempt,
 		Endpoint: h.endpoint,
@@ -94,8 +94,8 @@
 	if errors.As(err, &ce) && ce.Ran == problem.NotRun {
 		j.dispatches--
 		e.release(h, owner.NotStarted, 0)
-		p := problem.Busy(problem.CodeNoEndpoint, "no endpoint of the plain service took the call", defaultRetry)
-		p.Ran = j.ran()
+		p := problem.Busy(problem.CodeNoEndpoint, "no endpoint of the plain service took the call", defaultRetryAfter)
+		p.Ran = j.runState()
 		return true, p
 	}
 	e.release(h, owner.Failed, 0)
@@ -108,5 +108,5 @@
 		Ran:    problem.MayHaveRun,
 		Detail: "the plain service did not answer",
 	}
-	return j.repeats(), p
+	return j.mayRetry(), p
 }
--- a/entry/complete.go
+++ b/entry/complete.go
@@ -39,8 +39,8 @@
 	reason string
 }
 
-// errCaller is a caller that can't be written to.
-var errCaller = errors.New("the caller does not take the answer")
+// errCallerWrite is a caller that can't be written to.
+var errCallerWrite = errors.New("the caller does not take the answer")
 
 // errStalled is an endpoint that went silent.
 var errStalled = errors.New("the endpoint went silent")
@@ -51,12 +51,12 @@
 // complete runs a job until it has a whole answer, or returns its final
 // refusal or failure.
 func (e *Entry) complete(ctx context.Context, j *job, out sink) *problem.Error {
-	s := &search{
+	s := &leaseSearch{
 		job: j,
 	}
 	for {
 		j.history.Settle(ctx)
-		team, fail := e.gather(ctx, s)
+		team, fail := e.acquireLeases(ctx, s)
 		if fail != nil {
 			return fail
 		}
@@ -73,17 +73,17 @@
 
 // attempt runs one attempt. It states whether another one may be made after
 // the failure that it returns.
-func (e *Entry) attempt(ctx context.Context, s *search, t *team, out sink) (bool, *problem.Error) {
+func (e *Entry) attempt(ctx context.Context, s *leaseSearch, t *team, out sink) (bool, *problem.Error) {
 	j := s.job
 	// The last look at the clock before the dispatch: a process that was
 	// paused since must not start what is no longer wanted.
-	if fail := cmp.Or(e.expired(ctx, j), e.barred(j)); fail != nil {
+	if fail := cmp.Or(e.expired(ctx, j), e.checkBan(j)); fail != nil {
 		e.disband(t, owner.NotStarted)
 		return false, fail
 	}
 	if !steady.Now().Before(t.lead.startBy) {
 		e.disband(t, owner.NotStarted)
-		return true, problem.Busy(problem.CodeBusy, "the lease lapsed before it was used", defaultRetry)
+		return true, problem.Busy(problem.CodeBusy, "the lease lapsed before it was used", defaultRetryAfter)
 	}
 	run := &run{
 		entry: e,
@@ -95,17 +95,17 @@
 		},
 	}
 	err := run.do(ctx)
-	return e.judge(ctx, s, run, err)
+	return e.handleOutcome(ctx, s, run, err)
 }
 
-// judge takes over the outcome of an attempt.
-func (e *Entry) judge(ctx context.Context, s *search, r *run, err error) (bool, *problem.Error) {
+// handleOutcome takes over the outcome of an attempt.
+func (e *Entry) handleOutcome(ctx context.Context, s *leaseSearch, r *run, err error) (bool, *problem.Error) {
 	j, lead := s.job, r.team.lead
 	if err == nil {
-		e.finished(r)
+		e.finishAttempt(r)
 		return false, nil
 	}
-	e.stories.add(j.id, Event{
+	e.traces.add(j.id, Event{
 		What:     "attempt failed",
 		Attempt:  lead.attempt,
 		Endpoint: lead.endpoint,
@@ -113,7 +113,7 @@
 	})
 	e.parts.Log.Info("attempt failed", "request", j.id, "attempt", lead.attempt, "endpoint", lead.endpoint,
 		"identity", j.history.Identity.String(), "cause", err.Error(), "started", r.started)
-	s.skip = append(s.skip, lead.endpoint)
+	s.exclude = append(s.exclude, lead.endpoint)
 	var re *engine.RunError
 	if errors.As(err, &re) && re.Ran == problem.NotRun && !r.started {
 		j.dispatches--
@@ -121,23 +121,23 @@
 		if fail := e.expired(ctx, j); fail != nil {
 			return false, fail
 		}
-		fail := problem.Busy(problem.CodeNoEndpoint, "the endpoint did not start the request", defaultRetry)
-		fail.Ran = j.ran()
+		fail := problem.Busy(problem.CodeNoEndpoint, "the endpoint did not start the request", defaultRetryAfter)
+		fail.Ran = j.runState()
 		return true, fail
 	}
 	e.abort(r.team)
 	if fail := e.expired(ctx, j); fail != nil {
 		return false, fail
 	}
-	if !errors.Is(err, errCaller) {
-		e.broke(j, r.began, r.team.all()...)
+	if !errors.Is(err, errCallerWrite) {
+		e.reportBroken(j, r.began, r.team.all()...)
 	}
-	fail := failure(err, r.started)
-	return j.repeats() && !r.out.begun(), fail
+	fail := failureProblem(err, r.started)
+	return j.mayRetry() && !r.out.begun(), fail
 }
 
-// failure returns the answer to a request whose attempt failed.
-func failure(err error, started bool) *problem.Error {
+// failureProblem returns the answer to a request whose attempt failed.
+func failureProblem(err error, started bool) *problem.Error {
 	ran := problem.MayHaveRun
 	if started {
 		ran = problem.DidRun
@@ -148,7 +148,7 @@
 		Status:     http.StatusBadGateway,
 		Ran:        ran,
 		Detail:     "the endpoint failed before the answer was whole",
-		RetryAfter: defaultRetry,
+		RetryAfter: defaultRetryAfter,
 	}
 	switch {
 	case errors.As(err, &bad):
@@ -158,7 +158,7 @@
 		p.Code = problem.CodeStalled
 		p.Status = http.StatusGatewayTimeout
 		p.Detail = err.Error()
-	case errors.Is(err, errCaller):
+	case errors.Is(err, errCallerWrite):
 		p.Code = problem.CodeCancelled
 		p.Status = statusClosed
 		p.Detail = err.Error()
@@ -231,7 +231,7 @@
 func (r *run) resumable(ctx context.Context, err error) bool {
 	var re *engine.RunError
 	refused := errors.As(err, &re)
-	return ctx.Err() == nil && !refused && !errors.Is(err, errCaller) && r.started && r.resumes < maxResumes
+	return ctx.Err() == nil && !refused && !errors.Is(err, errCallerWrite) && r.started && r.resumes < maxResumes
 }
 
 // relay passes an answer on until its end.
@@ -246,7 +246,7 @@
 		if err != nil {
 			return err
 		}
-		w.alive()
+		w.reset()
 		r.started = true
 		fresh, err := r.check.Accept(k)
 		if err != nil {
@@ -258,14 +258,14 @@
 		if k.End != "" {
 			return r.finish(k)
 		}
-		if err := r.pass(k); err != nil {
+		if err := r.forwardToken(k); err != nil {
 			return err
 		}
 	}
 }
 
-// pass hands one token to the caller.
-func (r *run) pass(k engine.Chunk) error {
+// forwardToken hands one token to the caller.
+func (r *run) forwardToken(k engine.Chunk) error {
 	r.last = steady.Now()
 	r.tokens++
 	if r.tokens == 1 {
@@ -273,7 +273,7 @@
 		r.firstToken()
 	}
 	if err := r.out.token(k.Text); err != nil {
-		return errors.Wrap(errCaller, err.Error())
+		return errors.Wrap(errCallerWrite, err.Error())
 	}
 	if r.out.begun() {
 		// No other attempt will need it.
@@ -288,7 +288,7 @@
 		return
 	}
 	for _, h := range r.team.all() {
-		r.entry.errand(func(ctx context.Context) {
+		r.entry.runInBackground(func(ctx context.Context) {
 			// The owner goes on estimating when it does not hear of it.
 			_ = h.leaser.Release(ctx, owner.Release{
 				Attempt:  h.attempt,
@@ -307,30 +307,30 @@
 		reason: k.End,
 	}
 	if err := r.out.end(r.usage); err != nil {
-		return errors.Wrap(errCaller, err.Error())
+		return errors.Wrap(errCallerWrite, err.Error())
 	}
 	return nil
 }
 
-// step returns the mean time between tokens.
-func (r *run) step() time.Duration {
+// tokenInterval returns the mean time between tokens.
+func (r *run) tokenInterval() time.Duration {
 	if r.tokens < 2 {
 		return 0
 	}
 	return r.last.Sub(r.first) / time.Duration(r.tokens-1)
 }
 
-// finished takes over a whole answer.
-func (e *Entry) finished(r *run) {
-	e.served(r.job)
-	e.hits.observe(r.job.customer.ID, r.job.class(), r.usage.cached, r.usage.prompt)
+// finishAttempt takes over a whole answer.
+func (e *Entry) finishAttempt(r *run) {
+	e.reportServed(r.job)
+	e.hitRates.observe(r.job.customer.ID, r.job.class(), r.usage.cached, r.usage.prompt)
 	e.metrics.add("tokens", int64(r.tokens))
-	e.stories.add(r.job.id, Event{
+	e.traces.add(r.job.id, Event{
 		What:     "answered",
 		Attempt:  r.team.lead.attempt,
 		Endpoint: r.team.lead.endpoint,
 	})
-	e.release(r.team.lead, owner.Done, r.step())
+	e.release(r.team.lead, owner.Done, r.tokenInterval())
 	for _, m := range r.team.members {
 		e.cancel(m, owner.Done)
 	}
@@ -354,7 +354,7 @@
 	return w
 }
 
-func (w *watchdog) alive() {
+func (w *watchdog) reset() {
 	w.timer.Reset(w.limit)
 }
 
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -10,31 +10,31 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// known notes what a request is known by, whatever its try is named and wherever it comes.
-func (j *job) known(r *http.Request, body []byte) {
+// setHistory notes what a request is setHistory by, whatever its try is named and wherever it comes.
+func (j *job) setHistory(r *http.Request, body []byte) {
 	j.history = quarantine.History{
 		Identity: quarantine.Identify(r.RequestURI, j.customer.ID, body),
 		Request:  j.id,
 	}
 }
 
-// enter gives a request leave to run, or refuses it.
-func (e *Entry) enter(j *job) (leave func(), fail *problem.Error) {
+// enterQuarantine gives a request leave to run, or refuses it.
+func (e *Entry) enterQuarantine(j *job) (leave func(), fail *problem.Error) {
 	if e.parts.Quarantine == nil {
 		return func() {}, nil
 	}
 	p, after, ok := e.parts.Quarantine.Enter(j.history.Identity)
 	if !ok {
-		return nil, e.crashes(j, after)
+		return nil, e.banProblem(j, after)
 	}
-	j.single = p.Once
+	j.singleAttempt = p.Once
 	return p.Leave, nil
 }
 
-// barred returns the final answer to a request that was banned meanwhile, or nil. It guards
+// checkBan returns the final answer to a request that was banned meanwhile, or nil. It guards
 // against the rest of its attempts: those that wait for a lease, and those that follow one that
 // broke off.
-func (e *Entry) barred(j *job) *problem.Error {
+func (e *Entry) checkBan(j *job) *problem.Error {
 	if e.parts.Quarantine == nil {
 		return nil
 	}
@@ -42,19 +42,19 @@
 	if !banned {
 		return nil
 	}
-	return e.crashes(j, after)
+	return e.banProblem(j, after)
 }
 
-// crashes returns the refusal of a request that crashes endpoints.
-func (e *Entry) crashes(j *job, after time.Duration) *problem.Error {
+// banProblem returns the refusal of a request that banProblem endpoints.
+func (e *Entry) banProblem(j *job, after time.Duration) *problem.Error {
 	e.metrics.add("refused_quarantine", 1)
 	p := problem.Busy(problem.CodeCrashes, quarantine.Refused, after)
-	p.Ran = j.ran()
+	p.Ran = j.runState()
 	return p
 }
 
-// broke has the endpoints of an attempt looked at that broke off, or whose endpoint is silent.
-func (e *Entry) broke(j *job, began time.Time, leases ...*held) {
+// reportBroken has the endpoints of an attempt looked at that reportBroken off, or whose endpoint is silent.
+func (e *Entry) reportBroken(j *job, began time.Time, leases ...*heldLease) {
 	if e.parts.Quarantine == nil {
 		return
 	}
@@ -70,15 +70,15 @@
 	})
 }
 
-// served notes a whole answer.
-func (e *Entry) served(j *job) {
+// reportServed notes a whole answer.
+func (e *Entry) reportServed(j *job) {
 	if e.parts.Quarantine != nil {
 		e.parts.Quarantine.Served(j.history.Identity)
 	}
 }
 
-// repeats states whether a request may be sent to another endpoint after one that may have run
+// mayRetry states whether a request may be sent to another endpoint after one that may have run
 // it.
-func (j *job) repeats() bool {
-	return !j.once && !j.single && j.dispatches < maxDispatches
+func (j *job) mayRetry() bool {
+	return !j.once && !j.singleAttempt && j.dispatches < maxDispatches
 }
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -16,8 +16,8 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// held is a lease with what it is for.
-type held struct {
+// heldLease is a lease with what it is for.
+type heldLease struct {
 	owner.Grant
 	attempt  string
 	endpoint string
@@ -26,27 +26,27 @@
 	startBy time.Time
 }
 
-// search is the state of looking for a lease for one request.
-type search struct {
-	job  *job
-	skip []string
+// leaseSearch is the state of looking for a lease for one request.
+type leaseSearch struct {
+	job     *job
+	exclude []string
 	// leases counts the leases that were asked for.
 	leases int
 	// impatient counts the refusals for lack of patience.
 	impatient int
-	// again is true once the refusals were forgotten.
-	again bool
-	// late counts the refusals for the deadline.
-	late int
+	// restarted is true once the refusals were forgotten.
+	restarted bool
+	// pastDeadline counts the refusals for the deadline.
+	pastDeadline int
 	// last is the refusal to tell the caller in the end.
 	last *owner.Refusal
-	// soonest is the least time after which coming back makes sense.
-	soonest time.Duration
+	// minRetryAfter is the least time after which coming back makes sense.
+	minRetryAfter time.Duration
 }
 
-// maxLate is how many endpoints are asked that can't meet the deadline. The
+// maxPastDeadline is how many endpoints are asked that can't meet the deadline. The
 // first is the one with the least estimate, so the others hardly can.
-const maxLate = 2
+const maxPastDeadline = 2
 
 // maxImpatient is how often a request goes elsewhere rather than wait.
 const maxImpatient = 2
@@ -55,11 +55,11 @@
 // waits before it goes there.
 const patienceSlack = 30 * time.Millisecond
 
-// defaultRetry is when to come back when nothing better is known.
-const defaultRetry = time.Second
+// defaultRetryAfter is when to come back when nothing better is known.
+const defaultRetryAfter = time.Second
 
 // lease finds an endpoint for one part of a request and gets a lease on it.
-func (e *Entry) lease(ctx context.Context, s *search, w policy.Work) (*held, *problem.Error) {
+func (e *Entry) lease(ctx context.Context, s *leaseSearch, w policy.Work) (*heldLease, *problem.Error) {
 	for {
 		if err := e.expired(ctx, s.job); err != nil {
 			return nil, err
@@ -87,12 +87,12 @@
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		p := problem.New(problem.CodeCancelled, statusClosed, "the caller has gone")
-		p.Ran = j.ran()
+		p.Ran = j.runState()
 		return p
 	case ctx.Err() != nil || !steady.Now().Before(j.deadline):
 		p := problem.New(problem.CodeDeadlinePassed, http.StatusGatewayTimeout, "the deadline has passed")
-		p.Ran = j.ran()
-		p.RetryAfter = defaultRetry
+		p.Ran = j.runState()
+		p.RetryAfter = defaultRetryAfter
 		return p
 	}
 	return nil
@@ -101,8 +101,8 @@
 // statusClosed is the status that is noted when the caller has gone.
 const statusClosed = 499
 
-// ran states what is known of a request that has no answer.
-func (j *job) ran() problem.Ran {
+// runState states what is known of a request that has no answer.
+func (j *job) runState() problem.Ran {
 	if j.dispatches > 0 {
 		return problem.MayHaveRun
 	}
@@ -111,11 +111,11 @@
 
 // leaseOnce chooses an endpoint and asks its owner. It returns no lease and
 // true when another try makes sense.
-func (e *Entry) leaseOnce(ctx context.Context, s *search, w policy.Work) (*held, bool) {
+func (e *Entry) leaseOnce(ctx context.Context, s *leaseSearch, w policy.Work) (*heldLease, bool) {
 	j := s.job
-	c := e.fleet.choose(j.group(), &w, j.hit, s.skip, steady.Now())
+	c := e.fleet.choose(j.group(), &w, j.hit, s.exclude, steady.Now())
 	if c.Index < 0 {
-		return nil, s.startOver(ctx)
+		return nil, s.restart(ctx)
 	}
 	s.leases++
 	attempt := attemptID(j.id, s.leases)
@@ -123,17 +123,17 @@
 	if !ok {
 		// The endpoint came with a configuration that is newer than the
 		// request.
-		s.skip = append(s.skip, c.endpoint)
+		s.exclude = append(s.exclude, c.endpoint)
 		return nil, true
 	}
 	by, ok := e.parts.Members().Owner(c.endpoint, j.view.Region(endpoint.FailureDomain))
 	if !ok {
 		return nil, false
 	}
-	e.decided(j, attempt, by.ID, c)
+	e.logDecision(j, attempt, by.ID, c)
 	leaser, err := e.parts.Leaser(by)
 	if err != nil {
-		s.skip = append(s.skip, c.endpoint)
+		s.exclude = append(s.exclude, c.endpoint)
 		return nil, true
 	}
 	r := owner.Request{
@@ -145,10 +145,10 @@
 	if s.impatient < maxImpatient && c.usable > 1 {
 		r.Patience = patience(c.Decision)
 	}
-	e.Registry.hold(attempt)
+	e.Registry.add(attempt)
 	g, err := leaser.Acquire(ctx, r, nil)
 	if err == nil {
-		return &held{
+		return &heldLease{
 			Grant:    g,
 			attempt:  attempt,
 			endpoint: c.endpoint,
@@ -156,19 +156,19 @@
 			startBy:  steady.Now().Add(g.StartWithin),
 		}, false
 	}
-	e.Registry.drop(attempt)
-	return nil, e.refused(ctx, s, c.endpoint, by.ID, attempt, err)
+	e.Registry.remove(attempt)
+	return nil, e.handleRefusal(ctx, s, c.endpoint, by.ID, attempt, err)
 }
 
-// startOver forgets once which endpoints refused, after a pause, when there is
+// restart forgets once which endpoints refused, after a pause, when there is
 // none left to ask.
-func (s *search) startOver(ctx context.Context) bool {
-	if len(s.skip) == 0 || s.again || s.late > 0 {
+func (s *leaseSearch) restart(ctx context.Context) bool {
+	if len(s.exclude) == 0 || s.restarted || s.pastDeadline > 0 {
 		return false
 	}
-	s.again = true
-	s.skip = nil
-	pause(ctx, s.leases)
+	s.restarted = true
+	s.exclude = nil
+	backOff(ctx, s.leases)
 	return true
 }
 
@@ -181,83 +181,83 @@
 	return max(d.Alternative, 2*d.Estimate) + patienceSlack
 }
 
-// decided writes the line of a routing decision.
-func (e *Entry) decided(j *job, attempt, by string, c choice) {
+// logDecision writes the line of a routing decision.
+func (e *Entry) logDecision(j *job, attempt, by string, c choice) {
 	e.parts.Log.Info("route", "request", j.id, "attempt", attempt, "customer", j.customer.ID, "tier", j.tier.ID,
 		"class", className(j), "model", j.group(), "prompt_tokens", j.tokens, "endpoint", c.endpoint, "owner", by,
-		"estimate_ms", c.Estimate.Milliseconds(), "candidates", c.seen, "usable", c.usable, "reason", string(c.Reason))
-	e.stories.add(j.id, Event{
+		"estimate_ms", c.Estimate.Milliseconds(), "candidates", c.estimates, "usable", c.usable, "reason", string(c.Reason))
+	e.traces.add(j.id, Event{
 		What:       "route",
 		Attempt:    attempt,
 		Endpoint:   c.endpoint,
 		Owner:      by,
 		Reason:     string(c.Reason),
-		Candidates: c.seen,
+		Candidates: c.estimates,
 	})
 }
 
-// refused takes over a refusal. It states whether another try makes sense.
-func (e *Entry) refused(ctx context.Context, s *search, endpoint, by, attempt string, err error) bool {
+// handleRefusal takes over a refusal. It states whether another try makes sense.
+func (e *Entry) handleRefusal(ctx context.Context, s *leaseSearch, endpoint, by, attempt string, err error) bool {
 	var r *owner.Refusal
 	if !errors.As(err, &r) {
 		return ctx.Err() == nil
 	}
 	e.parts.Log.Info("lease refused", "request", s.job.id, "attempt", attempt, "endpoint", endpoint, "owner", by,
 		"code", string(r.Code), "detail", r.Detail)
-	e.stories.add(s.job.id, Event{
+	e.traces.add(s.job.id, Event{
 		What:     "lease refused",
 		Attempt:  attempt,
 		Endpoint: endpoint,
 		Owner:    by,
 		Reason:   string(r.Code) + ": " + r.Detail,
 	})
-	s.note(r)
+	s.recordRefusal(r)
 	switch r.Code {
 	case owner.RefusedPatience:
 		s.impatient++
 		return true
 	case owner.RefusedDeadline:
-		s.late++
-		s.skip = append(s.skip, endpoint)
-		return s.late < maxLate
+		s.pastDeadline++
+		s.exclude = append(s.exclude, endpoint)
+		return s.pastDeadline < maxPastDeadline
 	case owner.RefusedSilent:
 		e.parts.Suspect(by)
 	case owner.RefusedNotOwner, owner.RefusedStopping:
 		// The views of who owns what differ for a moment.
-		pause(ctx, s.leases)
+		backOff(ctx, s.leases)
 		return true
 	}
-	s.skip = append(s.skip, endpoint)
+	s.exclude = append(s.exclude, endpoint)
 	return true
 }
 
-// note keeps the refusal that tells the caller most.
-func (s *search) note(r *owner.Refusal) {
+// recordRefusal keeps the refusal that tells the caller most.
+func (s *leaseSearch) recordRefusal(r *owner.Refusal) {
 	if s.last == nil || r.Code == owner.RefusedDeadline {
 		s.last = r
 	}
-	if r.RetryAfter > 0 && (s.soonest == 0 || r.RetryAfter < s.soonest) {
-		s.soonest = r.RetryAfter
+	if r.RetryAfter > 0 && (s.minRetryAfter == 0 || r.RetryAfter < s.minRetryAfter) {
+		s.minRetryAfter = r.RetryAfter
 	}
 }
 
 // refusal returns the final answer to a request that found no lease.
-func (s *search) refusal() *problem.Error {
-	after := s.soonest
+func (s *leaseSearch) refusal() *problem.Error {
+	after := s.minRetryAfter
 	if after == 0 {
-		after = defaultRetry
+		after = defaultRetryAfter
 	}
 	p := problem.Busy(problem.CodeNoEndpoint, "no endpoint can take the request now", after)
 	if s.last != nil && s.last.Code == owner.RefusedDeadline {
 		p = problem.Busy(problem.CodeDeadline, "no endpoint can finish the request by its deadline", after)
 	}
-	p.Ran = s.job.ran()
+	p.Ran = s.job.runState()
 	return p
 }
 
-// pause waits before another try, longer each time and spread out.
-func pause(ctx context.Context, n int) {
-	d := min(firstPause<<min(n, 10), lastPause)
+// backOff waits before another try, longer each time and spread out.
+func backOff(ctx context.Context, n int) {
+	d := min(minBackOff<<min(n, 10), maxBackOff)
 	select {
 	case <-time.After(d/2 + rand.N(d)):
 	case <-ctx.Done():
@@ -266,9 +266,9 @@
 
 // release tells the owner of a lease what became of it, and holds the attempt
 // no longer.
-func (e *Entry) release(h *held, o owner.Outcome, step time.Duration) {
-	e.Registry.drop(h.attempt)
-	e.errand(func(ctx context.Context) {
+func (e *Entry) release(h *heldLease, o owner.Outcome, step time.Duration) {
+	e.Registry.remove(h.attempt)
+	e.runInBackground(func(ctx context.Context) {
 		// An owner that does not hear of it asks.
 		_ = h.leaser.Release(ctx, owner.Release{
 			Attempt:  h.attempt,
@@ -281,15 +281,15 @@
 
 // cancel ends an attempt at its engine. When that can't be had, the owner of
 // the endpoint does it: nobody holds the attempt any more.
-func (e *Entry) cancel(h *held, o owner.Outcome) {
-	e.Registry.drop(h.attempt)
-	e.errand(func(ctx context.Context) {
+func (e *Entry) cancel(h *heldLease, o owner.Outcome) {
+	e.Registry.remove(h.attempt)
+	e.runInBackground(func(ctx context.Context) {
 		client := e.parts.Endpoints.Engine(h.Address)
-		for try := range cancelTries {
+		for try := range maxCancelAttempts {
 			if err := client.Cancel(ctx, h.attempt); err == nil {
 				break
 			}
-			pause(ctx, try)
+			backOff(ctx, try)
 		}
 		// An owner that does not hear of it asks.
 		_ = h.leaser.Release(ctx, owner.Release{
@@ -300,5 +300,5 @@
 	})
 }
 
-// cancelTries is how often an entry tries to cancel an attempt itself.
-const cancelTries = 3
+// maxCancelAttempts is how often an entry tries to cancel an attempt itself.
+const maxCancelAttempts = 3
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -77,8 +77,8 @@
 	parts       Parts
 	fleet       *fleet
 	budget      *budget
-	stories     *stories
-	hits        *hits
+	traces      *traces
+	hitRates    *hitRates
 	metrics     *metrics
 	detector    *quarantine.Detector
 	incarnation string
@@ -104,8 +104,8 @@
 		parts:       p,
 		fleet:       newFleet(s.Strategy, s.Self.Region, s.Self.FailureDomain),
 		budget:      newBudget(),
-		stories:     newStories(),
-		hits:        newHits(),
+		traces:      newTraces(),
+		hitRates:    newHitRates(),
 		metrics:     newMetrics(),
 		incarnation: newIncarnation(),
 	}
@@ -133,9 +133,9 @@
 	}
 }
 
-// Hear takes over summaries of endpoints.
-func (e *Entry) Hear(summaries []policy.Summary) {
-	e.fleet.hear(summaries, steady.Now())
+// UpdateSummaries takes over summaries of endpoints.
+func (e *Entry) UpdateSummaries(summaries []policy.Summary) {
+	e.fleet.updateSummaries(summaries, steady.Now())
 }
 
 // Ready states whether the entry can serve, and if not, why.
@@ -176,12 +176,12 @@
 	return e.inFlight.Load()
 }
 
-// errand runs f after its request, and keeps a planned stop waiting for it.
-func (e *Entry) errand(f func(ctx context.Context)) {
+// runInBackground runs f after its request, and keeps a planned stop waiting for it.
+func (e *Entry) runInBackground(f func(ctx context.Context)) {
 	e.inFlight.Add(1)
 	go func() {
 		defer e.inFlight.Add(-1)
-		ctx, cancel := context.WithTimeout(context.Background(), errandTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), backgroundTimeout)
 		defer cancel()
 		f(ctx)
 	}()
@@ -189,13 +189,13 @@
 
 // The times of stopping and of errands.
 const (
-	waitInterval  = 10 * time.Millisecond
-	errandTimeout = 3 * time.Second
+	waitInterval      = 10 * time.Millisecond
+	backgroundTimeout = 3 * time.Second
 )
 
 // Explain returns what happened to a request.
-func (e *Entry) Explain(id string) (Story, bool) {
-	return e.stories.get(id)
+func (e *Entry) Explain(id string) (Trace, bool) {
+	return e.traces.get(id)
 }
 
 // metrics are the entry's counters. They are published by the instance.
@@ -218,10 +218,10 @@
 	return e.metrics.vars
 }
 
-// hits learns, for each customer, which part of its prompts was cached.
-type hits struct {
+// hitRates learns, for each customer, which part of its prompts was cached.
+type hitRates struct {
 	mu   sync.Mutex
-	part map[hitKey]float64
+	rate map[hitKey]float64
 }
 
 // hitKey is what a cached part is learned for.
@@ -230,28 +230,28 @@
 	class    policy.Class
 }
 
-// hitWeight is the weight of a new observation.
-const hitWeight = 0.1
+// hitRateWeight is the weight of a new observation.
+const hitRateWeight = 0.1
 
-func newHits() *hits {
-	return &hits{
-		part: make(map[hitKey]float64),
+func newHitRates() *hitRates {
+	return &hitRates{
+		rate: make(map[hitKey]float64),
 	}
 }
 
 // expect returns the part of a customer's prompt that is likely cached on the
 // endpoints that its prefix belongs to.
-func (h *hits) expect(customer string, c policy.Class) float64 {
+func (h *hitRates) expect(customer string, c policy.Class) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.part[hitKey{
+	return h.rate[hitKey{
 		customer: customer,
 		class:    c,
 	}]
 }
 
 // observe takes over what an answer showed.
-func (h *hits) observe(customer string, c policy.Class, cached, prompt int) {
+func (h *hitRates) observe(customer string, c policy.Class, cached, prompt int) {
 	if prompt == 0 {
 		return
 	}
@@ -261,5 +261,5 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.part[k] += hitWeight * (float64(cached)/float64(prompt) - h.part[k])
+	h.rate[k] += hitRateWeight * (float64(cached)/float64(prompt) - h.rate[k])
 }
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -25,11 +25,11 @@
 	// Reason says why.
 	Reason string `json:"reason,omitempty"`
 	// Candidates are the choices with their estimates.
-	Candidates []Seen `json:"candidates,omitempty"`
+	Candidates []CandidateEstimate `json:"candidates,omitempty"`
 }
 
-// Story is what happened to a request.
-type Story struct {
+// Trace is what happened to a request.
+type Trace struct {
 	// Request is the request's id.
 	Request string `json:"request"`
 	// Customer, Tier, Class and Model are what the request was.
@@ -46,24 +46,24 @@
 	Events []Event `json:"events"`
 }
 
-// stories keeps the latest requests.
-type stories struct {
+// traces keeps the latest requests.
+type traces struct {
 	mu    sync.Mutex
-	byID  map[string]*Story
+	byID  map[string]*Trace
 	order []string
 	next  int
 }
 
-func newStories() *stories {
-	return &stories{
-		byID:  make(map[string]*Story),
+func newTraces() *traces {
+	return &traces{
+		byID:  make(map[string]*Trace),
 		order: make([]string, keptRequests),
 	}
 }
 
 // begin starts a story, in the place of the oldest.
-func (s *stories) begin(j *job) {
-	st := &Story{
+func (s *traces) begin(j *job) {
+	st := &Trace{
 		Request:  j.id,
 		Customer: j.customer.ID,
 		Tier:     j.tier.ID,
@@ -80,7 +80,7 @@
 }
 
 // add adds a step.
-func (s *stories) add(id string, e Event) {
+func (s *traces) add(id string, e Event) {
 	e.At = time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,12 +90,12 @@
 }
 
 // get returns a copy of a story.
-func (s *stories) get(id string) (Story, bool) {
+func (s *traces) get(id string) (Trace, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.byID[id]
 	if st == nil {
-		return Story{}, false
+		return Trace{}, false
 	}
 	out := *st
 	out.Events = append([]Event{}, st.Events...)
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -15,9 +15,9 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// summaryAge is how old a summary may be before its endpoint counts as
+// maxSummaryAge is how old a summary may be before its endpoint counts as
 // unknown.
-const summaryAge = 3 * time.Second
+const maxSummaryAge = 3 * time.Second
 
 // fleet is what the entry knows of the endpoints.
 type fleet struct {
@@ -25,38 +25,38 @@
 	region   string
 	domain   string
 
-	mu     sync.Mutex
-	groups map[string]*group
-	places map[string]place
+	mu        sync.Mutex
+	groups    map[string]*group
+	positions map[string]position
 }
 
 // group is the endpoints of one model or plain service.
 type group struct {
 	candidates []policy.Candidate
-	heard      []time.Time
+	updatedAt  []time.Time
 }
 
-// place is where an endpoint stands in its group.
-type place struct {
+// position is where an endpoint stands in its group.
+type position struct {
 	group *group
 	index int
 }
 
 func newFleet(s policy.Strategy, region, domain string) *fleet {
 	return &fleet{
-		strategy: s,
-		region:   region,
-		domain:   domain,
-		groups:   make(map[string]*group),
-		places:   make(map[string]place),
+		strategy:  s,
+		region:    region,
+		domain:    domain,
+		groups:    make(map[string]*group),
+		positions: make(map[string]position),
 	}
 }
 
-// otherDomain and otherRegion are the delays that are assumed towards other
+// otherDomainDelay and otherRegionDelay are the delays that are assumed towards other
 // failure domains and regions.
 const (
-	otherDomain = 500 * time.Microsecond
-	otherRegion = 50 * time.Millisecond
+	otherDomainDelay = 500 * time.Microsecond
+	otherRegionDelay = 50 * time.Millisecond
 )
 
 // rebuild takes over the configuration and the list of instances. What was
@@ -65,7 +65,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	groups := make(map[string]*group)
-	places := make(map[string]place)
+	places := make(map[string]position)
 	for i := range v.File.Endpoints {
 		e := &v.File.Endpoints[i]
 		name := e.Model
@@ -77,22 +77,22 @@
 			g = &group{}
 			groups[name] = g
 		}
-		c, heard := f.carry(e)
-		c.Barred = leaving(m, e.Address)
+		c, heard := f.carryOver(e)
+		c.Excluded = leaving(m, e.Address)
 		c.Delay = f.delay(e.FailureDomain, v.Region(e.FailureDomain))
-		places[e.ID] = place{
+		places[e.ID] = position{
 			group: g,
 			index: len(g.candidates),
 		}
 		g.candidates = append(g.candidates, c)
-		g.heard = append(g.heard, heard)
+		g.updatedAt = append(g.updatedAt, heard)
 	}
 	f.groups = groups
-	f.places = places
+	f.positions = places
 }
 
-// carry returns the candidate of an endpoint with what was heard of it.
-func (f *fleet) carry(e *config.Endpoint) (policy.Candidate, time.Time) {
+// carryOver returns the candidate of an endpoint with what was heard of it.
+func (f *fleet) carryOver(e *config.Endpoint) (policy.Candidate, time.Time) {
 	c := policy.Candidate{
 		Summary: policy.Summary{
 			Endpoint: e.ID,
@@ -100,9 +100,9 @@
 		Hash: xxhash.Sum64String(e.ID),
 	}
 	var heard time.Time
-	if old, ok := f.places[e.ID]; ok {
+	if old, ok := f.positions[e.ID]; ok {
 		c = old.group.candidates[old.index]
-		heard = old.group.heard[old.index]
+		heard = old.group.updatedAt[old.index]
 	}
 	if heard.IsZero() {
 		c.Slots = e.MaxRunning
@@ -118,9 +118,9 @@
 	case domain == f.domain:
 		return 0
 	case region == f.region:
-		return otherDomain
+		return otherDomainDelay
 	}
-	return otherRegion
+	return otherRegionDelay
 }
 
 // leaving states whether the platform's list says that the endpoint instance
@@ -130,13 +130,13 @@
 	return ok && i.State != instances.Live
 }
 
-// hear takes over summaries.
-func (f *fleet) hear(summaries []policy.Summary, now time.Time) {
+// updateSummaries takes over summaries.
+func (f *fleet) updateSummaries(summaries []policy.Summary, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range summaries {
 		s := &summaries[i]
-		p, ok := f.places[s.Endpoint]
+		p, ok := f.positions[s.Endpoint]
 		if !ok {
 			continue
 		}
@@ -147,7 +147,7 @@
 		c.PendingBytes = 0
 		c.PendingLeases = 0
 		c.Update()
-		p.group.heard[p.index] = now
+		p.group.updatedAt[p.index] = now
 	}
 }
 
@@ -158,20 +158,20 @@
 	endpoint string
 	// usable is how many candidates there were.
 	usable int
-	// seen are the estimates of the first candidates, for the log.
-	seen []Seen
+	// estimates are the estimates of the first candidates, for the log.
+	estimates []CandidateEstimate
 }
 
-// Seen is a candidate as a decision saw it.
-type Seen struct {
+// CandidateEstimate is a candidate as a decision saw it.
+type CandidateEstimate struct {
 	// Endpoint is the endpoint's id.
 	Endpoint string `json:"endpoint"`
 	// EstimateMs is the estimated time to first token in milliseconds.
 	EstimateMs int64 `json:"estimate_ms"`
 }
 
-// maxSeen bounds the candidates that a decision line lists.
-const maxSeen = 3
+// maxEstimates bounds the candidates that a decision line lists.
+const maxEstimates = 3
 
 // choose picks an endpoint for work and notes it as pending there. Those in
 // skip are left out.
@@ -186,14 +186,14 @@
 			},
 		}
 	}
-	barred := g.bar(skip, now)
+	barred := g.exclude(skip, now)
 	d := policy.Choose(f.strategy, w, hit, g.candidates, now)
 	c := choice{
 		Decision: d,
 		usable:   len(g.candidates) - len(barred),
 	}
 	if d.Index >= 0 {
-		c.seen = seen(w, d.Index, g.candidates, now)
+		c.estimates = candidateEstimates(w, d.Index, g.candidates, now)
 		chosen := &g.candidates[d.Index]
 		c.endpoint = chosen.Endpoint
 		if chosen.Rate > 0 {
@@ -205,18 +205,18 @@
 		chosen.Update()
 	}
 	for _, i := range barred {
-		g.candidates[i].Barred = false
+		g.candidates[i].Excluded = false
 	}
 	return c
 }
 
-// bar leaves out what is in skip, and marks as unknown what was not heard of
+// exclude leaves out what is in skip, and marks as unknown what was not heard of
 // for long. It returns what was barred here.
-func (g *group) bar(skip []string, now time.Time) []int {
+func (g *group) exclude(skip []string, now time.Time) []int {
 	var barred []int
 	for i := range g.candidates {
 		c := &g.candidates[i]
-		if c.Known && now.Sub(g.heard[i]) > summaryAge {
+		if c.Known && now.Sub(g.updatedAt[i]) > maxSummaryAge {
 			c.Known = false
 			c.Summary = policy.Summary{
 				Endpoint: c.Endpoint,
@@ -224,24 +224,24 @@
 			}
 			c.Update()
 		}
-		if !c.Barred && slices.Contains(skip, c.Endpoint) {
-			c.Barred = true
+		if !c.Excluded && slices.Contains(skip, c.Endpoint) {
+			c.Excluded = true
 			barred = append(barred, i)
 		}
 	}
 	return barred
 }
 
-// seen returns the choice and the next candidates with their estimates.
-func seen(w *policy.Work, chosen int, cs []policy.Candidate, now time.Time) []Seen {
+// candidateEstimates returns the choice and the next candidates with their estimates.
+func candidateEstimates(w *policy.Work, chosen int, cs []policy.Candidate, now time.Time) []CandidateEstimate {
 	p := policy.Priority(w.RankAt(now), w.Class())
-	out := make([]Seen, 0, maxSeen)
-	for k := 0; k < len(cs) && len(out) < maxSeen; k++ {
+	out := make([]CandidateEstimate, 0, maxEstimates)
+	for k := 0; k < len(cs) && len(out) < maxEstimates; k++ {
 		c := &cs[(chosen+k)%len(cs)]
-		if c.Barred || c.Aside {
+		if c.Excluded || c.Aside {
 			continue
 		}
-		out = append(out, Seen{
+		out = append(out, CandidateEstimate{
 			Endpoint:   c.Endpoint,
 			EstimateMs: policy.Estimate(w, p, 0, c).Milliseconds(),
 		})
@@ -260,7 +260,7 @@
 	}
 	var out []int64
 	for i := range g.candidates {
-		if c := &g.candidates[i]; !c.Barred {
+		if c := &g.candidates[i]; !c.Excluded {
 			out = append(out, c.Memory)
 		}
 	}
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -51,7 +51,7 @@
 						Slots:    64,
 					})
 				}
-				f.hear(s, now)
+				f.updateSummaries(s, now)
 			}
 			got := make(map[string]int)
 			for i := range 12 {
--- a/entry/http.go
+++ b/entry/http.go
@@ -56,12 +56,12 @@
 	if fail == nil {
 		return
 	}
-	e.refusedFinally(j, fail)
+	e.recordRefusal(j, fail)
 	fail.Write(w, j.id)
 }
 
-// refusedFinally notes the final answer to a request without one.
-func (e *Entry) refusedFinally(j *job, p *problem.Error) {
+// recordRefusal notes the final answer to a request without one.
+func (e *Entry) recordRefusal(j *job, p *problem.Error) {
 	e.metrics.add("refused_"+string(p.Code), 1)
 	customer := ""
 	if j.customer != nil {
@@ -69,7 +69,7 @@
 	}
 	e.parts.Log.Info("refused", "request", j.id, "customer", customer, "code", string(p.Code), "ran", string(p.Ran),
 		"detail", p.Detail, "retry_after_ms", p.RetryAfter.Milliseconds(), "after_ms", steady.Since(j.arrived).Milliseconds())
-	e.stories.add(j.id, Event{
+	e.traces.add(j.id, Event{
 		What:   "refused",
 		Reason: string(p.Code) + ": " + p.Detail,
 	})
@@ -145,14 +145,14 @@
 		if fail != nil {
 			return fail
 		}
-		j.known(r, data)
+		j.setHistory(r, data)
 		stream, fail := parseCompletion(data, chat, j)
 		if fail != nil {
 			return fail
 		}
-		j.hit = e.hits.expect(j.customer.ID, j.class())
+		j.hit = e.hitRates.expect(j.customer.ID, j.class())
 		return e.admitted(w, r, j, func(ctx context.Context, out Writer) *problem.Error {
-			s := newShape(j.id, j.modelName(), chat)
+			s := newResponseFormat(j.id, j.modelName(), chat)
 			if !stream {
 				return e.complete(ctx, j, newWholeSink(out, s))
 			}
@@ -182,8 +182,8 @@
 // admitted checks the customer's limits and, for a request with a key, that it
 // runs at most once. Then it runs f.
 func (e *Entry) admitted(w http.ResponseWriter, r *http.Request, j *job, f func(context.Context, Writer) *problem.Error) *problem.Error {
-	e.stories.begin(j)
-	leave, fail := e.enter(j)
+	e.traces.begin(j)
+	leave, fail := e.enterQuarantine(j)
 	if fail != nil {
 		return fail
 	}
@@ -239,7 +239,7 @@
 	if fail != nil {
 		return fail
 	}
-	j.known(r, data)
+	j.setHistory(r, data)
 	c := plain.Call{
 		Request:     j.id,
 		Method:      r.Method,
--- a/entry/job.go
+++ b/entry/job.go
@@ -39,8 +39,8 @@
 	// history has its identity, which is the same for all tries of the request, at any instance,
 	// and what its attempts showed.
 	history quarantine.History
-	// single states that it may run at one endpoint only, as its ban is just over.
-	single bool
+	// singleAttempt states that it may run at one endpoint only, as its ban is just over.
+	singleAttempt bool
 	// dispatches counts the attempts that may have reached an endpoint.
 	dispatches int
 }
--- a/entry/once.go
+++ b/entry/once.go
@@ -17,11 +17,11 @@
 // claimTimeout bounds the wait for the log to decide a claim.
 const claimTimeout = 3 * time.Second
 
-// givenUpRetry is when to come back while a key is being freed.
-const givenUpRetry = time.Second
+// freeingKeyRetryAfter is when to come back while a key is being freed.
+const freeingKeyRetryAfter = time.Second
 
-// logRetry is when to come back while the log does not answer.
-const logRetry = 5 * time.Second
+// logRetryAfter is when to come back while the log does not answer.
+const logRetryAfter = 5 * time.Second
 
 // once runs a request with a key at most once. The request that holds the key
 // runs to its end also when its caller goes away, because that caller, or
@@ -35,11 +35,11 @@
 	winner, err := e.parts.Claimer.Claim(waiting, *j.claim)
 	cancel()
 	if err != nil {
-		k.end(errNoAnswer)
-		return problem.Busy(problem.CodeLogDown, "whether the key is free can't be told now", logRetry)
+		k.finish(errNoAnswer)
+		return problem.Busy(problem.CodeLogDown, "whether the key is free can't be told now", logRetryAfter)
 	}
 	if winner.Request != j.id {
-		k.end(errNoAnswer)
+		k.finish(errNoAnswer)
 		return e.attach(ctx, j, winner, caller)
 	}
 	run, cancel := context.WithTimeout(context.WithoutCancel(ctx), steady.Until(j.deadline))
@@ -50,12 +50,12 @@
 	})
 	switch {
 	case fail == nil:
-		k.end(nil)
+		k.finish(nil)
 	case j.dispatches == 0:
 		e.parts.Claimer.GiveUp(*j.claim)
-		k.end(errGivenUp)
+		k.finish(errRefusedBeforeRun)
 	default:
-		k.end(errNoAnswer)
+		k.finish(errNoAnswer)
 	}
 	return fail
 }
@@ -63,7 +63,7 @@
 // attach passes on the answer to the request that holds the key, if it can be
 // had.
 func (e *Entry) attach(ctx context.Context, j *job, winner claim.Claim, caller *callerWriter) *problem.Error {
-	e.stories.add(j.id, Event{
+	e.traces.add(j.id, Event{
 		What:   "attached",
 		Reason: "request " + winner.Request + " on " + winner.Instance + " holds the key",
 	})
@@ -72,8 +72,8 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, errGivenUp):
-		return problem.Busy(problem.CodeBusy, "another request with this key was refused just now", givenUpRetry)
+	case errors.Is(err, errRefusedBeforeRun):
+		return problem.Busy(problem.CodeBusy, "another request with this key was refused just now", freeingKeyRetryAfter)
 	}
 	p := problem.New(problem.CodeKeyUsed, http.StatusConflict,
 		"a request with this key was accepted before, and its answer can't be had: "+err.Error())
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -26,15 +26,15 @@
 	}
 }
 
-// hold notes an attempt from before its lease is asked for.
-func (r *Registry) hold(attempt string) {
+// add notes an attempt from before its lease is asked for.
+func (r *Registry) add(attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempts[attempt] = struct{}{}
 }
 
-// drop notes that an attempt is over.
-func (r *Registry) drop(attempt string) {
+// remove notes that an attempt is over.
+func (r *Registry) remove(attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.attempts, attempt)
@@ -47,8 +47,8 @@
 	return len(r.attempts)
 }
 
-// Which returns which of the attempts are held.
-func (r *Registry) Which(attempts []string) []string {
+// HeldAmong returns which of the attempts are held.
+func (r *Registry) HeldAmong(attempts []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
@@ -63,7 +63,7 @@
 // Held implements ownerpb.HolderServer.
 func (r *Registry) Held(_ context.Context, in *ownerpb.HeldRequest) (*ownerpb.HeldReply, error) {
 	return &ownerpb.HeldReply{
-		Attempts: r.Which(in.Attempts),
+		Attempts: r.HeldAmong(in.Attempts),
 	}, nil
 }
 
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -11,17 +11,17 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// shape is the form of an answer: text or chat completions, as OpenAI's
+// responseFormat is the form of an answer: text or chat completions, as OpenAI's
 // clients read them.
-type shape struct {
+type responseFormat struct {
 	id      string
 	model   string
 	chat    bool
 	created int64
 }
 
-func newShape(id, model string, chat bool) shape {
-	return shape{
+func newResponseFormat(id, model string, chat bool) responseFormat {
+	return responseFormat{
 		id:      id,
 		model:   model,
 		chat:    chat,
@@ -29,7 +29,7 @@
 	}
 }
 
-func (s *shape) object(stream bool) string {
+func (s *responseFormat) object(stream bool) string {
 	switch {
 	case s.chat && stream:
 		return "chat.completion.chunk"
@@ -40,7 +40,7 @@
 }
 
 // frame returns what stands before the text of a streamed token.
-func (s *shape) frame() []byte {
+func (s *responseFormat) frame() []byte {
 	b := []byte(`data: {"id":`)
 	b = appendString(b, s.id)
 	b = append(b, `,"object":"`...)
@@ -59,13 +59,13 @@
 // streamSink sends each token as a server-sent event.
 type streamSink struct {
 	out    Writer
-	shape  shape
+	shape  responseFormat
 	before []byte
 	buf    []byte
 	headed bool
 }
 
-func newStreamSink(out Writer, s shape) *streamSink {
+func newStreamSink(out Writer, s responseFormat) *streamSink {
 	return &streamSink{
 		out:    out,
 		shape:  s,
@@ -131,12 +131,12 @@
 // wholeSink sends the answer as one JSON object.
 type wholeSink struct {
 	out    Writer
-	shape  shape
+	shape  responseFormat
 	text   []byte
 	headed bool
 }
 
-func newWholeSink(out Writer, s shape) *wholeSink {
+func newWholeSink(out Writer, s responseFormat) *wholeSink {
 	return &wholeSink{
 		out:   out,
 		shape: s,
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -34,13 +34,13 @@
 }
 
 // engineTeam returns a job with a lease on an engine that nothing was sent to yet.
-func engineTeam(l *leaser) (*search, *team) {
-	return &search{
+func engineTeam(l *leaser) (*leaseSearch, *team) {
+	return &leaseSearch{
 			job: &job{
 				deadline: steady.Now().Add(time.Hour),
 			},
 		}, &team{
-			lead: &held{
+			lead: &heldLease{
 				attempt:  "a",
 				endpoint: "e1",
 				leaser:   l,
@@ -91,7 +91,7 @@
 			})
 			e.fleet = endpointsOf(1)
 			hear := func() {
-				e.Hear([]policy.Summary{{
+				e.UpdateSummaries([]policy.Summary{{
 					Endpoint: "e1",
 					Slots:    64,
 					Free:     1 << 30,
--- a/entry/team.go
+++ b/entry/team.go
@@ -18,29 +18,29 @@
 // team is the leases of one attempt: the lead runs it, and each member holds a
 // part of its memory.
 type team struct {
-	lead    *held
-	members []*held
+	lead    *heldLease
+	members []*heldLease
 }
 
 // all returns the leases of a team.
-func (t *team) all() []*held {
-	return append([]*held{t.lead}, t.members...)
+func (t *team) all() []*heldLease {
+	return append([]*heldLease{t.lead}, t.members...)
 }
 
 // The measures of teams.
 const (
-	// teamShare is the part of an engine's memory that a part may take.
-	teamShare = 0.75
+	// maxShareMemory is the part of an engine's memory that a part may take.
+	maxShareMemory = 0.75
 	// teamTimeout bounds how long a team that is not whole is held.
 	teamTimeout = 20 * time.Second
-	// teamSearch bounds how long a team is gathered anew. It is above the time
+	// teamSearchTime bounds how long a team is gathered anew. It is above the time
 	// in which nodes notice that an owner has died.
-	teamSearch = 10 * time.Second
+	teamSearchTime = 10 * time.Second
 )
 
-// partsOf returns into how many parts a job must be cut to fit, or zero when no
+// shareCount returns into how many parts a job must be cut to fit, or zero when no
 // number of endpoints can hold it.
-func (e *Entry) partsOf(j *job) int {
+func (e *Entry) shareCount(j *job) int {
 	if j.model == nil {
 		return 1
 	}
@@ -54,21 +54,21 @@
 	}
 	for n := 2; n <= len(memories); n++ {
 		w := j.work(n)
-		if float64(w.Bytes) <= teamShare*float64(memories[n-1]) {
+		if float64(w.Bytes) <= maxShareMemory*float64(memories[n-1]) {
 			return n
 		}
 	}
 	return 0
 }
 
-// gather gets the lease, or all the leases, that a job needs.
-func (e *Entry) gather(ctx context.Context, s *search) (*team, *problem.Error) {
-	n := e.partsOf(s.job)
+// acquireLeases gets the lease, or all the leases, that a job needs.
+func (e *Entry) acquireLeases(ctx context.Context, s *leaseSearch) (*team, *problem.Error) {
+	n := e.shareCount(s.job)
 	switch n {
 	case 0:
 		p := problem.New(problem.CodeNeverFits, http.StatusUnprocessableEntity,
 			"no group of endpoints can ever hold the request")
-		p.Ran = s.job.ran()
+		p.Ran = s.job.runState()
 		return nil, p
 	case 1:
 		h, fail := e.lease(ctx, s, s.job.work(1))
@@ -79,25 +79,25 @@
 			lead: h,
 		}, nil
 	}
-	return e.gatherTeam(ctx, s, n)
+	return e.acquireTeam(ctx, s, n)
 }
 
-// gatherTeam gets n leases, all or nothing. The endpoints are chosen first and
+// acquireTeam gets n leases, all or nothing. The endpoints are chosen first and
 // then leased in the order of their ids, so that two such requests never hold
 // half of each other's; a time limit bounds what a team that does not come
 // about keeps from others.
-func (e *Entry) gatherTeam(ctx context.Context, s *search, n int) (*team, *problem.Error) {
+func (e *Entry) acquireTeam(ctx context.Context, s *leaseSearch, n int) (*team, *problem.Error) {
 	var fail *problem.Error
-	until := steady.Now().Add(teamSearch)
+	until := steady.Now().Add(teamSearchTime)
 	for try := 0; try == 0 || steady.Now().Before(until); try++ {
 		if try > 0 {
 			// What refused just now may have another owner in a moment.
-			s.skip = nil
-			pause(ctx, try)
+			s.exclude = nil
+			backOff(ctx, try)
 		}
 		limited, cancel := context.WithTimeout(ctx, teamTimeout)
 		var t *team
-		t, fail = e.gatherOnce(limited, s, n)
+		t, fail = e.tryAcquireTeam(limited, s, n)
 		cancel()
 		if t != nil {
 			return t, nil
@@ -105,7 +105,7 @@
 		if gone := e.expired(ctx, s.job); gone != nil {
 			return nil, gone
 		}
-		if s.late > 0 {
+		if s.pastDeadline > 0 {
 			// The deadline can't be met any more.
 			break
 		}
@@ -113,14 +113,14 @@
 	return nil, fail
 }
 
-func (e *Entry) gatherOnce(ctx context.Context, s *search, n int) (*team, *problem.Error) {
+func (e *Entry) tryAcquireTeam(ctx context.Context, s *leaseSearch, n int) (*team, *problem.Error) {
 	endpoints := e.pickTeam(s, n)
 	if len(endpoints) < n {
 		return nil, s.refusal()
 	}
-	var got []*held
+	var got []*heldLease
 	for i, id := range endpoints {
-		h, fail := e.leasePart(ctx, s, id, n)
+		h, fail := e.leaseShare(ctx, s, id, n)
 		if fail == nil && i > 0 {
 			fail = e.reserve(ctx, s, h, n)
 			got = append(got, h)
@@ -129,7 +129,7 @@
 		}
 		if fail != nil {
 			for k, h := range got {
-				e.letGo(h, k > 0)
+				e.abandonLease(h, k > 0)
 			}
 			return nil, fail
 		}
@@ -142,8 +142,8 @@
 	}, nil
 }
 
-// letGo ends one lease of a team that did not come about.
-func (e *Entry) letGo(h *held, reserved bool) {
+// abandonLease ends one lease of a team that did not come about.
+func (e *Entry) abandonLease(h *heldLease, reserved bool) {
 	if reserved {
 		e.cancel(h, owner.NotStarted)
 		return
@@ -152,9 +152,9 @@
 }
 
 // pickTeam chooses n endpoints for the parts, in the order of their ids.
-func (e *Entry) pickTeam(s *search, n int) []string {
+func (e *Entry) pickTeam(s *leaseSearch, n int) []string {
 	w := s.job.work(n)
-	skip := slices.Clone(s.skip)
+	skip := slices.Clone(s.exclude)
 	var out []string
 	for range n {
 		c := e.fleet.choose(s.job.group(), &w, 0, skip, steady.Now())
@@ -168,8 +168,8 @@
 	return out
 }
 
-// leasePart gets the lease on one endpoint of a team.
-func (e *Entry) leasePart(ctx context.Context, s *search, id string, n int) (*held, *problem.Error) {
+// leaseShare gets the lease on one endpoint of a team.
+func (e *Entry) leaseShare(ctx context.Context, s *leaseSearch, id string, n int) (*heldLease, *problem.Error) {
 	j := s.job
 	endpoint, ok := j.view.Endpoint(id)
 	if !ok {
@@ -185,11 +185,11 @@
 	}
 	s.leases++
 	attempt := attemptID(j.id, s.leases)
-	e.decided(j, attempt, by.ID, choice{
+	e.logDecision(j, attempt, by.ID, choice{
 		endpoint: id,
 		usable:   n,
 	})
-	e.Registry.hold(attempt)
+	e.Registry.add(attempt)
 	g, err := leaser.Acquire(ctx, owner.Request{
 		Attempt:  attempt,
 		Holder:   e.settings.Self.ID,
@@ -197,11 +197,11 @@
 		Work:     j.work(n),
 	}, nil)
 	if err != nil {
-		e.Registry.drop(attempt)
-		e.refused(ctx, s, id, by.ID, attempt, err)
+		e.Registry.remove(attempt)
+		e.handleRefusal(ctx, s, id, by.ID, attempt, err)
 		return nil, s.refusal()
 	}
-	return &held{
+	return &heldLease{
 		Grant:    g,
 		attempt:  attempt,
 		endpoint: id,
@@ -211,7 +211,7 @@
 }
 
 // reserve holds the memory of one member.
-func (e *Entry) reserve(ctx context.Context, s *search, h *held, n int) *problem.Error {
+func (e *Entry) reserve(ctx context.Context, s *leaseSearch, h *heldLease, n int) *problem.Error {
 	w := s.job.work(n)
 	err := e.parts.Endpoints.Engine(h.Address).Reserve(ctx, engine.Reservation{
 		ID:     h.attempt,
@@ -221,7 +221,7 @@
 	if err == nil {
 		return nil
 	}
-	e.stories.add(s.job.id, Event{
+	e.traces.add(s.job.id, Event{
 		What:     "reservation failed",
 		Attempt:  h.attempt,
 		Endpoint: h.endpoint,
--- a/fleet/vnode_test.go
+++ b/fleet/vnode_test.go
@@ -80,7 +80,7 @@
 	if err := n.fleet.gate(ctx, n.id, holder); err != nil {
 		return nil, err
 	}
-	return n.fleet.nodes[holder].entry.Registry.Which(attempts), nil
+	return n.fleet.nodes[holder].entry.Registry.HeldAmong(attempts), nil
 }
 
 // Probe implements member.Prober.
@@ -348,7 +348,7 @@
 	n.entry.Rebuild()
 	for id := range m.Nodes {
 		if n.fleet.gate(ctx, n.id, id) == nil {
-			n.entry.Hear(n.fleet.nodes[id].owner.Summaries())
+			n.entry.UpdateSummaries(n.fleet.nodes[id].owner.Summaries())
 		}
 	}
 }
--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -103,7 +103,7 @@
 		MaxAge:     time.Duration(float64(f.Times.Revoke) * maxAgeShare),
 		StrictKeys: *f.Times.RevokeStrict,
 	}, relay.Parts{
-		Known:      g.catalog.Snapshot,
+		Snapshot:   g.catalog.Snapshot,
 		Age:        g.catalog.Age,
 		Placer:     g.placer,
 		Suspicions: g.placer,
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -48,11 +48,11 @@
 // fastEngine is a model with passes of 10 ms and reading of 1 ms per 1000 tokens.
 func fastEngine() *batch.Model {
 	return &batch.Model{
-		Slots:         8,
-		Capacity:      200_000,
-		Stride:        10,
-		Step:          time.Millisecond,
-		ReadPerSecond: 1e6,
+		Slots:            8,
+		Capacity:         200_000,
+		StepsPerPass:     10,
+		Step:             time.Millisecond,
+		PrefillPerSecond: 1e6,
 	}
 }
 
--- a/node/admin.go
+++ b/node/admin.go
@@ -94,6 +94,6 @@
 }
 
 // Explain returns what happened to a request of this node.
-func (n *Node) Explain(request string) (entry.Story, bool) {
+func (n *Node) Explain(request string) (entry.Trace, bool) {
 	return n.entry.Explain(request)
 }
--- a/node/follow.go
+++ b/node/follow.go
@@ -90,7 +90,7 @@
 	look := time.NewTicker(localLook)
 	defer look.Stop()
 	for {
-		n.entry.Hear(n.owner.Summaries())
+		n.entry.UpdateSummaries(n.owner.Summaries())
 		select {
 		case <-ctx.Done():
 			return
@@ -180,6 +180,6 @@
 		if err != nil {
 			return
 		}
-		n.entry.Hear(owner.Decode(in))
+		n.entry.UpdateSummaries(owner.Decode(in))
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -236,7 +236,7 @@
 
 // orders returns what brings endpoints to their desired states, or nil when no
 // weight store is set.
-func (n *Node) orders(client *http.Client, log logsvc.Log) *order.Orders {
+func (n *Node) orders(client *http.Client, log logsvc.Log) *order.Reconciler {
 	if n.settings.Platform.Weights == "" {
 		return nil
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -64,13 +64,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return owner.NewClient(c, p.local.entry.Hear), nil
+	return owner.NewClient(c, p.local.entry.UpdateSummaries), nil
 }
 
 // Held implements owner.Holders.
 func (p *peers) Held(ctx context.Context, holder string, attempts []string) ([]string, error) {
 	if holder == p.self.ID {
-		return p.local.entry.Registry.Which(attempts), nil
+		return p.local.entry.Registry.HeldAmong(attempts), nil
 	}
 	c, err := p.ConnTo(holder)
 	if err != nil {
--- a/order/order.go
+++ b/order/order.go
@@ -93,8 +93,8 @@
 	defaultRetry       = 2 * time.Second
 )
 
-// Orders brings endpoints to their desired states.
-type Orders struct {
+// Reconciler brings endpoints to their desired states.
+type Reconciler struct {
 	settings Settings
 	log      logsvc.Log
 	store    weights.Store
@@ -115,7 +115,7 @@
 }
 
 // New returns Orders over the platform's log and weight store.
-func New(s Settings, log logsvc.Log, store weights.Store, logger logr.Logger) *Orders {
+func New(s Settings, log logsvc.Log, store weights.Store, logger logr.Logger) *Reconciler {
 	if s.HolderLease == 0 {
 		s.HolderLease = defaultHolderLease
 	}
@@ -125,7 +125,7 @@
 	if s.Retry == 0 {
 		s.Retry = defaultRetry
 	}
-	return &Orders{
+	return &Reconciler{
 		settings: s,
 		log:      log,
 		store:    store,
@@ -135,7 +135,7 @@
 }
 
 // Forget notes that an endpoint is no longer in the owner's hands.
-func (o *Orders) Forget(endpoint string) {
+func (o *Reconciler) Forget(endpoint string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.progress, endpoint)
@@ -143,7 +143,7 @@
 
 // Reconcile compares what an endpoint has with what it should have, and orders
 // what is missing when an order is due. It is called again and again.
-func (o *Orders) Reconcile(ctx context.Context, t Target, have State, client engine.Client) Outcome {
+func (o *Reconciler) Reconcile(ctx context.Context, t Target, have State, client engine.Client) Outcome {
 	if !o.due(&t, have) {
 		if t.Want.equal(have) {
 			return Settled
@@ -161,7 +161,7 @@
 }
 
 // due states whether to act now.
-func (o *Orders) due(t *Target, have State) bool {
+func (o *Reconciler) due(t *Target, have State) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := steady.Now()
@@ -185,7 +185,7 @@
 
 // act takes a permit and a fence, and gives the order. It returns when to act
 // again if the state does not change.
-func (o *Orders) act(ctx context.Context, t *Target, have State, client engine.Client) (Outcome, time.Duration) {
+func (o *Reconciler) act(ctx context.Context, t *Target, have State, client engine.Client) (Outcome, time.Duration) {
 	if !t.Want.sameWeights(have) {
 		_, err := o.store.Permit(ctx, t.Want.Model, t.Want.Version)
 		var limited *weights.LimitedError
@@ -220,21 +220,21 @@
 }
 
 // turn returns when to ask the store again: later where nobody waits.
-func (o *Orders) turn(after time.Duration, demand int) time.Duration {
+func (o *Reconciler) turn(after time.Duration, demand int) time.Duration {
 	if demand > 0 {
 		return after
 	}
 	return after + o.settings.Retry
 }
 
-func (o *Orders) failed(t *Target, what string, err error) (Outcome, time.Duration) {
+func (o *Reconciler) failed(t *Target, what string, err error) (Outcome, time.Duration) {
 	o.logger.Info("order not given", "endpoint", t.Endpoint, "at", what, "cause", err.Error())
 	return Failed, o.settings.Retry
 }
 
 // fence appends a record and returns its offset. An append whose answer was
 // lost has used up an offset for nothing; the next is higher.
-func (o *Orders) fence(ctx context.Context, t *Target) (int64, error) {
+func (o *Reconciler) fence(ctx context.Context, t *Target) (int64, error) {
 	data, err := json.Marshal(t)
 	if err != nil {
 		return 0, errors.Wrap(err, "encode order")
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -19,7 +19,7 @@
 type scene struct {
 	engine   *standin.Engine
 	platform *standin.Platform
-	holders  [2]*Orders
+	holders  [2]*Reconciler
 	target   Target
 }
 
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -93,7 +93,7 @@
 	settings  Settings
 	endpoints Endpoints
 	holders   Holders
-	orders    *order.Orders
+	orders    *order.Reconciler
 	log       logr.Logger
 	cancel    context.CancelFunc
 	// kick asks for a sweep at once.
@@ -133,7 +133,7 @@
 
 // New starts an owner that owns nothing yet. Close ends it. Nil orders mean
 // that endpoints are left as they are.
-func New(s Settings, endpoints Endpoints, holders Holders, orders *order.Orders, log logr.Logger) *Owner {
+func New(s Settings, endpoints Endpoints, holders Holders, orders *order.Reconciler, log logr.Logger) *Owner {
 	s.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	o := &Owner{
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -87,7 +87,7 @@
 // it likes to. The time to come back is the time by which the wait is too
 // long.
 func admit(e *endpoint, r *Request, wait time.Duration, now time.Time) *Refusal {
-	finish := now.Add(wait + e.ledger.Least(&r.Work))
+	finish := now.Add(wait + e.ledger.MinTime(&r.Work))
 	if late := finish.Sub(r.Work.Deadline); late > 0 {
 		return refuse(RefusedDeadline, "the queue is too long for the deadline", max(late, minRetry))
 	}
@@ -168,7 +168,7 @@
 	}
 	kept := e.queue[:0]
 	for _, w := range e.queue {
-		late := now.Add(e.ledger.Least(&w.request.Work)).Sub(w.request.Work.Deadline)
+		late := now.Add(e.ledger.MinTime(&w.request.Work)).Sub(w.request.Work.Deadline)
 		if late <= 0 {
 			kept = append(kept, w)
 			continue
--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -178,7 +178,7 @@
 			ask[h.Holder] = append(ask[h.Holder], id)
 		}
 	}
-	e.ledger.Foreign = foreign
+	e.ledger.HeldByOthers = foreign
 	for id := range e.strange {
 		if _, ok := running[id]; !ok {
 			delete(e.strange, id)
@@ -271,6 +271,6 @@
 		confirmed: now,
 	}
 	e.ledger.Adopt(id, h.Bytes, now)
-	e.ledger.Foreign -= h.Bytes
+	e.ledger.HeldByOthers -= h.Bytes
 	delete(e.strange, id)
 }
--- a/placement/apply.go
+++ b/placement/apply.go
@@ -12,35 +12,35 @@
 // answers that get longer than expected.
 const memoryReserve = 0.04
 
-// hold spreads the memory over the plan's engines. It returns false when they
+// allocateMemory spreads the memory over the plan's engines. It returns false when they
 // have too little.
-func (p *Plan) hold(need int) bool {
-	room := p.Engine.room()
+func (p *Plan) allocateMemory(need int) bool {
+	room := p.Engine.usableMemory()
 	if room >= need {
-		p.Hold = need
+		p.Memory = need
 		return true
 	}
 	if len(p.Others) == 0 {
 		return false
 	}
-	p.Hold = room
+	p.Memory = room
 	left := need - room
 	slices.SortFunc(p.Others, func(a, b Share) int {
-		return cmp.Compare(b.Engine.room(), a.Engine.room())
+		return cmp.Compare(b.Engine.usableMemory(), a.Engine.usableMemory())
 	})
 	for i := range p.Others {
 		if left <= 0 {
 			break
 		}
-		n := min(max(p.Others[i].Engine.room(), 0), left)
-		p.Others[i].Hold = n
+		n := min(max(p.Others[i].Engine.usableMemory(), 0), left)
+		p.Others[i].Memory = n
 		left -= n
 	}
 	return left <= 0
 }
 
-// room returns the memory that a plan may use.
-func (e *Engine) room() int {
+// usableMemory returns the memory that a plan may use.
+func (e *Engine) usableMemory() int {
 	return e.Free() - int(memoryReserve*float64(e.Model.Capacity))
 }
 
@@ -48,48 +48,48 @@
 func (p *Plan) Apply(r Request, now time.Time) {
 	n := len(p.Others) + 1
 	job := Job{
-		ID:        r.ID,
-		Tokens:    max(r.Prompt/n, 1),
-		Joint:     n > 1,
-		Memory:    p.Hold,
-		Context:   r.Prompt / n,
-		Gap:       r.Gap,
-		Stake:     r.stake(),
-		LateWorth: r.LateWorth,
-		AskedAt:   now,
-		TargetAt:  r.TargetAt,
-		FirstAt:   now.Add(p.First),
+		ID:           r.ID,
+		PromptLeft:   max(r.Prompt/n, 1),
+		Joint:        n > 1,
+		Memory:       p.Memory,
+		Context:      r.Prompt / n,
+		Gap:          r.Gap,
+		Stake:        r.stake(),
+		LateWorth:    r.LateWorth,
+		PlacedAt:     now,
+		TargetAt:     r.TargetAt,
+		FirstEventAt: now.Add(p.TimeToFirstEvent),
 	}
-	if r.Travel > 0 {
-		job.ReachesAt = now.Add(r.Travel)
+	if r.TransitTime > 0 {
+		job.ArrivesAt = now.Add(r.TransitTime)
 	}
-	job.PerToken = p.Read / time.Duration(job.Tokens)
+	job.PrefillPerToken = p.PrefillTime / time.Duration(job.PromptLeft)
 	delay := time.Duration(0)
 	if job.Joint {
-		delay = p.Read
+		delay = p.PrefillTime
 	}
-	p.Engine.give(job, delay, now)
+	p.Engine.assign(job, delay, now)
 	for _, o := range p.Others {
 		helper := job
-		helper.Part = true
-		helper.Memory = o.Hold
-		helper.Context = o.Hold
-		o.Engine.give(helper, delay, now)
+		helper.Helper = true
+		helper.Memory = o.Memory
+		helper.Context = o.Memory
+		o.Engine.assign(helper, delay, now)
 	}
 }
 
-// give adds a job that delays the reads that wait.
-func (e *Engine) give(j Job, delay time.Duration, now time.Time) {
+// assign adds a job that delays the reads that wait.
+func (e *Engine) assign(j Job, delay time.Duration, now time.Time) {
 	e.Advance(now)
-	e.putOff(e.paced(delay))
+	e.delayPrefills(e.scaled(delay))
 	e.Add(&j, now)
 }
 
-// putOff notes that the reads that wait on the engine are delayed.
-func (e *Engine) putOff(delay time.Duration) {
+// delayPrefills notes that the reads that wait on the engine are delayed.
+func (e *Engine) delayPrefills(delay time.Duration) {
 	for _, j := range e.Jobs {
-		if j.Tokens > j.inPass && !j.Part {
-			j.FirstAt = j.FirstAt.Add(delay)
+		if j.PromptLeft > j.inPass && !j.Helper {
+			j.FirstEventAt = j.FirstEventAt.Add(delay)
 		}
 	}
 }
--- a/placement/closes_test.go
+++ b/placement/blocking_test.go
@@ -38,7 +38,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			p, ok := Make([]*Engine{
+			p, ok := MakePlan([]*Engine{
 				engine("empty", 0),
 				engine("other", 400*time.Millisecond),
 			}, Request{
@@ -48,9 +48,9 @@
 				TargetAt:  origin.Add(row.target),
 				Worth:     1,
 				LateWorth: 0.25,
-				Readings: Readings{
-					Share: row.share,
-					Gap:   time.Second,
+				LongPrefills: LongPrefills{
+					EngineShare: row.share,
+					MaxGap:      time.Second,
 				},
 			}, origin)
 			is.True(ok)
@@ -61,8 +61,8 @@
 
 // TestOpen holds which part of the readings an engine is open to.
 func TestOpen(t *testing.T) {
-	l := Readings{
-		Gap: time.Second,
+	l := LongPrefills{
+		MaxGap: time.Second,
 	}
 	for _, row := range []struct {
 		gap  time.Duration
@@ -75,7 +75,7 @@
 	} {
 		t.Run(row.gap.String(), func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(l.open(row.gap), row.want)
+			is.Equal(l.openFraction(row.gap), row.want)
 		})
 	}
 }
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -10,46 +10,46 @@
 
 // The measures of filling engines in order.
 const (
-	// packedPrompt is the longest prompt that engines are filled with, in
+	// maxPackedPrompt is the longest prompt that engines are filled with, in
 	// tokens; reading it takes less than half of the shortest pause that counts.
-	packedPrompt = 24_000
-	// packedPass is the longest pass that filling may lead to: well below the
+	maxPackedPrompt = 24_000
+	// maxPackedPass is the longest pass that filling may lead to: well below the
 	// shortest pause that counts on the sheets, 250 ms, as several prompts may
 	// arrive in one pass.
-	packedPass = 150 * time.Millisecond
-	// packedFirst is the part of the target up to which the first event may take
+	maxPackedPass = 150 * time.Millisecond
+	// maxPackedTargetShare is the part of the target up to which the first event may take
 	// on an engine that is filled.
-	packedFirst = 0.75
-	// packedLeft is how many slots filling leaves free.
-	packedLeft = 2
+	maxPackedTargetShare = 0.75
+	// reservedSlots is how many slots filling leaves free.
+	reservedSlots = 2
 )
 
 // The differences up to which candidates count as equal.
 const (
-	// costEqual is one of cost, in units of worth.
-	costEqual = 0.02
-	// firstEqual is one of the time to the first event.
-	firstEqual = 2 * time.Millisecond
+	// costTolerance is one of cost, in units of worth.
+	costTolerance = 0.02
+	// firstEventTolerance is one of the time to the first event.
+	firstEventTolerance = 2 * time.Millisecond
 )
 
 // candidates returns what reading a part of the request would do on each engine,
 // the best first. Out is room for them.
-func (r *Request) candidates(engines []*Engine, p part, o *evaluation, out []candidate) []candidate {
+func (r *Request) candidates(engines []*Engine, p promptShare, o *evaluation, out []candidate) []candidate {
 	for i, e := range engines {
-		c := e.judge(&o.loads[i], p)
-		if p.joint && c.reading {
+		c := e.estimate(&o.loads[i], p)
+		if p.joint && c.jointPrefill {
 			// The new part would go before the one that is being read.
 			continue
 		}
-		if c.ahead {
-			o.judge(&c, i, p)
+		if c.needsSimulation {
+			o.simulate(&c, i, p)
 		}
-		c.order = i
-		c.cost = spoilsWeight*c.spoils + r.loses(c.first, o.now)
+		c.index = i
+		c.cost = othersLossWeight*c.othersLoss + r.ownLoss(c.firstEvent, o.now)
 		c.crowded = c.isCrowded(r.TargetAt.Sub(o.now))
-		c.headCost = r.closes(e) + r.pauses(c.pause)
+		c.decodeCost = r.blockingCost(e) + r.pauseLoss(c.pause)
 		if !p.joint {
-			c.cost += c.headCost
+			c.cost += c.decodeCost
 		}
 		out = append(out, c)
 	}
@@ -57,20 +57,20 @@
 	return out
 }
 
-// choose returns n of the candidates, which are in order, and which of them gets
+// selectEngines returns n of the candidates, which are in order, and which of them gets
 // the request: among those that can, the one that costs least as its head. The others are
 // the cheapest. The index is negative when none can.
-func choose(cands []candidate, need, n int) (int, []candidate) {
+func selectEngines(cands []candidate, need, n int) (int, []candidate) {
 	if len(cands) < n {
 		return -1, nil
 	}
 	head := -1
 	for i := range cands {
 		c := &cands[i]
-		if !c.slots || c.free < need/n {
+		if !c.hasSlot || c.freeMemory < need/n {
 			continue
 		}
-		if head < 0 || n > 1 && c.cost+c.headCost < cands[head].cost+cands[head].headCost-costEqual {
+		if head < 0 || n > 1 && c.cost+c.decodeCost < cands[head].cost+cands[head].decodeCost-costTolerance {
 			head = i
 		}
 	}
@@ -87,28 +87,28 @@
 // short, and long ones take them from the back: so the long ones find engines where
 // they make nobody wait.
 func (r *Request) compare(a, b candidate) int {
-	if d := a.cost - b.cost; d < -costEqual || d > costEqual {
+	if d := a.cost - b.cost; d < -costTolerance || d > costTolerance {
 		return cmp.Compare(a.cost, b.cost)
 	}
-	if r.Prompt > packedPrompt {
-		if d := a.first - b.first; d < -firstEqual || d > firstEqual {
-			return cmp.Compare(a.first, b.first)
+	if r.Prompt > maxPackedPrompt {
+		if d := a.firstEvent - b.firstEvent; d < -firstEventTolerance || d > firstEventTolerance {
+			return cmp.Compare(a.firstEvent, b.firstEvent)
 		}
-		return cmp.Compare(b.order, a.order)
+		return cmp.Compare(b.index, a.index)
 	}
 	if c := cmp.Compare(a.crowded, b.crowded); c != 0 {
 		return c
 	}
 	if a.crowded == 0 {
-		return cmp.Compare(a.order, b.order)
+		return cmp.Compare(a.index, b.index)
 	}
-	return cmp.Compare(a.first, b.first)
+	return cmp.Compare(a.firstEvent, b.firstEvent)
 }
 
 // isCrowded returns 1 for an engine that should not be filled further: with a
 // long pass now or next, or none but the last slots free.
 func (c *candidate) isCrowded(target time.Duration) int {
-	if c.pass > packedPass || c.left <= packedLeft || c.first > time.Duration(packedFirst*float64(target)) {
+	if c.pass > maxPackedPass || c.freeSlots <= reservedSlots || c.firstEvent > time.Duration(maxPackedTargetShare*float64(target)) {
 		return 1
 	}
 	return 0
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -9,13 +9,13 @@
 // Cost returns what the plan costs in all but for its number of engines, in units
 // of worth.
 func (p *Plan) Cost() float64 {
-	return spoilsWeight*p.Spoils + p.Loses + p.HeadCost
+	return othersLossWeight*p.OthersLoss + p.OwnLoss + p.DecodeCost
 }
 
-// spoilsWeight is what a loss of others weighs against one of the request
+// othersLossWeight is what a loss of others weighs against one of the request
 // itself. Above 1 it stands for what comes in while engines stand still, which a
 // plan does not see.
-const spoilsWeight = 2
+const othersLossWeight = 2
 
 // The part of a bound at which a prediction begins to count as late, and that
 // at which it surely is.
@@ -34,43 +34,43 @@
 	return min(max((r-lateFrom)/(lateTo-lateFrom), 0), 1)
 }
 
-// joinCost is what each further engine costs a plan: one more that may fail
+// helperCost is what each further engine costs a plan: one more that may fail
 // under the request, and a disturbance for what comes next.
-const joinCost = 0.01
+const helperCost = 0.01
 
-// joining returns what the plan's further engines cost.
-func (p *Plan) joining() float64 {
-	return joinCost * float64(len(p.Others))
+// helpersCost returns what the plan's further engines cost.
+func (p *Plan) helpersCost() float64 {
+	return helperCost * float64(len(p.Others))
 }
 
-// loses returns what the request itself loses when its first event takes a time.
-func (r *Request) loses(first time.Duration, now time.Time) float64 {
+// ownLoss returns what the request itself ownLoss when its first event takes a time.
+func (r *Request) ownLoss(first time.Duration, now time.Time) float64 {
 	if !r.GiveUpAt.IsZero() && now.Add(first).After(r.GiveUpAt) {
 		return r.Worth
 	}
 	return r.stake() * lateness(first, r.TargetAt.Sub(now))
 }
 
-// pauses returns what the request's stream loses when its longest pause takes a time.
-func (r *Request) pauses(longest time.Duration) float64 {
+// pauseLoss returns what the request's stream loses when its longest pause takes a time.
+func (r *Request) pauseLoss(longest time.Duration) float64 {
 	if r.Gap == 0 {
 		return 0
 	}
 	return r.stake() * lateness(longest, r.Gap)
 }
 
-// harm returns what a job loses when the next pass takes after rather than
+// addedLoss returns what a job loses when the next pass takes after rather than
 // before, and reads that wait are delayed.
-func (j *Job) harm(before, after, delay time.Duration) float64 {
-	if j.Part || j.Stake == 0 {
+func (j *Job) addedLoss(before, after, delay time.Duration) float64 {
+	if j.Helper || j.Stake == 0 {
 		return 0
 	}
-	if j.Tokens > j.inPass {
+	if j.PromptLeft > j.inPass {
 		if delay == 0 {
 			return 0
 		}
-		bound := j.TargetAt.Sub(j.AskedAt)
-		due := j.FirstAt.Sub(j.AskedAt)
+		bound := j.TargetAt.Sub(j.PlacedAt)
+		due := j.FirstEventAt.Sub(j.PlacedAt)
 		return j.Stake * (lateness(due+delay, bound) - lateness(due, bound))
 	}
 	if j.Gap == 0 {
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -14,15 +14,15 @@
 type Job struct {
 	// ID names the attempt.
 	ID string
-	// Tokens are what is left to read here.
-	Tokens int
-	// PerToken is the time that reading one of them takes.
-	PerToken time.Duration
+	// PromptLeft are what is left to read here.
+	PromptLeft int
+	// PrefillPerToken is the time that reading one of them takes.
+	PrefillPerToken time.Duration
 	// Joint states that several engines read the prompt. Such parts go before
 	// other prompts, the latest first.
 	Joint bool
-	// Part states that the job only helps with another engine's request.
-	Part bool
+	// Helper states that the job only helps with another engine's request.
+	Helper bool
 	// Memory is what the job holds here, in tokens.
 	Memory int
 	// Context is what each step has to look at here, in tokens.
@@ -33,26 +33,26 @@
 	// that when its caller goes.
 	Stake     float64
 	LateWorth float64
-	// AskedAt is when the request was placed.
-	AskedAt time.Time
+	// PlacedAt is when the request was placed.
+	PlacedAt time.Time
 	// TargetAt is when the first event would be late.
 	TargetAt time.Time
-	// FirstAt is when the first event is expected.
-	FirstAt time.Time
-	// ReachesAt is when the engine gets the job; zero means that it has it.
-	ReachesAt time.Time
+	// FirstEventAt is when the first event is expected.
+	FirstEventAt time.Time
+	// ArrivesAt is when the engine gets the job; zero means that it has it.
+	ArrivesAt time.Time
 
 	// inPass are the tokens that the present pass reads.
 	inPass int
-	// wroteAt is when the model let the job begin to write.
-	wroteAt time.Time
+	// prefilledAt is when the model let the job begin to write.
+	prefilledAt time.Time
 	// confirmed states that the first event has come.
 	confirmed bool
 }
 
-// read returns the time of reading n tokens of the job.
-func (j *Job) read(n int) time.Duration {
-	return time.Duration(n) * j.PerToken
+// prefillTime returns the time of reading n tokens of the job.
+func (j *Job) prefillTime(n int) time.Duration {
+	return time.Duration(n) * j.PrefillPerToken
 }
 
 // Engine is the modelled state of an engine.
@@ -71,21 +71,21 @@
 	Closed bool
 	// Full engines get no request now, but may help to read the prompts of others.
 	Full bool
-	// Pace is how many times as long as by its model the engine takes for all work; zero
-	// counts as 1. SetPace changes it while the engine works.
-	Pace float64
+	// Slowdown is how many times as long as by its model the engine takes for all work; zero
+	// counts as 1. SetSlowdown changes it while the engine works.
+	Slowdown float64
 	// Jobs are what the engine works on, in the order in which they came.
 	Jobs []*Job
 
 	// passEnd is when the present pass ends; zero when the engine rests.
 	passEnd time.Time
-	// passBegan is when it began.
-	passBegan time.Time
+	// passStart is when it began.
+	passStart time.Time
 }
 
-// idleSteps is how many steps without writers are taken for one pass of the
+// stepsPerIdlePass is how many steps without writers are taken for one pass of the
 // model, so that it need not follow each of them.
-const idleSteps = 4
+const stepsPerIdlePass = 4
 
 // Advance lets the engine work until a moment.
 func (e *Engine) Advance(now time.Time) {
@@ -111,14 +111,14 @@
 func (e *Engine) nextStart(now time.Time) time.Time {
 	var first *Job
 	for _, j := range e.Jobs {
-		if j.Tokens > 0 && (first == nil || j.ReachesAt.Before(first.ReachesAt)) {
+		if j.PromptLeft > 0 && (first == nil || j.ArrivesAt.Before(first.ArrivesAt)) {
 			first = j
 		}
 	}
-	if first == nil || first.ReachesAt.IsZero() {
+	if first == nil || first.ArrivesAt.IsZero() {
 		return now
 	}
-	return first.ReachesAt
+	return first.ArrivesAt
 }
 
 // finishPass ends the present pass: what has been read writes from now on.
@@ -128,22 +128,22 @@
 		if j.inPass == 0 {
 			continue
 		}
-		j.Tokens -= j.inPass
+		j.PromptLeft -= j.inPass
 		j.inPass = 0
-		if j.Tokens == 0 {
-			j.wroteAt = at
+		if j.PromptLeft == 0 {
+			j.prefilledAt = at
 		}
 	}
 }
 
-// confirmWithin is how long after the model's end of a joint part the engine counts as
+// confirmTimeout is how long after the model's end of a joint part the engine counts as
 // reading it while the first event has not come. A new part would go before what is left
 // of it: one that came 6 ms too early put the end of another off by 3.4 s.
-const confirmWithin = 100 * time.Millisecond
+const confirmTimeout = 100 * time.Millisecond
 
-// isRead states whether the job's prompt, or its part of it, has been read for certain.
-func (j *Job) isRead(now time.Time) bool {
-	return j.Tokens == 0 && (j.confirmed || j.wroteAt.IsZero() || now.Sub(j.wroteAt) > confirmWithin)
+// isPrefilled states whether the job's prompt, or its part of it, has been read for certain.
+func (j *Job) isPrefilled(now time.Time) bool {
+	return j.PromptLeft == 0 && (j.confirmed || j.prefilledAt.IsZero() || now.Sub(j.prefilledAt) > confirmTimeout)
 }
 
 // startPass begins a pass if there is anything to do.
@@ -151,59 +151,59 @@
 	if len(e.Jobs) == 0 {
 		return
 	}
-	writers, context := e.writers()
+	writers, context := e.decoding()
 	length := time.Duration(0)
-	budget := e.budget(writers)
+	budget := e.prefillBudget(writers)
 	if writers > 0 {
-		length = e.Model.Pass(writers, context)
+		length = e.Model.PassTime(writers, context)
 	}
-	for _, j := range e.readingOrder(at) {
-		j.inPass = min(j.Tokens, budget)
+	for _, j := range e.prefillOrder(at) {
+		j.inPass = min(j.PromptLeft, budget)
 		budget -= j.inPass
-		length += j.read(j.inPass)
+		length += j.prefillTime(j.inPass)
 	}
 	if length > 0 {
-		e.passBegan = at
-		e.passEnd = at.Add(e.paced(length))
+		e.passStart = at
+		e.passEnd = at.Add(e.scaled(length))
 	}
 }
 
-// readingOrder returns what is to be read in a pass that starts at a moment: joint parts
+// prefillOrder returns what is to be read in a pass that starts at a moment: joint parts
 // first, the latest before the others, then the prompts in the order in which they came.
-func (e *Engine) readingOrder(at time.Time) []*Job {
+func (e *Engine) prefillOrder(at time.Time) []*Job {
 	out := make([]*Job, 0, len(e.Jobs))
 	for _, j := range slices.Backward(e.Jobs) {
-		if j.Joint && j.Tokens > 0 && !j.ReachesAt.After(at) {
+		if j.Joint && j.PromptLeft > 0 && !j.ArrivesAt.After(at) {
 			out = append(out, j)
 		}
 	}
 	for _, j := range e.Jobs {
-		if !j.Joint && j.Tokens > 0 && !j.ReachesAt.After(at) {
+		if !j.Joint && j.PromptLeft > 0 && !j.ArrivesAt.After(at) {
 			out = append(out, j)
 		}
 	}
 	return out
 }
 
-// budget returns how many tokens a pass of the model reads.
-func (e *Engine) budget(writers int) int {
-	b := e.Model.Budget(writers)
-	if writers > 0 || b > math.MaxInt/idleSteps {
+// prefillBudget returns how many tokens a pass of the model reads.
+func (e *Engine) prefillBudget(writers int) int {
+	b := e.Model.PrefillBudget(writers)
+	if writers > 0 || b > math.MaxInt/stepsPerIdlePass {
 		// Without a bound there is nothing to multiply.
 		return b
 	}
-	return b * idleSteps
+	return b * stepsPerIdlePass
 }
 
-// writers returns how many jobs write, and the context of a step.
-func (e *Engine) writers() (int, int) {
+// decoding returns how many jobs write, and the context of a step.
+func (e *Engine) decoding() (int, int) {
 	n, context := 0, 0
 	for _, j := range e.Jobs {
-		if j.Tokens > 0 {
+		if j.PromptLeft > 0 {
 			continue
 		}
 		context += j.Context
-		if !j.Part {
+		if !j.Helper {
 			n++
 		}
 	}
@@ -214,20 +214,20 @@
 func (e *Engine) Running() int {
 	n := 0
 	for _, j := range e.Jobs {
-		if !j.Part {
+		if !j.Helper {
 			n++
 		}
 	}
 	return n
 }
 
-// Unread returns the time that the engine needs to read what it has before it.
-func (e *Engine) Unread() time.Duration {
+// PendingPrefill returns the time that the engine needs to read what it has before it.
+func (e *Engine) PendingPrefill() time.Duration {
 	d := time.Duration(0)
 	for _, j := range e.Jobs {
-		d += j.read(j.Tokens)
+		d += j.prefillTime(j.PromptLeft)
 	}
-	return e.paced(d)
+	return e.scaled(d)
 }
 
 // Free returns the memory that no job holds, in tokens.
--- a/placement/observe.go
+++ b/placement/observe.go
@@ -16,12 +16,12 @@
 func (e *Engine) Observe(id string, now time.Time) time.Duration {
 	e.Advance(now)
 	for _, j := range e.Jobs {
-		if j.ID != id || j.Part {
+		if j.ID != id || j.Helper {
 			continue
 		}
 		j.confirmed = true
-		if j.Tokens == 0 {
-			late := now.Sub(j.wroteAt)
+		if j.PromptLeft == 0 {
+			late := now.Sub(j.prefilledAt)
 			if !e.passEnd.IsZero() {
 				e.passEnd = e.passEnd.Add(min(late, maxShift))
 			}
@@ -31,7 +31,7 @@
 		if !e.passEnd.IsZero() {
 			early = e.passEnd.Sub(now)
 		}
-		j.inPass = j.Tokens
+		j.inPass = j.PromptLeft
 		e.finishPass(now)
 		e.startPass(now)
 		return -early
@@ -39,34 +39,34 @@
 	return 0
 }
 
-// FinishPart notes that a helping engine has read its part of a prompt.
-func (e *Engine) FinishPart(id string, now time.Time) {
+// FinishShare notes that a helping engine has read its part of a prompt.
+func (e *Engine) FinishShare(id string, now time.Time) {
 	e.Advance(now)
 	e.Jobs = slices.DeleteFunc(e.Jobs, func(j *Job) bool {
-		if j.ID != id || !j.Part {
+		if j.ID != id || !j.Helper {
 			return false
 		}
-		j.Tokens, j.inPass = 0, 0
+		j.PromptLeft, j.inPass = 0, 0
 		j.confirmed = true
 		return j.Memory == 0
 	})
 }
 
-// Expects returns when a job that has been silent for a while gives a sign, and whether
+// NextEvent returns when a job that has been silent for a while gives a sign, and whether
 // the engine is known to have a reason for the silence: it still reads the job's prompt,
 // or is in a pass that began no later than the silence did.
-func (e *Engine) Expects(id string, silence time.Duration, now time.Time) (time.Duration, bool) {
+func (e *Engine) NextEvent(id string, silence time.Duration, now time.Time) (time.Duration, bool) {
 	e.Advance(now)
 	for i, j := range e.Jobs {
 		switch {
 		case j.ID != id:
-		case j.Tokens > 0:
+		case j.PromptLeft > 0:
 			var f simulation
-			return f.play(e, nil, now)[i].first, true
-		case e.passEnd.IsZero() || j.Part:
+			return f.run(e, nil, now)[i].firstEvent, true
+		case e.passEnd.IsZero() || j.Helper:
 			return 0, false
 		default:
-			return e.passEnd.Sub(now), now.Sub(e.passBegan) >= silence
+			return e.passEnd.Sub(now), now.Sub(e.passStart) >= silence
 		}
 	}
 	return 0, false
--- a/placement/patience.go
+++ b/placement/patience.go
@@ -7,13 +7,13 @@
 // Callers give a stream up after a silence of the longest of these: a time, so many targets
 // for the first event until it has come, or so many of the longest pauses in time.
 const (
-	giveUpLeast   = 2 * time.Second
-	giveUpTargets = 4
-	giveUpGaps    = 8
+	minPatience     = 2 * time.Second
+	patienceTargets = 4
+	patienceGaps    = 8
 )
 
 // Patience returns how long a caller waits in silence before it leaves, by its target for
 // the first event, zero once that has come, and its longest pause in time.
 func Patience(target, gap time.Duration) time.Duration {
-	return max(giveUpLeast, giveUpTargets*target, giveUpGaps*gap)
+	return max(minPatience, patienceTargets*target, patienceGaps*gap)
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -18,14 +18,14 @@
 	return &batch.Model{
 		Slots:              16,
 		Capacity:           232_000,
-		Stride:             43,
+		StepsPerPass:       43,
 		Chunk:              2048,
 		Step:               1020 * time.Microsecond,
 		PerSequence:        2260 * time.Nanosecond,
 		PerThousandContext: 4310 * time.Nanosecond,
-		ReadPerSecond:      206_000,
+		PrefillPerSecond:   206_000,
 		PerMillionPairs:    138 * time.Microsecond,
-		Hop:                75 * time.Microsecond,
+		JointOverhead:      75 * time.Microsecond,
 	}
 }
 
@@ -72,7 +72,7 @@
 func fill(e *placement.Engine, n int, now time.Time) {
 	for i := range n {
 		r := short(fmt.Sprintf("%s-%d", e.Instance, i), now)
-		p, ok := placement.Make([]*placement.Engine{e}, r, now)
+		p, ok := placement.MakePlan([]*placement.Engine{e}, r, now)
 		if !ok {
 			panic("no room")
 		}
@@ -83,7 +83,7 @@
 
 func mustMake(t *testing.T, list []*placement.Engine, r placement.Request, now time.Time) placement.Plan {
 	t.Helper()
-	p, ok := placement.Make(list, r, now)
+	p, ok := placement.MakePlan(list, r, now)
 	if !ok {
 		t.Fatal("no plan")
 	}
@@ -99,8 +99,8 @@
 		now = now.Add(100 * time.Millisecond)
 		r := short(fmt.Sprint(i), now)
 		p := mustMake(t, list, r, now)
-		is.Equal(p.Spoils, 0.0)
-		is.Equal(p.Loses, 0.0)
+		is.Equal(p.OthersLoss, 0.0)
+		is.Equal(p.OwnLoss, 0.0)
 		p.Apply(r, now)
 		used[p.Engine.Instance]++
 	}
@@ -114,7 +114,7 @@
 	fill(list[1], 10, start)
 	now := start.Add(time.Second)
 	p := mustMake(t, list, long(133_000, now), now)
-	is.Equal(p.Spoils, 0.0)
+	is.Equal(p.OthersLoss, 0.0)
 	is.True(p.Engine.Instance >= "e02")
 	for _, o := range p.Others {
 		is.True(o.Engine.Instance >= "e02")
@@ -130,24 +130,24 @@
 	now := start.Add(time.Second)
 	p := mustMake(t, list, long(100_000, now), now)
 	is.True(len(p.Others) >= 7) // whole it would take 1.2 s on one engine
-	is.True(p.Spoils < 1)
+	is.True(p.OthersLoss < 1)
 }
 
 func TestMemory(t *testing.T) {
 	t.Run("spread over engines", func(t *testing.T) {
 		is := is.New(t)
 		p := mustMake(t, engines(4), long(400_000, start), start)
-		sum := p.Hold
-		is.True(p.Hold <= 232_000)
+		sum := p.Memory
+		is.True(p.Memory <= 232_000)
 		for _, o := range p.Others {
-			is.True(o.Hold <= 232_000)
-			sum += o.Hold
+			is.True(o.Memory <= 232_000)
+			sum += o.Memory
 		}
 		is.Equal(sum, 400_700)
 	})
 	t.Run("too large for all", func(t *testing.T) {
 		is := is.New(t)
-		_, ok := placement.Make(engines(2), long(500_000, start), start)
+		_, ok := placement.MakePlan(engines(2), long(500_000, start), start)
 		is.True(!ok)
 	})
 	t.Run("full front engine", func(t *testing.T) {
@@ -170,7 +170,7 @@
 	p := mustMake(t, list, short("a", now), now)
 	is.Equal(p.Engine, list[1])
 	p.Apply(short("a", now), now)
-	_, ok := placement.Make(list, short("b", now), now)
+	_, ok := placement.MakePlan(list, short("b", now), now)
 	is.True(!ok)
 	list[0].Remove("e00-0")
 	is.Equal(mustMake(t, list, short("b", now), now).Engine, list[0])
@@ -192,15 +192,15 @@
 	list := engines(1)
 	a := short("a", start)
 	p := mustMake(t, list, a, start)
-	read := model().Read(5_000, 1)
-	is.Equal(p.First, read)
+	read := model().PrefillTime(5_000, 1)
+	is.Equal(p.TimeToFirstEvent, read)
 	p.Apply(a, start)
 	now := start.Add(5 * time.Millisecond)
 	q := mustMake(t, list, short("b", now), now)
 	// The rest of the first pass, then a pass with one writer and the reading.
 	// Times of reading are kept per token, in whole nanoseconds.
-	want := read - 5*time.Millisecond + model().Pass(1, 5_000) + read
-	is.True((q.First - want).Abs() < 10*time.Microsecond)
+	want := read - 5*time.Millisecond + model().PassTime(1, 5_000) + read
+	is.True((q.TimeToFirstEvent - want).Abs() < 10*time.Microsecond)
 }
 
 func TestObserve(t *testing.T) {
@@ -209,7 +209,7 @@
 	r := short("a", start)
 	p := mustMake(t, []*placement.Engine{e}, r, start)
 	p.Apply(r, start)
-	late := e.Observe("a", start.Add(p.First+30*time.Millisecond))
+	late := e.Observe("a", start.Add(p.TimeToFirstEvent+30*time.Millisecond))
 	is.True((late - 30*time.Millisecond).Abs() < 10*time.Microsecond)
 }
 
@@ -222,7 +222,7 @@
 	r := long(133_000, now)
 	b.ReportAllocs()
 	for b.Loop() {
-		placement.Make(list, r, now)
+		placement.MakePlan(list, r, now)
 	}
 }
 
@@ -231,9 +231,9 @@
 	const way = 10 * time.Millisecond
 	first := func(e *placement.Engine, travel time.Duration, now time.Time) time.Duration {
 		r := short("r", now)
-		r.Travel = travel
+		r.TransitTime = travel
 		p := mustMake(t, []*placement.Engine{e}, r, now)
-		return p.First
+		return p.TimeToFirstEvent
 	}
 	t.Run("engine rests", func(t *testing.T) {
 		e := engines(1)[0]
@@ -258,13 +258,13 @@
 		is := is.New(t)
 		e := engines(1)[0]
 		r := short("r", start)
-		r.Travel = way
+		r.TransitTime = way
 		p := mustMake(t, []*placement.Engine{e}, r, start)
 		p.Apply(r, start)
-		unread := e.Unread()
+		unread := e.PendingPrefill()
 		e.Advance(start.Add(way / 2))
-		is.Equal(e.Unread(), unread)
+		is.Equal(e.PendingPrefill(), unread)
 		e.Advance(start.Add(time.Second))
-		is.Equal(e.Unread(), time.Duration(0))
+		is.Equal(e.PendingPrefill(), time.Duration(0))
 	})
 }
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -27,12 +27,12 @@
 	// Worth is what an answer in time is worth, and LateWorth what a late one is.
 	Worth     float64
 	LateWorth float64
-	// Travel is how long it takes until an engine has the request.
-	Travel time.Duration
+	// TransitTime is how long it takes until an engine has the request.
+	TransitTime time.Duration
 	// Exclude are engines that must not be used.
 	Exclude []string
-	// Readings is what long prompts want of the engines.
-	Readings Readings
+	// LongPrefills is what long prompts want of the engines.
+	LongPrefills LongPrefills
 }
 
 // stake returns what is lost when the request is late.
@@ -49,8 +49,8 @@
 type Share struct {
 	// Engine is the engine that helps.
 	Engine *Engine
-	// Hold is the memory that it holds for the request, in tokens.
-	Hold int
+	// Memory is the memory that it holds for the request, in tokens.
+	Memory int
 }
 
 // Plan is where a request would run.
@@ -59,31 +59,31 @@
 	Engine *Engine
 	// Others read the prompt with it.
 	Others []Share
-	// Read is the time of reading on each engine.
-	Read time.Duration
-	// Hold is the memory that Engine holds, in tokens.
-	Hold int
-	// First is the predicted time to the first event.
-	First time.Duration
-	// Spoils is what others lose, in units of worth.
-	Spoils float64
-	// Loses is what the request itself loses, in units of worth.
-	Loses float64
-	// HeadCost is what its stream costs there where it writes: by pauses of its own, and by
+	// PrefillTime is the time of reading on each engine.
+	PrefillTime time.Duration
+	// Memory is the memory that Engine holds, in tokens.
+	Memory int
+	// TimeToFirstEvent is the predicted time to the first event.
+	TimeToFirstEvent time.Duration
+	// OthersLoss is what others lose, in units of worth.
+	OthersLoss float64
+	// OwnLoss is what the request itself loses, in units of worth.
+	OwnLoss float64
+	// DecodeCost is what its stream costs there where it writes: by pauses of its own, and by
 	// closing the engine to readings that come.
-	HeadCost float64
+	DecodeCost float64
 }
 
-// MaxReaders bounds the engines that read a prompt together: one and sixteen
+// MaxPrefillEngines bounds the engines that read a prompt together: one and sixteen
 // that help it.
-const MaxReaders = 17
+const MaxPrefillEngines = 17
 
-// widths are the numbers of engines that are tried: more of them cost time, and
+// engineCounts are the numbers of engines that are tried: more of them cost time, and
 // those between gain little.
-var widths = [...]int{1, 2, 3, 4, 6, 8, 12, MaxReaders}
+var engineCounts = [...]int{1, 2, 3, 4, 6, 8, 12, MaxPrefillEngines}
 
-// Make returns the cheapest plan, or false when no engine can take the request.
-func Make(engines []*Engine, r Request, now time.Time) (Plan, bool) {
+// MakePlan returns the cheapest plan, or false when no engine can take the request.
+func MakePlan(engines []*Engine, r Request, now time.Time) (Plan, bool) {
 	usable := make([]*Engine, 0, len(engines))
 	for _, e := range engines {
 		if e.Closed || slices.Contains(r.Exclude, e.Instance) {
@@ -95,64 +95,64 @@
 	best, found := Plan{}, false
 	cands := make([]candidate, 0, len(usable))
 	o := newEvaluation(usable, now)
-	for _, n := range widths {
-		if n > len(usable) || n > 1 && usable[0].Model.Read(r.Prompt, n) < leastPart {
+	for _, n := range engineCounts {
+		if n > len(usable) || n > 1 && usable[0].Model.PrefillTime(r.Prompt, n) < minShareTime {
 			break
 		}
-		p, ok := plan(usable, r, n, o, cands)
-		if ok && (!found || p.Cost()+p.joining() < best.Cost()+best.joining()) {
+		p, ok := planWithEngines(usable, r, n, o, cands)
+		if ok && (!found || p.Cost()+p.helpersCost() < best.Cost()+best.helpersCost()) {
 			best, found = p, true
 		}
 	}
 	return best, found
 }
 
-// Soonest returns the least time in which engines of one model, each at its pace, can
-// read a request's prompt together if all of them are free, but no less than leastPart; zero when
+// MinPrefillTime returns the least time in which engines of one model, each at its pace, can
+// read a request's prompt together if all of them are free, but no less than minShareTime; zero when
 // there are none.
-func Soonest(engines []*Engine, r Request) time.Duration {
+func MinPrefillTime(engines []*Engine, r Request) time.Duration {
 	if len(engines) == 0 {
 		return 0
 	}
-	return max(soonestRead(engines, r.Prompt), leastPart)
+	return max(minPrefillTime(engines, r.Prompt), minShareTime)
 }
 
-// leastPart is the least time of reading that is split off: with less, one more
+// minShareTime is the least time of reading that is split off: with less, one more
 // engine that may fail is not worth the shorter pause.
-const leastPart = 40 * time.Millisecond
+const minShareTime = 40 * time.Millisecond
 
-// plan returns the cheapest plan in which n engines read the prompt, or false when
+// planWithEngines returns the cheapest planWithEngines in which n engines read the prompt, or false when
 // there is none. Cands is room for the candidates.
-func plan(usable []*Engine, r Request, n int, o *evaluation, cands []candidate) (Plan, bool) {
-	share := part{
-		tokens: r.Prompt / n,
-		time:   usable[0].Model.Read(r.Prompt, n),
-		joint:  n > 1,
-		travel: r.Travel,
+func planWithEngines(usable []*Engine, r Request, n int, o *evaluation, cands []candidate) (Plan, bool) {
+	share := promptShare{
+		tokens:      r.Prompt / n,
+		time:        usable[0].Model.PrefillTime(r.Prompt, n),
+		joint:       n > 1,
+		transitTime: r.TransitTime,
 	}
 	cands = r.candidates(usable, share, o, cands[:0])
 	need := r.Prompt + r.Output
-	head, chosen := choose(cands, need, n)
+	head, chosen := selectEngines(cands, need, n)
 	if head < 0 {
 		return Plan{}, false
 	}
 	p := Plan{
-		Engine: chosen[head].engine,
-		Read:   share.time,
+		Engine:      chosen[head].engine,
+		PrefillTime: share.time,
 	}
 	for i, c := range chosen {
-		p.Spoils += c.spoils
-		p.First = max(p.First, c.first)
+		p.OthersLoss += c.othersLoss
+		p.TimeToFirstEvent = max(p.TimeToFirstEvent, c.firstEvent)
 		if i != head {
 			p.Others = append(p.Others, Share{
 				Engine: c.engine,
 			})
 		}
 	}
-	if !p.hold(need) {
+	if !p.allocateMemory(need) {
 		return Plan{}, false
 	}
-	p.Loses = r.loses(p.First, o.now)
-	p.HeadCost = chosen[head].headCost
+	p.OwnLoss = r.ownLoss(p.TimeToFirstEvent, o.now)
+	p.DecodeCost = chosen[head].decodeCost
 	return p, true
 }
--- a/placement/simulate.go
+++ b/placement/simulate.go
@@ -11,11 +11,11 @@
 // forecast is what becomes of a job until the engine has read all that it has.
 type forecast struct {
 	job *Job
-	// left are the tokens still to read.
-	left int
-	// first is when its first event comes, from now; it has come already for a job that
+	// promptLeft are the tokens still to read.
+	promptLeft int
+	// firstEvent is when its firstEvent event comes, from now; it has come already for a job that
 	// writes.
-	first time.Duration
+	firstEvent time.Duration
 	// pause is the longest pause between its events.
 	pause time.Duration
 }
@@ -23,12 +23,12 @@
 // loss returns what a job loses by what the simulation tells.
 func (c *forecast) loss(now time.Time) float64 {
 	j := c.job
-	if j.Part || j.Stake == 0 {
+	if j.Helper || j.Stake == 0 {
 		return 0
 	}
 	late := 0.0
-	if j.Tokens > j.inPass {
-		late = lateness(now.Add(c.first).Sub(j.AskedAt), j.TargetAt.Sub(j.AskedAt))
+	if j.PromptLeft > j.inPass {
+		late = lateness(now.Add(c.firstEvent).Sub(j.PlacedAt), j.TargetAt.Sub(j.PlacedAt))
 	}
 	if j.Gap > 0 {
 		late = max(late, j.pauseLoss(c.pause))
@@ -43,124 +43,124 @@
 	// at is the end of the pass that was played last, from now.
 	at time.Duration
 	// jobs are the engine's jobs and, last, a part that is added.
-	jobs []forecast
-	part Job
-	// reading are the indices of the jobs that are read, in the order in which they are,
+	jobs  []forecast
+	share Job
+	// prefilling are the indices of the jobs that are read, in the order in which they are,
 	// and writing those of the jobs that write.
-	reading []int
-	writing []int
-	context int
+	prefilling []int
+	decoding   []int
+	context    int
 }
 
-// play plays an engine with a part, or with none, and returns what becomes of its jobs
+// run plays an engine with a part, or with none, and returns what becomes of its jobs
 // and, last, of the part. The result holds until the next call.
-func (s *simulation) play(e *Engine, p *part, now time.Time) []forecast {
-	s.begin(e, now)
+func (s *simulation) run(e *Engine, p *promptShare, now time.Time) []forecast {
+	s.start(e, now)
 	if p != nil {
-		s.join(p)
+		s.addShare(p)
 	}
-	for len(s.reading) > 0 {
-		s.pass(math.MaxInt64)
+	for len(s.prefilling) > 0 {
+		s.runPass(math.MaxInt64)
 	}
 	return s.jobs
 }
 
-// begin sets up the state at the end of the engine's present pass.
-func (s *simulation) begin(e *Engine, now time.Time) {
+// start sets up the state at the end of the engine's present pass.
+func (s *simulation) start(e *Engine, now time.Time) {
 	s.engine, s.at, s.context = e, 0, 0
-	s.jobs, s.reading, s.writing = s.jobs[:0], s.reading[:0], s.writing[:0]
+	s.jobs, s.prefilling, s.decoding = s.jobs[:0], s.prefilling[:0], s.decoding[:0]
 	if !e.passEnd.IsZero() {
 		s.at = max(e.passEnd.Sub(now), 0)
 	}
 	for i, j := range e.Jobs {
-		left := j.Tokens - j.inPass
+		left := j.PromptLeft - j.inPass
 		s.jobs = append(s.jobs, forecast{
-			job:   j,
-			left:  left,
-			first: s.at,
+			job:        j,
+			promptLeft: left,
+			firstEvent: s.at,
 		})
 		switch {
 		case left > 0 && j.Joint:
 			// Joint parts go before other prompts, the latest first.
-			s.reading = slices.Insert(s.reading, 0, i)
+			s.prefilling = slices.Insert(s.prefilling, 0, i)
 		case left > 0:
-			s.reading = append(s.reading, i)
+			s.prefilling = append(s.prefilling, i)
 		default:
-			s.writes(i)
+			s.startDecode(i)
 		}
 	}
 }
 
-// writes lets a job write, or hold its memory, from now on.
-func (s *simulation) writes(i int) {
+// startDecode lets a job write, or hold its memory, from now on.
+func (s *simulation) startDecode(i int) {
 	j := s.jobs[i].job
 	s.context += j.Context
-	if !j.Part {
-		s.writing = append(s.writing, i)
+	if !j.Helper {
+		s.decoding = append(s.decoding, i)
 	}
 }
 
-// join plays until a part has come that is on its way, and adds it to what is read. What
+// addShare plays until a part has come that is on its way, and adds it to what is read. What
 // comes during a pass waits for its end.
-func (s *simulation) join(p *part) {
-	for s.at < p.travel && len(s.reading)+len(s.writing) > 0 {
-		s.pass(p.travel - s.at)
+func (s *simulation) addShare(p *promptShare) {
+	for s.at < p.transitTime && len(s.prefilling)+len(s.decoding) > 0 {
+		s.runPass(p.transitTime - s.at)
 	}
-	s.at = max(s.at, p.travel)
-	s.part = Job{
-		Tokens:   p.tokens,
-		PerToken: p.time / time.Duration(max(p.tokens, 1)),
-		Joint:    p.joint,
+	s.at = max(s.at, p.transitTime)
+	s.share = Job{
+		PromptLeft:      p.tokens,
+		PrefillPerToken: p.time / time.Duration(max(p.tokens, 1)),
+		Joint:           p.joint,
 	}
 	i := len(s.jobs)
 	s.jobs = append(s.jobs, forecast{
-		job:  &s.part,
-		left: p.tokens,
+		job:        &s.share,
+		promptLeft: p.tokens,
 	})
 	if p.joint {
-		s.reading = slices.Insert(s.reading, 0, i)
+		s.prefilling = slices.Insert(s.prefilling, 0, i)
 		return
 	}
-	s.reading = append(s.reading, i)
+	s.prefilling = append(s.prefilling, i)
 }
 
-// pass plays one pass. Without writers those are short: they are played together until a
+// runPass plays one runPass. Without writers those are short: they are played together until a
 // prompt is read, or for so long.
-func (s *simulation) pass(long time.Duration) {
+func (s *simulation) runPass(long time.Duration) {
 	var length time.Duration
-	if n := len(s.writing); n > 0 {
-		length = s.engine.paced(s.engine.Model.Pass(n, s.context) + s.read(s.engine.Model.Budget(n)))
+	if n := len(s.decoding); n > 0 {
+		length = s.engine.scaled(s.engine.Model.PassTime(n, s.context) + s.prefill(s.engine.Model.PrefillBudget(n)))
 	} else {
-		c := &s.jobs[s.reading[0]]
-		length = s.engine.paced(c.job.read(c.left))
+		c := &s.jobs[s.prefilling[0]]
+		length = s.engine.scaled(c.job.prefillTime(c.promptLeft))
 		left := 0
 		if length > long {
-			left = c.left - int(float64(c.left)*float64(long)/float64(length))
+			left = c.promptLeft - int(float64(c.promptLeft)*float64(long)/float64(length))
 			length = long
 		}
-		c.left = left
+		c.promptLeft = left
 	}
 	s.at += length
-	for _, i := range s.writing {
+	for _, i := range s.decoding {
 		s.jobs[i].pause = max(s.jobs[i].pause, length)
 	}
-	for len(s.reading) > 0 && s.jobs[s.reading[0]].left == 0 {
-		i := s.reading[0]
-		s.reading = slices.Delete(s.reading, 0, 1)
-		s.jobs[i].first = s.at
-		s.writes(i)
+	for len(s.prefilling) > 0 && s.jobs[s.prefilling[0]].promptLeft == 0 {
+		i := s.prefilling[0]
+		s.prefilling = slices.Delete(s.prefilling, 0, 1)
+		s.jobs[i].firstEvent = s.at
+		s.startDecode(i)
 	}
 }
 
-// read reads as many tokens as a pass may, and returns how long that takes.
-func (s *simulation) read(budget int) time.Duration {
+// prefill reads as many tokens as a pass may, and returns how long that takes.
+func (s *simulation) prefill(budget int) time.Duration {
 	length := time.Duration(0)
-	for _, i := range s.reading {
+	for _, i := range s.prefilling {
 		c := &s.jobs[i]
-		take := min(c.left, budget)
-		c.left -= take
+		take := min(c.promptLeft, budget)
+		c.promptLeft -= take
 		budget -= take
-		length += c.job.read(take)
+		length += c.job.prefillTime(take)
 	}
 	return length
 }
@@ -171,44 +171,44 @@
 	sim simulation
 	// loads are what the engines have before them.
 	loads []load
-	// lost is what the jobs of each engine lose without a part; NaN until it is known.
-	lost []float64
+	// baseLoss is what the jobs of each engine lose without a part; NaN until it is known.
+	baseLoss []float64
 }
 
 // newEvaluation returns one for some engines.
 func newEvaluation(engines []*Engine, now time.Time) *evaluation {
 	o := &evaluation{
-		now:   now,
-		loads: make([]load, len(engines)),
-		lost:  make([]float64, len(engines)),
+		now:      now,
+		loads:    make([]load, len(engines)),
+		baseLoss: make([]float64, len(engines)),
 	}
 	for i, e := range engines {
 		o.loads[i] = e.load(now)
-		o.lost[i] = math.NaN()
+		o.baseLoss[i] = math.NaN()
 	}
 	return o
 }
 
-// judge corrects what reading a part does on the engine with an index, where that takes
+// simulate corrects what reading a part does on the engine with an index, where that takes
 // more than the next pass: what the engine has to read makes streams pause that begin
 // after it, the part's own as well.
 //
 // It guards against prompts that are read one after the other on an engine, the first of
 // which writes while the next is read: by the next pass alone the figure of emulated days
 // was 0.905, so it was 0.926 (60 engines, bursts of long prompts, 24 seeds).
-func (o *evaluation) judge(c *candidate, i int, p part) {
-	if math.IsNaN(o.lost[i]) {
-		o.lost[i] = o.sum(o.sim.play(c.engine, nil, o.now))
+func (o *evaluation) simulate(c *candidate, i int, p promptShare) {
+	if math.IsNaN(o.baseLoss[i]) {
+		o.baseLoss[i] = o.totalLoss(o.sim.run(c.engine, nil, o.now))
 	}
-	jobs := o.sim.play(c.engine, &p, o.now)
+	jobs := o.sim.run(c.engine, &p, o.now)
 	own := jobs[len(jobs)-1]
-	c.spoils = o.sum(jobs[:len(jobs)-1]) - o.lost[i]
-	c.first = own.first
+	c.othersLoss = o.totalLoss(jobs[:len(jobs)-1]) - o.baseLoss[i]
+	c.firstEvent = own.firstEvent
 	c.pause = own.pause
 }
 
-// sum returns what some jobs lose.
-func (o *evaluation) sum(jobs []forecast) float64 {
+// totalLoss returns what some jobs lose.
+func (o *evaluation) totalLoss(jobs []forecast) float64 {
 	sum := 0.0
 	for i := range jobs {
 		sum += jobs[i].loss(o.now)
--- a/placement/simulate_test.go
+++ b/placement/simulate_test.go
@@ -21,25 +21,25 @@
 // 100 ms of steps.
 func readingModel() *batch.Model {
 	return &batch.Model{
-		Slots:         8,
-		Capacity:      10_000_000,
-		Stride:        100,
-		Chunk:         100,
-		Step:          time.Millisecond,
-		ReadPerSecond: 100_000,
+		Slots:            8,
+		Capacity:         10_000_000,
+		StepsPerPass:     100,
+		Chunk:            100,
+		Step:             time.Millisecond,
+		PrefillPerSecond: 100_000,
 	}
 }
 
 // readingJob returns a job with some tokens to read; none means that it writes.
 func readingJob(id string, tokens int) *Job {
 	return &Job{
-		ID:       id,
-		Tokens:   tokens,
-		PerToken: 10 * time.Microsecond,
-		Gap:      time.Second,
-		Stake:    1,
-		AskedAt:  origin,
-		TargetAt: origin.Add(time.Minute),
+		ID:              id,
+		PromptLeft:      tokens,
+		PrefillPerToken: 10 * time.Microsecond,
+		Gap:             time.Second,
+		Stake:           1,
+		PlacedAt:        origin,
+		TargetAt:        origin.Add(time.Minute),
 	}
 }
 
@@ -61,11 +61,11 @@
 				}
 			}
 			var f simulation
-			jobs := f.play(planned, nil, origin)
+			jobs := f.run(planned, nil, origin)
 			done := readAt(played)
 			for _, c := range jobs {
 				if c.job.ID != "writer" {
-					is.Equal(c.first, done[c.job.ID])
+					is.Equal(c.firstEvent, done[c.job.ID])
 				}
 			}
 		})
@@ -88,8 +88,8 @@
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Microsecond {
 		e.Advance(origin.Add(at))
 		for _, j := range e.Jobs {
-			if _, ok := done[j.ID]; !ok && j.Tokens == 0 && !j.wroteAt.IsZero() {
-				done[j.ID] = j.wroteAt.Sub(origin)
+			if _, ok := done[j.ID]; !ok && j.PromptLeft == 0 && !j.prefilledAt.IsZero() {
+				done[j.ID] = j.prefilledAt.Sub(origin)
 			}
 		}
 	}
@@ -115,14 +115,14 @@
 				Slots: 8,
 			}
 			e.Add(readingJob("before", 20_000), origin)
-			p, ok := Make([]*Engine{e}, Request{
+			p, ok := MakePlan([]*Engine{e}, Request{
 				Prompt:    row.prompt,
 				TargetAt:  origin.Add(time.Minute),
 				Worth:     1,
 				LateWorth: 0.25,
 			}, origin.Add(time.Millisecond))
 			is.True(ok)
-			is.Equal(p.Spoils > 0, row.spoils)
+			is.Equal(p.OthersLoss > 0, row.spoils)
 		})
 	}
 }
@@ -155,7 +155,7 @@
 				engines = append(engines, e)
 			}
 			slices.Reverse(engines)
-			p, ok := Make(engines, Request{
+			p, ok := MakePlan(engines, Request{
 				Prompt:    120_000,
 				Output:    100,
 				Gap:       row.gap,
@@ -182,7 +182,7 @@
 	}{
 		{"just read", 10 * time.Millisecond, false, false},
 		{"confirmed", 10 * time.Millisecond, true, true},
-		{"overdue", 2 * confirmWithin, false, true},
+		{"overdue", 2 * confirmTimeout, false, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -203,7 +203,7 @@
 			}
 			list := []*Engine{e}
 			o := newEvaluation(list, now)
-			cands := r.candidates(list, part{
+			cands := r.candidates(list, promptShare{
 				tokens: 1000,
 				time:   10 * time.Millisecond,
 				joint:  true,
@@ -234,7 +234,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			left, reason := e.Expects(row.id, row.silence, now)
+			left, reason := e.NextEvent(row.id, row.silence, now)
 			is.Equal(reason, row.reason)
 			is.Equal(left, row.left)
 		})
--- a/placement/pace_test.go
+++ b/placement/slowdown_test.go
@@ -15,7 +15,7 @@
 func slowed(n int, pace float64, slow ...int) []*placement.Engine {
 	list := engines(n)
 	for _, i := range slow {
-		list[i].Pace = pace
+		list[i].Slowdown = pace
 	}
 	return list
 }
@@ -32,20 +32,20 @@
 func TestPaceScales(t *testing.T) {
 	const pace = 3
 	model := model()
-	read := model.Read(45_000, 1)
+	read := model.PrefillTime(45_000, 1)
 	t.Run("unread", func(t *testing.T) {
 		e := slowed(1, pace, 0)[0]
 		plan := mustMake(t, []*placement.Engine{e}, long(45_000, start), start)
 		plan.Apply(long(45_000, start), start)
-		assertAbout(t, e.Unread(), pace*read)
+		assertAbout(t, e.PendingPrefill(), pace*read)
 		e.Advance(start.Add(2 * read))
-		is.New(t).True(e.Unread() > 0)
+		is.New(t).True(e.PendingPrefill() > 0)
 		e.Advance(start.Add(pace*read + time.Millisecond))
-		is.New(t).Equal(e.Unread(), time.Duration(0))
+		is.New(t).Equal(e.PendingPrefill(), time.Duration(0))
 	})
 	t.Run("first event, at rest", func(t *testing.T) {
 		plan := mustMake(t, slowed(1, pace, 0), long(45_000, start), start)
-		assertAbout(t, plan.First, pace*read)
+		assertAbout(t, plan.TimeToFirstEvent, pace*read)
 	})
 	t.Run("first event, beside writers", func(t *testing.T) {
 		first := func(pace float64) time.Duration {
@@ -55,7 +55,7 @@
 			e.Advance(now)
 			list := []*placement.Engine{e}
 			p := mustMake(t, list, short("one", now), now)
-			return p.First
+			return p.TimeToFirstEvent
 		}
 		// What is left of the present pass differs.
 		is.New(t).True(first(pace) > 2*first(1))
@@ -65,13 +65,13 @@
 		e := slowed(1, pace, 0)[0]
 		plan := mustMake(t, []*placement.Engine{e}, long(45_000, start), start)
 		plan.Apply(long(45_000, start), start)
-		left, reads := e.Expects("long", read, start.Add(read))
+		left, reads := e.NextEvent("long", read, start.Add(read))
 		is.True(reads)
 		assertAbout(t, left, (pace-1)*read)
 	})
 	t.Run("zero counts as 1", func(t *testing.T) {
 		plan := mustMake(t, engines(1), long(45_000, start), start)
-		assertAbout(t, plan.First, read)
+		assertAbout(t, plan.TimeToFirstEvent, read)
 		is.New(t).Equal(engines(1)[0].Speed(), 1.0)
 	})
 }
@@ -80,15 +80,15 @@
 // which an engine turns slow, and less when it returns.
 func TestPaceChanges(t *testing.T) {
 	model := model()
-	read := model.Read(45_000, 1)
+	read := model.PrefillTime(45_000, 1)
 	e := engines(1)[0]
 	plan := mustMake(t, []*placement.Engine{e}, long(45_000, start), start)
 	plan.Apply(long(45_000, start), start)
-	e.SetPace(4, start.Add(read/2))
-	left, _ := e.Expects("long", read/2, start.Add(read/2))
+	e.SetSlowdown(4, start.Add(read/2))
+	left, _ := e.NextEvent("long", read/2, start.Add(read/2))
 	assertAbout(t, left, 2*read)
-	e.SetPace(1, start.Add(read/2+read))
-	left, _ = e.Expects("long", read/2, start.Add(read/2+read))
+	e.SetSlowdown(1, start.Add(read/2+read))
+	left, _ = e.NextEvent("long", read/2, start.Add(read/2+read))
 	assertAbout(t, left, read/4)
 }
 
@@ -100,7 +100,7 @@
 		list := slowed(4, 8, 0, 1)
 		p := mustMake(t, list, short("one", start), start)
 		is.Equal(p.Engine.Instance, "e02")
-		is.Equal(p.Loses, 0.0)
+		is.Equal(p.OwnLoss, 0.0)
 	})
 	t.Run("streams whose pauses would be too long go to quick engines", func(t *testing.T) {
 		is := is.New(t)
@@ -116,17 +116,17 @@
 		is := is.New(t)
 		r := long(45_000, start)
 		p := mustMake(t, slowed(1, 3, 0), r, start)
-		is.Equal(p.Loses, 0.0)
-		is.Equal(p.HeadCost, 0.0)
+		is.Equal(p.OwnLoss, 0.0)
+		is.Equal(p.DecodeCost, 0.0)
 	})
 	t.Run("joint readings avoid a slow reader", func(t *testing.T) {
 		is := is.New(t)
 		list := slowed(6, 3, 4, 5)
 		p := mustMake(t, list, long(200_000, start), start)
 		is.True(len(p.Others) > 0)
-		is.True(p.Engine.Pace != 3)
+		is.True(p.Engine.Slowdown != 3)
 		for _, o := range p.Others {
-			is.True(o.Engine.Pace != 3)
+			is.True(o.Engine.Slowdown != 3)
 		}
 	})
 }
@@ -140,13 +140,13 @@
 		list []*placement.Engine
 		want time.Duration
 	}{
-		{"all alike", engines(4), model.Read(400_000, 4)},
-		{"all slow", slowed(4, 2, 0, 1, 2, 3), 2 * model.Read(400_000, 4)},
-		{"a slow one is left out", slowed(4, 3, 1), model.Read(400_000, 3)},
-		{"a slow one helps", slowed(2, 1.5, 1), 3 * model.Read(400_000, 2) / 2},
+		{"all alike", engines(4), model.PrefillTime(400_000, 4)},
+		{"all slow", slowed(4, 2, 0, 1, 2, 3), 2 * model.PrefillTime(400_000, 4)},
+		{"a slow one is left out", slowed(4, 3, 1), model.PrefillTime(400_000, 3)},
+		{"a slow one helps", slowed(2, 1.5, 1), 3 * model.PrefillTime(400_000, 2) / 2},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			assertAbout(t, placement.Soonest(row.list, r), row.want)
+			assertAbout(t, placement.MinPrefillTime(row.list, r), row.want)
 		})
 	}
 }
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -40,9 +40,9 @@
 	Memory int64
 	// Known is false while nothing has been heard of the endpoint.
 	Known bool
-	// Barred is true when the endpoint may get no new work: it is leaving,
+	// Excluded is true when the endpoint may get no new work: it is leaving,
 	// or this request has failed there.
-	Barred bool
+	Excluded bool
 	// Pending is the prefill that this entry has sent since the summary, in
 	// seconds, by priority.
 	Pending [Priorities]float32
@@ -129,7 +129,7 @@
 
 // usable states whether a candidate can take the work at all.
 func usable(w *Work, c *Candidate) bool {
-	return !c.Barred && !c.Aside && (c.Memory == 0 || w.Bytes <= c.Memory)
+	return !c.Excluded && !c.Aside && (c.Memory == 0 || w.Bytes <= c.Memory)
 }
 
 // chooseWeighed is the choice by least estimated time to first token. One pass
@@ -139,7 +139,7 @@
 func chooseWeighed(w *Work, hit float64, cs []Candidate, now time.Time) Decision {
 	priority := Priority(w.RankAt(now), w.Class())
 	affine := hit > 0 && w.Prefix != 0
-	none := found{
+	none := scored{
 		index: -1,
 	}
 	best, next, first, second := none, none, none, none
@@ -152,12 +152,12 @@
 		switch {
 		case best.index < 0 || wait < best.wait || wait == best.wait && tie(w, c) > tie(w, &cs[best.index]):
 			next = best
-			best = found{
+			best = scored{
 				index: i,
 				wait:  wait,
 			}
 		case next.index < 0 || wait < next.wait:
-			next = found{
+			next = scored{
 				index: i,
 				wait:  wait,
 			}
@@ -168,19 +168,19 @@
 		switch h := Mix(w.Prefix, c.Hash); {
 		case first.index < 0 || h > first.hash:
 			second = first
-			first = found{
+			first = scored{
 				index: i,
 				hash:  h,
 			}
 		case second.index < 0 || h > second.hash:
-			second = found{
+			second = scored{
 				index: i,
 				hash:  h,
 			}
 		}
 	}
 	reason := ReasonLeastWait
-	for _, f := range []found{first, second} {
+	for _, f := range []scored{first, second} {
 		if f.index < 0 {
 			continue
 		}
@@ -194,17 +194,17 @@
 		best = f
 		reason = ReasonPrefix
 	}
-	return decide(best, next, reason)
+	return newDecision(best, next, reason)
 }
 
-// found is a candidate on the way to a choice.
-type found struct {
+// scored is a candidate on the way to a choice.
+type scored struct {
 	index int
 	wait  time.Duration
 	hash  uint64
 }
 
-func decide(best, next found, reason Reason) Decision {
+func newDecision(best, next scored, reason Reason) Decision {
 	d := Decision{
 		Index:       best.index,
 		Estimate:    best.wait,
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -20,8 +20,8 @@
 	// holder tells of the first token. Shorter prompts that go ahead hold long
 	// ones up for longer than the estimate knows.
 	longFloor = 0.05
-	// initialStep is the time between tokens that is assumed at first.
-	initialStep = 20 * time.Millisecond
+	// initialTokenInterval is the time between tokens that is assumed at first.
+	initialTokenInterval = 20 * time.Millisecond
 	// smoothing is the weight of a new observation.
 	smoothing = 0.1
 )
@@ -56,17 +56,17 @@
 	Rate float64
 	// MaxRunning bounds the leases.
 	MaxRunning int
-	// Foreign is memory held at the endpoint by others' leases.
-	Foreign int64
+	// HeldByOthers is memory held at the endpoint by others' leases.
+	HeldByOthers int64
 
 	held    int64
 	long    int64
 	entries map[string]*Entry
 	// customers counts the leases of each customer.
-	customers map[string]int
-	order     [Priorities][]*Entry
-	drained   time.Time
-	step      time.Duration
+	customers     map[string]int
+	order         [Priorities][]*Entry
+	advancedAt    time.Time
+	tokenInterval time.Duration
 	// turnover is how fast memory comes free, in bytes a second.
 	turnover float64
 }
@@ -74,12 +74,12 @@
 // NewLedger returns an empty ledger.
 func NewLedger(memory int64, rate float64, maxRunning int) *Ledger {
 	return &Ledger{
-		Memory:     memory,
-		Rate:       rate,
-		MaxRunning: maxRunning,
-		entries:    make(map[string]*Entry),
-		customers:  make(map[string]int),
-		step:       initialStep,
+		Memory:        memory,
+		Rate:          rate,
+		MaxRunning:    maxRunning,
+		entries:       make(map[string]*Entry),
+		customers:     make(map[string]int),
+		tokenInterval: initialTokenInterval,
 	}
 }
 
@@ -90,7 +90,7 @@
 
 // Free returns the memory that neither leases nor others hold, in bytes.
 func (l *Ledger) Free() int64 {
-	return l.Memory - l.held - l.Foreign
+	return l.Memory - l.held - l.HeldByOthers
 }
 
 // Running returns the number of leases.
@@ -113,7 +113,7 @@
 
 // Add reserves what a request needs.
 func (l *Ledger) Add(w *Work, id string, priority int, now time.Time) {
-	l.drain(now)
+	l.advance(now)
 	e := &Entry{
 		ID:       id,
 		Customer: w.Customer,
@@ -142,9 +142,9 @@
 		return false
 	}
 	e.Left = 0
-	l.drain(now)
+	l.advance(now)
 	delete(l.entries, id)
-	l.leave(e.Customer)
+	l.dropCustomer(e.Customer)
 	l.held -= e.Bytes
 	if e.Class >= Long {
 		l.long -= e.Bytes
@@ -155,8 +155,8 @@
 	return true
 }
 
-// leave counts one lease less of a customer.
-func (l *Ledger) leave(customer string) {
+// dropCustomer counts one lease less of a customer.
+func (l *Ledger) dropCustomer(customer string) {
 	l.customers[customer]--
 	if l.customers[customer] <= 0 {
 		delete(l.customers, customer)
@@ -173,7 +173,7 @@
 
 // Observe corrects the time between tokens by what an answer showed.
 func (l *Ledger) Observe(step time.Duration) {
-	l.step += time.Duration(smoothing * float64(step-l.step))
+	l.tokenInterval += time.Duration(smoothing * float64(step-l.tokenInterval))
 }
 
 // FirstToken notes that a lease's prompt is done.
@@ -181,13 +181,13 @@
 	if e, ok := l.entries[id]; ok {
 		e.Left = 0
 	}
-	l.drain(now)
+	l.advance(now)
 }
 
-// drain lets the estimated prefill advance to now, in order of priority.
-func (l *Ledger) drain(now time.Time) {
-	tokens := now.Sub(l.drained).Seconds() * l.Rate
-	l.drained = now
+// advance lets the estimated prefill advance to now, in order of priority.
+func (l *Ledger) advance(now time.Time) {
+	tokens := now.Sub(l.advancedAt).Seconds() * l.Rate
+	l.advancedAt = now
 	for p, queue := range l.order {
 		kept := queue[:0]
 		for _, e := range queue {
@@ -206,7 +206,7 @@
 // Outstanding returns the prefill that is left at the engine for each
 // priority, in seconds.
 func (l *Ledger) Outstanding(now time.Time) [Priorities]float64 {
-	l.drain(now)
+	l.advance(now)
 	var out [Priorities]float64
 	if l.Rate <= 0 {
 		return out
@@ -227,13 +227,13 @@
 	return time.Duration(float64(n) / l.Rate * float64(time.Second))
 }
 
-// Least returns the shortest time in which work can be done: its prefill and
+// MinTime returns the shortest time in which work can be done: its prefill and
 // the steps of its answer.
-func (l *Ledger) Least(w *Work) time.Duration {
+func (l *Ledger) MinTime(w *Work) time.Duration {
 	if l.Rate <= 0 {
 		return 0
 	}
-	return l.Prefill(w.Prompt) + time.Duration(w.Output)*l.step
+	return l.Prefill(w.Prompt) + time.Duration(w.Output)*l.tokenInterval
 }
 
 // Fits states whether work can start now, and if not, why.
--- a/policy/order.go
+++ b/policy/order.go
@@ -145,7 +145,7 @@
 // score is the expected work in seconds and the customer's share, less what
 // waiting makes up for.
 func score(w *Work, l *Ledger, now time.Time) float64 {
-	return l.Least(w).Seconds() + fairness*l.Share(w.Customer) - ageing*now.Sub(w.Arrived).Seconds()
+	return l.MinTime(w).Seconds() + fairness*l.Share(w.Customer) - ageing*now.Sub(w.Arrived).Seconds()
 }
 
 // reserved states whether a request that lacks memory and has waited long goes
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -192,7 +192,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cs := candidates(rapid.IntRange(1, 30).Draw(t, "endpoints"))
 		for i := range cs {
-			cs[i].Barred = rapid.Bool().Draw(t, "barred")
+			cs[i].Excluded = rapid.Bool().Draw(t, "barred")
 			cs[i].Aside = rapid.Bool().Draw(t, "aside")
 			cs[i].Known = rapid.Bool().Draw(t, "known")
 			cs[i].Free = int64(rapid.IntRange(-1<<28, 1<<29).Draw(t, "free"))
@@ -206,7 +206,7 @@
 		d := Choose(Weighed{}, w, 0, cs, start)
 		least := time.Duration(-1)
 		for i := range cs {
-			if cs[i].Barred || cs[i].Aside || w.Bytes > cs[i].Memory {
+			if cs[i].Excluded || cs[i].Aside || w.Bytes > cs[i].Memory {
 				continue
 			}
 			if e := naiveEstimate(w, &cs[i]); least < 0 || e < least {
@@ -222,7 +222,7 @@
 		if diff := d.Estimate - least; diff < -time.Microsecond || diff > time.Microsecond {
 			t.Fatalf("chose an estimate of %s, the least is %s", d.Estimate, least)
 		}
-		if c := &cs[d.Index]; c.Barred || c.Aside || w.Bytes > c.Memory {
+		if c := &cs[d.Index]; c.Excluded || c.Aside || w.Bytes > c.Memory {
 			t.Fatal("chose an endpoint that can't take the work")
 		}
 	})
--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -64,19 +64,19 @@
 // known.
 func (p *state) planOf(a *Ask, g *Grant, e *placement.Engine) placement.Plan {
 	plan := placement.Plan{
-		Engine: e,
-		Read:   e.Model.Read(a.Prompt, len(g.Readers)+1),
-		Hold:   a.Prompt + a.Output,
+		Engine:      e,
+		PrefillTime: e.Model.PrefillTime(a.Prompt, len(g.Readers)+1),
+		Memory:      a.Prompt + a.Output,
 	}
 	for _, r := range g.Readers {
 		o := p.engines[r.Instance]
 		if o == nil {
 			continue
 		}
-		plan.Hold -= r.Reserved
+		plan.Memory -= r.Reserved
 		plan.Others = append(plan.Others, placement.Share{
 			Engine: o,
-			Hold:   r.Reserved,
+			Memory: r.Reserved,
 		})
 	}
 	return plan
--- a/pool/alone_test.go
+++ b/pool/alone_test.go
@@ -24,11 +24,11 @@
 		Table: route.New(1, nil, []route.Service{{
 			Name: "engines",
 			Engine: &batch.Model{
-				Slots:         slots,
-				Capacity:      200_000,
-				Stride:        68,
-				Step:          time.Millisecond,
-				ReadPerSecond: 200_000,
+				Slots:            slots,
+				Capacity:         200_000,
+				StepsPerPass:     68,
+				Step:             time.Millisecond,
+				PrefillPerSecond: 200_000,
 			},
 		}}, nil, false, route.Limits{}),
 		Endpoints: make(map[string]catalog.Endpoint),
--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -50,11 +50,11 @@
 					ColdPerSecond: coldRate,
 					ColdStart:     3 * time.Second,
 					Engine: &batch.Model{
-						Slots:         100,
-						Capacity:      10_000_000,
-						Stride:        10,
-						Step:          time.Millisecond,
-						ReadPerSecond: 10_000_000,
+						Slots:            100,
+						Capacity:         10_000_000,
+						StepsPerPass:     10,
+						Step:             time.Millisecond,
+						PrefillPerSecond: 10_000_000,
 					},
 				},
 				{
--- a/pool/crowd_test.go
+++ b/pool/crowd_test.go
@@ -38,12 +38,12 @@
 			{
 				Name: "engines",
 				Engine: &batch.Model{
-					Slots:         12,
-					Capacity:      400_000,
-					Stride:        34,
-					Chunk:         2048,
-					Step:          1310 * time.Microsecond,
-					ReadPerSecond: 154_000,
+					Slots:            12,
+					Capacity:         400_000,
+					StepsPerPass:     34,
+					Chunk:            2048,
+					Step:             1310 * time.Microsecond,
+					PrefillPerSecond: 154_000,
 				},
 			},
 		}, nil, false, route.Limits{}),
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -41,12 +41,12 @@
 	if w.alone {
 		list = s.turned(list)
 	}
-	w.request.Readings = p.readings(w, now)
-	plan, ok := placement.Make(list, w.request, now)
-	w.late = !ok || plan.Loses > lateFrom*w.request.Worth
+	w.request.LongPrefills = p.readings(w, now)
+	plan, ok := placement.MakePlan(list, w.request, now)
+	w.late = !ok || plan.OwnLoss > lateFrom*w.request.Worth
 	switch {
 	case !ok:
-	case now.Add(plan.First).After(w.gone()):
+	case now.Add(plan.TimeToFirstEvent).After(w.gone()):
 	case w.outOfSlots(list) || w.yields() && crowded(list):
 	case w.betterLater(&plan, list, now):
 	case s.crowdGoesFirst(p, w, &plan, len(list), now):
@@ -76,10 +76,10 @@
 	if w.ask.hurried() || left <= 0 {
 		return false
 	}
-	if w.late && placement.Soonest(list, w.request) < time.Duration(soonShare*float64(left)) {
+	if w.late && placement.MinPrefillTime(list, w.request) < time.Duration(soonShare*float64(left)) {
 		return true
 	}
-	return plan.Spoils > spoilsTolerated && plan.First < time.Duration(waitShare*float64(left))
+	return plan.OthersLoss > spoilsTolerated && plan.TimeToFirstEvent < time.Duration(waitShare*float64(left))
 }
 
 // lateFromStart states whether a request was late when it came: its caller has come
@@ -91,14 +91,14 @@
 // covers states whether what a request keeps covers what others lose by its plan, and
 // the price of the engines' time that it takes.
 func (p *state) covers(w *Waiter, plan *placement.Plan, now time.Time) bool {
-	keeps := w.request.Worth - plan.Loses
+	keeps := w.request.Worth - plan.OwnLoss
 	if !w.yields() && keeps < p.priceNow(now)*p.work(w).Seconds() {
 		return false
 	}
-	if plan.Spoils <= spoilsTolerated {
+	if plan.OthersLoss <= spoilsTolerated {
 		return true
 	}
-	return keeps > spoilsPrice*plan.Spoils
+	return keeps > spoilsPrice*plan.OthersLoss
 }
 
 // yields states whether a request is short and was late when its caller came back. It
@@ -128,5 +128,5 @@
 	if !w.late || w.lateFromStart() {
 		return 0
 	}
-	return plan.Loses
+	return plan.OwnLoss
 }
--- a/pool/decide_test.go
+++ b/pool/decide_test.go
@@ -38,13 +38,13 @@
 		Instance: "e0",
 		Slots:    4,
 		Model: &batch.Model{
-			ReadPerSecond: 100_000,
+			PrefillPerSecond: 100_000,
 		},
 	}
 	e.Add(&placement.Job{
-		ID:       "before",
-		Tokens:   1_000_000,
-		PerToken: 10 * time.Microsecond,
+		ID:              "before",
+		PromptLeft:      1_000_000,
+		PrefillPerToken: 10 * time.Microsecond,
 	}, moment)
 	return &state{
 		list: []*placement.Engine{e},
@@ -80,8 +80,8 @@
 			// All work was displaced, so that the price holds in full.
 			p.price.note(time.Second, row.price/priceShare, now)
 			got := p.covers(waiting(50_000, 3*time.Second), &placement.Plan{
-				Spoils: row.spoils,
-				Loses:  row.loses,
+				OthersLoss: row.spoils,
+				OwnLoss:    row.loses,
 			}, now)
 			is.Equal(got, row.want)
 		})
@@ -105,12 +105,12 @@
 		now    time.Duration
 		want   bool
 	}{
-		{"in time at no cost", 3 * time.Second, false, placement.Plan{First: time.Second}, 0, false},
-		{"late, may be in time", 3 * time.Second, true, placement.Plan{First: 4 * time.Second}, 0, true},
-		{"late, too late to be in time", 3 * time.Second, true, placement.Plan{First: 4 * time.Second}, 2500 * time.Millisecond, false},
-		{"costs others, has time", 3 * time.Second, false, placement.Plan{First: time.Second, Spoils: 1}, 0, true},
-		{"costs others, has no time", 3 * time.Second, false, placement.Plan{First: time.Second, Spoils: 1}, 2 * time.Second, false},
-		{"short", 300 * time.Millisecond, true, placement.Plan{First: time.Second, Spoils: 1}, 0, false},
+		{"in time at no cost", 3 * time.Second, false, placement.Plan{TimeToFirstEvent: time.Second}, 0, false},
+		{"late, may be in time", 3 * time.Second, true, placement.Plan{TimeToFirstEvent: 4 * time.Second}, 0, true},
+		{"late, too late to be in time", 3 * time.Second, true, placement.Plan{TimeToFirstEvent: 4 * time.Second}, 2500 * time.Millisecond, false},
+		{"costs others, has time", 3 * time.Second, false, placement.Plan{TimeToFirstEvent: time.Second, OthersLoss: 1}, 0, true},
+		{"costs others, has no time", 3 * time.Second, false, placement.Plan{TimeToFirstEvent: time.Second, OthersLoss: 1}, 2 * time.Second, false},
+		{"short", 300 * time.Millisecond, true, placement.Plan{TimeToFirstEvent: time.Second, OthersLoss: 1}, 0, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
--- a/pool/figures.go
+++ b/pool/figures.go
@@ -51,7 +51,7 @@
 	PassedOver  int64 `json:"passed_over"`
 	Unavailable int64 `json:"unavailable"`
 	// Routes tells what is usual for each route that had requests, and its worth.
-	Routes map[string]worth.Usual `json:"routes,omitempty"`
+	Routes map[string]worth.TypicalRequest `json:"routes,omitempty"`
 }
 
 // Figures returns the state of all pools by service.
@@ -82,7 +82,7 @@
 			Limited:        p.limited(),
 			PassedOver:     p.passedOver,
 			Unavailable:    p.unavailable,
-			Routes:         p.worth.Routes(),
+			Routes:         p.worth.TypicalRequests(),
 		}
 	}
 	return out
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -15,7 +15,7 @@
 		instance: plan.Engine.Instance,
 		born:     born,
 		at:       now,
-		first:    plan.First,
+		first:    plan.TimeToFirstEvent,
 		work:     w.work(),
 		entry:    w.entry,
 		watched:  w.ask.watched(),
@@ -24,7 +24,7 @@
 		Instance: plan.Engine.Instance,
 		Address:  plan.Engine.Address,
 		Born:     born,
-		First:    plan.First,
+		First:    plan.TimeToFirstEvent,
 		Waited:   now.Sub(w.arrived),
 		By:       s.settings.Self,
 	}
@@ -33,7 +33,7 @@
 		g.Readers = append(g.Readers, Reader{
 			Instance: o.Engine.Instance,
 			Address:  o.Engine.Address,
-			Reserved: o.Hold,
+			Reserved: o.Memory,
 		})
 	}
 	withheld := p.withheld(w, now)
@@ -46,8 +46,8 @@
 	p.placed[w.ask.ID] = at
 	s.log.Info("place", "attempt", w.ask.ID, "service", w.ask.Service, "prompt", w.ask.Prompt,
 		"returning", w.ask.Returning, "rank", w.ask.Rank, "route_rank", w.ask.RouteRank, "worth", w.request.Worth, "endpoint", g.Instance,
-		"readers", at.readers, "first_ms", g.First.Milliseconds(), "read_ms", plan.Read.Milliseconds(),
-		"spoils", plan.Spoils, "loses", plan.Loses, "waited_ms", g.Waited.Milliseconds(), "queue", len(p.queue),
+		"readers", at.readers, "first_ms", g.First.Milliseconds(), "read_ms", plan.PrefillTime.Milliseconds(),
+		"spoils", plan.OthersLoss, "loses", plan.OwnLoss, "waited_ms", g.Waited.Milliseconds(), "queue", len(p.queue),
 		"work_ms", p.work(w).Milliseconds(), "price", p.priceNow(now),
 		"due_ms", w.request.TargetAt.Sub(now).Milliseconds(), "resumed", w.ask.Resumed,
 		"withheld", withheld, "limit", limit.Rate, "limit_age_ms", limit.Age(now).Milliseconds())
--- a/pool/lives_test.go
+++ b/pool/lives_test.go
@@ -37,11 +37,11 @@
 				{
 					Name: "engines",
 					Engine: &batch.Model{
-						Slots:         2,
-						Capacity:      100_000,
-						Stride:        10,
-						Step:          time.Millisecond,
-						ReadPerSecond: 100_000,
+						Slots:            2,
+						Capacity:         100_000,
+						StepsPerPass:     10,
+						Step:             time.Millisecond,
+						PrefillPerSecond: 100_000,
 					},
 				},
 				{
--- a/pool/overload_test.go
+++ b/pool/overload_test.go
@@ -40,13 +40,13 @@
 // emulatedModel is the model of the engines.
 func emulatedModel() *batch.Model {
 	return &batch.Model{
-		Slots:           emulatedSlots,
-		Capacity:        400_000,
-		Stride:          34,
-		Chunk:           2048,
-		Step:            1310 * time.Microsecond,
-		ReadPerSecond:   154_000,
-		PerMillionPairs: 162 * time.Microsecond,
+		Slots:            emulatedSlots,
+		Capacity:         400_000,
+		StepsPerPass:     34,
+		Chunk:            2048,
+		Step:             1310 * time.Microsecond,
+		PrefillPerSecond: 154_000,
+		PerMillionPairs:  162 * time.Microsecond,
 	}
 }
 
@@ -175,11 +175,11 @@
 	m.mu.Lock()
 	e := m.engines[g.Instance]
 	job := &placement.Job{
-		ID:       a.ID,
-		Tokens:   a.Prompt,
-		PerToken: e.Model.Read(a.Prompt, 1) / time.Duration(a.Prompt),
-		Memory:   a.Prompt + a.Output,
-		Context:  a.Prompt,
+		ID:              a.ID,
+		PromptLeft:      a.Prompt,
+		PrefillPerToken: e.Model.PrefillTime(a.Prompt, 1) / time.Duration(a.Prompt),
+		Memory:          a.Prompt + a.Output,
+		Context:         a.Prompt,
 	}
 	e.Add(job, time.Now())
 	m.mu.Unlock()
@@ -191,7 +191,7 @@
 	for {
 		m.mu.Lock()
 		e.Advance(time.Now())
-		done := job.Tokens == 0
+		done := job.PromptLeft == 0
 		m.mu.Unlock()
 		if done {
 			break
--- a/pool/pace.go
+++ b/pool/pace.go
@@ -411,7 +411,7 @@
 	if off := pace/before - 1; off < paceDiffers && off > -paceDiffers {
 		return false
 	}
-	e.SetPace(pace, now)
+	e.SetSlowdown(pace, now)
 	r.changed = now
 	r.seen = r.seen[:0]
 	p.paces.changes++
--- a/pool/pace_work_test.go
+++ b/pool/pace_work_test.go
@@ -20,8 +20,8 @@
 	is := is.New(t)
 	p := busyPool()
 	p.list = append(p.list, busyPool().list...)
-	p.list[1].SetPace(4, moment)
-	is.Equal(p.list[1].Unread(), 4*p.list[0].Unread())
+	p.list[1].SetSlowdown(4, moment)
+	is.Equal(p.list[1].PendingPrefill(), 4*p.list[0].PendingPrefill())
 	is.Equal(p.unread(), 20*time.Second)
 	is.Equal(speed(p.list), 1.25)
 	is.Equal(p.slow(), 1)
@@ -62,8 +62,8 @@
 				Slots:    4,
 			}, &route.Service{
 				Engine: &batch.Model{
-					ReadPerSecond: 100_000,
-					Capacity:      1_000_000,
+					PrefillPerSecond: 100_000,
+					Capacity:         1_000_000,
 				},
 			})
 			w := s.submit(Ask{
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -80,11 +80,11 @@
 
 func model() *batch.Model {
 	return &batch.Model{
-		Slots:         4,
-		Capacity:      100_000,
-		Stride:        10,
-		Step:          time.Millisecond,
-		ReadPerSecond: 1e6,
+		Slots:            4,
+		Capacity:         100_000,
+		StepsPerPass:     10,
+		Step:             time.Millisecond,
+		PrefillPerSecond: 1e6,
 	}
 }
 
--- a/pool/price.go
+++ b/pool/price.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		all++
-		if e.Unread() > 0 {
+		if e.PendingPrefill() > 0 {
 			used++
 			continue
 		}
--- a/pool/rates_test.go
+++ b/pool/rates_test.go
@@ -181,11 +181,11 @@
 // rateModel is an engine that is never busy.
 func rateModel() *batch.Model {
 	return &batch.Model{
-		Slots:         16,
-		Capacity:      1e9,
-		Stride:        1,
-		Step:          time.Microsecond,
-		ReadPerSecond: 1e9,
+		Slots:            16,
+		Capacity:         1e9,
+		StepsPerPass:     1,
+		Step:             time.Microsecond,
+		PrefillPerSecond: 1e9,
 	}
 }
 
--- a/pool/readings.go
+++ b/pool/readings.go
@@ -13,7 +13,7 @@
 const longReading = 150 * time.Millisecond
 
 // readings returns what long prompts want of the engines when a request is decided on.
-func (p *state) readings(w *Waiter, now time.Time) placement.Readings {
+func (p *state) readings(w *Waiter, now time.Time) placement.LongPrefills {
 	p.longestGap = max(p.longestGap, w.ask.Gap)
 	reading, all := 0, 0
 	for _, e := range p.list {
@@ -21,12 +21,12 @@
 			continue
 		}
 		all++
-		if e.Unread() > longReading {
+		if e.PendingPrefill() > longReading {
 			reading++
 		}
 	}
-	return placement.Readings{
-		Share: float64(reading) / float64(max(all, 1)),
-		Gap:   p.longestGap,
+	return placement.LongPrefills{
+		EngineShare: float64(reading) / float64(max(all, 1)),
+		MaxGap:      p.longestGap,
 	}
 }
--- a/pool/returning.go
+++ b/pool/returning.go
@@ -202,7 +202,7 @@
 // when it is in time later, too, or is late anyway, or its engines' part of the crowd is
 // worth more. Streams that wait to be read on its engines would else wait for all of it.
 func (r *returning) goesFirst(w *Waiter, plan *placement.Plan, engines int, now time.Time) bool {
-	if plan.Read < crowdReading {
+	if plan.PrefillTime < crowdReading {
 		return false
 	}
 	r.gather(engines, now)
@@ -211,7 +211,7 @@
 		return false
 	}
 	left := w.request.TargetAt.Sub(now)
-	if w.late || plan.First+wait < left {
+	if w.late || plan.TimeToFirstEvent+wait < left {
 		return true
 	}
 	part := float64(len(plan.Others)+1) / float64(engines)
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -178,7 +178,7 @@
 	p := s.pool(a.Service)
 	p.refusedBefore.recall(&a, now)
 	if !a.Returning && !a.Again {
-		p.worth.Note(a.kind())
+		p.worth.Observe(a.kind())
 	}
 	s.lookForStopped(p, a.Service, now)
 	w := s.waiter(p, a, now)
@@ -193,7 +193,7 @@
 		return w
 	}
 	p.returning.claim(w, now)
-	w.request.Travel = p.travel.length
+	w.request.TransitTime = p.travel.length
 	s.lookAtPaces(p, now)
 	s.decide(p, w, now)
 	return w
--- a/pool/session_test.go
+++ b/pool/session_test.go
@@ -30,11 +30,11 @@
 		Table: route.New(1, nil, []route.Service{{
 			Name: "engines",
 			Engine: &batch.Model{
-				Slots:         4,
-				Capacity:      100_000,
-				Stride:        10,
-				Step:          time.Millisecond,
-				ReadPerSecond: 1e6,
+				Slots:            4,
+				Capacity:         100_000,
+				StepsPerPass:     10,
+				Step:             time.Millisecond,
+				PrefillPerSecond: 1e6,
 			},
 		}}, nil, false, route.Limits{}),
 		Endpoints: map[string]catalog.Endpoint{
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -60,7 +60,7 @@
 		// Short ones are read beside long ones, in the next pass of some engine.
 		unread = time.Duration(float64(ahead.work) / speed(list) / readShare)
 	}
-	ready := now.Add(unread + placement.Soonest(list, w.request))
+	ready := now.Add(unread + placement.MinPrefillTime(list, w.request))
 	switch {
 	case w.firstTry() && w.late && !w.ask.hurried() && ready.After(w.request.TargetAt):
 		return s.refusal("no endpoint can read it in time", unread)
@@ -110,7 +110,7 @@
 func (p *state) unread() time.Duration {
 	sum := time.Duration(0)
 	for _, e := range p.list {
-		sum += time.Duration(float64(e.Unread()) * e.Speed())
+		sum += time.Duration(float64(e.PendingPrefill()) * e.Speed())
 	}
 	return sum
 }
@@ -149,7 +149,7 @@
 	if len(p.list) == 0 {
 		return 0
 	}
-	return p.list[0].Model.Read(w.ask.Prompt, 1)
+	return p.list[0].Model.PrefillTime(w.ask.Prompt, 1)
 }
 
 // work returns the time of one engine that a request takes.
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -75,7 +75,7 @@
 		if e == nil {
 			return 0, false
 		}
-		wait, reason := e.Expects(id, silence-silenceSlack, now)
+		wait, reason := e.NextEvent(id, silence-silenceSlack, now)
 		left = max(left, wait)
 		known = known || reason
 	}
--- a/pool/state.go
+++ b/pool/state.go
@@ -129,7 +129,7 @@
 	e.Closed = c.Leaving
 	p.cold.tell(c.Instance, c.ColdUntil)
 	e.Model = svc.Engine
-	p.worth.SetModel(svc.Engine, svc.Usual)
+	p.worth.SetModel(svc.Engine, svc.TypicalSize)
 	if e.Model == nil {
 		p.plain = true
 		e.Model = &batch.Model{}
@@ -263,7 +263,7 @@
 	}
 	for _, name := range at.readers {
 		if e := p.engines[name]; e != nil {
-			e.FinishPart(id, now)
+			e.FinishShare(id, now)
 		}
 	}
 	return late
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -412,8 +412,8 @@
 	}
 	p := c.pools["engines"]
 	is.Equal(p.inUse(c.now), 0.5)
-	is.Equal(p.readings(c.waiter(p, a, c.now), c.now).Share, 0.5)
+	is.Equal(p.readings(c.waiter(p, a, c.now), c.now).EngineShare, 0.5)
 	c.stop(other)
 	is.Equal(p.inUse(c.now), 1.0)
-	is.Equal(p.readings(c.waiter(p, a, c.now), c.now).Share, 1.0)
+	is.Equal(p.readings(c.waiter(p, a, c.now), c.now).EngineShare, 1.0)
 }
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -23,12 +23,12 @@
 // hundredths of a second.
 func slowEngine() *batch.Model {
 	return &batch.Model{
-		Slots:         4,
-		Capacity:      1_000_000,
-		Stride:        10,
-		Chunk:         1000,
-		Step:          time.Millisecond,
-		ReadPerSecond: 100_000,
+		Slots:            4,
+		Capacity:         1_000_000,
+		StepsPerPass:     10,
+		Chunk:            1000,
+		Step:             time.Millisecond,
+		PrefillPerSecond: 100_000,
 	}
 }
 
--- a/pool/worth.go
+++ b/pool/worth.go
@@ -5,8 +5,8 @@
 import "github.com/linkmast/linkmast/worth"
 
 // kind returns what the worth of a request depends on.
-func (a *Ask) kind() worth.Kind {
-	k := worth.Kind{
+func (a *Ask) kind() worth.Request {
+	k := worth.Request{
 		Customer:  a.Rank,
 		Route:     a.Route,
 		RouteRank: a.RouteRank,
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -14,7 +14,7 @@
 
 // job is one request on its way.
 type job struct {
-	head     Head
+	head     RequestHead
 	route    *route.Route
 	table    *route.Table
 	customer string
@@ -30,8 +30,8 @@
 	// spent is how long before it arrived its caller first asked; zero at a first
 	// try, and when that is not known.
 	spent time.Duration
-	// keyed states that the request needs a key.
-	keyed bool
+	// requiresKey states that the request needs a key.
+	requiresKey bool
 
 	// history has its identity, which is the same for all tries of the request, at any instance,
 	// and what its attempts showed.
@@ -47,39 +47,39 @@
 	// out is the caller's side of the answer.
 	out *answer
 	// next is a place that was found for the next attempt.
-	next *place
+	next *nextPlacement
 	// failure is an endpoint's own failure, for when no other can be had.
 	failure *failure
 }
 
 // admit checks a request against the configuration in force and reads it.
-func (l *Relay) admit(h Head, r *http.Request, arrived time.Time) (*job, *refusal) {
-	common, returns := l.waits.note(h.Wait)
-	known := l.awaitKnown(r.Context(), h.Wait, common)
+func (l *Relay) admit(h RequestHead, r *http.Request, arrived time.Time) (*job, *refusal) {
+	common, returns := l.timeouts.observe(h.Wait)
+	known := l.awaitConfiguration(r.Context(), h.Wait, common)
 	if known == nil {
-		return nil, unavailable("no configuration yet", l.afterOutage(h.Wait))
+		return nil, unavailable("no configuration yet", l.retryAfterOutage(h.Wait))
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	rt := known.Table.Match(r.Host, path)
 	if rt == nil {
-		return l.unknown("no route", http.StatusNotFound, h, known.Table)
+		return l.refuseUnknown("no route", http.StatusNotFound, h, known.Table)
 	}
 	j := newJob(h, r, rt, known.Table, arrived)
 	if returns {
-		j.spent = missing(h.Wait, rt)
+		j.spent = timeSpent(h.Wait, rt)
 	}
-	if j.keyed {
+	if j.requiresKey {
 		if late := l.tooOldForKeys(h.Wait); late != nil {
 			return nil, late
 		}
 		c, ok := known.Table.Customer(h.Key)
 		if !ok {
-			return l.unknown("unknown key", http.StatusUnauthorized, h, known.Table)
+			return l.refuseUnknown("unknown key", http.StatusUnauthorized, h, known.Table)
 		}
 		j.customer, j.rank = c.ID, c.Rank
 	}
-	j.header = passed(r.Header)
-	j.deadline = arrived.Add(allowed(h.Wait, rt))
+	j.header = forwardedHeader(r.Header)
+	j.deadline = arrived.Add(timeLimit(h.Wait, rt))
 	if ref := j.read(r); ref != nil {
 		return nil, ref
 	}
@@ -91,37 +91,37 @@
 }
 
 // newJob returns a request on its way by a route.
-func newJob(h Head, r *http.Request, rt *route.Route, t *route.Table, arrived time.Time) *job {
+func newJob(h RequestHead, r *http.Request, rt *route.Route, t *route.Table, arrived time.Time) *job {
 	return &job{
-		head:    h,
-		route:   rt,
-		table:   t,
-		rank:    rt.Rank,
-		service: rt.Service(h.ID),
-		method:  r.Method,
-		target:  r.RequestURI,
-		host:    r.Host,
-		arrived: arrived,
-		keyed:   t.Keyed && !rt.Public,
+		head:        h,
+		route:       rt,
+		table:       t,
+		rank:        rt.Rank,
+		service:     rt.Service(h.ID),
+		method:      r.Method,
+		target:      r.RequestURI,
+		host:        r.Host,
+		arrived:     arrived,
+		requiresKey: t.KeysRequired && !rt.Public,
 	}
 }
 
-// returnSlack is how much less than the route's time a caller may name at its
+// firstTryTolerance is how much less than the route's time a caller may name at its
 // first try.
-const returnSlack = 100 * time.Millisecond
+const firstTryTolerance = 100 * time.Millisecond
 
-// missing returns how much less than the route's time a caller names: what it has spent
+// timeSpent returns how much less than the route's time a caller names: what it has spent
 // already if it has come back. It is zero for one that names as much.
-func missing(wait time.Duration, rt *route.Route) time.Duration {
-	if wait <= 0 || wait >= rt.Timeout-returnSlack {
+func timeSpent(wait time.Duration, rt *route.Route) time.Duration {
+	if wait <= 0 || wait >= rt.Timeout-firstTryTolerance {
 		return 0
 	}
 	return rt.Timeout - wait
 }
 
-// allowed returns the time that a request has on a route when its caller waits for
+// timeLimit returns the time that a request has on a route when its caller waits for
 // so long; zero means that the caller does not say.
-func allowed(wait time.Duration, rt *route.Route) time.Duration {
+func timeLimit(wait time.Duration, rt *route.Route) time.Duration {
 	if wait == 0 {
 		wait = defaultWait
 	}
@@ -131,9 +131,9 @@
 	return wait
 }
 
-// unknown refuses a request that the configuration in force does not allow,
+// refuseUnknown refuses a request that the configuration in force does not allow,
 // unless that configuration is too old to say so.
-func (l *Relay) unknown(reason string, status int, h Head, t *route.Table) (*job, *refusal) {
+func (l *Relay) refuseUnknown(reason string, status int, h RequestHead, t *route.Table) (*job, *refusal) {
 	if late := l.tooOld(h.Wait); late != nil {
 		return nil, late
 	}
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -19,7 +19,7 @@
 	// begun states that the head was sent.
 	begun bool
 	// events is what the caller has of a stream.
-	events events
+	events streamProgress
 	// err is why the caller takes no more; nil while it does.
 	err error
 }
@@ -29,7 +29,7 @@
 	return &answer{
 		w:     w,
 		flush: http.NewResponseController(w),
-		events: events{
+		events: streamProgress{
 			last: j.head.LastEvent,
 		},
 	}
@@ -39,7 +39,7 @@
 // body's end is told by the transfer.
 func (a *answer) head(res *http.Response, length int64) {
 	h := a.w.Header()
-	for name, values := range passed(res.Header) {
+	for name, values := range forwardedHeader(res.Header) {
 		h[name] = values
 	}
 	if length >= 0 {
@@ -80,7 +80,7 @@
 	}
 	if len(data) > 0 {
 		a.write(data)
-		a.events.note(data)
+		a.events.observe(data)
 	}
 	if a.err == nil {
 		a.err = a.flush.Flush()
--- a/relay/try.go
+++ b/relay/attempt.go
@@ -17,18 +17,18 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// try is one attempt at an endpoint.
-type try struct {
-	relay *Relay
-	job   *job
-	ask   pool.Ask
-	grant pool.Grant
+// attempt is one attempt at an endpoint.
+type attempt struct {
+	relay   *Relay
+	job     *job
+	request pool.Ask
+	grant   pool.Grant
 
 	// caller ends when the caller goes or its time is over.
 	caller context.Context
 	// next is the place of the next attempt, when this one was ended for it.
-	next  *place
-	began time.Time
+	next      *nextPlacement
+	startedAt time.Time
 	// firstAfter is the time to the first sign of an answer; zero before.
 	firstAfter time.Duration
 	// longestGap is the longest pause between events so far.
@@ -42,12 +42,12 @@
 	culprit string
 	// final states that the caller has a whole answer.
 	final bool
-	// broke states that the endpoint broke its answer off.
-	broke bool
+	// brokenOff states that the endpoint brokenOff its answer off.
+	brokenOff bool
 	// unsent states that nothing was sent, as the endpoint had become one that gets nothing new.
 	unsent bool
-	// cut states that the connection ended before the answer did.
-	cut bool
+	// connectionLost states that the connection ended before the answer did.
+	connectionLost bool
 	// status is that of the endpoint's answer; zero without one.
 	status int
 	// reason says why there is no whole answer, for the log and the caller.
@@ -57,16 +57,16 @@
 // The ages up to which a connection is used again. A request that must not run
 // twice is lost when its endpoint closes the connection at that moment.
 const (
-	// freshIdempotent leaves it to the idle time that the endpoint names, or that
+	// maxIdleIdempotent leaves it to the idle time that the endpoint names, or that
 	// of package upstream, which is shorter.
-	freshIdempotent = time.Minute
-	// freshOnce is well below that idle time.
-	freshOnce = time.Second
+	maxIdleIdempotent = time.Minute
+	// maxIdleOnce is well below that idle time.
+	maxIdleOnce = time.Second
 )
 
 // run sends the request and passes the answer on.
-func (t *try) run(ctx context.Context) result {
-	t.began = steady.Now()
+func (t *attempt) run(ctx context.Context) result {
+	t.startedAt = steady.Now()
 	t.caller = ctx
 	hold, err := t.reserve(ctx)
 	if err != nil {
@@ -78,24 +78,24 @@
 	defer hold.free()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	request := t.request()
+	request := t.buildRequest()
 	watch := t.watch(ctx, cancel)
 	defer func() { t.next = watch.end() }()
 	x, err := t.relay.parts.Upstream.Do(ctx, request)
 	if err != nil {
 		// The watch looks at the job; it ends before the job changes.
 		watch.end()
-		return t.unanswered(err, watch)
+		return t.handleNoAnswer(err, watch)
 	}
 	defer x.Close()
-	return t.answered(x, watch)
+	return t.handleAnswer(x, watch)
 }
 
-// request builds what is sent.
-func (t *try) request() upstream.Request {
+// buildRequest builds what is sent.
+func (t *attempt) buildRequest() upstream.Request {
 	j := t.job
 	h := j.header.Clone()
-	call := Call{
+	call := OutgoingHead{
 		Instance:  t.grant.Instance,
 		Customer:  j.customer,
 		Wait:      j.left(),
@@ -104,9 +104,9 @@
 		Readers:   t.grant.Readers,
 	}
 	t.relay.parts.Wire.Outgoing(h, call)
-	fresh := freshOnce
+	fresh := maxIdleOnce
 	if j.route.Idempotent() {
-		fresh = freshIdempotent
+		fresh = maxIdleIdempotent
 	}
 	j.sends++
 	return upstream.Request{
@@ -118,7 +118,7 @@
 		Body:    j.body,
 		Fresh:   fresh,
 		Check: func() error {
-			if b := t.relay.barred(&t.grant); b != nil {
+			if b := t.relay.findExcluded(&t.grant); b != nil {
 				return b
 			}
 			return nil
@@ -126,16 +126,16 @@
 		Own: func(res *http.Response) bool {
 			head := t.relay.parts.Wire.Answer(res)
 			own := head.ID == j.head.ID || head.ID == "" && res.StatusCode >= http.StatusBadRequest
-			t.hear(res.StatusCode, head, own)
+			t.reportNotice(res.StatusCode, head, own)
 			return own
 		},
 	}
 }
 
-// hear takes over what an answer says of its endpoint, also one that is not the request's own but
+// reportNotice takes over what an answer says of its endpoint, also one that is not the request's own but
 // that of an earlier one on the same connection. A misdirected request was answered by another
 // endpoint.
-func (t *try) hear(status int, head AnswerHead, own bool) {
+func (t *attempt) reportNotice(status int, head AnswerHead, own bool) {
 	if t.relay.parts.Notices == nil || status == http.StatusMisdirectedRequest {
 		return
 	}
@@ -145,15 +145,15 @@
 		Request:  t.job.head.ID,
 	}
 	if own {
-		a.Sent = t.began
+		a.Sent = t.startedAt
 	}
-	t.relay.parts.Notices.Heard(a, head.Said)
+	t.relay.parts.Notices.Heard(a, head.Notice)
 }
 
-// unanswered judges an attempt without the head of an answer.
-func (t *try) unanswered(err error, w *watch) result {
+// handleNoAnswer judges an attempt without the head of an answer.
+func (t *attempt) handleNoAnswer(err error, w *watch) result {
 	var e *upstream.Error
-	var barred *barredError
+	var barred *excludedError
 	if errors.As(err, &barred) {
 		t.job.sends--
 		t.relay.Metrics.add("places_declined")
@@ -172,11 +172,11 @@
 		}
 	}
 	t.job.ran = true
-	return t.broken(err, w)
+	return t.handleBroken(err, w)
 }
 
-// broken judges an attempt whose answer broke off.
-func (t *try) broken(err error, w *watch) result {
+// handleBroken judges an attempt whose answer broke off.
+func (t *attempt) handleBroken(err error, w *watch) result {
 	res := result{
 		outcome: pool.Failed,
 		reason:  "answer broke off: " + err.Error(),
@@ -195,29 +195,29 @@
 		res.outcome = pool.Abandoned
 		res.reason = "caller gone"
 	default:
-		res.broke, res.cut = true, true
+		res.brokenOff, res.connectionLost = true, true
 	}
 	return res
 }
 
-// answered passes an answer on, or judges one that is no use to the caller.
-func (t *try) answered(x *upstream.Exchange, w *watch) result {
+// handleAnswer passes an answer on, or judges one that is no use to the caller.
+func (t *attempt) handleAnswer(x *upstream.Exchange, w *watch) result {
 	j := t.job
 	res := x.Response
 	head := t.relay.parts.Wire.Answer(res)
 	if head.NotRun {
-		return t.rejected(x, head)
+		return t.handleRejection(x, head)
 	}
 	j.ran = true
 	success := res.StatusCode >= http.StatusOK && res.StatusCode < http.StatusMultipleChoices
 	if success && j.route.Kind == route.Streaming {
-		return t.stream(x, w)
+		return t.relayStream(x, w)
 	}
-	return t.whole(x, w, success)
+	return t.relayWhole(x, w, success)
 }
 
-// rejected judges an answer that says that the request did not run.
-func (t *try) rejected(x *upstream.Exchange, head AnswerHead) result {
+// handleRejection judges an answer that says that the request did not run.
+func (t *attempt) handleRejection(x *upstream.Exchange, head AnswerHead) result {
 	// What is left of the answer decides only whether the connection is kept.
 	if _, err := io.Copy(io.Discard, io.LimitReader(x.Response.Body, maxRejection)); err == nil {
 		x.Whole()
@@ -238,20 +238,20 @@
 // maxRejection bounds how much of a rejection is read, in bytes.
 const maxRejection = 64 << 10
 
-// first notes the first sign of an answer; later ones change nothing.
-func (t *try) first() {
+// recordFirstEvent notes the recordFirstEvent sign of an answer; later ones change nothing.
+func (t *attempt) recordFirstEvent() {
 	if t.firstAfter > 0 {
 		return
 	}
-	t.firstAfter = steady.Since(t.began)
-	t.relay.parts.Placer.First(t.ask.ID, t.ask.Service)
+	t.firstAfter = steady.Since(t.startedAt)
+	t.relay.parts.Placer.First(t.request.ID, t.request.Service)
 	if t.job.route.Kind == route.Streaming {
 		t.relay.Metrics.first.observe(steady.Since(t.job.arrived))
 	}
 }
 
 // excluded returns the endpoints that the request must not be sent to again.
-func (t *try) excluded(res result) []string {
+func (t *attempt) excluded(res result) []string {
 	if res.culprit == "" || res.culprit == t.grant.Address {
 		return []string{t.grant.Instance}
 	}
--- a/relay/known.go
+++ b/relay/configuration.go
@@ -13,49 +13,49 @@
 
 // The measures of a request that comes to an instance that knows no configuration.
 const (
-	// startShare is the part of its caller's time that a request may wait here which
+	// configWaitShare is the part of its caller's time that a request may wait here which
 	// has no further try. The rest is for the answer.
-	startShare = 0.4
-	// maxHeld bounds the requests that wait: some seconds of a busy instance's, each
+	configWaitShare = 0.4
+	// maxConfigWaiters bounds the requests that wait: some seconds of a busy instance's, each
 	// with a few kilobytes.
-	maxHeld = 256
-	// startLook is how often it is looked whether there is a configuration.
-	startLook = 10 * time.Millisecond
+	maxConfigWaiters = 256
+	// configPollInterval is how often it is looked whether there is a configuration.
+	configPollInterval = 10 * time.Millisecond
 )
 
-// awaitKnown returns what is known as soon as there is a configuration, with its age
+// awaitConfiguration returns what is known as soon as there is a configuration, with its age
 // if that decides whether requests with keys are served. When there is none it returns
 // at once for a caller at its first try, who does better to come back, and holds the
 // request of a caller that has come back and may have no further try. When this takes
 // too long for a caller that waits for the given time, or ctx ends, it returns what
 // there is, which may be nil. A wait of zero means that the caller does not say. Common
 // states that others have named the same time, so that this is its first try.
-func (l *Relay) awaitKnown(ctx context.Context, wait time.Duration, common bool) *catalog.Snapshot {
-	if known, ok := l.knows(); ok {
+func (l *Relay) awaitConfiguration(ctx context.Context, wait time.Duration, common bool) *catalog.Snapshot {
+	if known, ok := l.usableSnapshot(); ok {
 		return known
 	}
-	held := l.held.Add(1)
-	defer l.held.Add(-1)
+	held := l.configWaiters.Add(1)
+	defer l.configWaiters.Add(-1)
 	until := steady.Now()
-	if !common && held <= maxHeld {
-		until = until.Add(time.Duration(startShare * float64(wait)))
+	if !common && held <= maxConfigWaiters {
+		until = until.Add(time.Duration(configWaitShare * float64(wait)))
 	}
 	for {
-		known, ok := l.knows()
+		known, ok := l.usableSnapshot()
 		if ok || !steady.Now().Before(until) {
 			return known
 		}
 		select {
-		case <-time.After(startLook):
+		case <-time.After(configPollInterval):
 		case <-ctx.Done():
 			return known
 		}
 	}
 }
 
-// knows returns what is known, and whether it is enough to decide on requests.
-func (l *Relay) knows() (*catalog.Snapshot, bool) {
-	known := l.parts.Known()
+// usableSnapshot returns what is known, and whether it is enough to decide on requests.
+func (l *Relay) usableSnapshot() (*catalog.Snapshot, bool) {
+	known := l.parts.Snapshot()
 	_, aged := l.parts.Age()
 	return known, known != nil && (aged || !l.settings.StrictKeys)
 }
@@ -82,33 +82,33 @@
 	if known && age < l.settings.MaxAge {
 		return nil
 	}
-	return unavailable("configuration is too old", l.afterOutage(wait))
+	return unavailable("configuration is too old", l.retryAfterOutage(wait))
 }
 
-// leastOutage is the shortest time that an outage is taken to last on: longer than
+// minOutage is the shortest time that an outage is taken to last on: longer than
 // the start of an instance, and short enough for callers that wait for seconds. A
 // caller has few retries: one that comes back into the same outage is lost. With
 // 0.3 s, 166 requests were refused in the 1.4 s after the loss of all instances,
 // most of them twice.
-const leastOutage = 1500 * time.Millisecond
+const minOutage = 1500 * time.Millisecond
 
-// heededShare is the part of the time left to them up to which callers of the platform
+// heededRetryShare is the part of the time left to them up to which callers of the platform
 // wait as they are told.
-const heededShare = 1.0 / 3
+const heededRetryShare = 1.0 / 3
 
-// afterOutage returns when a caller that waits for the given time may come back to an
+// retryAfterOutage returns when a caller that waits for the given time may come back to an
 // instance that knows too little: after as long as it has known too little so far, as
 // what has lasted long is likely to last on, and up to twice that, so that not all
 // return at once. All of it lies within what the caller heeds; else all that are told
 // more return at the same moment, which doubled the load for seconds after an outage.
-func (l *Relay) afterOutage(wait time.Duration) time.Duration {
+func (l *Relay) retryAfterOutage(wait time.Duration) time.Duration {
 	lasts, known := l.parts.Age()
 	if !known {
-		lasts = steady.Since(l.began)
+		lasts = steady.Since(l.startedAt)
 	}
-	lasts = max(lasts, leastOutage)
+	lasts = max(lasts, minOutage)
 	if wait > 0 {
-		heeded := time.Duration(heededShare * float64(wait))
+		heeded := time.Duration(heededRetryShare * float64(wait))
 		lasts = min(lasts, heeded/2)
 	}
 	return lasts + rand.N(max(lasts, 1))
--- a/relay/known_test.go
+++ b/relay/configuration_test.go
@@ -44,7 +44,7 @@
 				l := New(Settings{
 					StrictKeys: row.strict,
 				}, Parts{
-					Known: func() *catalog.Snapshot {
+					Snapshot: func() *catalog.Snapshot {
 						if time.Since(began) < row.known {
 							return nil
 						}
@@ -52,11 +52,11 @@
 					},
 					Age: func() (time.Duration, bool) { return 0, time.Since(began) >= row.aged },
 				})
-				got := l.awaitKnown(t.Context(), row.wait, row.common)
+				got := l.awaitConfiguration(t.Context(), row.wait, row.common)
 				is.Equal(got != nil, row.served)
 				took := time.Since(began)
 				is.True(took >= row.want)
-				is.True(took <= row.want+2*startLook)
+				is.True(took <= row.want+2*configPollInterval)
 			})
 		})
 	}
@@ -68,16 +68,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := New(Settings{}, Parts{
-			Known: func() *catalog.Snapshot { return nil },
-			Age:   func() (time.Duration, bool) { return 0, false },
+			Snapshot: func() *catalog.Snapshot { return nil },
+			Age:      func() (time.Duration, bool) { return 0, false },
 		})
 		const more = 10
 		var atOnce atomic.Int64
 		began := time.Now()
 		var all sync.WaitGroup
-		for range maxHeld + more {
+		for range maxConfigWaiters + more {
 			all.Go(func() {
-				l.awaitKnown(t.Context(), time.Minute, false)
+				l.awaitConfiguration(t.Context(), time.Minute, false)
 				if time.Since(began) == 0 {
 					atOnce.Add(1)
 				}
@@ -85,7 +85,7 @@
 		}
 		all.Wait()
 		is.Equal(atOnce.Load(), int64(more))
-		is.Equal(l.held.Load(), int64(0))
+		is.Equal(l.configWaiters.Load(), int64(0))
 	})
 }
 
@@ -101,11 +101,11 @@
 		wait  time.Duration
 		want  time.Duration
 	}{
-		{"just started", 0, false, 0, time.Minute, leastOutage},
+		{"just started", 0, false, 0, time.Minute, minOutage},
 		{"started in an outage", 0, false, 4 * time.Second, time.Minute, 4 * time.Second},
 		{"old configuration", 6 * time.Second, true, time.Hour, time.Minute, 6 * time.Second},
 		{"caller heeds no more", 6 * time.Second, true, time.Hour, 12 * time.Second, 2 * time.Second},
-		{"caller does not say", 0, false, 0, 0, leastOutage},
+		{"caller does not say", 0, false, 0, 0, minOutage},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -116,7 +116,7 @@
 				time.Sleep(row.up)
 				seen := make(map[time.Duration]bool)
 				for range 100 {
-					after := l.afterOutage(row.wait)
+					after := l.retryAfterOutage(row.wait)
 					is.True(after >= row.want)
 					is.True(after < 2*row.want)
 					is.True(row.wait == 0 || after <= row.wait/3)
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -10,13 +10,13 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// metReader is how much later than its request the answer comes that blames an endpoint
+// helperBlameDelay is how much later than its request the answer comes that blames an endpoint
 // which helped to read: one that had ended before is blamed within a round trip.
-const metReader = 300 * time.Millisecond
+const helperBlameDelay = 300 * time.Millisecond
 
-// enter gives a request leave to run, or refuses it. It has not run under its present name,
+// enterQuarantine gives a request leave to run, or refuses it. It has not run under its present name,
 // and says so.
-func (l *Relay) enter(j *job) (leave func(), ref *refusal) {
+func (l *Relay) enterQuarantine(j *job) (leave func(), ref *refusal) {
 	if l.parts.Quarantine == nil {
 		return func() {}, nil
 	}
@@ -29,10 +29,10 @@
 	return p.Leave, nil
 }
 
-// banned returns the final answer to a request that was banned meanwhile, or nil. It guards
+// checkBan returns the final answer to a request that was checkBan meanwhile, or nil. It guards
 // against the rest of its attempts: those that wait for a place, and those that follow one
 // that broke off.
-func (l *Relay) banned(j *job) *refusal {
+func (l *Relay) checkBan(j *job) *refusal {
 	if l.parts.Quarantine == nil {
 		return nil
 	}
@@ -43,9 +43,9 @@
 	return j.giveUp(quarantine.Refused, after)
 }
 
-// judge reports what an attempt shows of its request: a whole answer, or that its endpoint,
+// reportOutcome reports what an attempt shows of its request: a whole answer, or that its endpoint,
 // or one that read for it, has ended.
-func (l *Relay) judge(t *try, res result) {
+func (l *Relay) reportOutcome(t *attempt, res result) {
 	if l.parts.Quarantine == nil {
 		return
 	}
@@ -58,26 +58,26 @@
 		return
 	}
 	l.detector.Broke(&t.job.history, quarantine.Broken{
-		Attempt:  t.ask.ID,
-		Began:    t.began,
+		Attempt:  t.request.ID,
+		Began:    t.startedAt,
 		Worked:   t.addresses(),
 		Suspects: suspects,
 	})
 }
 
 // suspects returns the addresses of the endpoints that may have ended under an attempt.
-func (t *try) suspects(res result) []string {
+func (t *attempt) suspects(res result) []string {
 	switch {
-	case res.cut || res.outcome == pool.Silent:
+	case res.connectionLost || res.outcome == pool.Silent:
 		return t.addresses()
-	case res.outcome == pool.Rejected && res.culprit != "" && res.culprit != t.grant.Address && steady.Since(t.began) > metReader:
+	case res.outcome == pool.Rejected && res.culprit != "" && res.culprit != t.grant.Address && steady.Since(t.startedAt) > helperBlameDelay:
 		return []string{res.culprit}
 	}
 	return nil
 }
 
 // addresses returns those of the endpoints that work on an attempt, its own first.
-func (t *try) addresses() []string {
+func (t *attempt) addresses() []string {
 	out := []string{t.grant.Address}
 	for _, r := range t.grant.Readers {
 		out = append(out, r.Address)
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -62,7 +62,7 @@
 
 // judged returns a relay that goes by a ledger, and to which only the endpoints that are given
 // are there, with an attempt at e1 that e2 reads for.
-func judged(l *ledger, there ...string) (*Relay, *try) {
+func judged(l *ledger, there ...string) (*Relay, *attempt) {
 	r := New(Settings{}, Parts{
 		Quarantine: l,
 		Check: func(_ context.Context, address string) error {
@@ -73,7 +73,7 @@
 		},
 		Log: logr.Discard(),
 	})
-	return r, &try{
+	return r, &attempt{
 		relay: r,
 		job: &job{
 			history: quarantine.History{
@@ -90,7 +90,7 @@
 				Address: "e2",
 			}},
 		},
-		began: steady.Now(),
+		startedAt: steady.Now(),
 	}
 }
 
@@ -98,8 +98,8 @@
 func TestJudge(t *testing.T) {
 	all := []string{"e1", "e2"}
 	cut := result{
-		outcome: pool.Failed,
-		cut:     true,
+		outcome:        pool.Failed,
+		connectionLost: true,
 	}
 	blamed := result{
 		outcome: pool.Rejected,
@@ -141,7 +141,7 @@
 					}
 					r, attempt := judged(l, row.there...)
 					time.Sleep(row.took)
-					r.judge(attempt, row.res)
+					r.reportOutcome(attempt, row.res)
 					if suspected {
 						is.Equal(len(l.crashes) > 0, row.crashed != "") // known before the next attempt
 					}
@@ -172,15 +172,15 @@
 		}
 		r, attempt := judged(l)
 		cut := result{
-			outcome: pool.Failed,
-			cut:     true,
+			outcome:        pool.Failed,
+			connectionLost: true,
 		}
 		away := result{
 			outcome: pool.Rejected,
 		}
 		for i, res := range []result{cut, away, cut, away, away, cut} {
-			attempt.ask.ID = strconv.Itoa(i)
-			r.judge(attempt, res)
+			attempt.request.ID = strconv.Itoa(i)
+			r.reportOutcome(attempt, res)
 		}
 		var before []string
 		for _, c := range l.crashes {
@@ -205,9 +205,9 @@
 				r, attempt := judged(&ledger{
 					suspected: row.suspected,
 				})
-				r.judge(attempt, result{
-					outcome: pool.Failed,
-					cut:     true,
+				r.reportOutcome(attempt, result{
+					outcome:        pool.Failed,
+					connectionLost: true,
 				})
 				began := time.Now()
 				attempt.job.history.Settle(t.Context())
@@ -236,7 +236,7 @@
 			})
 			attempt.job.ran = row.ran
 			attempt.job.deadline = steady.Now().Add(time.Minute)
-			ref := r.banned(attempt.job)
+			ref := r.checkBan(attempt.job)
 			is.Equal(ref.status, row.status)
 			is.Equal(ref.after > 0, !row.ran)
 		})
@@ -252,16 +252,16 @@
 	})
 	j := attempt.job
 	j.route.Resumable = true
-	leave, ref := r.enter(j)
+	leave, ref := r.enterQuarantine(j)
 	is.True(ref == nil)
 	defer leave()
 	j.out = newAnswer(nil, j)
 	j.ran, j.sends = true, 1
 	j.deadline = steady.Now().Add(time.Minute)
-	again, _ := r.next(t.Context(), j, attempt, result{
-		outcome: pool.Failed,
-		broke:   true,
-		cut:     true,
+	again, _ := r.retryOrGiveUp(t.Context(), j, attempt, result{
+		outcome:        pool.Failed,
+		brokenOff:      true,
+		connectionLost: true,
 	})
 	is.True(!again)
 }
--- a/relay/barred.go
+++ b/relay/excluded.go
@@ -9,38 +9,38 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// barredError is an endpoint that must get nothing new.
-type barredError struct {
+// excludedError is an endpoint that must get nothing new.
+type excludedError struct {
 	endpoint string
 	reason   string
 }
 
 // Error returns the endpoint and the reason.
-func (e *barredError) Error() string {
+func (e *excludedError) Error() string {
 	return fmt.Sprintf("endpoint %s gets nothing new: %s", e.endpoint, e.reason)
 }
 
-// barred returns an endpoint of a grant that must get nothing new, or nil for none: it may
+// findExcluded returns an endpoint of a grant that must get nothing new, or nil for none: it may
 // have begun to leave, or its failure domain been emptied, while the request waited, or
 // the one who placed it may know less.
-func (l *Relay) barred(g *pool.Grant) *barredError {
-	if e := l.barredOne(g.Instance, g.Born); e != nil {
+func (l *Relay) findExcluded(g *pool.Grant) *excludedError {
+	if e := l.checkExcluded(g.Instance, g.Born); e != nil {
 		return e
 	}
 	for _, r := range g.Readers {
-		if e := l.barredOne(r.Instance, time.Time{}); e != nil {
+		if e := l.checkExcluded(r.Instance, time.Time{}); e != nil {
 			return e
 		}
 	}
 	return nil
 }
 
-// barredOne returns an endpoint if it must get nothing new. Born is when its start began; zero
+// checkExcluded returns an endpoint if it must get nothing new. Born is when its start began; zero
 // when it does not say.
-func (l *Relay) barredOne(instance string, born time.Time) *barredError {
+func (l *Relay) checkExcluded(instance string, born time.Time) *excludedError {
 	reason := ""
 	switch {
-	case l.parts.Known().Barred(instance):
+	case l.parts.Snapshot().Barred(instance):
 		reason = "it is leaving or its failure domain is emptied"
 	case l.parts.Notices != nil:
 		reason = l.parts.Notices.Declines(instance, born)
@@ -48,7 +48,7 @@
 	if reason == "" {
 		return nil
 	}
-	return &barredError{
+	return &excludedError{
 		endpoint: instance,
 		reason:   reason,
 	}
--- a/relay/barred_test.go
+++ b/relay/excluded_test.go
@@ -26,8 +26,8 @@
 // newDeclining returns a relay that knows which endpoints decline requests.
 func newDeclining(d declining) *Relay {
 	return New(Settings{}, Parts{
-		Known:   func() *catalog.Snapshot { return &catalog.Snapshot{} },
-		Notices: d,
+		Snapshot: func() *catalog.Snapshot { return &catalog.Snapshot{} },
+		Notices:  d,
 	})
 }
 
@@ -43,7 +43,7 @@
 		{"one that reads", pool.Grant{Instance: "e0", Readers: []pool.Reader{{Instance: "e2"}, {Instance: "e1"}}}, "e1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := l.barred(&c.grant)
+			got := l.findExcluded(&c.grant)
 			is.New(t).Equal(got != nil, c.want != "")
 			if got != nil {
 				is.New(t).Equal(got.endpoint, c.want)
@@ -63,17 +63,17 @@
 		out:      &answer{},
 		sends:    1,
 	}
-	x := &try{
+	x := &attempt{
 		relay:  l,
 		job:    j,
 		grant:  pool.Grant{Instance: "e1"},
 		caller: t.Context(),
 	}
-	res := x.unanswered(&upstream.Error{Err: l.barred(&x.grant)}, nil)
+	res := x.handleNoAnswer(&upstream.Error{Err: l.findExcluded(&x.grant)}, nil)
 	is.Equal(res.outcome, pool.Abandoned)
 	is.Equal(j.sends, 0)
 	is.True(!j.ran)
-	again, _ := l.next(t.Context(), j, x, res)
+	again, _ := l.retryOrGiveUp(t.Context(), j, x, res)
 	is.True(again)
 	is.Equal(j.exclude, []string{"e1"})
 }
@@ -91,17 +91,17 @@
 func TestHearAnswers(t *testing.T) {
 	is := is.New(t)
 	h := &hearing{}
-	x := &try{
-		relay: New(Settings{}, Parts{Notices: h}),
-		job:   &job{head: Head{ID: "r"}},
-		grant: pool.Grant{Instance: "e1"},
-		began: time.Now(),
+	x := &attempt{
+		relay:     New(Settings{}, Parts{Notices: h}),
+		job:       &job{head: RequestHead{ID: "r"}},
+		grant:     pool.Grant{Instance: "e1"},
+		startedAt: time.Now(),
 	}
-	x.hear(http.StatusMisdirectedRequest, AnswerHead{}, true)
+	x.reportNotice(http.StatusMisdirectedRequest, AnswerHead{}, true)
 	is.Equal(len(h.heard), 0)
-	x.hear(http.StatusOK, AnswerHead{}, false)
-	x.hear(http.StatusServiceUnavailable, AnswerHead{}, true)
+	x.reportNotice(http.StatusOK, AnswerHead{}, false)
+	x.reportNotice(http.StatusServiceUnavailable, AnswerHead{}, true)
 	is.Equal(len(h.heard), 2)
 	is.True(h.heard[0].Sent.IsZero())
-	is.Equal(h.heard[1].Sent, x.began)
+	is.Equal(h.heard[1].Sent, x.startedAt)
 }
--- a/relay/header.go
+++ b/relay/header.go
@@ -13,8 +13,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// passed returns the header that is passed on.
-func passed(h http.Header) http.Header {
+// forwardedHeader returns the header that is forwardedHeader on.
+func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
--- a/relay/header_test.go
+++ b/relay/header_test.go
@@ -18,7 +18,7 @@
 	h.Set("Transfer-Encoding", "chunked")
 	h.Set("Content-Length", "7")
 	h.Set("Model", "m")
-	got := passed(h)
+	got := forwardedHeader(h)
 	is.Equal(got, http.Header{"Model": {"m"}})
 	is.Equal(h.Get("X-Hop"), "1") // the caller's header stays
 }
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -16,9 +16,9 @@
 	after time.Duration
 }
 
-// comeBack is when a caller may come back whose request found no endpoint: its
+// defaultRetryAfter is when a caller may come back whose request found no endpoint: its
 // instance knows of others by then.
-const comeBack = 300 * time.Millisecond
+const defaultRetryAfter = 300 * time.Millisecond
 
 // unavailable returns a refusal of a request that did not run.
 func unavailable(reason string, after time.Duration) *refusal {
@@ -30,10 +30,10 @@
 }
 
 // refuse sends a final answer of the relay's own.
-func (l *Relay) refuse(w http.ResponseWriter, h Head, r *refusal) {
+func (l *Relay) refuse(w http.ResponseWriter, h RequestHead, r *refusal) {
 	l.Metrics.refused(r.status)
 	version := int64(0)
-	if known := l.parts.Known(); known != nil {
+	if known := l.parts.Snapshot(); known != nil {
 		version = known.Table.Version
 	}
 	age, _ := l.parts.Age()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -32,8 +32,8 @@
 
 // Parts are what a Relay works with.
 type Parts struct {
-	// Known returns what is known from the store; nil while nothing is.
-	Known func() *catalog.Snapshot
+	// Snapshot returns what is known from the store; nil while nothing is.
+	Snapshot func() *catalog.Snapshot
 	// Age returns how old the configuration in force may be.
 	Age func() (time.Duration, bool)
 	// Placer finds places.
@@ -71,22 +71,22 @@
 	stopping atomic.Bool
 	// inFlight counts the requests that are being served, and held those that wait
 	// for a first configuration.
-	inFlight atomic.Int64
-	held     atomic.Int64
+	inFlight      atomic.Int64
+	configWaiters atomic.Int64
 	// detector looks for crashes; needed with a quarantine.
 	detector *quarantine.Detector
-	// waits are the times that callers name, and began is when the relay was made.
-	waits waits
-	began time.Time
+	// timeouts are the times that callers name, and began is when the relay was made.
+	timeouts  timeoutTracker
+	startedAt time.Time
 }
 
 // New returns a relay.
 func New(s Settings, p Parts) *Relay {
 	l := &Relay{
-		Metrics:  newMetrics(),
-		settings: s,
-		parts:    p,
-		began:    steady.Now(),
+		Metrics:   newMetrics(),
+		settings:  s,
+		parts:     p,
+		startedAt: steady.Now(),
 	}
 	l.detector = quarantine.NewDetector(p.Quarantine, p.Check, func() { l.Metrics.add("crashes") }, p.Log)
 	return l
@@ -117,7 +117,7 @@
 		l.refuse(w, head, refusal)
 		return
 	}
-	leave, refusal := l.enter(j)
+	leave, refusal := l.enterQuarantine(j)
 	if refusal != nil {
 		l.refuse(w, head, refusal)
 		return
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -13,29 +13,29 @@
 
 // The times of reservations.
 const (
-	// holdFor is how long memory is set aside without being renewed. It is
+	// reservationTTL is how long memory is set aside without being renewed. It is
 	// what a dead instance keeps from others, and what an order that is
 	// carried out late takes; below the two seconds that count.
-	holdFor = 1900 * time.Millisecond
-	// renewEvery leaves time for three lost renewals.
-	renewEvery = 450 * time.Millisecond
-	// orderTimeout bounds one order: several round trips.
-	orderTimeout = 250 * time.Millisecond
+	reservationTTL = 1900 * time.Millisecond
+	// renewInterval leaves time for three lost renewals.
+	renewInterval = 450 * time.Millisecond
+	// reserveTimeout bounds one order: several round trips.
+	reserveTimeout = 250 * time.Millisecond
 )
 
-// orderTries is how often an order is given.
-const orderTries = 2
+// maxReserveAttempts is how often an order is given.
+const maxReserveAttempts = 2
 
-// hold is the memory that is set aside for an attempt.
-type hold struct {
+// reservations is the memory that is set aside for an attempt.
+type reservations struct {
 	memory Memory
-	items  []reserved
+	items  []reservation
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
-// reserved is one reservation.
-type reserved struct {
+// reservation is one reservation.
+type reservation struct {
 	address string
 	name    string
 	tokens  int
@@ -43,8 +43,8 @@
 
 // reserve sets aside the memory that the grant names, all or nothing, and keeps
 // it until it is freed.
-func (t *try) reserve(ctx context.Context) (*hold, error) {
-	h := &hold{
+func (t *attempt) reserve(ctx context.Context) (*reservations, error) {
+	h := &reservations{
 		memory: t.relay.parts.Memory,
 		cancel: func() {},
 	}
@@ -54,18 +54,18 @@
 		if r.Reserved == 0 {
 			continue
 		}
-		t.grant.Readers[i].Reservation = t.ask.ID
-		h.items = append(h.items, reserved{
+		t.grant.Readers[i].Reservation = t.request.ID
+		h.items = append(h.items, reservation{
 			address: r.Address,
-			name:    t.ask.ID,
+			name:    t.request.ID,
 			tokens:  r.Reserved,
 		})
 	}
 	if len(h.items) == 0 {
 		return h, nil
 	}
-	if err := h.all(ctx); err != nil {
-		h.release()
+	if err := h.reserveAll(ctx); err != nil {
+		h.freeAll()
 		return nil, err
 	}
 	var renew context.Context
@@ -74,21 +74,21 @@
 	return h, nil
 }
 
-// all gives the order for each reservation.
-func (h *hold) all(ctx context.Context) error {
+// reserveAll gives the order for each reservation.
+func (h *reservations) reserveAll(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, r := range h.items {
-		g.Go(func() error { return h.one(ctx, r) })
+		g.Go(func() error { return h.reserveOne(ctx, r) })
 	}
 	return g.Wait()
 }
 
-// one gives the order for a reservation.
-func (h *hold) one(ctx context.Context, r reserved) error {
+// reserveOne gives the order for a reservation.
+func (h *reservations) reserveOne(ctx context.Context, r reservation) error {
 	var err error
-	for range orderTries {
-		within, cancel := context.WithTimeout(ctx, orderTimeout)
-		err = h.memory.Reserve(within, r.address, r.name, r.tokens, holdFor)
+	for range maxReserveAttempts {
+		within, cancel := context.WithTimeout(ctx, reserveTimeout)
+		err = h.memory.Reserve(within, r.address, r.name, r.tokens, reservationTTL)
 		cancel()
 		if err == nil || ctx.Err() != nil {
 			return err
@@ -98,8 +98,8 @@
 }
 
 // renew keeps the reservations.
-func (h *hold) renew(ctx context.Context) {
-	tick := time.NewTicker(renewEvery)
+func (h *reservations) renew(ctx context.Context) {
+	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -110,13 +110,13 @@
 		for _, r := range h.items {
 			// A renewal that fails is tried again at the next tick; the engine
 			// ends the request if all fail.
-			h.done.Go(func() { _ = h.one(ctx, r) })
+			h.done.Go(func() { _ = h.reserveOne(ctx, r) })
 		}
 	}
 }
 
 // free gives the memory back.
-func (h *hold) free() {
+func (h *reservations) free() {
 	h.cancel()
 	if len(h.items) == 0 {
 		return
@@ -124,16 +124,16 @@
 	go func() {
 		// No renewal may come after the order that ends the reservation.
 		h.done.Wait()
-		h.release()
+		h.freeAll()
 	}()
 }
 
-// release gives the orders that end the reservations, all at once: given one by one, the
+// freeAll gives the orders that end the reservations, all at once: given one by one, the
 // memory of sixteen engines of which some don't answer came back after seconds, and the
 // request waited as long for its next place. One that gets lost costs the memory until
 // it lapses.
-func (h *hold) release() {
-	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+func (h *reservations) freeAll() {
+	ctx, cancel := context.WithTimeout(context.Background(), reserveTimeout)
 	defer cancel()
 	var orders sync.WaitGroup
 	for _, r := range h.items {
--- a/relay/reserve_test.go
+++ b/relay/reserve_test.go
@@ -39,17 +39,17 @@
 		is := is.New(t)
 		const engines = 16
 		m := &deafMemory{}
-		h := &hold{
+		h := &reservations{
 			memory: m,
 		}
 		for i := range engines {
-			h.items = append(h.items, reserved{
+			h.items = append(h.items, reservation{
 				address: strconv.Itoa(i),
 			})
 		}
 		began := time.Now()
-		h.release()
+		h.freeAll()
 		is.Equal(m.asked.Load(), int64(engines))
-		is.Equal(time.Since(began), orderTimeout)
+		is.Equal(time.Since(began), reserveTimeout)
 	})
 }
--- a/relay/resume_test.go
+++ b/relay/resume_test.go
@@ -40,14 +40,14 @@
 					},
 					arrived: time.Now(),
 					out: &answer{
-						events: events{
+						events: streamProgress{
 							last: row.had,
 						},
 					},
 				}
 				time.Sleep(100 * time.Millisecond)
 				if row.got {
-					j.out.events.note([]byte("id: 13\n\n"))
+					j.out.events.observe([]byte("id: 13\n\n"))
 				}
 				time.Sleep(100 * time.Millisecond)
 				resumes, due := j.resumes()
@@ -77,7 +77,7 @@
 				}
 				w := watched(t, k)
 				if row.begun {
-					w.touch()
+					w.recordActivity()
 				}
 				time.Sleep(5 * time.Second)
 				w.end()
