--- a/relay/serve.go
+++ b/relay/serve.go
@@ -59,85 +59,85 @@
 // another attempt makes sense, else the final answer, nil once it was sent.
 func (l *Relay) attempt(ctx context.Context, j *job) (again bool, final *refusal) {
 	j.history.Settle(ctx)
-	if ref := l.banned(j); ref != nil {
+	if ref := l.checkBan(j); ref != nil {
 		return false, ref
 	}
-	p, err := l.place(ctx, j)
+	p, err := l.findPlacement(ctx, j)
 	if err != nil {
-		return false, j.unplaced(ctx, err)
+		return false, j.placementFailure(ctx, err)
 	}
-	if ref := l.banned(j); ref != nil {
-		l.giveBack(p)
+	if ref := l.checkBan(j); ref != nil {
+		l.releasePlacement(p)
 		return false, ref
 	}
-	if b := l.barred(&p.grant); b != nil {
-		l.giveBack(p)
+	if b := l.findExcluded(&p.grant); b != nil {
+		l.releasePlacement(p)
 		l.Metrics.add("places_declined")
-		l.parts.Log.Info("place declined", "request", j.head.ID, "attempt", p.ask.ID, "endpoint", b.endpoint,
+		l.parts.Log.Info("place declined", "request", j.head.ID, "attempt", p.request.ID, "endpoint", b.endpoint,
 			"reason", b.reason, "by", p.grant.By)
 		j.exclude = append(j.exclude, b.endpoint)
 		return true, nil
 	}
-	if j.keyed && !j.ran {
+	if j.requiresKey && !j.ran {
 		if late := l.tooOldForKeys(j.left()); late != nil {
-			l.giveBack(p)
+			l.releasePlacement(p)
 			return false, late
 		}
 	}
-	t := &try{
-		relay: l,
-		job:   j,
-		ask:   p.ask,
-		grant: p.grant,
+	t := &attempt{
+		relay:   l,
+		job:     j,
+		request: p.request,
+		grant:   p.grant,
 	}
 	res := t.run(ctx)
-	l.parts.Placer.End(p.ask.ID, p.ask.Service, res.outcome, res.culprit)
-	l.logTry(j, t, res)
-	l.judge(t, res)
-	return l.after(ctx, j, t, res)
+	l.parts.Placer.End(p.request.ID, p.request.Service, res.outcome, res.culprit)
+	l.logAttempt(j, t, res)
+	l.reportOutcome(t, res)
+	return l.handleResult(ctx, j, t, res)
 }
 
-// place returns the place that was found during the last attempt, or a new one.
-func (l *Relay) place(ctx context.Context, j *job) (*place, error) {
+// findPlacement returns the findPlacement that was found during the last attempt, or a new one.
+func (l *Relay) findPlacement(ctx context.Context, j *job) (*nextPlacement, error) {
 	if p := j.next; p != nil {
 		j.next = nil
 		return p, nil
 	}
-	a := l.ask(j)
+	a := l.newPlacementRequest(j)
 	a.Resumed, a.Due = j.resumes()
 	g, err := l.parts.Placer.Place(ctx, a)
 	if err != nil {
 		return nil, err
 	}
-	return &place{
-		ask:   a,
-		grant: g,
+	return &nextPlacement{
+		request: a,
+		grant:   g,
 	}, nil
 }
 
-// giveBack gives up a place to which nothing was sent.
-func (l *Relay) giveBack(p *place) {
-	l.parts.Placer.End(p.ask.ID, p.ask.Service, pool.Abandoned, "")
+// releasePlacement gives up a place to which nothing was sent.
+func (l *Relay) releasePlacement(p *nextPlacement) {
+	l.parts.Placer.End(p.request.ID, p.request.Service, pool.Abandoned, "")
 }
 
-// after decides what follows an attempt. A place that was found for another one
+// handleResult decides what follows an attempt. A place that was found for another one
 // is used or given back.
-func (l *Relay) after(ctx context.Context, j *job, t *try, res result) (again bool, final *refusal) {
+func (l *Relay) handleResult(ctx context.Context, j *job, t *attempt, res result) (again bool, final *refusal) {
 	if !res.final {
-		again, final = l.next(ctx, j, t, res)
+		again, final = l.retryOrGiveUp(ctx, j, t, res)
 	}
 	switch {
 	case t.next == nil:
 	case again:
 		j.next = t.next
 	default:
-		l.giveBack(t.next)
+		l.releasePlacement(t.next)
 	}
 	return again, final
 }
 
-// ask describes the request to the pool.
-func (l *Relay) ask(j *job) pool.Ask {
+// newPlacementRequest describes the request to the pool.
+func (l *Relay) newPlacementRequest(j *job) pool.Ask {
 	a := pool.Ask{
 		ID:        j.head.ID + "." + l.settings.Self + "." + strconv.FormatUint(l.counter.Add(1), 36),
 		Service:   j.service,
@@ -161,21 +161,21 @@
 	return a
 }
 
-// unplaced is the final answer to a request without a place.
-func (j *job) unplaced(ctx context.Context, err error) *refusal {
+// placementFailure is the final answer to a request without a place.
+func (j *job) placementFailure(ctx context.Context, err error) *refusal {
 	var r *pool.Refusal
 	if errors.As(err, &r) {
 		return j.giveUp(r.Reason, r.After)
 	}
 	if ctx.Err() != nil {
-		return j.giveUp("no place in time", comeBack)
+		return j.giveUp("no place in time", defaultRetryAfter)
 	}
-	return j.giveUp(err.Error(), comeBack)
+	return j.giveUp(err.Error(), defaultRetryAfter)
 }
 
-// next decides what follows an attempt without a whole answer: another one, or the
+// retryOrGiveUp decides what follows an attempt without a whole answer: another one, or the
 // final answer.
-func (l *Relay) next(ctx context.Context, j *job, t *try, res result) (bool, *refusal) {
+func (l *Relay) retryOrGiveUp(ctx context.Context, j *job, t *attempt, res result) (bool, *refusal) {
 	j.exclude = append(j.exclude, t.excluded(res)...)
 	switch {
 	case ctx.Err() != nil:
@@ -184,13 +184,13 @@
 		return false, j.giveUp(res.reason, 0)
 	case res.unsent, res.outcome == pool.Unreachable && len(j.exclude) <= maxUnreachable:
 		return true, nil
-	case j.out.begun && res.broke && len(j.exclude) <= maxResumes:
+	case j.out.begun && res.brokenOff && len(j.exclude) <= maxResumes:
 		// The endpoint broke its run off; it no longer counts.
 		return true, nil
 	case j.attemptsLeft() > 0:
 		return true, nil
 	}
-	return false, j.giveUp(res.reason, comeBack)
+	return false, j.giveUp(res.reason, defaultRetryAfter)
 }
 
 // The bounds of attempts that the route's bound does not count: those that
@@ -200,16 +200,16 @@
 	maxResumes     = 3
 )
 
-// logTry writes the line of an attempt.
-func (l *Relay) logTry(j *job, t *try, res result) {
+// logAttempt writes the line of an attempt.
+func (l *Relay) logAttempt(j *job, t *attempt, res result) {
 	l.Metrics.add("attempts_" + res.outcome.String())
 	age, _ := l.parts.Age()
-	l.parts.Log.Info("attempt", "request", j.head.ID, "attempt", t.ask.ID, "route", j.route.Name,
+	l.parts.Log.Info("attempt", "request", j.head.ID, "attempt", t.request.ID, "route", j.route.Name,
 		"version", j.table.Version, "age_ms", age.Milliseconds(), "service", j.service, "customer", j.customer, "prompt", j.head.PromptTokens,
 		"identity", j.history.Identity.String(),
 		"endpoint", t.grant.Instance, "by", t.grant.By, "readers", len(t.grant.Readers),
 		"waited_ms", t.grant.Waited.Milliseconds(), "first_predicted_ms", t.grant.First.Milliseconds(),
-		"first_ms", t.firstAfter.Milliseconds(), "ms", steady.Since(t.began).Milliseconds(),
+		"first_ms", t.firstAfter.Milliseconds(), "ms", steady.Since(t.startedAt).Milliseconds(),
 		"outcome", res.outcome.String(), "reason", res.reason, "status", res.status, "events", j.out.events.count,
 		"longest_gap_ms", t.longestGap.Milliseconds(), "target_ms", j.route.Target.Milliseconds(),
 		"gap_ms", j.route.GapTarget.Milliseconds())
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,9 +14,9 @@
 // streamBuffer is how much of a stream is read at once, in bytes: several events.
 const streamBuffer = 4 << 10
 
-// stream passes the events of a stream on as they come. Only whole events are
+// relayStream passes the events of a relayStream on as they come. Only whole events are
 // passed on, so that another endpoint can continue after any of them.
-func (t *try) stream(x *upstream.Exchange, w *watch) result {
+func (t *attempt) relayStream(x *upstream.Exchange, w *watch) result {
 	out := t.job.out
 	buf := make([]byte, streamBuffer)
 	var rest []byte
@@ -27,9 +27,9 @@
 			rest = append(rest, buf[:n]...)
 			whole := wholeEvents(rest)
 			if whole > 0 {
-				t.noteGap(&last)
-				t.first()
-				w.touch()
+				t.recordGap(&last)
+				t.recordFirstEvent()
+				w.recordActivity()
 				out.stream(x.Response, rest[:whole])
 				rest = rest[whole:]
 			}
@@ -38,16 +38,16 @@
 			return t.streamEnd(x, rest)
 		}
 		if err != nil {
-			return t.broken(err, w)
+			return t.handleBroken(err, w)
 		}
 		if out.gone() {
-			return t.broken(errCallerGone, w)
+			return t.handleBroken(errCallerGone, w)
 		}
 	}
 }
 
-// noteGap keeps the longest pause between events.
-func (t *try) noteGap(last *time.Time) {
+// recordGap keeps the longest pause between events.
+func (t *attempt) recordGap(last *time.Time) {
 	now := time.Now()
 	if !last.IsZero() {
 		t.longestGap = max(t.longestGap, now.Sub(*last))
@@ -56,13 +56,13 @@
 }
 
 // streamEnd ends a stream that its endpoint ended.
-func (t *try) streamEnd(x *upstream.Exchange, rest []byte) result {
+func (t *attempt) streamEnd(x *upstream.Exchange, rest []byte) result {
 	x.Whole()
 	out := t.job.out
 	if !out.begun || len(rest) > 0 {
 		out.stream(x.Response, rest)
 	}
-	t.first()
+	t.recordFirstEvent()
 	return result{
 		outcome: pool.Served,
 		final:   true,
@@ -79,8 +79,8 @@
 	return end + 2
 }
 
-// events is what a caller has of a stream.
-type events struct {
+// streamProgress is what a caller has of a stream.
+type streamProgress struct {
 	// last is the id of the last event; it begins as what the caller had
 	// before.
 	last  string
@@ -92,8 +92,8 @@
 // idField begins the line with an event's id (HTML Standard, 9.2).
 var idField = []byte("id:")
 
-// note takes over events that the caller got.
-func (e *events) note(data []byte) {
+// observe takes over events that the caller got.
+func (e *streamProgress) observe(data []byte) {
 	for _, line := range bytes.Split(data, []byte("\n")) {
 		value, ok := bytes.CutPrefix(line, idField)
 		if !ok {
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -29,12 +29,12 @@
 
 func TestNoteEvents(t *testing.T) {
 	is := is.New(t)
-	e := events{
+	e := streamProgress{
 		last: "4",
 	}
-	e.note([]byte("id: 5\ndata: id: 9\n\nid:6\ndata: y\n\n"))
+	e.observe([]byte("id: 5\ndata: id: 9\n\nid:6\ndata: y\n\n"))
 	is.Equal(e.last, "6")
 	is.Equal(e.count, 2)
-	e.note([]byte(": comment\n\n"))
+	e.observe([]byte(": comment\n\n"))
 	is.Equal(e.last, "6")
 }
--- a/relay/suspect_test.go
+++ b/relay/suspicion_test.go
@@ -46,7 +46,7 @@
 			Log:        logr.Discard(),
 		},
 	}
-	a := &try{
+	a := &attempt{
 		relay: l,
 		job: &job{
 			route: &route.Route{
@@ -58,7 +58,7 @@
 			},
 			arrived: time.Now(),
 		},
-		ask: pool.Ask{
+		request: pool.Ask{
 			ID: "attempt",
 		},
 		grant: pool.Grant{
@@ -90,7 +90,7 @@
 				w, _ := suspected(t, &keeper{err: errors.New("none")}, s)
 				for range row.events {
 					time.Sleep(row.pause)
-					w.touch()
+					w.recordActivity()
 				}
 				last := time.Now()
 				time.Sleep(time.Second)
@@ -104,7 +104,7 @@
 				is.Equal(s.at[0].Sub(last), row.first)
 				is.Equal(s.silence[0], row.first)
 				is.Equal(s.at[1].Sub(s.at[0]), pool.SuspectLeast)
-				w.touch()
+				w.recordActivity()
 				n := len(s.at)
 				time.Sleep(row.first - time.Millisecond)
 				synctest.Wait()
@@ -155,7 +155,7 @@
 				s := &suspecter{}
 				w, ctx := suspected(t, placer, s)
 				if row.begun {
-					w.touch()
+					w.recordActivity()
 				}
 				time.Sleep(50 * time.Millisecond)
 				s.move()
--- a/relay/waits_test.go
+++ b/relay/timeouts_test.go
@@ -19,13 +19,13 @@
 // waits of first tries from being learned later.
 func TestWaitsLearnAnew(t *testing.T) {
 	is := is.New(t)
-	var w waits
-	for i := range 3 * maxWaits {
-		common, _ := w.note(time.Duration(i))
+	var w timeoutTracker
+	for i := range 3 * maxTimeouts {
+		common, _ := w.observe(time.Duration(i))
 		is.True(!common)
 	}
-	w.note(firstTry)
-	common, _ := w.note(firstTry)
+	w.observe(firstTry)
+	common, _ := w.observe(firstTry)
 	is.True(common)
 }
 
@@ -33,33 +33,33 @@
 func TestReturns(t *testing.T) {
 	t.Run("first tries name the same", func(t *testing.T) {
 		is := is.New(t)
-		var w waits
+		var w timeoutTracker
 		for range 7 {
-			_, returns := w.note(firstTry)
+			_, returns := w.observe(firstTry)
 			is.True(!returns)
 		}
-		_, returns := w.note(7123 * time.Millisecond)
+		_, returns := w.observe(7123 * time.Millisecond)
 		is.True(returns)
 	})
 	t.Run("half of the callers have come back", func(t *testing.T) {
 		is := is.New(t)
-		var w waits
+		var w timeoutTracker
 		for i := range 200 {
-			_, returns := w.note(firstTry)
+			_, returns := w.observe(firstTry)
 			is.True(!returns)
 			if i > 50 {
-				_, returns = w.note(5*time.Second + time.Duration(i)*time.Millisecond)
+				_, returns = w.observe(5*time.Second + time.Duration(i)*time.Millisecond)
 				is.True(returns)
 			}
 		}
 	})
 	t.Run("first tries name all kinds of times", func(t *testing.T) {
 		is := is.New(t)
-		var w waits
+		var w timeoutTracker
 		r := rand.New(rand.NewPCG(1, 1))
 		known := 0
 		for range 2000 {
-			if _, returns := w.note(7500*time.Millisecond + time.Duration(r.IntN(2500))*time.Millisecond); returns {
+			if _, returns := w.observe(7500*time.Millisecond + time.Duration(r.IntN(2500))*time.Millisecond); returns {
 				known++
 			}
 		}
@@ -83,7 +83,7 @@
 		{"route without a time", 10 * time.Second, 0, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			got := missing(row.wait, &route.Route{
+			got := timeSpent(row.wait, &route.Route{
 				Timeout: row.timeout,
 			})
 			is.New(t).Equal(got, row.want)
--- a/relay/types.go
+++ b/relay/types.go
@@ -11,8 +11,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// Head is what a caller's request says of itself.
-type Head struct {
+// RequestHead is what a caller's request says of itself.
+type RequestHead struct {
 	// ID names the request; endpoints repeat it in their answers.
 	ID string
 	// Key is the caller's key; empty without one.
@@ -35,8 +35,8 @@
 	LastEvent string
 }
 
-// Call is what an endpoint is told of a request beyond what its caller sent.
-type Call struct {
+// OutgoingHead is what an endpoint is told of a request beyond what its caller sent.
+type OutgoingHead struct {
 	// Instance is the endpoint that is meant; any other refuses the request.
 	Instance string
 	// Customer is who pays; empty on public routes.
@@ -63,16 +63,16 @@
 	Culprit string
 	// Signed states that the answer carries the endpoint's proof of origin.
 	Signed bool
-	// Said is what the endpoint says of itself.
-	Said notice.Said
+	// Notice is what the endpoint says of itself.
+	Notice notice.Said
 }
 
 // Wire is how callers and endpoints write what the types of this package hold.
 type Wire interface {
 	// Head reads the head of a caller's request.
-	Head(r *http.Request) Head
+	Head(r *http.Request) RequestHead
 	// Outgoing sets what an endpoint is told; h holds the caller's header.
-	Outgoing(h http.Header, c Call)
+	Outgoing(h http.Header, c OutgoingHead)
 	// Answer reads the head of an endpoint's answer.
 	Answer(res *http.Response) AnswerHead
 	// Refusal sets when a caller may come back.
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -14,16 +14,16 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// place is a place for the next attempt, found before the present one is ended.
-type place struct {
-	ask   pool.Ask
-	grant pool.Grant
+// nextPlacement is a nextPlacement for the next attempt, found before the present one is ended.
+type nextPlacement struct {
+	request pool.Ask
+	grant   pool.Grant
 }
 
 // watch ends an attempt whose endpoint is silent, once there is another place:
 // without one the silent endpoint is the best there is.
 type watch struct {
-	try    *try
+	try    *attempt
 	cancel func()
 	// limit is the silence after which another place is looked for.
 	limit time.Duration
@@ -32,26 +32,26 @@
 	stop    func()
 
 	mu sync.Mutex
-	// heard is when the last sign of life came, and begun states that it was an event.
-	heard time.Time
-	begun bool
+	// lastActivity is when the last sign of life came, and begun states that it was an event.
+	lastActivity time.Time
+	hasEvents    bool
 	// timer ends with the silence; nil for an attempt that is not watched.
 	timer *time.Timer
 	// next is the place that the attempt was ended for.
-	next *place
-	// left states that it was ended without one, as its endpoint has stopped.
-	left bool
-	// usual is the usual pause between events, and early ends with the silence that is
+	next *nextPlacement
+	// abandoned states that it was ended without one, as its endpoint has stopped.
+	abandoned bool
+	// meanPause is the meanPause pause between events, and early ends with the silence that is
 	// suspected; nil where nobody hears of suspicions.
-	usual time.Duration
-	early *time.Timer
-	// stopMoves ends that the owner of the pool may have the attempt move.
-	stopMoves func()
+	meanPause    time.Duration
+	suspectTimer *time.Timer
+	// stopMigrations ends that the owner of the pool may have the attempt move.
+	stopMigrations func()
 }
 
 // watch starts the watch of an attempt. Only streams that can be continued at
 // one more endpoint are watched: nothing is won by ending another one early.
-func (t *try) watch(ctx context.Context, cancel func()) *watch {
+func (t *attempt) watch(ctx context.Context, cancel func()) *watch {
 	w := &watch{
 		try:    t,
 		cancel: cancel,
@@ -63,12 +63,12 @@
 	}
 	limit, first := pool.Silence(r.GapTarget, t.grant.First)
 	w.limit = limit
-	w.heard = time.Now()
+	w.lastActivity = time.Now()
 	// The timer may end before it is kept.
 	w.mu.Lock()
 	w.timer = time.AfterFunc(first, w.replace)
 	w.mu.Unlock()
-	w.listen()
+	w.subscribeMigrations()
 	return w
 }
 
@@ -80,45 +80,45 @@
 		return
 	}
 	t := w.try
-	a := t.relay.ask(t.job)
+	a := t.relay.newPlacementRequest(t.job)
 	a.Exclude = append(a.Exclude[:len(a.Exclude):len(a.Exclude)], t.grant.Instance)
-	a.Replaces = w.silent()
-	if w.begun && a.Gap > 0 {
+	a.Replaces = w.describeSilence()
+	if w.hasEvents && a.Gap > 0 {
 		a.Resumed, a.Due = true, a.Gap-a.Replaces.For
 	}
 	ctx, cancel := context.WithTimeout(w.stopped, pool.ReplaceWithin)
 	defer cancel()
 	g, err := t.relay.parts.Placer.Place(ctx, a)
 	if err != nil {
-		t.relay.parts.Log.Info("silent endpoint kept", "request", t.job.head.ID, "attempt", t.ask.ID,
+		t.relay.parts.Log.Info("silent endpoint kept", "request", t.job.head.ID, "attempt", t.request.ID,
 			"endpoint", t.grant.Instance, "reason", err.Error())
-		w.timer.Reset(w.nextLook(err))
+		w.timer.Reset(w.nextSearchDelay(err))
 		return
 	}
-	w.next = &place{
-		ask:   a,
-		grant: g,
+	w.next = &nextPlacement{
+		request: a,
+		grant:   g,
 	}
 	w.cancel()
 }
 
-// silent describes the attempt. The caller holds the lock.
-func (w *watch) silent() pool.Replaced {
+// describeSilence describes the attempt. The caller holds the lock.
+func (w *watch) describeSilence() pool.Replaced {
 	r := w.try.job.route
 	patience := placement.Patience(r.Target, r.GapTarget)
-	if w.begun {
+	if w.hasEvents {
 		patience = placement.Patience(0, r.GapTarget)
 	}
-	silence := time.Since(w.heard)
+	silence := time.Since(w.lastActivity)
 	return pool.Replaced{
-		Attempt:  w.try.ask.ID,
+		Attempt:  w.try.request.ID,
 		For:      silence,
 		Patience: patience - silence,
 	}
 }
 
-// nextLook returns when to look for another place again after there was none.
-func (w *watch) nextLook(err error) time.Duration {
+// nextSearchDelay returns when to look for another place again after there was none.
+func (w *watch) nextSearchDelay(err error) time.Duration {
 	var r *pool.Refusal
 	if errors.As(err, &r) && r.Kept {
 		return r.After
@@ -126,8 +126,8 @@
 	return w.limit
 }
 
-// touch notes a sign of life.
-func (w *watch) touch() {
+// recordActivity notes a sign of life.
+func (w *watch) recordActivity() {
 	if w.timer == nil {
 		return
 	}
@@ -135,14 +135,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.notePause(now)
-	w.heard = now
-	w.begun = true
+	w.observePause(now)
+	w.lastActivity = now
+	w.hasEvents = true
 }
 
 // end ends the watch. It returns the place for the next attempt if the endpoint
 // was given up for it.
-func (w *watch) end() *place {
+func (w *watch) end() *nextPlacement {
 	w.stop()
 	if w.timer == nil {
 		return nil
@@ -150,7 +150,7 @@
 	w.timer.Stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.unlisten()
+	w.unsubscribe()
 	return w.next
 }
 
@@ -158,5 +158,5 @@
 func (w *watch) expired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.next != nil || w.left
+	return w.next != nil || w.abandoned
 }
--- a/relay/watch_test.go
+++ b/relay/watch_test.go
@@ -62,7 +62,7 @@
 				k := &keeper{err: row.err}
 				w := watched(t, k)
 				if row.begun {
-					w.touch()
+					w.recordActivity()
 				}
 				began := time.Now()
 				time.Sleep(5 * time.Second)
@@ -87,7 +87,7 @@
 			Log:    logr.Discard(),
 		},
 	}
-	a := &try{
+	a := &attempt{
 		relay: l,
 		job: &job{
 			route: &route.Route{
@@ -99,7 +99,7 @@
 			},
 			arrived: time.Now(),
 		},
-		ask: pool.Ask{
+		request: pool.Ask{
 			ID: "attempt",
 		},
 		grant: pool.Grant{
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -15,13 +15,13 @@
 // passed on, so that one that breaks off can be replaced.
 const maxWhole = 1 << 20
 
-// whole passes on an answer that is no stream. Success states that its status is
+// relayWhole passes on an answer that is no stream. Success states that its status is
 // one of success.
-func (t *try) whole(x *upstream.Exchange, w *watch, success bool) result {
+func (t *attempt) relayWhole(x *upstream.Exchange, w *watch, success bool) result {
 	j := t.job
 	data, err := io.ReadAll(io.LimitReader(x.Response.Body, maxWhole+1))
 	if err != nil {
-		return t.broken(err, w)
+		return t.handleBroken(err, w)
 	}
 	if j.out.begun {
 		// A stream is continued only by a stream.
@@ -43,17 +43,17 @@
 		r.outcome = pool.Failed
 		r.reason = "endpoint's own failure"
 	}
-	t.first()
+	t.recordFirstEvent()
 	if len(data) <= maxWhole {
 		x.Whole()
 		j.out.send(x.Response, data)
 		return r
 	}
-	return t.large(x, data, r)
+	return t.relayLarge(x, data, r)
 }
 
 // keepFailure keeps an endpoint's own failure for when no other answer can be had.
-func (t *try) keepFailure(x *upstream.Exchange, data []byte) result {
+func (t *attempt) keepFailure(x *upstream.Exchange, data []byte) result {
 	x.Whole()
 	t.job.failure = &failure{
 		response: x.Response,
@@ -81,25 +81,25 @@
 // retryLeft is the time that a further attempt needs to make sense.
 const retryLeft = 100 * time.Millisecond
 
-// large passes on an answer that is too large to be held. One that breaks off ends
+// relayLarge passes on an answer that is too relayLarge to be held. One that breaks off ends
 // the request, as its caller has the beginning.
-func (t *try) large(x *upstream.Exchange, begin []byte, r result) result {
+func (t *attempt) relayLarge(x *upstream.Exchange, begin []byte, r result) result {
 	out := t.job.out
 	out.head(x.Response, x.Response.ContentLength)
 	out.write(begin)
 	if _, err := io.Copy(out.w, x.Response.Body); err != nil {
 		r.final = false
 		r.outcome = pool.Failed
-		r.cut = !out.gone()
+		r.connectionLost = !out.gone()
 		r.reason = "large answer broke off: " + err.Error()
-		t.job.exhaust()
+		t.job.disallowRetries()
 		return r
 	}
 	x.Whole()
 	return r
 }
 
-// exhaust makes the request end with this attempt.
-func (j *job) exhaust() {
+// disallowRetries makes the request end with this attempt.
+func (j *job) disallowRetries() {
 	j.sends = max(j.sends, j.route.MaxAttempts)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -117,8 +117,8 @@
 	ColdPerSecond float64
 	// ColdStart is how long an endpoint stays cold that has started.
 	ColdStart time.Duration
-	// Usual is the mean size of its requests; zero when it is not known.
-	Usual Size
+	// TypicalSize is the mean size of its requests; zero when it is not known.
+	TypicalSize Size
 }
 
 // Size is the length of a request in tokens.
@@ -160,8 +160,8 @@
 	Services map[string]*Service
 	// Limits bound requests.
 	Limits Limits
-	// Keyed states whether routes that are not public need a key.
-	Keyed bool
+	// KeysRequired states whether routes that are not public need a key.
+	KeysRequired bool
 
 	// byHost are the routes of each host, those with the longest prefix first.
 	byHost map[string][]*Route
@@ -173,13 +173,13 @@
 // whether routes that are not public need a key.
 func New(version int64, routes []Route, services []Service, customers []Customer, keyed bool, l Limits) *Table {
 	t := &Table{
-		Version:  version,
-		Routes:   routes,
-		Services: make(map[string]*Service, len(services)),
-		Limits:   l,
-		Keyed:    keyed,
-		byHost:   make(map[string][]*Route),
-		byKey:    make(map[string]*Customer),
+		Version:      version,
+		Routes:       routes,
+		Services:     make(map[string]*Service, len(services)),
+		Limits:       l,
+		KeysRequired: keyed,
+		byHost:       make(map[string][]*Route),
+		byKey:        make(map[string]*Customer),
 	}
 	for i := range services {
 		t.Services[services[i].Name] = &services[i]
--- a/soak/configuration.go
+++ b/soak/configuration.go
@@ -97,11 +97,11 @@
 // the load decide what is late.
 func engineModel() *batch.Model {
 	return &batch.Model{
-		Slots:         endpointSlots,
-		Capacity:      200_000,
-		Stride:        20,
-		Step:          time.Millisecond,
-		ReadPerSecond: 1e6,
+		Slots:            endpointSlots,
+		Capacity:         200_000,
+		StepsPerPass:     20,
+		Step:             time.Millisecond,
+		PrefillPerSecond: 1e6,
 	}
 }
 
--- a/worth/scale.go
+++ b/worth/scale.go
@@ -75,8 +75,8 @@
 	Answer: 1_300,
 }
 
-// Kind is what the worth of a request depends on.
-type Kind struct {
+// Request is what the worth of a request depends on.
+type Request struct {
 	// Customer is the rank that its customer bought; 0 goes first.
 	Customer int
 	// Route names its route, and RouteRank is the rank of that; 0 goes first.
@@ -113,7 +113,7 @@
 type sizes struct {
 	prompt mean
 	output mean
-	last   Kind
+	last   Request
 }
 
 // New returns a scale for a service that has had no requests.
@@ -149,8 +149,8 @@
 	mostRoutes = 256
 )
 
-// Note takes over that a request of a kind has come.
-func (s *Scale) Note(k Kind) {
+// Observe takes over that a request of a kind has come.
+func (s *Scale) Observe(k Request) {
 	s.tiers.note(s.settings.tier(k), tiersOver)
 	seen := s.routes[k.Route]
 	if seen == nil {
@@ -166,7 +166,7 @@
 }
 
 // Value returns what an answer to a request of a kind is worth.
-func (s *Scale) Value(k Kind) Value {
+func (s *Scale) Value(k Request) Value {
 	inTime := s.ofRoute(k) * s.bySize(k) * s.settings.tier(k) / s.tiers.or(1)
 	return Value{
 		InTime: inTime,
@@ -175,7 +175,7 @@
 }
 
 // ofRoute returns what a usual request of a kind's route is worth before its tier.
-func (s *Scale) ofRoute(k Kind) float64 {
+func (s *Scale) ofRoute(k Request) float64 {
 	prompt, output := s.usualOf(k)
 	usual := s.model.Work(s.usual.Prompt, s.usual.Answer)
 	work := 1.0
@@ -187,7 +187,7 @@
 
 // bySize returns what a request is worth in parts of a usual one of its route: a fixed part,
 // and one in proportion to its size.
-func (s *Scale) bySize(k Kind) float64 {
+func (s *Scale) bySize(k Request) float64 {
 	usual := s.size(s.usualOf(k))
 	if usual == 0 {
 		return 1
@@ -199,14 +199,14 @@
 // size weighs the tokens of a prompt and an answer by the time that engines take for one,
 // in seconds; a long prompt does not count for more than its tokens.
 func (s *Scale) size(prompt, output float64) float64 {
-	if s.model.ReadPerSecond == 0 {
+	if s.model.PrefillPerSecond == 0 {
 		return 0
 	}
-	return prompt/s.model.ReadPerSecond + output*s.model.Step.Seconds()/float64(max(s.model.Slots, 1))
+	return prompt/s.model.PrefillPerSecond + output*s.model.Step.Seconds()/float64(max(s.model.Slots, 1))
 }
 
 // usualOf returns the mean lengths of the requests of a kind's route, in tokens.
-func (s *Scale) usualOf(k Kind) (prompt, output float64) {
+func (s *Scale) usualOf(k Request) (prompt, output float64) {
 	seen := s.routes[k.Route]
 	if seen == nil {
 		seen = &sizes{}
@@ -214,8 +214,8 @@
 	return seen.prompt.or(float64(k.Prompt)), seen.output.or(float64(k.Output))
 }
 
-// Usual is what is usual for the requests of a route.
-type Usual struct {
+// TypicalRequest is what is usual for the requests of a route.
+type TypicalRequest struct {
 	// Prompt and Output are the mean lengths of late, in tokens.
 	Prompt int `json:"prompt"`
 	Output int `json:"output"`
@@ -223,14 +223,14 @@
 	Worth float64 `json:"worth"`
 }
 
-// Routes returns what is usual for the routes that had requests, by name.
-func (s *Scale) Routes() map[string]Usual {
-	out := make(map[string]Usual, len(s.routes))
+// TypicalRequests returns what is usual for the routes that had requests, by name.
+func (s *Scale) TypicalRequests() map[string]TypicalRequest {
+	out := make(map[string]TypicalRequest, len(s.routes))
 	for name, seen := range s.routes {
 		k := seen.last
 		k.Prompt = int(math.Round(seen.prompt.or(0)))
 		k.Output = int(math.Round(seen.output.or(0)))
-		out[name] = Usual{
+		out[name] = TypicalRequest{
 			Prompt: k.Prompt,
 			Output: k.Output,
 			Worth:  s.Value(k).InTime,
@@ -241,7 +241,7 @@
 
 // tier returns what a request is worth by its ranks alone, in parts of one of the first
 // ranks.
-func (s *Settings) tier(k Kind) float64 {
+func (s *Settings) tier(k Request) float64 {
 	return s.customer(k.Customer) * s.route(k.RouteRank)
 }
 
--- a/worth/scale_test.go
+++ b/worth/scale_test.go
@@ -20,10 +20,10 @@
 // a millisecond; long prompts take longer for each token.
 func model() *batch.Model {
 	return &batch.Model{
-		Slots:           10,
-		Step:            time.Millisecond,
-		ReadPerSecond:   100_000,
-		PerMillionPairs: 100 * time.Microsecond,
+		Slots:            10,
+		Step:             time.Millisecond,
+		PrefillPerSecond: 100_000,
+		PerMillionPairs:  100 * time.Microsecond,
 	}
 }
 
@@ -34,19 +34,19 @@
 }
 
 // scale returns a scale that has seen requests of some kinds, each so often.
-func scale(s worth.Settings, kinds ...worth.Kind) *worth.Scale {
+func scale(s worth.Settings, kinds ...worth.Request) *worth.Scale {
 	out := worth.New(s)
 	out.SetModel(model(), usual)
 	for range 100 {
 		for _, k := range kinds {
-			out.Note(k)
+			out.Observe(k)
 		}
 	}
 	return out
 }
 
 // sized returns a request of a usual size.
-func sized(k worth.Kind) worth.Kind {
+func sized(k worth.Request) worth.Request {
 	k.Prompt, k.Output = usual.Prompt, usual.Answer
 	return k
 }
@@ -63,7 +63,7 @@
 func TestOneRank(t *testing.T) {
 	for _, rank := range []int{0, 1, 2, 9} {
 		t.Run(fmt.Sprint(rank), func(t *testing.T) {
-			k := sized(worth.Kind{
+			k := sized(worth.Request{
 				Customer:  rank,
 				RouteRank: rank,
 			})
@@ -75,14 +75,14 @@
 // TestOrder looks that of requests of one size that of the better rank is worth more, and
 // that a customer's rank goes before its routes'.
 func TestOrder(t *testing.T) {
-	order := []worth.Kind{
-		sized(worth.Kind{Customer: 0, RouteRank: 0}),
-		sized(worth.Kind{Customer: 0, RouteRank: 1}),
-		sized(worth.Kind{Customer: 0, RouteRank: 2}),
-		sized(worth.Kind{Customer: 1, RouteRank: 0}),
-		sized(worth.Kind{Customer: 1, RouteRank: 2}),
-		sized(worth.Kind{Customer: 2, RouteRank: 0}),
-		sized(worth.Kind{Customer: 2, RouteRank: 2}),
+	order := []worth.Request{
+		sized(worth.Request{Customer: 0, RouteRank: 0}),
+		sized(worth.Request{Customer: 0, RouteRank: 1}),
+		sized(worth.Request{Customer: 0, RouteRank: 2}),
+		sized(worth.Request{Customer: 1, RouteRank: 0}),
+		sized(worth.Request{Customer: 1, RouteRank: 2}),
+		sized(worth.Request{Customer: 2, RouteRank: 0}),
+		sized(worth.Request{Customer: 2, RouteRank: 2}),
 	}
 	s := scale(worth.Settings{}, order...)
 	for i := range order[1:] {
@@ -97,13 +97,13 @@
 // TestRoutes looks that routes are worth what the work of their usual requests is, and
 // requests within a route grow with their size, not with the work of long prompts.
 func TestRoutes(t *testing.T) {
-	short := worth.Kind{Route: "short", Prompt: 5_000, Output: 1_000}
-	long := worth.Kind{Route: "long", Prompt: 200_000, Output: 500}
+	short := worth.Request{Route: "short", Prompt: 5_000, Output: 1_000}
+	long := worth.Request{Route: "long", Prompt: 200_000, Output: 500}
 	s := scale(worth.Settings{}, short, long)
-	work := func(k worth.Kind) float64 {
+	work := func(k worth.Request) float64 {
 		return model().Work(k.Prompt, k.Output).Seconds() / model().Work(usual.Prompt, usual.Answer).Seconds()
 	}
-	for _, k := range []worth.Kind{short, long} {
+	for _, k := range []worth.Request{short, long} {
 		t.Run(k.Route, func(t *testing.T) {
 			is := is.New(t)
 			v := s.Value(k)
@@ -122,8 +122,8 @@
 // TestUsual tells what is usual for each route.
 func TestUsual(t *testing.T) {
 	is := is.New(t)
-	k := worth.Kind{Route: "long", RouteRank: 1, Prompt: 200_000, Output: 500}
-	got := scale(worth.Settings{}, k).Routes()
+	k := worth.Request{Route: "long", RouteRank: 1, Prompt: 200_000, Output: 500}
+	got := scale(worth.Settings{}, k).TypicalRequests()
 	is.Equal(len(got), 1)
 	is.Equal(got["long"].Prompt, 200_000)
 	is.Equal(got["long"].Output, 500)
@@ -132,14 +132,14 @@
 
 // TestPace looks that worth does not depend on how fast engines are.
 func TestPace(t *testing.T) {
-	k := worth.Kind{Route: "long", Prompt: 200_000, Output: 500}
+	k := worth.Request{Route: "long", Prompt: 200_000, Output: 500}
 	quick, slow := scale(worth.Settings{}, k), worth.New(worth.Settings{})
 	m := model()
 	m.Step *= 3
-	m.ReadPerSecond /= 3
+	m.PrefillPerSecond /= 3
 	m.PerMillionPairs *= 3
 	slow.SetModel(m, usual)
-	slow.Note(k)
+	slow.Observe(k)
 	if got, want := slow.Value(k).InTime, quick.Value(k).InTime; math.Abs(got-want) > 1e-6*want {
 		t.Errorf("got %g, want %g", got, want)
 	}
@@ -147,8 +147,8 @@
 
 // TestMix looks that the mean worth of requests stays where most of another rank come.
 func TestMix(t *testing.T) {
-	urgent, other := sized(worth.Kind{}), sized(worth.Kind{RouteRank: 2})
-	for _, kinds := range [][]worth.Kind{
+	urgent, other := sized(worth.Request{}), sized(worth.Request{RouteRank: 2})
+	for _, kinds := range [][]worth.Request{
 		{urgent, urgent, urgent, other},
 		{urgent, other, other, other},
 	} {
@@ -171,9 +171,9 @@
 func TestManyRoutes(t *testing.T) {
 	s := scale(worth.Settings{})
 	for i := range 1000 {
-		s.Note(sized(worth.Kind{Route: fmt.Sprint(i)}))
+		s.Observe(sized(worth.Request{Route: fmt.Sprint(i)}))
 	}
-	assertNear(t, s.Value(sized(worth.Kind{Route: "999"})).InTime, 1.25*1.3)
+	assertNear(t, s.Value(sized(worth.Request{Route: "999"})).InTime, 1.25*1.3)
 }
 
 // TestSettings takes what an operator set before the defaults.
@@ -184,18 +184,18 @@
 		Routes:    []float64{1, 0.8},
 		Customers: []float64{1, 0.9},
 	})
-	first := s.Value(sized(worth.Kind{}))
+	first := s.Value(sized(worth.Request{}))
 	assertNear(t, first.InTime, 1.25*1.5)
 	assertNear(t, first.Late/first.InTime, 0.4)
 	for _, row := range []struct {
-		kind worth.Kind
+		kind worth.Request
 		want float64
 	}{
-		{worth.Kind{RouteRank: 1}, 0.8},
-		{worth.Kind{RouteRank: 7}, 0.8},
-		{worth.Kind{Customer: 1}, 0.9},
-		{worth.Kind{Customer: 3, RouteRank: 3}, 0.72},
-		{worth.Kind{Customer: -1, RouteRank: -1}, 1},
+		{worth.Request{RouteRank: 1}, 0.8},
+		{worth.Request{RouteRank: 7}, 0.8},
+		{worth.Request{Customer: 1}, 0.9},
+		{worth.Request{Customer: 3, RouteRank: 3}, 0.72},
+		{worth.Request{Customer: -1, RouteRank: -1}, 1},
 	} {
 		t.Run(fmt.Sprint(row.kind), func(t *testing.T) {
 			assertNear(t, s.Value(sized(row.kind)).InTime/first.InTime, row.want)
@@ -233,18 +233,18 @@
 
 // TestNoModel takes requests of a service without engines, which all have a worth.
 func TestNoModel(t *testing.T) {
-	assertNear(t, worth.New(worth.Settings{}).Value(sized(worth.Kind{})).InTime, 1.25*1.3)
+	assertNear(t, worth.New(worth.Settings{}).Value(sized(worth.Request{})).InTime, 1.25*1.3)
 }
 
 func ExampleScale() {
 	s := worth.New(worth.Settings{})
 	s.SetModel(model(), usual)
-	question := worth.Kind{Route: "desk", Prompt: 5_000, Output: 1_000}
-	report := worth.Kind{Route: "reports", RouteRank: 2, Prompt: 100_000, Output: 500}
+	question := worth.Request{Route: "desk", Prompt: 5_000, Output: 1_000}
+	report := worth.Request{Route: "reports", RouteRank: 2, Prompt: 100_000, Output: 500}
 	for range 9 {
-		s.Note(question)
+		s.Observe(question)
 	}
-	s.Note(report)
+	s.Observe(report)
 	fmt.Printf("%.1f %.1f\n", s.Value(question).InTime, s.Value(report).InTime)
 	// Output: 1.4 3.5
 }
@@ -252,9 +252,9 @@
 func BenchmarkValue(b *testing.B) {
 	s := worth.New(worth.Settings{})
 	s.SetModel(model(), usual)
-	k := sized(worth.Kind{Customer: 1})
+	k := sized(worth.Request{Customer: 1})
 	for b.Loop() {
-		s.Note(k)
+		s.Observe(k)
 		s.Value(k)
 	}
 }
