--- a/order/order.go
+++ b/order/order.go
@@ -106,8 +106,8 @@
 
 // progress is how far one endpoint is.
 type progress struct {
-	// since is when the owner first saw the endpoint.
-	since time.Time
+	// ownedSince is when the owner first saw the endpoint.
+	ownedSince time.Time
 	// want is what was ordered last.
 	want State
 	// next is when to act again.
@@ -150,7 +150,7 @@
 		}
 		return Waiting
 	}
-	out, after := o.act(ctx, &t, have, client)
+	out, after := o.giveOrder(ctx, &t, have, client)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if p := o.progress[t.Endpoint]; p != nil {
@@ -168,8 +168,8 @@
 	p := o.progress[t.Endpoint]
 	if p == nil {
 		p = &progress{
-			since: now,
-			want:  t.Want,
+			ownedSince: now,
+			want:       t.Want,
 		}
 		o.progress[t.Endpoint] = p
 	}
@@ -177,20 +177,20 @@
 		p.next = time.Time{}
 		return false
 	}
-	if !t.Checks && now.Sub(p.since) < o.settings.HolderLease {
+	if !t.Checks && now.Sub(p.ownedSince) < o.settings.HolderLease {
 		return false
 	}
 	return !now.Before(p.next) || !p.want.equal(t.Want)
 }
 
-// act takes a permit and a fence, and gives the order. It returns when to act
+// giveOrder takes a permit and a fence, and gives the order. It returns when to giveOrder
 // again if the state does not change.
-func (o *Reconciler) act(ctx context.Context, t *Target, have State, client engine.Client) (Outcome, time.Duration) {
+func (o *Reconciler) giveOrder(ctx context.Context, t *Target, have State, client engine.Client) (Outcome, time.Duration) {
 	if !t.Want.sameWeights(have) {
 		_, err := o.store.Permit(ctx, t.Want.Model, t.Want.Version)
 		var limited *weights.LimitedError
 		if errors.As(err, &limited) {
-			return Limited, o.turn(limited.After, t.Demand)
+			return Limited, o.permitDelay(limited.After, t.Demand)
 		}
 		if err != nil {
 			return o.failed(t, "weight store", err)
@@ -219,8 +219,8 @@
 	return Ordered, o.settings.LoadTime
 }
 
-// turn returns when to ask the store again: later where nobody waits.
-func (o *Reconciler) turn(after time.Duration, demand int) time.Duration {
+// permitDelay returns when to ask the store again: later where nobody waits.
+func (o *Reconciler) permitDelay(after time.Duration, demand int) time.Duration {
 	if demand > 0 {
 		return after
 	}
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -16,10 +16,10 @@
 	longShare = 0.8
 	// maxLong is how many long prompts may be in prefill at one engine.
 	maxLong = 1
-	// longFloor is the part of a long prompt that counts as left until its
+	// minLongRemainder is the part of a long prompt that counts as left until its
 	// holder tells of the first token. Shorter prompts that go ahead hold long
 	// ones up for longer than the estimate knows.
-	longFloor = 0.05
+	minLongRemainder = 0.05
 	// initialTokenInterval is the time between tokens that is assumed at first.
 	initialTokenInterval = 20 * time.Millisecond
 	// smoothing is the weight of a new observation.
@@ -124,7 +124,7 @@
 		Granted:  now,
 	}
 	if e.Class >= Long {
-		e.floor = longFloor * e.Left
+		e.floor = minLongRemainder * e.Left
 	}
 	l.entries[id] = e
 	l.customers[e.Customer]++
--- a/policy/order.go
+++ b/policy/order.go
@@ -29,10 +29,10 @@
 const (
 	// ageing is how much expected work a second of waiting makes up for.
 	ageing = 0.2
-	// fairness is how much expected work a customer's whole share of the leases
+	// shareWeight is how much expected work a customer's whole share of the leases
 	// counts as, in seconds, so that a large customer does not hold up the
 	// others of its tier.
-	fairness = 2
+	shareWeight = 2
 	// reserveAfter is the part of MaxWait after which memory that comes free
 	// is kept for the request that waits for it.
 	reserveAfter = 0.5
@@ -120,7 +120,7 @@
 			Reason: ReasonOrder,
 		}
 	}
-	if best.Index >= 0 && reserved(queue, queue[best.Index], l, now) {
+	if best.Index >= 0 && mustKeepMemory(queue, queue[best.Index], l, now) {
 		return Verdict{
 			Index:  -1,
 			Reason: ReasonReserved,
@@ -145,12 +145,12 @@
 // score is the expected work in seconds and the customer's share, less what
 // waiting makes up for.
 func score(w *Work, l *Ledger, now time.Time) float64 {
-	return l.MinTime(w).Seconds() + fairness*l.Share(w.Customer) - ageing*now.Sub(w.Arrived).Seconds()
+	return l.MinTime(w).Seconds() + shareWeight*l.Share(w.Customer) - ageing*now.Sub(w.Arrived).Seconds()
 }
 
-// reserved states whether a request that lacks memory and has waited long goes
+// mustKeepMemory states whether a request that lacks memory and has waited long goes
 // ahead of w, so that w must leave the memory alone.
-func reserved(queue []*Work, w *Work, l *Ledger, now time.Time) bool {
+func mustKeepMemory(queue []*Work, w *Work, l *Ledger, now time.Time) bool {
 	for _, o := range queue {
 		if o == w || now.Sub(o.Arrived) < time.Duration(reserveAfter*float64(o.MaxWait)) {
 			continue
--- a/worth/mean.go
+++ b/worth/mean.go
@@ -8,15 +8,15 @@
 	weight float64
 }
 
-// note adds a value; earlier ones count less by one part in so many.
-func (m *mean) note(v, over float64) {
+// add adds a value; earlier ones count less by one part in so many.
+func (m *mean) add(v, over float64) {
 	kept := 1 - 1/over
 	m.sum = kept*m.sum + v
 	m.weight = kept*m.weight + 1
 }
 
-// or returns the mean, or another value when there is none.
-func (m *mean) or(otherwise float64) float64 {
+// valueOr returns the mean, valueOr another value when there is none.
+func (m *mean) valueOr(otherwise float64) float64 {
 	if m.weight == 0 {
 		return otherwise
 	}
--- a/worth/scale.go
+++ b/worth/scale.go
@@ -33,17 +33,17 @@
 		return errors.New("fixed must not be below zero")
 	case s.Late < 0 || s.Late > 1:
 		return errors.New("late must be from 0 to 1")
-	case !falls(s.Routes):
+	case !nonIncreasing(s.Routes):
 		return errors.New("routes must be above zero, none greater than the one before")
-	case !falls(s.Customers):
+	case !nonIncreasing(s.Customers):
 		return errors.New("customers must be above zero, none greater than the one before")
 	}
 	return nil
 }
 
-// falls states whether values are above zero and none is greater than the one before, so
+// nonIncreasing states whether values are above zero and none is greater than the one before, so
 // that no request is worth more for being less urgent.
-func falls(values []float64) bool {
+func nonIncreasing(values []float64) bool {
 	for i, v := range values {
 		if v <= 0 || i > 0 && v > values[i-1] {
 			return false
@@ -56,21 +56,21 @@
 const (
 	defaultFixed = 0.3
 	defaultLate  = 0.25
-	// customerStep is how many times as much a request is worth as one of the next rank
+	// customerRankRatio is how many times as much a request is worth as one of the next rank
 	// of customers: more than the three first ranks of routes are apart, so that a
 	// customer's rank goes before its routes'.
-	customerStep = 4
-	// mostRanks bounds the ranks of customers that are told apart.
-	mostRanks = 5
+	customerRankRatio = 4
+	// maxCustomerRanks bounds the ranks of customers that are told apart.
+	maxCustomerRanks = 5
 )
 
-// unit is what the work of a usual request is worth. With it a short prompt is worth some
-// 1.3, the unit of all measures in units of worth.
-const unit = 1.25
+// baseValue is what the work of a usual request is worth. With it a short prompt is worth some
+// 1.3, the baseValue of all measures in units of worth.
+const baseValue = 1.25
 
-// defaultUsual stands for the size of a usual request where the configuration does not say
+// defaultTypicalSize stands for the size of a usual request where the configuration does not say
 // it.
-var defaultUsual = route.Size{
+var defaultTypicalSize = route.Size{
 	Prompt: 14_000,
 	Answer: 1_300,
 }
@@ -101,16 +101,16 @@
 type Scale struct {
 	settings Settings
 	model    *batch.Model
-	// usual is the size of a usual request of the service.
-	usual route.Size
-	// tiers is the mean tier of the requests of late.
-	tiers mean
+	// typical is the size of a typical request of the service.
+	typical route.Size
+	// meanTier is the mean tier of the requests of late.
+	meanTier mean
 	// routes are the sizes of the routes' requests by name.
-	routes map[string]*sizes
+	routes map[string]*routeSizes
 }
 
-// sizes are the mean lengths of the requests of a route, in tokens, and its last request.
-type sizes struct {
+// routeSizes are the mean lengths of the requests of a route, in tokens, and its last request.
+type routeSizes struct {
 	prompt mean
 	output mean
 	last   Request
@@ -121,8 +121,8 @@
 	return &Scale{
 		settings: s,
 		model:    &batch.Model{},
-		usual:    defaultUsual,
-		routes:   make(map[string]*sizes),
+		typical:  defaultTypicalSize,
+		routes:   make(map[string]*routeSizes),
 	}
 }
 
@@ -133,62 +133,62 @@
 		s.model = m
 	}
 	if usual != (route.Size{}) {
-		s.usual = usual
+		s.typical = usual
 	}
 }
 
 const (
-	// tiersOver is over how many requests the mean tier is taken: some seconds of them,
+	// tierWindow is over how many requests the mean tier is taken: some seconds of them,
 	// so that it follows what is asked for and no single request moves it.
-	tiersOver = 500
-	// sizesOver is over how many requests of a route their mean size is taken: so many that
+	tierWindow = 500
+	// sizeWindow is over how many requests of a route their mean size is taken: so many that
 	// it is off by less than a tenth of what single requests differ by.
-	sizesOver = 100
-	// mostRoutes bounds the memory for routes whose sizes are kept. Requests of those beyond
+	sizeWindow = 100
+	// maxRoutes bounds the memory for routes whose sizes are kept. Requests of those beyond
 	// it count by their own sizes.
-	mostRoutes = 256
+	maxRoutes = 256
 )
 
 // Observe takes over that a request of a kind has come.
 func (s *Scale) Observe(k Request) {
-	s.tiers.note(s.settings.tier(k), tiersOver)
+	s.meanTier.add(s.settings.tier(k), tierWindow)
 	seen := s.routes[k.Route]
 	if seen == nil {
-		if len(s.routes) >= mostRoutes {
+		if len(s.routes) >= maxRoutes {
 			return
 		}
-		seen = &sizes{}
+		seen = &routeSizes{}
 		s.routes[k.Route] = seen
 	}
 	seen.last = k
-	seen.prompt.note(float64(k.Prompt), sizesOver)
-	seen.output.note(float64(k.Output), sizesOver)
+	seen.prompt.add(float64(k.Prompt), sizeWindow)
+	seen.output.add(float64(k.Output), sizeWindow)
 }
 
 // Value returns what an answer to a request of a kind is worth.
 func (s *Scale) Value(k Request) Value {
-	inTime := s.ofRoute(k) * s.bySize(k) * s.settings.tier(k) / s.tiers.or(1)
+	inTime := s.routeValue(k) * s.sizeFactor(k) * s.settings.tier(k) / s.meanTier.valueOr(1)
 	return Value{
 		InTime: inTime,
 		Late:   orDefault(s.settings.Late, defaultLate) * inTime,
 	}
 }
 
-// ofRoute returns what a usual request of a kind's route is worth before its tier.
-func (s *Scale) ofRoute(k Request) float64 {
-	prompt, output := s.usualOf(k)
-	usual := s.model.Work(s.usual.Prompt, s.usual.Answer)
+// routeValue returns what a usual request of a kind's route is worth before its tier.
+func (s *Scale) routeValue(k Request) float64 {
+	prompt, output := s.meanLengths(k)
+	usual := s.model.Work(s.typical.Prompt, s.typical.Answer)
 	work := 1.0
 	if usual > 0 {
 		work = s.model.Work(int(math.Round(prompt)), int(math.Round(output))).Seconds() / usual.Seconds()
 	}
-	return unit * (s.settings.fixed() + work)
+	return baseValue * (s.settings.fixed() + work)
 }
 
-// bySize returns what a request is worth in parts of a usual one of its route: a fixed part,
+// sizeFactor returns what a request is worth in parts of a usual one of its route: a fixed part,
 // and one in proportion to its size.
-func (s *Scale) bySize(k Request) float64 {
-	usual := s.size(s.usualOf(k))
+func (s *Scale) sizeFactor(k Request) float64 {
+	usual := s.size(s.meanLengths(k))
 	if usual == 0 {
 		return 1
 	}
@@ -205,13 +205,13 @@
 	return prompt/s.model.PrefillPerSecond + output*s.model.Step.Seconds()/float64(max(s.model.Slots, 1))
 }
 
-// usualOf returns the mean lengths of the requests of a kind's route, in tokens.
-func (s *Scale) usualOf(k Request) (prompt, output float64) {
+// meanLengths returns the mean lengths of the requests of a kind's route, in tokens.
+func (s *Scale) meanLengths(k Request) (prompt, output float64) {
 	seen := s.routes[k.Route]
 	if seen == nil {
-		seen = &sizes{}
+		seen = &routeSizes{}
 	}
-	return seen.prompt.or(float64(k.Prompt)), seen.output.or(float64(k.Output))
+	return seen.prompt.valueOr(float64(k.Prompt)), seen.output.valueOr(float64(k.Output))
 }
 
 // TypicalRequest is what is usual for the requests of a route.
@@ -228,8 +228,8 @@
 	out := make(map[string]TypicalRequest, len(s.routes))
 	for name, seen := range s.routes {
 		k := seen.last
-		k.Prompt = int(math.Round(seen.prompt.or(0)))
-		k.Output = int(math.Round(seen.output.or(0)))
+		k.Prompt = int(math.Round(seen.prompt.valueOr(0)))
+		k.Output = int(math.Round(seen.output.valueOr(0)))
 		out[name] = TypicalRequest{
 			Prompt: k.Prompt,
 			Output: k.Output,
@@ -253,7 +253,7 @@
 // route returns what a request is worth by the rank of its route.
 func (s *Settings) route(rank int) float64 {
 	if len(s.Routes) > 0 {
-		return s.Routes[within(rank, len(s.Routes))]
+		return s.Routes[clampIndex(rank, len(s.Routes))]
 	}
 	return 1 / float64(1+max(rank, 0))
 }
@@ -261,17 +261,17 @@
 // customer returns what a request is worth by the rank of its customer.
 func (s *Settings) customer(rank int) float64 {
 	if len(s.Customers) > 0 {
-		return s.Customers[within(rank, len(s.Customers))]
+		return s.Customers[clampIndex(rank, len(s.Customers))]
 	}
 	worth := 1.0
-	for range within(rank, mostRanks) {
-		worth /= customerStep
+	for range clampIndex(rank, maxCustomerRanks) {
+		worth /= customerRankRatio
 	}
 	return worth
 }
 
-// within returns the index of a rank in a list.
-func within(rank, length int) int {
+// clampIndex returns the index of a rank in a list.
+func clampIndex(rank, length int) int {
 	return min(max(rank, 0), length-1)
 }
 
