--- a/pool/decide.go
+++ b/pool/decide.go
@@ -41,12 +41,12 @@
 	if w.fallback {
 		list = s.rotated(list)
 	}
-	w.request.Readings = p.prefillLoad(w, now)
-	plan, ok := placement.Make(list, w.request, now)
-	w.late = !ok || plan.Loses > lateLossShare*w.request.Worth
+	w.request.LongPrefills = p.prefillLoad(w, now)
+	plan, ok := placement.MakePlan(list, w.request, now)
+	w.late = !ok || plan.OwnLoss > lateLossShare*w.request.Worth
 	switch {
 	case !ok:
-	case now.Add(plan.First).After(w.givesUpAt()):
+	case now.Add(plan.TimeToFirstEvent).After(w.givesUpAt()):
 	case w.outOfSlots(list) || w.yields() && mostSlotsUsed(list):
 	case w.shouldDefer(&plan, list, now):
 	case s.yieldsToBurst(p, w, &plan, len(list), now):
@@ -76,10 +76,10 @@
 	if w.ask.isShort() || left <= 0 {
 		return false
 	}
-	if w.late && placement.Soonest(list, w.request) < time.Duration(deferPrefillShare*float64(left)) {
+	if w.late && placement.MinPrefillTime(list, w.request) < time.Duration(deferPrefillShare*float64(left)) {
 		return true
 	}
-	return plan.Spoils > toleratedHarm && plan.First < time.Duration(deferFirstShare*float64(left))
+	return plan.OthersLoss > toleratedHarm && plan.TimeToFirstEvent < time.Duration(deferFirstShare*float64(left))
 }
 
 // lateFromStart states whether a request was late when it came: its caller has come
@@ -91,14 +91,14 @@
 // coversCost states whether what a request keeps covers what others lose by its plan, and
 // the price of the engines' time that it takes.
 func (p *poolState) coversCost(w *Waiter, plan *placement.Plan, now time.Time) bool {
-	keeps := w.request.Worth - plan.Loses
+	keeps := w.request.Worth - plan.OwnLoss
 	if !w.yields() && keeps < p.priceNow(now)*p.engineTime(w).Seconds() {
 		return false
 	}
-	if plan.Spoils <= toleratedHarm {
+	if plan.OthersLoss <= toleratedHarm {
 		return true
 	}
-	return keeps > harmFactor*plan.Spoils
+	return keeps > harmFactor*plan.OthersLoss
 }
 
 // yields states whether a request is short and was late when its caller came back. It
@@ -128,5 +128,5 @@
 	if !w.late || w.lateFromStart() {
 		return 0
 	}
-	return plan.Loses
+	return plan.OwnLoss
 }
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -15,7 +15,7 @@
 		instance:       plan.Engine.Instance,
 		startedAt:      born,
 		placedAt:       now,
-		predictedFirst: plan.First,
+		predictedFirst: plan.TimeToFirstEvent,
 		workload:       w.workload(),
 		entry:          w.entry,
 		watched:        w.ask.watched(),
@@ -24,7 +24,7 @@
 		Instance: plan.Engine.Instance,
 		Address:  plan.Engine.Address,
 		Born:     born,
-		First:    plan.First,
+		First:    plan.TimeToFirstEvent,
 		Waited:   now.Sub(w.arrived),
 		By:       s.settings.Self,
 	}
@@ -33,7 +33,7 @@
 		g.Readers = append(g.Readers, Reader{
 			Instance: o.Engine.Instance,
 			Address:  o.Engine.Address,
-			Reserved: o.Hold,
+			Reserved: o.Memory,
 		})
 	}
 	withheld := p.withheld(w, now)
@@ -46,8 +46,8 @@
 	p.attempts[w.ask.ID] = at
 	s.log.Info("place", "attempt", w.ask.ID, "service", w.ask.Service, "prompt", w.ask.Prompt,
 		"returning", w.ask.Returning, "rank", w.ask.Rank, "route_rank", w.ask.RouteRank, "worth", w.request.Worth, "endpoint", g.Instance,
-		"readers", at.joint, "first_ms", g.First.Milliseconds(), "read_ms", plan.Read.Milliseconds(),
-		"spoils", plan.Spoils, "loses", plan.Loses, "waited_ms", g.Waited.Milliseconds(), "queue", len(p.queue),
+		"readers", at.joint, "first_ms", g.First.Milliseconds(), "read_ms", plan.PrefillTime.Milliseconds(),
+		"spoils", plan.OthersLoss, "loses", plan.OwnLoss, "waited_ms", g.Waited.Milliseconds(), "queue", len(p.queue),
 		"work_ms", p.engineTime(w).Milliseconds(), "price", p.priceNow(now),
 		"due_ms", w.request.TargetAt.Sub(now).Milliseconds(), "resumed", w.ask.Resumed,
 		"withheld", withheld, "limit", limit.Rate, "limit_age_ms", limit.Age(now).Milliseconds())
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -202,7 +202,7 @@
 // when it is in time later, too, or is late anyway, or its engines' part of the crowd is
 // worth more. Streams that wait to be read on its engines would else wait for all of it.
 func (r *reconnects) burstGoesFirst(w *Waiter, plan *placement.Plan, engines int, now time.Time) bool {
-	if plan.Read < burstMinPrefill {
+	if plan.PrefillTime < burstMinPrefill {
 		return false
 	}
 	r.detectBurst(engines, now)
@@ -211,7 +211,7 @@
 		return false
 	}
 	left := w.request.TargetAt.Sub(now)
-	if w.late || plan.First+wait < left {
+	if w.late || plan.TimeToFirstEvent+wait < left {
 		return true
 	}
 	part := float64(len(plan.Others)+1) / float64(engines)
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -178,7 +178,7 @@
 	p := s.pool(a.Service)
 	p.refusedCallers.recognize(&a, now)
 	if !a.Returning && !a.Again {
-		p.worth.Note(a.kind())
+		p.worth.Observe(a.kind())
 	}
 	s.lookForStopped(p, a.Service, now)
 	w := s.newWaiter(p, a, now)
@@ -193,7 +193,7 @@
 		return w
 	}
 	p.reconnects.match(w, now)
-	w.request.Travel = p.transit.time
+	w.request.TransitTime = p.transit.time
 	s.updateSlowdowns(p, now)
 	s.decide(p, w, now)
 	return w
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -60,7 +60,7 @@
 		// Short ones are read beside long ones, in the next pass of some engine.
 		unread = time.Duration(float64(ahead.prefill) / totalSpeed(list) / prefillShare)
 	}
-	ready := now.Add(unread + placement.Soonest(list, w.request))
+	ready := now.Add(unread + placement.MinPrefillTime(list, w.request))
 	switch {
 	case w.firstTry() && w.late && !w.ask.isShort() && ready.After(w.request.TargetAt):
 		return s.refusal("no endpoint can read it in time", unread)
@@ -110,7 +110,7 @@
 func (p *poolState) pendingPrefill() time.Duration {
 	sum := time.Duration(0)
 	for _, e := range p.list {
-		sum += time.Duration(float64(e.Unread()) * e.Speed())
+		sum += time.Duration(float64(e.PendingPrefill()) * e.Speed())
 	}
 	return sum
 }
@@ -149,7 +149,7 @@
 	if len(p.list) == 0 {
 		return 0
 	}
-	return p.list[0].Model.Read(w.ask.Prompt, 1)
+	return p.list[0].Model.PrefillTime(w.ask.Prompt, 1)
 }
 
 // engineTime returns the time of one engine that a request takes.
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -75,7 +75,7 @@
 		if e == nil {
 			return 0, false
 		}
-		wait, reason := e.Expects(id, silence-silenceSlack, now)
+		wait, reason := e.NextEvent(id, silence-silenceSlack, now)
 		left = max(left, wait)
 		known = known || reason
 	}
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -411,7 +411,7 @@
 	if off := pace/before - 1; off < minSlowdownChange && off > -minSlowdownChange {
 		return false
 	}
-	e.SetPace(pace, now)
+	e.SetSlowdown(pace, now)
 	r.changedAt = now
 	r.samples = r.samples[:0]
 	p.slowdowns.changes++
--- a/pool/state.go
+++ b/pool/state.go
@@ -129,7 +129,7 @@
 	e.Closed = c.Leaving
 	p.cold.setColdUntil(c.Instance, c.ColdUntil)
 	e.Model = svc.Engine
-	p.worth.SetModel(svc.Engine, svc.Usual)
+	p.worth.SetModel(svc.Engine, svc.TypicalSize)
 	if e.Model == nil {
 		p.plain = true
 		e.Model = &batch.Model{}
@@ -263,7 +263,7 @@
 	}
 	for _, name := range at.joint {
 		if e := p.engines[name]; e != nil {
-			e.FinishPart(id, now)
+			e.FinishShare(id, now)
 		}
 	}
 	return late
