--- a/emulator/attempt.go
+++ b/emulator/attempt.go
@@ -33,9 +33,9 @@
 		id:     id,
 		grant:  g,
 		engine: c.play.engines[g.Instance],
-		unread: len(g.Readers) + 1,
+		unread: len(g.Shares) + 1,
 	}
-	for _, r := range g.Readers {
+	for _, r := range g.Shares {
 		a.helpers = append(a.helpers, c.play.engines[r.Instance])
 	}
 	return a
@@ -52,7 +52,7 @@
 	memory := c.request.Prompt + c.request.Events*c.play.sheet.Engines.Stride
 	joint := len(a.helpers) > 0
 	for i, e := range a.helpers {
-		hold := a.grant.Readers[i].Reserved
+		hold := a.grant.Shares[i].Reserved
 		memory -= hold
 		e.add(&job{
 			attempt:  a,
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -149,10 +149,10 @@
 }
 
 // askFor describes the request to the owner.
-func (c *caller) askFor(entered time.Time) pool.Ask {
+func (c *caller) askFor(entered time.Time) pool.PlacementRequest {
 	now := c.play.clock.now
 	c.play.asks++
-	a := pool.Ask{
+	a := pool.PlacementRequest{
 		ID:        fmt.Sprintf("r%d.%d", c.index, c.play.asks),
 		Service:   service,
 		Route:     c.kind.Name,
@@ -164,11 +164,11 @@
 		Gap:       time.Duration(c.kind.Gap),
 		Deadline:  time.Duration(c.kind.Deadline) - now.Sub(c.began),
 		Exclude:   c.exclude,
-		Again:     c.sends > 0,
+		Retry:     c.sends > 0,
 	}
 	if c.tries > 1 {
 		a.Returning = true
-		a.Spent = c.asked.Sub(c.began)
+		a.Elapsed = c.asked.Sub(c.began)
 	}
 	return a
 }
@@ -185,7 +185,7 @@
 		return
 	}
 	c.turn++
-	wait := min(r.After, time.Duration(retryShare*float64(left)))
+	wait := min(r.RetryAfter, time.Duration(retryShare*float64(left)))
 	c.play.clock.after(wait, c.ask)
 }
 
@@ -199,7 +199,7 @@
 	a := newAttempt(c, id, g)
 	c.attempt = a
 	c.play.clock.after(c.play.ways(1), a.begin)
-	silence, first := pool.Silence(time.Duration(c.kind.Gap), g.First)
+	silence, first := pool.SilenceLimits(time.Duration(c.kind.Gap), g.FirstEventIn)
 	c.watch(a, silence, first)
 }
 
@@ -235,10 +235,10 @@
 		patience = placement.Patience(0, time.Duration(c.kind.Gap))
 	}
 	silence := c.play.clock.now.Sub(a.heard)
-	ask.Replaces = pool.Replaced{
-		Attempt:  a.id,
-		For:      silence,
-		Patience: patience - silence,
+	ask.Replaces = pool.ReplacedAttempt{
+		ID:        a.id,
+		SilentFor: silence,
+		Patience:  patience - silence,
 	}
 	q := c.play.submit(ask, func(g pool.Grant) {
 		c.pending = nil
@@ -253,11 +253,11 @@
 		c.play.clock.after(c.play.ways(1), func() { c.send(ask.ID, g) })
 	}, func(r *pool.Refusal) {
 		c.pending = nil
-		if r.Kept {
-			a.looks = r.After
+		if r.KeepReplaced {
+			a.looks = r.RetryAfter
 		}
 	})
-	c.play.clock.after(pool.ReplaceWithin, func() { c.play.withdraw(q) })
+	c.play.clock.after(pool.ReplacementTimeout, func() { c.play.withdraw(q) })
 }
 
 // event takes an event of the attempt, at the caller.
--- a/emulator/overload_test.go
+++ b/emulator/overload_test.go
@@ -55,7 +55,7 @@
 	requests := emulator.Draw(s, 1)
 	r := emulator.Play(s, requests, pool.Settings{}, 1)
 	p := r.Predictions
-	t.Log("predictions met:", p.Within, "of", p.Predicted, "in time:", inTime(requests, r, 5*time.Second, 20*time.Second))
-	is.True(float64(p.Within) > 0.56*float64(p.Predicted)) // 0.51 when they reach the engine at once
+	t.Log("predictions met:", p.WithinTolerance, "of", p.Predicted, "in time:", inTime(requests, r, 5*time.Second, 20*time.Second))
+	is.True(float64(p.WithinTolerance) > 0.56*float64(p.Predicted)) // 0.51 when they reach the engine at once
 	is.True(inTime(requests, r, 5*time.Second, 20*time.Second) > 0.98)
 }
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -159,7 +159,7 @@
 
 // submit asks the scheduler, and calls grant or refuse once it has decided. It returns nil
 // when that is at once.
-func (p *play) submit(a pool.Ask, grant func(pool.Grant), refuse func(*pool.Refusal)) *pending {
+func (p *play) submit(a pool.PlacementRequest, grant func(pool.Grant), refuse func(*pool.Refusal)) *pending {
 	q := &pending{
 		waiter: p.pool.Submit(a),
 		grant:  grant,
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -79,7 +79,7 @@
 	// Outcomes are in the order of the requests.
 	Outcomes []Outcome
 	// Predictions tells how well first events were predicted.
-	Predictions pool.Figures
+	Predictions pool.Stats
 	// Silent counts the attempts that ended for silence.
 	Silent int
 }
@@ -93,7 +93,7 @@
 	r := &Result{
 		sheet:       p.sheet,
 		Silent:      p.silent,
-		Predictions: p.pool.Figures()[service],
+		Predictions: p.pool.Stats()[service],
 	}
 	for _, c := range p.callers {
 		r.requests = append(r.requests, *c.request)
--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -22,7 +22,7 @@
 func (g *Gateway) metrics(w http.ResponseWriter, _ *http.Request) {
 	all := new(expvar.Map).Init()
 	all.Set("relay", g.relay.Metrics.Vars)
-	all.Set("pools", expvar.Func(func() any { return g.pools.Figures() }))
+	all.Set("pools", expvar.Func(func() any { return g.pools.Stats() }))
 	all.Set("store", expvar.Func(func() any { return g.storeFigures() }))
 	all.Set("quarantine", expvar.Func(func() any { return g.quarantine.Figures() }))
 	all.Set("process", expvar.Func(func() any { return g.processFigures() }))
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -220,8 +220,8 @@
 
 // figures are some of what an instance tells on its admin address.
 type figures struct {
-	Pools      map[string]pool.Figures `json:"pools"`
-	Quarantine quarantine.Figures      `json:"quarantine"`
+	Pools      map[string]pool.Stats `json:"pools"`
+	Quarantine quarantine.Figures    `json:"quarantine"`
 	Store      struct {
 		Endpoints int `json:"endpoints"`
 		Departed  int `json:"departed"`
--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -6,12 +6,12 @@
 
 // Adopt takes over an attempt that another instance placed. It changes nothing
 // when the attempt is known.
-func (s *Scheduler) Adopt(a Ask, g Grant, begun bool) {
+func (s *Scheduler) Adopt(a PlacementRequest, g Grant, begun bool) {
 	s.adoptFor(a, g, s.settings.Self, begun)
 }
 
 // adoptFor takes over an entry's attempt.
-func (s *Scheduler) adoptFor(a Ask, g Grant, entry string, begun bool) {
+func (s *Scheduler) adoptFor(a PlacementRequest, g Grant, entry string, begun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(a.Service)
@@ -20,7 +20,7 @@
 		return
 	}
 	now := s.settings.Now()
-	if !a.Again {
+	if !a.Retry {
 		p.retry.first(now)
 	}
 	w := s.waiter(p, a, now)
@@ -31,9 +31,9 @@
 	}
 	at := &placed{
 		instance: g.Instance,
-		born:     g.Born,
+		born:     g.StartedAt,
 		at:       now,
-		first:    g.First,
+		first:    g.FirstEventIn,
 		begun:    begun,
 		work:     w.work(),
 		entry:    entry,
@@ -43,16 +43,16 @@
 		p.cold.give(g.Instance, now)
 	}
 	if p.plain {
-		p.give(at, now)
+		p.countAssignment(at, now)
 		addPlain(e, a.ID)
 		p.placed[a.ID] = at
 		return
 	}
-	plan := p.planOf(&a, &g, e)
+	plan := p.planFromGrant(&a, &g, e)
 	for _, o := range plan.Others {
 		at.readers = append(at.readers, o.Engine.Instance)
 	}
-	p.give(at, now)
+	p.countAssignment(at, now)
 	plan.Apply(w.request, now)
 	p.placed[a.ID] = at
 	if begun {
@@ -60,15 +60,15 @@
 	}
 }
 
-// planOf returns the plan that a grant was made from, as far as its endpoints are
+// planFromGrant returns the plan that a grant was made from, as far as its endpoints are
 // known.
-func (p *state) planOf(a *Ask, g *Grant, e *placement.Engine) placement.Plan {
+func (p *state) planFromGrant(a *PlacementRequest, g *Grant, e *placement.Engine) placement.Plan {
 	plan := placement.Plan{
 		Engine: e,
-		Read:   e.Model.Read(a.Prompt, len(g.Readers)+1),
+		Read:   e.Model.Read(a.Prompt, len(g.Shares)+1),
 		Hold:   a.Prompt + a.Output,
 	}
-	for _, r := range g.Readers {
+	for _, r := range g.Shares {
 		o := p.engines[r.Instance]
 		if o == nil {
 			continue
@@ -82,8 +82,8 @@
 	return plan
 }
 
-// orphan marks attempts whose entry is out of touch, and returns the mark.
-func (s *Scheduler) orphan(attempts map[string]string) int64 {
+// markOrphans marks attempts whose entry is out of touch, and returns the mark.
+func (s *Scheduler) markOrphans(attempts map[string]string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.marks++
@@ -96,8 +96,8 @@
 	return s.marks
 }
 
-// forget ends the attempts that still have a mark.
-func (s *Scheduler) forget(attempts map[string]string, mark int64) {
+// endOrphans ends the attempts that still have a mark.
+func (s *Scheduler) endOrphans(attempts map[string]string, mark int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, service := range attempts {
--- a/pool/alone_test.go
+++ b/pool/alone_test.go
@@ -47,7 +47,7 @@
 			Self: fmt.Sprint("n", i),
 		}, logr.Discard())
 		s.Update(snap)
-		g, err := s.place(t.Context(), Ask{
+		g, err := s.place(t.Context(), PlacementRequest{
 			ID:       "one",
 			Service:  "engines",
 			Prompt:   5000,
@@ -86,7 +86,7 @@
 	c := NewClient(snap.Peers["n20"], nil, nil, logr.Discard())
 	owned := make(map[string]int)
 	for i := range pools {
-		for _, id := range c.rank(fmt.Sprint("s", i), snap)[:wantedOwners] {
+		for _, id := range c.rankOwners(fmt.Sprint("s", i), snap)[:followedOwners] {
 			is.Equal(snap.Peers[id].Capacity, 800)
 			owned[id]++
 		}
--- a/pool/arrival.go
+++ b/pool/arrival.go
@@ -12,7 +12,7 @@
 }
 
 // callerOf returns the caller of a request, or false when nothing tells it.
-func callerOf(a *Ask) (caller, bool) {
+func callerOf(a *PlacementRequest) (caller, bool) {
 	return caller{
 		customer: a.Customer,
 		content:  a.Content,
@@ -56,15 +56,15 @@
 		r.callers = make(map[caller]firstTry)
 	}
 	r.callers[key] = firstTry{
-		at:    w.arrived.Add(-w.ask.Spent),
+		at:    w.arrived.Add(-w.ask.Elapsed),
 		until: w.arrived.Add(w.ask.Deadline),
 	}
 }
 
 // recall completes an ask whose caller was refused before. What an endpoint had is no new
 // try of the caller.
-func (r *refusedBefore) recall(a *Ask, now time.Time) {
-	if a.Again || a.Replaces.Attempt != "" {
+func (r *refusedBefore) recall(a *PlacementRequest, now time.Time) {
+	if a.Retry || a.Replaces.ID != "" {
 		return
 	}
 	key, ok := callerOf(a)
@@ -80,7 +80,7 @@
 		return
 	}
 	a.Returning = true
-	a.Spent = max(a.Spent, now.Sub(first.at))
+	a.Elapsed = max(a.Elapsed, now.Sub(first.at))
 }
 
 // forget drops the callers that wait no longer.
@@ -98,7 +98,7 @@
 // late is read and it has no place still: others come all the time that go first, so that
 // waiting further would be in vain.
 func (s *Scheduler) overdue(p *state, w *Waiter, ready, now time.Time) *Refusal {
-	if w.ask.Target <= shedTarget || w.ask.Again || w.request.TargetAt.After(now) {
+	if w.ask.Target <= shedTarget || w.ask.Retry || w.request.TargetAt.After(now) {
 		return nil
 	}
 	if w.placeBy.IsZero() {
--- a/pool/arrival_test.go
+++ b/pool/arrival_test.go
@@ -11,8 +11,8 @@
 )
 
 // refusedAsk returns a request of a caller that has ten seconds.
-func refusedAsk(customer string, content uint64) Ask {
-	return Ask{
+func refusedAsk(customer string, content uint64) PlacementRequest {
+	return PlacementRequest{
 		Customer: customer,
 		Content:  content,
 		Target:   3 * time.Second,
@@ -25,7 +25,7 @@
 	const back = 4 * time.Second
 	for _, row := range []struct {
 		name  string
-		ask   Ask
+		ask   PlacementRequest
 		after time.Duration
 		want  time.Duration
 	}{
@@ -34,8 +34,8 @@
 		{"another customer", refusedAsk("d", 7), back, 0},
 		{"prompt not told", refusedAsk("c", 0), back, 0},
 		{"its caller has gone", refusedAsk("c", 7), 11 * time.Second, 0},
-		{"its endpoint failed", Ask{Customer: "c", Content: 7, Again: true}, back, 0},
-		{"its endpoint is silent", Ask{Customer: "c", Content: 7, Replaces: Replaced{Attempt: "a"}}, back, 0},
+		{"its endpoint failed", PlacementRequest{Customer: "c", Content: 7, Retry: true}, back, 0},
+		{"its endpoint is silent", PlacementRequest{Customer: "c", Content: 7, Replaces: ReplacedAttempt{ID: "a"}}, back, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -47,7 +47,7 @@
 			}
 			r.recall(&row.ask, moment.Add(row.after))
 			is.Equal(row.ask.Returning, row.want > 0)
-			is.Equal(row.ask.Spent, row.want)
+			is.Equal(row.ask.Elapsed, row.want)
 		})
 	}
 	t.Run("refused again", func(t *testing.T) {
@@ -62,7 +62,7 @@
 		r.note(w, moment.Add(back))
 		third := refusedAsk("c", 7)
 		r.recall(&third, moment.Add(back+time.Second))
-		is.Equal(third.Spent, back+time.Second)
+		is.Equal(third.Elapsed, back+time.Second)
 	})
 	t.Run("many", func(t *testing.T) {
 		is := is.New(t)
@@ -129,7 +129,7 @@
 			p.price.note(time.Second, row.price/priceShare, now)
 			w := waiting(50_000, row.target)
 			w.request.LateWorth = 0.25
-			w.ask.Again = row.again
+			w.ask.Retry = row.again
 			r := s.overdue(p, w, moment.Add(row.ready), now)
 			is.Equal(r != nil, row.refuse)
 		})
--- a/pool/check.go
+++ b/pool/check.go
@@ -17,34 +17,34 @@
 
 // The measures of checking all endpoints of a pool.
 const (
-	// togetherLeast is how many endpoints must be found to have stopped within
+	// minCorrelatedStops is how many endpoints must be found to have stopped within
 	// togetherWithin for the others to be checked: more than one at a moment has a cause in
 	// common, and those on which nobody waits for an event show nothing.
-	togetherLeast  = 2
-	togetherWithin = 300 * time.Millisecond
-	// checkWithin bounds a check: many round trips. checkEvery bounds how often all are
+	minCorrelatedStops = 2
+	correlationWindow  = 300 * time.Millisecond
+	// checkTimeout bounds a check: many round trips. checkInterval bounds how often all are
 	// checked.
-	checkWithin = 50 * time.Millisecond
-	checkEvery  = time.Second
-	// verifyEvery bounds how often it is looked whether a silent endpoint is there, and how
+	checkTimeout  = 50 * time.Millisecond
+	checkInterval = time.Second
+	// verifyInterval bounds how often it is looked whether a silent endpoint is there, and how
 	// long it is taken to be busy once it was.
-	verifyEvery = time.Second
-	// recheckEvery is how often an endpoint is checked that is not there, and absentMost how
+	verifyInterval = time.Second
+	// recheckInterval is how often an endpoint is checked that is not there, and maxAbsence how
 	// long it is left out for that: the link of this instance may be at fault.
-	recheckEvery = 300 * time.Millisecond
-	absentMost   = 5 * time.Second
-	// checksAtOnce bounds the connections that a check has open, so that an instance before
+	recheckInterval = 300 * time.Millisecond
+	maxAbsence      = 5 * time.Second
+	// maxConcurrentChecks bounds the connections that a check has open, so that an instance before
 	// thousands of engines doesn't run out of descriptors. Before 1,000 engines the busiest
 	// of 100 instances had 263 connections with it and 932 without (one run each). As many
 	// that don't answer are looked at in checkWithin.
-	checksAtOnce = 128
-	// checkTrusted is the part of the endpoints that may leave a check unanswered for it
+	maxConcurrentChecks = 128
+	// maxUnansweredShare is the part of the endpoints that may leave a check unanswered for it
 	// to count. With more, this instance's own links are at fault.
-	checkTrusted = 0.75
+	maxUnansweredShare = 0.75
 )
 
-// checks are how the endpoints of a pool are checked. The zero value is ready for use.
-type checks struct {
+// checkState are how the endpoints of a pool are checked. The zero value is ready for use.
+type checkState struct {
 	// found are when endpoints were found to have stopped, by instance.
 	found map[string]time.Time
 	// at is when all were last checked, and again states that those are checked again that
@@ -56,15 +56,15 @@
 	failed  int
 }
 
-// noteStopped notes that an endpoint was found to have stopped, and states whether the
+// recordStopped notes that an endpoint was found to have stopped, and states whether the
 // others are to be checked.
-func (c *checks) noteStopped(instance string, now time.Time) bool {
+func (c *checkState) recordStopped(instance string, now time.Time) bool {
 	if c.found == nil {
 		c.found = make(map[string]time.Time)
 	}
 	c.found[instance] = now
-	maps.DeleteFunc(c.found, func(_ string, at time.Time) bool { return now.Sub(at) > togetherWithin })
-	if len(c.found) < togetherLeast || !c.at.IsZero() && now.Sub(c.at) < checkEvery {
+	maps.DeleteFunc(c.found, func(_ string, at time.Time) bool { return now.Sub(at) > correlationWindow })
+	if len(c.found) < minCorrelatedStops || !c.at.IsZero() && now.Sub(c.at) < checkInterval {
 		return false
 	}
 	c.at = now
@@ -74,7 +74,7 @@
 // checkAll checks the endpoints of a pool that have not been set aside, if one was found to
 // have stopped soon after another. The caller holds the lock.
 func (s *Scheduler) checkAll(p *state, service, found string, now time.Time) {
-	if s.settings.Check == nil || !p.checks.noteStopped(found, now) {
+	if s.settings.Check == nil || !p.checks.recordStopped(found, now) {
 		return
 	}
 	addresses := p.addresses(func(h *health) bool { return h.usable(now) })
@@ -87,36 +87,36 @@
 func (p *state) addresses(wanted func(h *health) bool) map[string]string {
 	out := make(map[string]string)
 	for _, e := range p.list {
-		if p.takesPart(e) && wanted(p.health[e.Instance]) {
+		if p.acceptsRequests(e) && wanted(p.health[e.Instance]) {
 			out[e.Instance] = e.Address
 		}
 	}
 	return out
 }
 
-// takesPart states whether an endpoint gets requests when it is well: it does not leave,
+// acceptsRequests states whether an endpoint gets requests when it is well: it does not leave,
 // and its failure domain is not emptied as far as this instance knows. Others are not
 // asked for anything either.
-func (p *state) takesPart(e *placement.Engine) bool {
-	return !p.leaves(e, p.notices.View()) && !p.emptied.bars(&Ask{}, e)
+func (p *state) acceptsRequests(e *placement.Engine) bool {
+	return !p.leaves(e, p.notices.View()) && !p.emptied.bars(&PlacementRequest{}, e)
 }
 
 // check checks endpoints, given by instance with their address.
 func (s *Scheduler) check(service string, addresses map[string]string) {
-	failed := s.unanswered(addresses)
+	failed := s.runChecks(addresses)
 	lost := 0
 	for _, err := range failed {
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			lost++
 		}
 	}
-	trusted := float64(lost) <= checkTrusted*float64(len(addresses))
+	trusted := float64(lost) <= maxUnansweredShare*float64(len(addresses))
 	if !trusted {
 		s.log.Info("check of endpoints not trusted", "service", service, "checked", len(addresses), "failed", len(failed))
 	}
 	for instance, err := range failed {
 		if trusted || errors.Is(err, syscall.ECONNREFUSED) {
-			s.failedCheck(service, instance, err)
+			s.handleFailedCheck(service, instance, err)
 		}
 	}
 }
@@ -128,12 +128,12 @@
 func (s *Scheduler) verify(p *state, service string, e *placement.Engine, silent int, now time.Time) {
 	h := p.health[e.Instance]
 	switch {
-	case !h.usable(now) || now.Sub(h.verifiedAt) < verifyEvery:
+	case !h.usable(now) || now.Sub(h.verifiedAt) < verifyInterval:
 		return
 	case s.settings.Check == nil:
-		s.stopped(p, service, e.Instance, silent, now)
+		s.handleStopped(p, service, e.Instance, silent, now)
 		return
-	case !p.takesPart(e):
+	case !p.acceptsRequests(e):
 		return
 	}
 	h.verifiedAt = now
@@ -143,35 +143,35 @@
 		instance: e.Address,
 	}
 	go func() {
-		failed := s.unanswered(addresses)
+		failed := s.runChecks(addresses)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		now := s.settings.Now()
 		if failed[instance] != nil {
-			s.stopped(p, service, instance, silent, now)
+			s.handleStopped(p, service, instance, silent, now)
 			return
 		}
 		h.answeredAt = now
 	}()
 }
 
-// answered states whether the endpoint is busy rather than gone, as it took a connection
+// answeredRecently states whether the endpoint is busy rather than gone, as it took a connection
 // just now.
-func (h *health) answered(now time.Time) bool {
-	return !h.answeredAt.IsZero() && now.Sub(h.answeredAt) < verifyEvery
+func (h *health) answeredRecently(now time.Time) bool {
+	return !h.answeredAt.IsZero() && now.Sub(h.answeredAt) < verifyInterval
 }
 
-// unanswered returns the endpoints that don't answer, with the cause.
-func (s *Scheduler) unanswered(addresses map[string]string) map[string]error {
+// runChecks returns the endpoints that don't answer, with the cause.
+func (s *Scheduler) runChecks(addresses map[string]string) map[string]error {
 	var (
 		mu     sync.Mutex
 		failed = make(map[string]error)
 		wait   errgroup.Group
 	)
-	wait.SetLimit(checksAtOnce)
+	wait.SetLimit(maxConcurrentChecks)
 	for instance, address := range addresses {
 		wait.Go(func() error {
-			ctx, cancel := context.WithTimeout(context.Background(), checkWithin)
+			ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 			defer cancel()
 			if err := s.settings.Check(ctx, address); err != nil {
 				mu.Lock()
@@ -186,42 +186,42 @@
 	return failed
 }
 
-// failedCheck leaves an endpoint out that did not answer a check, unless a stream there has
+// handleFailedCheck leaves an endpoint out that did not answer a check, unless a stream there has
 // a sign of life, and has its attempts move.
-func (s *Scheduler) failedCheck(service, instance string, cause error) {
+func (s *Scheduler) handleFailedCheck(service, instance string, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
 	now := s.settings.Now()
 	h := p.health[instance]
-	if h == nil || !h.usable(now) || p.hasLife(instance, now) {
+	if h == nil || !h.usable(now) || p.hasLiveStream(instance, now) {
 		return
 	}
 	p.checks.failed++
-	s.leaveOut(p, service, instance, now)
-	n := s.moveAway(p, service, instance, now)
+	s.exclude(p, service, instance, now)
+	n := s.migrateAll(p, service, instance, now)
 	s.log.Info("endpoint does not answer", "service", service, "endpoint", instance, "cause", cause.Error(), "moved", n)
 }
 
 // usable states whether the endpoint may get a request.
 func (h *health) usable(now time.Time) bool {
-	if !h.absentSince.IsZero() && now.Sub(h.absentSince) < absentMost {
+	if !h.absentSince.IsZero() && now.Sub(h.absentSince) < maxAbsence {
 		return false
 	}
 	return h.all.usable(now)
 }
 
-// leftOut states whether an engine is left out or set aside, so that the work of the pool
+// excluded states whether an engine is left out or set aside, so that the work of the pool
 // is spread over the others. It guards against a price that engines which have stopped,
 // counted as idle, halve while the others are full.
-func (p *state) leftOut(e *placement.Engine, now time.Time) bool {
+func (p *state) excluded(e *placement.Engine, now time.Time) bool {
 	h := p.health[e.Instance]
 	return h != nil && !h.usable(now)
 }
 
-// leaveOut leaves an endpoint out that has stopped: until it answers a check, or for a
+// exclude leaves an endpoint out that has stopped: until it answers a check, or for a
 // while where endpoints are not checked. The caller holds the lock.
-func (s *Scheduler) leaveOut(p *state, service, instance string, now time.Time) {
+func (s *Scheduler) exclude(p *state, service, instance string, now time.Time) {
 	h := p.health[instance]
 	if s.settings.Check == nil {
 		h.all.note(Unreachable, now)
@@ -230,7 +230,7 @@
 	h.absentSince = now
 	if !p.checks.again {
 		p.checks.again = true
-		time.AfterFunc(recheckEvery, func() { s.recheck(service) })
+		time.AfterFunc(recheckInterval, func() { s.recheck(service) })
 	}
 }
 
@@ -245,17 +245,17 @@
 	if len(addresses) == 0 {
 		return
 	}
-	failed := s.unanswered(addresses)
+	failed := s.runChecks(addresses)
 	for instance := range addresses {
 		if failed[instance] == nil {
-			s.answers(service, instance)
+			s.readmit(service, instance)
 		}
 	}
-	time.AfterFunc(recheckEvery, func() { s.recheck(service) })
+	time.AfterFunc(recheckInterval, func() { s.recheck(service) })
 }
 
-// answers takes an endpoint back that answers a check.
-func (s *Scheduler) answers(service, instance string) {
+// readmit takes an endpoint back that answers a check.
+func (s *Scheduler) readmit(service, instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
@@ -271,10 +271,10 @@
 	s.poke()
 }
 
-// hasLife states whether a stream that an endpoint answers has a sign of life.
-func (p *state) hasLife(instance string, now time.Time) bool {
+// hasLiveStream states whether a stream that an endpoint answers has a sign of life.
+func (p *state) hasLiveStream(instance string, now time.Time) bool {
 	for id, at := range p.placed {
-		if at.instance == instance && p.shows(id, at, now) == aliveSign {
+		if at.instance == instance && p.signalOf(id, at, now) == signalAlive {
 			return true
 		}
 	}
--- a/pool/check_bound_test.go
+++ b/pool/check_bound_test.go
@@ -38,10 +38,10 @@
 			addresses[fmt.Sprint("e", i)] = fmt.Sprint("e", i, ":1")
 		}
 		began := time.Now()
-		failed := s.unanswered(addresses)
+		failed := s.runChecks(addresses)
 		is.Equal(checked.Load(), int64(endpoints))
 		is.Equal(len(failed), endpoints/2)
-		is.True(most.Load() <= checksAtOnce)
-		is.True(time.Since(began) <= endpoints/checksAtOnce*checkWithin+checkWithin)
+		is.True(most.Load() <= maxConcurrentChecks)
+		is.True(time.Since(began) <= endpoints/maxConcurrentChecks*checkTimeout+checkTimeout)
 	})
 }
--- a/pool/client.go
+++ b/pool/client.go
@@ -27,36 +27,36 @@
 	dialer Dialer
 	log    logr.Logger
 
-	mu    sync.Mutex
-	known *catalog.Snapshot
-	// order is the instances of each pool with an owner, the owner first.
-	order map[string][]string
+	mu       sync.Mutex
+	snapshot *catalog.Snapshot
+	// ownerOrder is the instances of each pool with an owner, the owner first.
+	ownerOrder map[string][]string
 	// plainOwned are the pools without engines that have an owner, and untold those of them
 	// whose owners are to be told what runs.
-	plainOwned map[string]bool
-	untold     []string
-	// chosen is the part of the order that is asked.
-	chosen map[string][]string
+	plainOwned  map[string]bool
+	unannounced []string
+	// followed is the part of the order that is asked.
+	followed map[string][]string
 	// links are the links by instance.
-	links map[string]*linked
-	// book is what this instance has running, by attempt.
-	book map[string]*running
-	// moves are what makes attempts move, by attempt.
-	moves map[string]func()
+	links map[string]*ownerLink
+	// attempts is what this instance has running, by attempt.
+	attempts map[string]*running
+	// migrations are what makes attempts move, by attempt.
+	migrations map[string]func()
 	// common names the pool with whose owners all instances have sessions, and crashes are
 	// the latest that this instance saw.
 	common  string
 	crashes []quarantine.Crash
-	// turn gets a value when a link breaks off or comes about.
-	turn chan struct{}
+	// wake gets a value when a link breaks off or comes about.
+	wake chan struct{}
 	// ctx is that of Run; nil before.
-	ctx   context.Context
-	parts sync.WaitGroup
+	ctx       context.Context
+	linkGroup sync.WaitGroup
 }
 
 // running is an attempt that has a place.
 type running struct {
-	ask   Ask
+	ask   PlacementRequest
 	grant Grant
 	begun bool
 }
@@ -69,21 +69,21 @@
 		local:      local,
 		dialer:     d,
 		log:        log,
-		order:      make(map[string][]string),
+		ownerOrder: make(map[string][]string),
 		plainOwned: make(map[string]bool),
-		chosen:     make(map[string][]string),
-		turn:       make(chan struct{}, 1),
-		links:      make(map[string]*linked),
-		book:       make(map[string]*running),
-		moves:      make(map[string]func()),
+		followed:   make(map[string][]string),
+		wake:       make(chan struct{}, 1),
+		links:      make(map[string]*ownerLink),
+		attempts:   make(map[string]*running),
+		migrations: make(map[string]func()),
 	}
 }
 
 // Run keeps the links until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	defer c.local.onMoves(c.self.ID, c.moveOwn)()
-	defer c.local.settings.Notices.OnChange(func(notice.Notice) { c.turned() })()
-	tick := time.NewTicker(lookEvery)
+	defer c.local.onMigrations(c.self.ID, c.migrateLocally)()
+	defer c.local.settings.Notices.OnChange(func(notice.Notice) { c.wakeRun() })()
+	tick := time.NewTicker(relinkInterval)
 	defer tick.Stop()
 	for {
 		c.mu.Lock()
@@ -92,10 +92,10 @@
 		c.mu.Unlock()
 		select {
 		case <-ctx.Done():
-			c.parts.Wait()
+			c.linkGroup.Wait()
 			return
 		case <-tick.C:
-		case <-c.turn:
+		case <-c.wake:
 		}
 	}
 }
@@ -104,11 +104,11 @@
 func (c *Client) Update(snap *catalog.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.known = snap
-	clear(c.order)
+	c.snapshot = snap
+	clear(c.ownerOrder)
 	for name, svc := range snap.Table.Services {
 		if svc.Engine != nil {
-			c.order[name] = c.rank(name, snap)
+			c.ownerOrder[name] = c.rankOwners(name, snap)
 		}
 	}
 	c.common = c.pickCommon(snap)
@@ -116,44 +116,44 @@
 }
 
 // Place implements Placer.
-func (c *Client) Place(ctx context.Context, a Ask) (Grant, error) {
+func (c *Client) Place(ctx context.Context, a PlacementRequest) (Grant, error) {
 	a.Avoid = c.local.Shunned(a.Service)
-	leaving, emptied := c.barred()
+	leaving, emptied := c.excludedTargets()
 	a.Exclude = append(slices.Clone(a.Exclude), leaving...)
-	a.Emptied = emptied
+	a.DrainedDomains = emptied
 	a.Backoffs = c.backoffs(a.Service)
 	alone := false
-	for range askRounds {
+	for range maxAskRounds {
 		var g Grant
 		var err error
-		g, alone, err = c.ask(ctx, &a)
+		g, alone, err = c.askOwners(ctx, &a)
 		if errors.Is(err, errLost) {
 			continue
 		}
-		if !errors.Is(err, errOwn) {
+		if !errors.Is(err, errDecideLocally) {
 			return g, err
 		}
 		break
 	}
 	g, err := c.local.place(ctx, a, alone)
 	if err == nil {
-		c.note(a, g, nil)
+		c.recordAttempt(a, g, nil)
 	}
 	return g, err
 }
 
-// errOwn means that this instance decides itself.
-var errOwn = errors.New("no other owner of the pool")
+// errDecideLocally means that this instance decides itself.
+var errDecideLocally = errors.New("no other owner of the pool")
 
-// askRounds is how often the owners are looked at for one ask: links that were in use while
+// maxAskRounds is how often the owners are looked at for one ask: links that were in use while
 // an owner was away are closed when it is back, and the asks under way there are asked
 // anew.
-const askRounds = 3
+const maxAskRounds = 3
 
-// ask asks the owners of a pool in order. The error is errOwn when this instance is to
+// askOwners asks the owners of a pool in order. The error is errDecideLocally when this instance is to
 // decide, alone if others may not know that it does, and errLost when an owner was lost
 // that may have been asked in vain.
-func (c *Client) ask(ctx context.Context, a *Ask) (g Grant, alone bool, err error) {
+func (c *Client) askOwners(ctx context.Context, a *PlacementRequest) (g Grant, alone bool, err error) {
 	owners := c.owners(a.Service)
 	// A pool that has no owners, like one without engines, is each instance's own.
 	alone = len(owners) > 0
@@ -161,7 +161,7 @@
 	for i, l := range owners {
 		if l == nil {
 			// Those before are out of touch; others may still ask them.
-			return Grant{}, i > 0, errOwn
+			return Grant{}, i > 0, errDecideLocally
 		}
 		if !l.usable() && !l.awaitRedial(ctx) {
 			continue
@@ -173,52 +173,52 @@
 		}
 		if err == nil {
 			c.local.Adopt(*a, g, false)
-			c.note(*a, g, l)
+			c.recordAttempt(*a, g, l)
 		}
 		return g, false, err
 	}
 	if lost {
 		return Grant{}, alone, errLost
 	}
-	return Grant{}, alone, errOwn
+	return Grant{}, alone, errDecideLocally
 }
 
-// barred returns the endpoints and the failure domains that must get nothing new, as this
+// excludedTargets returns the endpoints and the failure domains that must get nothing new, as this
 // instance knows: the owner may be cut off from the store.
-func (c *Client) barred() (leaving, emptied []string) {
+func (c *Client) excludedTargets() (leaving, emptied []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.known == nil {
+	if c.snapshot == nil {
 		return nil, nil
 	}
-	leaving = c.known.Leaving()
+	leaving = c.snapshot.Leaving()
 	v := c.local.settings.Notices.View()
 	for _, instance := range v.Leaving() {
-		if v.Leaves(instance, c.known.Endpoints[instance].Born) {
+		if v.Leaves(instance, c.snapshot.Endpoints[instance].Born) {
 			leaving = append(leaving, instance)
 		}
 	}
-	return leaving, slices.Sorted(maps.Keys(c.known.Emptied))
+	return leaving, slices.Sorted(maps.Keys(c.snapshot.Emptied))
 }
 
-// note remembers an attempt and tells all but the one who placed it.
-func (c *Client) note(a Ask, g Grant, by *linked) {
+// recordAttempt remembers an attempt and tells all but the one who placed it.
+func (c *Client) recordAttempt(a PlacementRequest, g Grant, by *ownerLink) {
 	r := &running{
 		ask:   a,
 		grant: g,
 	}
 	c.mu.Lock()
-	c.book[a.ID] = r
+	c.attempts[a.ID] = r
 	m := runningMessage(r)
 	c.mu.Unlock()
-	c.tell(a.Service, m, by)
+	c.broadcast(a.Service, m, by)
 }
 
-// tell sends a message to the owners of a pool but one, which may be nil.
-func (c *Client) tell(service string, m *poolpb.FromEntry, but *linked) {
+// broadcast sends a message to the owners of a pool but one, which may be nil.
+func (c *Client) broadcast(service string, m *poolpb.FromEntry, but *ownerLink) {
 	for _, l := range c.owners(service) {
 		if l != nil && l != but {
-			l.tell(m)
+			l.enqueue(m)
 		}
 	}
 }
@@ -226,19 +226,19 @@
 // First implements Placer.
 func (c *Client) First(id, service string) {
 	c.mu.Lock()
-	if r := c.book[id]; r != nil {
+	if r := c.attempts[id]; r != nil {
 		r.begun = true
 	}
 	c.mu.Unlock()
 	c.local.First(id, service)
-	c.tell(service, firstMessage(id, service), nil)
+	c.broadcast(service, firstMessage(id, service), nil)
 }
 
 // End implements Placer.
 func (c *Client) End(id, service string, o Outcome, culprit string) {
 	c.mu.Lock()
-	delete(c.book, id)
+	delete(c.attempts, id)
 	c.mu.Unlock()
 	c.local.End(id, service, o, culprit)
-	c.tell(service, endMessage(id, service, o, culprit), nil)
+	c.broadcast(service, endMessage(id, service, o, culprit), nil)
 }
--- a/pool/client_crashes.go
+++ b/pool/client_crashes.go
@@ -12,29 +12,29 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// noEngines is the name under which the instances of a fleet without engines choose who
+// noEnginesPool is the name under which the instances of a fleet without engines choose who
 // counts crashes. No service has it.
-const noEngines = ""
+const noEnginesPool = ""
 
 // The measures of the crashes that an instance tells a new owner of.
 const (
-	// toldAgainFor is how old they may be: callers that come back after minutes are no reason
+	// maxCrashAge is how old they may be: callers that come back after minutes are no reason
 	// to count from the start.
-	toldAgainFor = 10 * time.Minute
-	// toldAgain bounds them: those of an instance with some tens of streams that lost most of
+	maxCrashAge = 10 * time.Minute
+	// maxKeptCrashes bounds them: those of an instance with some tens of streams that lost most of
 	// its engines.
-	toldAgain = 64
+	maxKeptCrashes = 64
 )
 
 // pickCommon returns the pool whose owners count the crashes of all services and tell all
 // instances what concerns them, so that no further links are needed: the first one with
 // engines. The caller holds the lock.
 func (c *Client) pickCommon(snap *catalog.Snapshot) string {
-	if len(c.order) == 0 {
-		c.order[noEngines] = c.rank(noEngines, snap)
-		return noEngines
+	if len(c.ownerOrder) == 0 {
+		c.ownerOrder[noEnginesPool] = c.rankOwners(noEnginesPool, snap)
+		return noEnginesPool
 	}
-	return slices.Min(slices.Collect(maps.Keys(c.order)))
+	return slices.Min(slices.Collect(maps.Keys(c.ownerOrder)))
 }
 
 // commonPool names the pool with whose owners all instances have sessions.
@@ -46,7 +46,7 @@
 
 // CountsCrashes states whether this instance is the first of those that count crashes.
 func (c *Client) CountsCrashes() bool {
-	return c.decides(c.commonPool()) == c.self.ID
+	return c.decidingInstance(c.commonPool()) == c.self.ID
 }
 
 // Crashed reports an attempt whose endpoint has ended.
@@ -54,13 +54,13 @@
 	c.local.settings.Quarantine.Report(one)
 	now := c.local.settings.Now()
 	c.mu.Lock()
-	c.crashes = slices.DeleteFunc(c.crashes, func(old quarantine.Crash) bool { return now.Sub(old.Ended) > toldAgainFor })
-	if len(c.crashes) >= toldAgain {
+	c.crashes = slices.DeleteFunc(c.crashes, func(old quarantine.Crash) bool { return now.Sub(old.Ended) > maxCrashAge })
+	if len(c.crashes) >= maxKeptCrashes {
 		c.crashes = slices.Delete(c.crashes, 0, 1)
 	}
 	c.crashes = append(c.crashes, one)
 	c.mu.Unlock()
-	c.tell(c.commonPool(), crashedMessage(one, now), nil)
+	c.broadcast(c.commonPool(), crashMessage(one, now), nil)
 }
 
 // Served notes that a request was answered whole.
@@ -68,7 +68,7 @@
 	if !c.local.settings.Quarantine.Served(id) {
 		return
 	}
-	c.tell(c.commonPool(), verdictToOwner(quarantine.Verdict{
+	c.broadcast(c.commonPool(), ownerVerdictMessage(quarantine.Verdict{
 		Identity: id,
 		State:    quarantine.Cleared,
 	}), nil)
@@ -89,26 +89,26 @@
 	return c.local.settings.Quarantine.Barred(id)
 }
 
-// learned takes over a verdict of an owner.
-func (c *Client) learned(v quarantine.Verdict) {
+// learnVerdict takes over a verdict of an owner.
+func (c *Client) learnVerdict(v quarantine.Verdict) {
 	c.local.settings.Quarantine.Learn(v)
 }
 
-// crashGreeting returns the messages that tell an owner of bans, and of the crashes that this
+// crashMessages returns the messages that tell an owner of bans, and of the crashes that this
 // instance saw: an owner that is new counts them anew. The caller holds the lock.
-func (c *Client) crashGreeting() []*poolpb.FromEntry {
+func (c *Client) crashMessages() []*poolpb.FromEntry {
 	now := c.local.settings.Now()
 	var out []*poolpb.FromEntry
 	book := c.local.settings.Quarantine
 	for _, one := range c.crashes {
 		// What is banned or was cleared is counted no more.
 		if book.Counting(one.Identity) {
-			out = append(out, crashedMessage(one, now))
+			out = append(out, crashMessage(one, now))
 		}
 	}
 	for _, v := range book.Verdicts() {
 		if v.State == quarantine.Banned {
-			out = append(out, verdictToOwner(v))
+			out = append(out, ownerVerdictMessage(v))
 		}
 	}
 	return out
--- a/pool/client_owned.go
+++ b/pool/client_limited.go
@@ -15,14 +15,14 @@
 		}
 	}
 	for name := range limited {
-		if c.order[name] != nil {
+		if c.ownerOrder[name] != nil {
 			continue
 		}
-		c.order[name] = c.rank(name, c.known)
+		c.ownerOrder[name] = c.rankOwners(name, c.snapshot)
 		if !c.plainOwned[name] {
 			c.plainOwned[name] = true
-			c.log.Info("pool gets an owner", "service", name, "owner", c.order[name][0])
-			c.untold = append(c.untold, name)
+			c.log.Info("pool gets an owner", "service", name, "owner", c.ownerOrder[name][0])
+			c.unannounced = append(c.unannounced, name)
 		}
 	}
 }
@@ -31,8 +31,8 @@
 func (c *Client) limitedServices(v *notice.View) map[string]bool {
 	out := make(map[string]bool)
 	for _, instance := range v.Limited() {
-		e, known := c.known.Endpoints[instance]
-		if known && c.known.Table.Services[e.Service] != nil {
+		e, known := c.snapshot.Endpoints[instance]
+		if known && c.snapshot.Table.Services[e.Service] != nil {
 			out[e.Service] = true
 		}
 	}
@@ -44,37 +44,37 @@
 // the session ends with it, they forget them. The caller holds the lock.
 func (c *Client) dropOwners(name string) {
 	owners := c.linksOf(name)
-	for id, r := range c.book {
+	for id, r := range c.attempts {
 		if r.ask.Service != name {
 			continue
 		}
 		for _, l := range owners {
 			if l != nil {
-				l.tell(endMessage(id, name, Abandoned, ""))
+				l.enqueue(endMessage(id, name, Abandoned, ""))
 			}
 		}
 	}
 	delete(c.plainOwned, name)
-	delete(c.order, name)
-	delete(c.chosen, name)
+	delete(c.ownerOrder, name)
+	delete(c.followed, name)
 	c.log.Info("pool has no owner any more", "service", name)
 }
 
-// tellRunning tells the owners of pools that have just got one what this instance has running
+// announceAttempts tells the owners of pools that have just got one what this instance has running
 // there; sessions that open later begin with it. The caller holds the lock.
-func (c *Client) tellRunning() {
-	for _, name := range c.untold {
+func (c *Client) announceAttempts() {
+	for _, name := range c.unannounced {
 		owners := c.linksOf(name)
-		for _, r := range c.book {
+		for _, r := range c.attempts {
 			if r.ask.Service != name {
 				continue
 			}
 			for _, l := range owners {
 				if l != nil {
-					l.tell(runningMessage(r))
+					l.enqueue(runningMessage(r))
 				}
 			}
 		}
 	}
-	c.untold = nil
+	c.unannounced = nil
 }
--- a/pool/client_links.go
+++ b/pool/client_links.go
@@ -12,28 +12,28 @@
 
 // The measures of following owners.
 const (
-	// wantedOwners is how many instances in touch know what runs in a pool: the
+	// followedOwners is how many instances in touch know what runs in a pool: the
 	// owner, and one that can take over.
-	wantedOwners = 2
-	// lookEvery is how often the links are compared with what is wanted.
-	lookEvery = 200 * time.Millisecond
-	// spareTries is how many more owners than wanted may be open or in their first
+	followedOwners = 2
+	// relinkInterval is how often the links are compared with what is wanted.
+	relinkInterval = 200 * time.Millisecond
+	// extraDials is how many more owners than wanted may be open or in their first
 	// try at once. An instance that starts among many would else try all.
-	spareTries = 1
-	// tryFor is how long a link that is not open yet may keep the next instance
+	extraDials = 1
+	// dialGrace is how long a link that is not open yet may keep the next instance
 	// from being tried: many round trips, and below the time in which owners are
 	// replaced.
-	tryFor = 150 * time.Millisecond
+	dialGrace = 150 * time.Millisecond
 )
 
-// linked is a link with what ends it.
-type linked struct {
+// ownerLink is a link with what ends it.
+type ownerLink struct {
 	*link
 	cancel context.CancelFunc
 }
 
-// rank returns the instances in the order in which they own a pool.
-func (c *Client) rank(service string, snap *catalog.Snapshot) []string {
+// rankOwners returns the instances in the order in which they own a pool.
+func (c *Client) rankOwners(service string, snap *catalog.Snapshot) []string {
 	list := []catalog.Peer{c.self}
 	for id, p := range snap.Peers {
 		if id != c.self.ID {
@@ -52,13 +52,13 @@
 // each pool, up to the instances in touch that are wanted. Those before them
 // that are out of touch are tried again and again. The caller holds the lock.
 func (c *Client) relink() {
-	if c.ctx == nil || c.known == nil {
+	if c.ctx == nil || c.snapshot == nil {
 		return
 	}
 	c.assignOwners()
 	wanted := make(map[string]string)
-	for service, ids := range c.order {
-		c.chosen[service] = c.choose(ids, wanted)
+	for service, ids := range c.ownerOrder {
+		c.followed[service] = c.chooseOwners(ids, wanted)
 	}
 	for id, l := range c.links {
 		if wanted[id] != l.address {
@@ -71,22 +71,22 @@
 			c.links[id] = c.openLink(id, address)
 		}
 	}
-	c.tellRunning()
+	c.announceAttempts()
 }
 
-// choose returns the instances of a pool's order that are asked, and adds those
+// chooseOwners returns the instances of a pool's order that are asked, and adds those
 // that need a link to wanted.
-func (c *Client) choose(ids []string, wanted map[string]string) []string {
+func (c *Client) chooseOwners(ids []string, wanted map[string]string) []string {
 	usable, trying := 0, 0
 	for i, id := range ids {
-		if usable == wantedOwners || usable+trying >= wantedOwners+spareTries {
+		if usable == followedOwners || usable+trying >= followedOwners+extraDials {
 			return ids[:i]
 		}
 		if id == c.self.ID {
 			usable++
 			continue
 		}
-		wanted[id] = c.known.Peers[id].Address
+		wanted[id] = c.snapshot.Peers[id].Address
 		switch l := c.links[id]; {
 		case l == nil || l.trying():
 			trying++
@@ -98,58 +98,58 @@
 }
 
 // openLink opens a link that ends with Run or when it is cancelled.
-func (c *Client) openLink(id, address string) *linked {
+func (c *Client) openLink(id, address string) *ownerLink {
 	ctx, cancel := context.WithCancel(c.ctx)
 	l := &link{
 		peer:    id,
 		address: address,
-		self: hello{
+		self: entryInfo{
 			entry:  c.self.ID,
 			domain: c.self.FailureDomain,
 		},
-		dialer:  c.dialer,
-		book:    c.running,
-		turn:    c.turned,
-		move:    c.moveAttempt,
-		verdict: c.learned,
-		notice:  c.local.settings.Notices.Learn,
-		log:     c.log,
-		began:   time.Now(),
+		dialer:      c.dialer,
+		greeting:    c.greetingMessages,
+		onChange:    c.wakeRun,
+		onMigrate:   c.migrateAttempt,
+		onVerdict:   c.learnVerdict,
+		onNotice:    c.local.settings.Notices.Learn,
+		log:         c.log,
+		tryingSince: time.Now(),
 	}
-	c.parts.Go(func() { l.run(ctx) })
-	return &linked{
+	c.linkGroup.Go(func() { l.run(ctx) })
+	return &ownerLink{
 		link:   l,
 		cancel: cancel,
 	}
 }
 
-// turned makes the links be looked at anew.
-func (c *Client) turned() {
+// wakeRun makes the links be looked at anew.
+func (c *Client) wakeRun() {
 	select {
-	case c.turn <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// running returns the messages that tell an owner what this instance has
+// greetingMessages returns the messages that tell an owner what this instance has
 // running, and what it knows of requests that crash endpoints and of what endpoints say of
 // themselves.
-func (c *Client) running() []*poolpb.FromEntry {
+func (c *Client) greetingMessages() []*poolpb.FromEntry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]*poolpb.FromEntry, 0, len(c.book))
-	for _, r := range c.book {
+	out := make([]*poolpb.FromEntry, 0, len(c.attempts))
+	for _, r := range c.attempts {
 		out = append(out, runningMessage(r))
 	}
-	out = append(out, c.crashGreeting()...)
+	out = append(out, c.crashMessages()...)
 	for _, n := range c.local.settings.Notices.Notices() {
-		out = append(out, noticeToOwner(n))
+		out = append(out, ownerNoticeMessage(n))
 	}
 	return out
 }
 
 // owners returns the links of a pool in order; nil stands for this instance.
-func (c *Client) owners(service string) []*linked {
+func (c *Client) owners(service string) []*ownerLink {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.linksOf(service)
@@ -157,9 +157,9 @@
 
 // linksOf returns the links of a pool in order; nil stands for this instance. The caller
 // holds the lock.
-func (c *Client) linksOf(service string) []*linked {
-	var out []*linked
-	for _, id := range c.chosen[service] {
+func (c *Client) linksOf(service string) []*ownerLink {
+	var out []*ownerLink
+	for _, id := range c.followed[service] {
 		if id == c.self.ID {
 			out = append(out, nil)
 			continue
--- a/pool/client_notices.go
+++ b/pool/client_notices.go
@@ -23,17 +23,17 @@
 	now := c.local.settings.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.known == nil {
+	if c.snapshot == nil {
 		return nil
 	}
 	var out []Backoff
 	for _, instance := range endpoints {
-		e := c.known.Endpoints[instance]
+		e := c.snapshot.Endpoints[instance]
 		until := v.BackoffUntil(instance, e.Born)
 		if e.Service == service && until.After(now) {
 			out = append(out, Backoff{
 				Instance: instance,
-				For:      until.Sub(now),
+				Duration: until.Sub(now),
 			})
 		}
 	}
@@ -44,6 +44,6 @@
 // them.
 func (c *Client) Heard(a notice.Answer, s notice.Said) {
 	if n, changed := c.local.settings.Notices.Heard(a, s); changed {
-		c.tell(c.commonPool(), noticeToOwner(n), nil)
+		c.broadcast(c.commonPool(), ownerNoticeMessage(n), nil)
 	}
 }
--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -120,9 +120,9 @@
 }
 
 // ask returns a request that has an id of its own.
-func (w *coldWorld) ask(service string) Ask {
+func (w *coldWorld) ask(service string) PlacementRequest {
 	w.count++
-	return Ask{
+	return PlacementRequest{
 		ID:       fmt.Sprint("a", w.count),
 		Service:  service,
 		Prompt:   100,
@@ -134,7 +134,7 @@
 
 // place lets an instance place a request if there is a place at once, and tells those who
 // hear of it. It returns the endpoint, or "".
-func (w *coldWorld) place(s *Scheduler, a Ask, alone bool, hear ...*Scheduler) string {
+func (w *coldWorld) place(s *Scheduler, a PlacementRequest, alone bool, hear ...*Scheduler) string {
 	w.t.Helper()
 	wait := s.submit(a, alone)
 	g, _, ok := wait.Decision()
@@ -393,7 +393,7 @@
 			_, r, ok := s.Submit(a).Decision()
 			is.True(ok)
 			is.True(r != nil)
-			is.True(r.After >= coldWindow)
+			is.True(r.RetryAfter >= coldWindow)
 		})
 	}
 }
@@ -415,7 +415,7 @@
 	g, _, ok := s.Submit(a).Decision()
 	is.True(ok)
 	is.Equal(g.Instance, "e1")
-	is.Equal(len(g.Readers), 1)
+	is.Equal(len(g.Shares), 1)
 }
 
 // TestColdUnbound looks that endpoints get what they can where the settings or the
@@ -439,9 +439,9 @@
 	for range 30 {
 		w.place(w.all[0], w.ask("engines"), false)
 	}
-	f := w.all[0].Figures()["engines"]
+	f := w.all[0].Stats()["engines"]
 	is.Equal(f.Cold, 1)
 	is.True(f.ColdPassedOver > 0)
 	w.now = w.now.Add(2 * time.Second)
-	is.Equal(w.all[0].Figures()["engines"].Cold, 0)
+	is.Equal(w.all[0].Stats()["engines"].Cold, 0)
 }
--- a/pool/crowd_test.go
+++ b/pool/crowd_test.go
@@ -64,8 +64,8 @@
 
 // stream is an ask for a short stream; each has a prompt of another length, by which it
 // is known when it returns.
-func stream(i int) Ask {
-	return Ask{
+func stream(i int) PlacementRequest {
+	return PlacementRequest{
 		ID:       fmt.Sprint("s", i),
 		Service:  "engines",
 		Customer: "c",
@@ -82,7 +82,7 @@
 	for i := range n {
 		g, _, ok := c.Submit(stream(i)).Decision()
 		is.True(ok)
-		c.now = c.now.Add(g.First)
+		c.now = c.now.Add(g.FirstEventIn)
 		c.First(stream(i).ID, "engines")
 	}
 	c.now = c.now.Add(500 * time.Millisecond)
@@ -92,11 +92,11 @@
 }
 
 // back returns the ask by which a stream that was cut returns.
-func back(i int) Ask {
+func back(i int) PlacementRequest {
 	a := stream(i)
 	a.ID += "-back"
 	a.Resumed = true
-	a.Due = a.Gap
+	a.DueIn = a.Gap
 	return a
 }
 
@@ -107,16 +107,16 @@
 	for _, row := range []struct {
 		name   string
 		begun  bool
-		change func(a *Ask)
+		change func(a *PlacementRequest)
 		after  time.Duration
 		want   time.Duration
 	}{
-		{"stream", true, func(*Ask) {}, later, 190 * time.Millisecond},
-		{"stream of another customer", true, func(a *Ask) { a.Customer = "d" }, later, 250 * time.Millisecond},
-		{"stream after a second", true, func(*Ask) {}, time.Second, 250 * time.Millisecond},
-		{"stream that its entry has taken up", true, func(a *Ask) { a.Again, a.Due = true, 40*time.Millisecond }, later, 40 * time.Millisecond},
-		{"no event yet", false, func(a *Ask) { a.Resumed = false }, later, 90 * time.Millisecond},
-		{"no event yet, and events now", false, func(*Ask) {}, later, 250 * time.Millisecond},
+		{"stream", true, func(*PlacementRequest) {}, later, 190 * time.Millisecond},
+		{"stream of another customer", true, func(a *PlacementRequest) { a.Customer = "d" }, later, 250 * time.Millisecond},
+		{"stream after a second", true, func(*PlacementRequest) {}, time.Second, 250 * time.Millisecond},
+		{"stream that its entry has taken up", true, func(a *PlacementRequest) { a.Retry, a.DueIn = true, 40*time.Millisecond }, later, 40 * time.Millisecond},
+		{"no event yet", false, func(a *PlacementRequest) { a.Resumed = false }, later, 90 * time.Millisecond},
+		{"no event yet, and events now", false, func(*PlacementRequest) {}, later, 250 * time.Millisecond},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -159,7 +159,7 @@
 	for i := range streams {
 		g, _, ok := c.Submit(back(i)).Decision()
 		is.True(ok)
-		is.True(g.First <= 250*time.Millisecond-late)
+		is.True(g.FirstEventIn <= 250*time.Millisecond-late)
 	}
 }
 
@@ -215,13 +215,13 @@
 func TestHurried(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		ask  Ask
+		ask  PlacementRequest
 		want bool
 	}{
-		{"short target", Ask{Target: 250 * time.Millisecond}, true},
-		{"long target", Ask{Target: 1500 * time.Millisecond}, false},
-		{"goes on with short pauses", Ask{Target: 8 * time.Second, Gap: 250 * time.Millisecond, Resumed: true}, true},
-		{"goes on with long pauses", Ask{Target: -2 * time.Second, Gap: time.Second, Resumed: true}, false},
+		{"short target", PlacementRequest{Target: 250 * time.Millisecond}, true},
+		{"long target", PlacementRequest{Target: 1500 * time.Millisecond}, false},
+		{"goes on with short pauses", PlacementRequest{Target: 8 * time.Second, Gap: 250 * time.Millisecond, Resumed: true}, true},
+		{"goes on with long pauses", PlacementRequest{Target: -2 * time.Second, Gap: time.Second, Resumed: true}, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -110,7 +110,7 @@
 // and 169 when callers that have come back counted as new ones (emulated pool of the
 // tests).
 func (w *Waiter) yields() bool {
-	return w.lateFromStart() && !w.ask.Again && w.ask.hurried()
+	return w.lateFromStart() && !w.ask.Retry && w.ask.hurried()
 }
 
 // gives returns what a request keeps still if it is served at once: one that was late when
--- a/pool/decide_test.go
+++ b/pool/decide_test.go
@@ -18,7 +18,7 @@
 // waiting returns a request that came at moment.
 func waiting(prompt int, target time.Duration) *Waiter {
 	return &Waiter{
-		ask: Ask{
+		ask: PlacementRequest{
 			Prompt:   prompt,
 			Target:   target,
 			Deadline: 10 * time.Second,
@@ -140,8 +140,8 @@
 		t.Run(row.name, func(t *testing.T) {
 			w := waiting(5000, row.target-row.spent)
 			w.ask.Target = row.target
-			w.ask.Spent = row.spent
-			w.ask.Again = row.again
+			w.ask.Elapsed = row.spent
+			w.ask.Retry = row.again
 			is.New(t).Equal(w.yields(), row.want)
 		})
 	}
--- a/pool/emptied.go
+++ b/pool/emptied.go
@@ -21,13 +21,13 @@
 
 // bars states whether an endpoint must not get a request, by what this instance knows or by
 // what the entry that asks does: either may be cut off from the store.
-func (d emptied) bars(a *Ask, e *placement.Engine) bool {
+func (d emptied) bars(a *PlacementRequest, e *placement.Engine) bool {
 	_, known := d[e.FailureDomain]
-	return known || slices.Contains(a.Emptied, e.FailureDomain)
+	return known || slices.Contains(a.DrainedDomains, e.FailureDomain)
 }
 
 // barsAny states whether at least one of the endpoints must not get a request.
-func (d emptied) barsAny(a *Ask, list []*placement.Engine) bool {
+func (d emptied) barsAny(a *PlacementRequest, list []*placement.Engine) bool {
 	return slices.ContainsFunc(list, func(e *placement.Engine) bool {
 		return d.bars(a, e)
 	})
--- a/pool/emptied_test.go
+++ b/pool/emptied_test.go
@@ -68,11 +68,11 @@
 	for i := range 6 {
 		a := prompt(fmt.Sprintf("%s-%d", service, i), 90_000, 5*time.Second)
 		a.Service = service
-		a.Emptied = emptied
+		a.DrainedDomains = emptied
 		g, err := s.Place(ctx, a)
 		is.NoErr(err)
 		is.Equal(at[g.Instance].FailureDomain, domain)
-		for _, r := range g.Readers {
+		for _, r := range g.Shares {
 			is.Equal(at[r.Instance].FailureDomain, domain)
 		}
 		s.End(a.ID, service, pool.Served, "")
@@ -111,7 +111,7 @@
 				_, err := s.Place(ctx, a)
 				var r *pool.Refusal
 				is.True(errors.As(err, &r))
-				is.True(r.After >= 2*time.Second)
+				is.True(r.RetryAfter >= 2*time.Second)
 				is.Equal(time.Since(began), time.Duration(0))
 			})
 		})
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -21,16 +21,16 @@
 		watched:  w.ask.watched(),
 	}
 	g := Grant{
-		Instance: plan.Engine.Instance,
-		Address:  plan.Engine.Address,
-		Born:     born,
-		First:    plan.First,
-		Waited:   now.Sub(w.arrived),
-		By:       s.settings.Self,
+		Instance:     plan.Engine.Instance,
+		Address:      plan.Engine.Address,
+		StartedAt:    born,
+		FirstEventIn: plan.First,
+		Waited:       now.Sub(w.arrived),
+		DecidedBy:    s.settings.Self,
 	}
 	for _, o := range plan.Others {
 		at.readers = append(at.readers, o.Engine.Instance)
-		g.Readers = append(g.Readers, Reader{
+		g.Shares = append(g.Shares, PrefillShare{
 			Instance: o.Engine.Instance,
 			Address:  o.Engine.Address,
 			Reserved: o.Hold,
@@ -39,14 +39,14 @@
 	withheld := p.withheld(w, now)
 	p.passedOver += int64(withheld)
 	limit, _ := p.limit(plan.Engine, p.notices.View())
-	p.give(at, now)
-	p.probe(at, now)
+	p.countAssignment(at, now)
+	p.markProbes(at, now)
 	p.cold.give(at.instance, now)
 	p.paces.decided, p.paces.alone = now, w.alone
 	p.placed[w.ask.ID] = at
 	s.log.Info("place", "attempt", w.ask.ID, "service", w.ask.Service, "prompt", w.ask.Prompt,
 		"returning", w.ask.Returning, "rank", w.ask.Rank, "route_rank", w.ask.RouteRank, "worth", w.request.Worth, "endpoint", g.Instance,
-		"readers", at.readers, "first_ms", g.First.Milliseconds(), "read_ms", plan.Read.Milliseconds(),
+		"readers", at.readers, "first_ms", g.FirstEventIn.Milliseconds(), "read_ms", plan.Read.Milliseconds(),
 		"spoils", plan.Spoils, "loses", plan.Loses, "waited_ms", g.Waited.Milliseconds(), "queue", len(p.queue),
 		"work_ms", p.work(w).Milliseconds(), "price", p.priceNow(now),
 		"due_ms", w.request.TargetAt.Sub(now).Milliseconds(), "resumed", w.ask.Resumed,
@@ -54,8 +54,8 @@
 	return g
 }
 
-// give notes that the endpoints of an attempt have a request more.
-func (p *state) give(at *placed, now time.Time) {
+// countAssignment notes that the endpoints of an attempt have a request more.
+func (p *state) countAssignment(at *placed, now time.Time) {
 	for _, name := range at.endpoints() {
 		if h := p.health[name]; h != nil {
 			h.given.note(now)
@@ -63,8 +63,8 @@
 	}
 }
 
-// probe notes that an attempt tries endpoints that had failed.
-func (p *state) probe(at *placed, now time.Time) {
+// markProbes notes that an attempt tries endpoints that had failed.
+func (p *state) markProbes(at *placed, now time.Time) {
 	for _, name := range at.endpoints() {
 		h := p.health[name]
 		if h == nil {
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -39,7 +39,7 @@
 
 // one asks for one place.
 func (l *plainLoad) one(t *testing.T, n *node, id string) {
-	g, err := n.client.Place(t.Context(), pool.Ask{
+	g, err := n.client.Place(t.Context(), pool.PlacementRequest{
 		ID:       id,
 		Service:  "plain",
 		Target:   100 * time.Millisecond,
@@ -50,7 +50,7 @@
 	}
 	l.mu.Lock()
 	l.given[g.Instance] = append(l.given[g.Instance], time.Now())
-	l.by[g.By]++
+	l.by[g.DecidedBy]++
 	l.mu.Unlock()
 	time.Sleep(20 * time.Millisecond)
 	n.client.End(id, "plain", pool.Served, "")
@@ -131,7 +131,7 @@
 	assertLimit(t, f.nodes, "p0", 10)
 	settle()
 	for i, n := range f.nodes {
-		_, err := n.client.Place(t.Context(), pool.Ask{
+		_, err := n.client.Place(t.Context(), pool.PlacementRequest{
 			ID:       fmt.Sprint("long", i),
 			Service:  "plain",
 			Target:   time.Second,
@@ -146,8 +146,8 @@
 	// forgotten with the session.
 	time.Sleep(sessionForgotten)
 	for i, n := range f.nodes {
-		is.New(t).Equal(n.scheduler.Figures()["plain"].Placed, 1)
+		is.New(t).Equal(n.scheduler.Stats()["plain"].Placed, 1)
 		n.client.End(fmt.Sprint("long", i), "plain", pool.Served, "")
-		is.New(t).Equal(n.scheduler.Figures()["plain"].Placed, 0)
+		is.New(t).Equal(n.scheduler.Stats()["plain"].Placed, 0)
 	}
 }
--- a/pool/lines_test.go
+++ b/pool/lines_test.go
@@ -43,9 +43,9 @@
 	// The prompt is longer than the memory of one engine.
 	g, err := s.Place(t.Context(), prompt("long", 150_000, 10*time.Second))
 	is.NoErr(err)
-	is.Equal(len(g.Readers), 1)
+	is.Equal(len(g.Shares), 1)
 	is.Equal(len(lines), 1)
-	is.True(strings.Contains(lines[0], `"readers":["`+g.Readers[0].Instance+`"]`))
+	is.True(strings.Contains(lines[0], `"readers":["`+g.Shares[0].Instance+`"]`))
 	is.True(strings.Contains(lines[0], `"price":0`))
 	is.True(strings.Contains(lines[0], `"work_ms":`))
 }
--- a/pool/link.go
+++ b/pool/link.go
@@ -21,24 +21,24 @@
 
 // The times of a link.
 const (
-	// pingIdle is how often an owner that is not asked is tried.
-	pingIdle = time.Second
-	// pingBusy is how often one is tried that owes an answer.
-	pingBusy = 50 * time.Millisecond
-	// silence is how long an owner that owes an answer may say nothing: some
+	// idlePingInterval is how often an owner that is not asked is tried.
+	idlePingInterval = time.Second
+	// busyPingInterval is how often one is tried that owes an answer.
+	busyPingInterval = 50 * time.Millisecond
+	// busyTimeout is how long an owner that owes an answer may say nothing: some
 	// twenty round trips and a pass of the garbage collector.
-	silence = 200 * time.Millisecond
-	// idleSilence is how long an owner may say nothing that owes none.
-	idleSilence = 2500 * time.Millisecond
-	// redial is the pause between tries to open a link.
-	redial = 300 * time.Millisecond
-	// openWithin bounds one try.
-	openWithin = time.Second
+	busyTimeout = 200 * time.Millisecond
+	// idleTimeout is how long an owner may say nothing that owes none.
+	idleTimeout = 2500 * time.Millisecond
+	// redialPause is the pause between tries to open a link.
+	redialPause = 300 * time.Millisecond
+	// openTimeout bounds one try.
+	openTimeout = time.Second
 )
 
-// sendQueue bounds the messages that wait to be sent over a link. A link that
+// sendQueueSize bounds the messages that wait to be sent over a link. A link that
 // takes no more is out of touch.
-const sendQueue = 1024
+const sendQueueSize = 1024
 
 // Dialer opens connections to instances.
 type Dialer interface {
@@ -52,25 +52,25 @@
 	// peer names the owner, and address is where it is.
 	peer    string
 	address string
-	self    hello
+	self    entryInfo
 	dialer  Dialer
-	// book returns what the entry has running.
-	book func() []*poolpb.FromEntry
-	// turn is called when the session opens or breaks off.
-	turn func()
-	// move is called with an attempt that is to move, the endpoint that has stopped, and
+	// greeting returns what the entry has running.
+	greeting func() []*poolpb.FromEntry
+	// onChange is called when the session opens or breaks off.
+	onChange func()
+	// onMigrate is called with an attempt that is to onMigrate, the endpoint that has stopped, and
 	// who says so.
-	move func(id, endpoint, by string)
-	// verdict is called with what the owner thinks of requests that crash endpoints.
-	verdict func(quarantine.Verdict)
-	// notice is called with what endpoints say of themselves, as the owner knows.
-	notice func(notice.Notice)
-	log    logr.Logger
+	onMigrate func(id, endpoint, by string)
+	// onVerdict is called with what the owner thinks of requests that crash endpoints.
+	onVerdict func(quarantine.Verdict)
+	// onNotice is called with what endpoints say of themselves, as the owner knows.
+	onNotice func(notice.Notice)
+	log      logr.Logger
 
 	mu sync.Mutex
-	// began is when the link was made, or broke off, and the first try to open it began.
-	began time.Time
-	open  bool
+	// tryingSince is when the link was made, or broke off, and the first try to open it tryingSince.
+	tryingSince time.Time
+	open        bool
 	// openedAt is when the session opened.
 	openedAt time.Time
 	// redialing is closed when it is known whether a session that broke off is open
@@ -79,20 +79,20 @@
 	// out are the messages that wait to be sent; nil while there is no session, open or
 	// opening.
 	out chan *poolpb.FromEntry
-	// asked are the asks that are owed an answer, by attempt.
-	asked map[string]chan reply
-	// heard is when the owner last said anything, and pinged when it was last
+	// pending are the asks that are owed an answer, by attempt.
+	pending map[string]chan reply
+	// lastReceived is when the owner last said anything, and pinged when it was last
 	// asked to.
-	heard  time.Time
-	pinged time.Time
+	lastReceived time.Time
+	lastPing     time.Time
 	// seq is the number of the last ping.
 	seq int64
-	// drop ends the session.
-	drop context.CancelFunc
+	// endSession ends the session.
+	endSession context.CancelFunc
 }
 
-// hello says who an entry is.
-type hello struct {
+// entryInfo says who an entry is.
+type entryInfo struct {
 	entry  string
 	domain string
 }
@@ -115,19 +115,19 @@
 func (l *link) trying() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.open && time.Since(l.began) < tryFor
+	return !l.open && time.Since(l.tryingSince) < dialGrace
 }
 
-// tell sends a message if the session is open.
-func (l *link) tell(m *poolpb.FromEntry) {
+// enqueue sends a message if the session is open.
+func (l *link) enqueue(m *poolpb.FromEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.push(m)
+	l.enqueueLocked(m)
 }
 
-// push queues a message: while the session opens it is sent after the greeting. The
+// enqueueLocked queues a message: while the session opens it is sent after the greeting. The
 // caller holds the lock.
-func (l *link) push(m *poolpb.FromEntry) bool {
+func (l *link) enqueueLocked(m *poolpb.FromEntry) bool {
 	if l.out == nil {
 		return false
 	}
@@ -135,29 +135,29 @@
 	case l.out <- m:
 		return true
 	default:
-		l.drop()
+		l.endSession()
 		return false
 	}
 }
 
 // ask asks the owner for a place.
-func (l *link) ask(ctx context.Context, a *Ask) (Grant, error) {
+func (l *link) ask(ctx context.Context, a *PlacementRequest) (Grant, error) {
 	c := make(chan reply, 1)
 	l.mu.Lock()
-	ok := l.open && l.push(&poolpb.FromEntry{
+	ok := l.open && l.enqueueLocked(&poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Ask{
-			Ask: encodeAsk(a),
+			Ask: encodePlacementRequest(a),
 		},
 	})
 	if !ok {
 		l.mu.Unlock()
 		return Grant{}, errLost
 	}
-	if len(l.asked) == 0 {
+	if len(l.pending) == 0 {
 		// Silence counts from the first ask that is owed an answer.
-		l.heard = time.Now()
+		l.lastReceived = time.Now()
 	}
-	l.asked[a.ID] = c
+	l.pending[a.ID] = c
 	l.mu.Unlock()
 	select {
 	case r := <-c:
@@ -169,11 +169,11 @@
 }
 
 // withdraw takes an ask back.
-func (l *link) withdraw(a *Ask) {
+func (l *link) withdraw(a *PlacementRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.asked, a.ID)
-	l.push(&poolpb.FromEntry{
+	delete(l.pending, a.ID)
+	l.enqueueLocked(&poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Withdraw{
 			Withdraw: &poolpb.Withdraw{
 				Id:      a.ID,
@@ -182,5 +182,5 @@
 		},
 	})
 	// The place may have been given at this moment.
-	l.push(endMessage(a.ID, a.Service, Abandoned, ""))
+	l.enqueueLocked(endMessage(a.ID, a.Service, Abandoned, ""))
 }
--- a/pool/link_redial.go
+++ b/pool/link_redial.go
@@ -10,23 +10,23 @@
 	"google.golang.org/grpc/status"
 )
 
-// redialWithin bounds how long asks wait for a session that broke off to be open again:
+// redialWait bounds how long asks wait for a session that broke off to be open again:
 // many round trips, and below the shortest targets of callers. When all connections are
 // reset, all owners are as they were; an instance that did not wait would ask others,
 // which know less of what runs, or place alone, and start long readings on engines that
 // the owner has filled.
-const redialWithin = 100 * time.Millisecond
+const redialWait = 100 * time.Millisecond
 
-// brokeOff states whether the session is to be opened again at once: the other end or the
+// redialsAtOnce states whether the session is to be opened again at once: the other end or the
 // network broke it off, not this end for silence, and it was open for longer than the
 // pause between two tries, so that tries don't follow each other without a pause. The
 // caller holds the lock.
-func (l *link) brokeOff(err error) bool {
-	return status.Code(err) == codes.Unavailable && time.Since(l.openedAt) > redial
+func (l *link) redialsAtOnce(err error) bool {
+	return status.Code(err) == codes.Unavailable && time.Since(l.openedAt) > redialPause
 }
 
-// redialed ends the wait for the session. The caller holds the lock.
-func (l *link) redialed() {
+// endRedialWait ends the wait for the session. The caller holds the lock.
+func (l *link) endRedialWait() {
 	if l.redialing != nil {
 		close(l.redialing)
 		l.redialing = nil
@@ -42,7 +42,7 @@
 	if open || redialing == nil {
 		return open
 	}
-	ctx, cancel := context.WithTimeout(ctx, redialWithin)
+	ctx, cancel := context.WithTimeout(ctx, redialWait)
 	defer cancel()
 	select {
 	case <-redialing:
--- a/pool/link_session.go
+++ b/pool/link_session.go
@@ -21,12 +21,12 @@
 func (l *link) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := l.session(ctx)
-		if l.lost(err) {
+		if l.handleEnd(err) {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(redial):
+		case <-time.After(redialPause):
 		}
 	}
 }
@@ -39,14 +39,14 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	opening := time.AfterFunc(openWithin, cancel)
+	opening := time.AfterFunc(openTimeout, cancel)
 	defer opening.Stop()
 	stream, err := poolpb.NewPoolClient(conn).Session(ctx)
 	if err != nil {
 		return err
 	}
-	out := l.opens(cancel)
-	if err := l.greet(stream); err != nil {
+	out := l.startQueue(cancel)
+	if err := l.sendGreeting(stream); err != nil {
 		return err
 	}
 	// The first sign of life opens the session.
@@ -55,15 +55,15 @@
 		return err
 	}
 	opening.Stop()
-	l.opened()
-	l.take(m)
+	l.markOpen()
+	l.handle(m)
 	go l.send(ctx, cancel, stream, out)
-	go l.keep(ctx, cancel)
+	go l.monitor(ctx, cancel)
 	return l.receive(stream)
 }
 
-// greet tells the owner who speaks and what runs.
-func (l *link) greet(stream fromOwner) error {
+// sendGreeting tells the owner who speaks and what runs.
+func (l *link) sendGreeting(stream fromOwner) error {
 	first := []*poolpb.FromEntry{{
 		Kind: &poolpb.FromEntry_Hello{
 			Hello: &poolpb.Hello{
@@ -72,7 +72,7 @@
 			},
 		},
 	}}
-	first = append(first, l.book()...)
+	first = append(first, l.greeting()...)
 	first = append(first, pingMessage(greetingEnd))
 	for _, m := range first {
 		if err := stream.Send(m); err != nil {
@@ -82,41 +82,41 @@
 	return nil
 }
 
-// opens returns the queue of what is sent over a session that opens. Drop ends the
+// startQueue returns the queue of what is sent over a session that startQueue. Drop ends the
 // session.
-func (l *link) opens(drop context.CancelFunc) chan *poolpb.FromEntry {
+func (l *link) startQueue(drop context.CancelFunc) chan *poolpb.FromEntry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drop = drop
-	l.out = make(chan *poolpb.FromEntry, sendQueue)
+	l.endSession = drop
+	l.out = make(chan *poolpb.FromEntry, sendQueueSize)
 	return l.out
 }
 
-// opened notes that the session is open.
-func (l *link) opened() {
+// markOpen notes that the session is open.
+func (l *link) markOpen() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open = true
 	l.openedAt = time.Now()
-	l.heard = l.openedAt
-	l.asked = make(map[string]chan reply)
-	l.redialed()
+	l.lastReceived = l.openedAt
+	l.pending = make(map[string]chan reply)
+	l.endRedialWait()
 	l.log.Info("owner in touch", "owner", l.peer)
-	l.turn()
+	l.onChange()
 }
 
-// lost ends what was asked when the session has broken off, or did not open. It returns
+// handleEnd ends what was asked when the session has broken off, or did not open. It returns
 // whether the next try is due at once.
-func (l *link) lost(err error) bool {
+func (l *link) handleEnd(err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.out = nil
-	l.redialed()
+	l.endRedialWait()
 	if !l.open {
 		return false
 	}
 	l.open = false
-	for _, c := range l.asked {
+	for _, c := range l.pending {
 		c <- reply{
 			err: errLost,
 		}
@@ -125,14 +125,14 @@
 	if err != nil {
 		cause = err.Error()
 	}
-	l.log.Info("owner out of touch", "owner", l.peer, "asked", len(l.asked), "cause", cause)
-	l.asked = nil
-	again := l.brokeOff(err)
+	l.log.Info("owner out of touch", "owner", l.peer, "asked", len(l.pending), "cause", cause)
+	l.pending = nil
+	again := l.redialsAtOnce(err)
 	if again {
-		l.began = time.Now()
+		l.tryingSince = time.Now()
 		l.redialing = make(chan struct{})
 	}
-	l.turn()
+	l.onChange()
 	return again
 }
 
@@ -165,56 +165,56 @@
 		if err != nil {
 			return err
 		}
-		l.take(m)
+		l.handle(m)
 	}
 }
 
-// take takes over a message of the owner.
-func (l *link) take(m *poolpb.FromOwner) {
+// handle takes over a message of the owner.
+func (l *link) handle(m *poolpb.FromOwner) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = time.Now()
+	l.lastReceived = time.Now()
 	switch k := m.GetKind().(type) {
 	case *poolpb.FromOwner_Grant:
-		l.answer(k.Grant.GetId(), reply{
+		l.deliver(k.Grant.GetId(), reply{
 			grant: decodeGrant(k.Grant),
 		})
 	case *poolpb.FromOwner_Refusal:
-		l.answer(k.Refusal.GetId(), reply{
+		l.deliver(k.Refusal.GetId(), reply{
 			err: &Refusal{
-				Reason: k.Refusal.GetReason(),
-				After:  microseconds(k.Refusal.GetAfterUs()),
-				Kept:   k.Refusal.GetKept(),
+				Reason:       k.Refusal.GetReason(),
+				RetryAfter:   microseconds(k.Refusal.GetAfterUs()),
+				KeepReplaced: k.Refusal.GetKept(),
 			},
 		})
 	case *poolpb.FromOwner_Move:
-		go l.move(k.Move.GetId(), k.Move.GetEndpoint(), l.peer)
+		go l.onMigrate(k.Move.GetId(), k.Move.GetEndpoint(), l.peer)
 	case *poolpb.FromOwner_Verdict:
-		l.verdict(quarantine.DecodeVerdict(k.Verdict))
+		l.onVerdict(quarantine.DecodeVerdict(k.Verdict))
 	case *poolpb.FromOwner_Notice:
-		l.notice(decodeNotice(k.Notice))
+		l.onNotice(decodeNotice(k.Notice))
 	case *poolpb.FromOwner_Pong:
 	}
 }
 
-// answer hands a reply to the ask that waits for it. The caller holds the lock.
-func (l *link) answer(id string, r reply) {
-	if c, ok := l.asked[id]; ok {
-		delete(l.asked, id)
+// deliver hands a reply to the ask that waits for it. The caller holds the lock.
+func (l *link) deliver(id string, r reply) {
+	if c, ok := l.pending[id]; ok {
+		delete(l.pending, id)
 		c <- r
 	}
 }
 
-// keep ends a session whose owner is silent.
-func (l *link) keep(ctx context.Context, cancel func()) {
-	tick := time.NewTicker(pingBusy)
+// monitor ends a session whose owner is silent.
+func (l *link) monitor(ctx context.Context, cancel func()) {
+	tick := time.NewTicker(busyPingInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			if l.check(now) {
+			if l.checkSilence(now) {
 				cancel()
 				return
 			}
@@ -222,22 +222,22 @@
 	}
 }
 
-// check asks for a sign of life when one is due, and returns whether the owner
+// checkSilence asks for a sign of life when one is due, and returns whether the owner
 // is out of touch.
-func (l *link) check(now time.Time) bool {
+func (l *link) checkSilence(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit, every := idleSilence, pingIdle
-	if len(l.asked) > 0 {
-		limit, every = silence, pingBusy
+	limit, every := idleTimeout, idlePingInterval
+	if len(l.pending) > 0 {
+		limit, every = busyTimeout, busyPingInterval
 	}
-	if now.Sub(l.heard) > limit {
+	if now.Sub(l.lastReceived) > limit {
 		return true
 	}
-	if now.Sub(l.pinged) >= every-pingBusy/2 {
-		l.pinged = now
+	if now.Sub(l.lastPing) >= every-busyPingInterval/2 {
+		l.lastPing = now
 		l.seq++
-		l.push(pingMessage(l.seq))
+		l.enqueueLocked(pingMessage(l.seq))
 	}
 	return false
 }
--- a/pool/links_test.go
+++ b/pool/links_test.go
@@ -120,7 +120,7 @@
 		sent := 0
 		for i := range 20 {
 			a := prompt(fmt.Sprint("r", i), 100, time.Second)
-			a.Again = true
+			a.Retry = true
 			if _, err := c.Place(ctx, a); err == nil {
 				sent++
 			}
--- a/pool/lives.go
+++ b/pool/lives.go
@@ -59,5 +59,5 @@
 // that does not say counts as given at the present life.
 func (p *state) outlived(g *Grant) bool {
 	h := p.health[g.Instance]
-	return h != nil && !g.Born.IsZero() && g.Born.Before(h.born)
+	return h != nil && !g.StartedAt.IsZero() && g.StartedAt.Before(h.born)
 }
--- a/pool/lives_test.go
+++ b/pool/lives_test.go
@@ -86,8 +86,8 @@
 	return g
 }
 
-func (w *lifeWorld) ask(id, service string, prompt int) Ask {
-	return Ask{
+func (w *lifeWorld) ask(id, service string, prompt int) PlacementRequest {
+	return PlacementRequest{
 		ID:       id,
 		Service:  service,
 		Prompt:   prompt,
@@ -140,7 +140,7 @@
 			is.True(!w.failing(name, service))
 			is.Equal(w.s.pools[service].health[name].rate, 0.0)
 			g := w.place("three", service, 1000)
-			is.Equal(g.Born, firstLife.Add(time.Minute))
+			is.Equal(g.StartedAt, firstLife.Add(time.Minute))
 			// What the older life's requests came to is no matter of the new one.
 			for range 5 {
 				w.s.EndBy("one", service, Unreachable, name, "n1")
@@ -173,9 +173,9 @@
 	a := w.ask("long", "engines", 90_000)
 	a.Target = 500 * time.Millisecond
 	g, _, _ := w.s.Submit(a).Decision()
-	is.True(len(g.Readers) > 0)
+	is.True(len(g.Shares) > 0)
 	w.place("beside", "engines", 1000)
-	reader := g.Readers[0].Instance
+	reader := g.Shares[0].Instance
 	before := w.running(reader, "engines")
 	w.start(reader, "engines", firstLife.Add(time.Minute))
 	is.Equal(w.running(reader, "engines"), before-1)
@@ -192,13 +192,13 @@
 	second, third := firstLife.Add(time.Minute), firstLife.Add(2*time.Minute)
 	w.start("e0", "engines", second)
 	w.s.Adopt(w.ask("old", "engines", 1000), Grant{
-		Instance: "e0",
-		Born:     firstLife,
+		Instance:  "e0",
+		StartedAt: firstLife,
 	}, true)
 	is.Equal(w.running("e0", "engines"), 0)
 	w.s.Adopt(w.ask("new", "engines", 1000), Grant{
-		Instance: "e0",
-		Born:     third, // whoever decided knows of it already
+		Instance:  "e0",
+		StartedAt: third, // whoever decided knows of it already
 	}, false)
 	w.s.Adopt(w.ask("untold", "engines", 1000), Grant{
 		Instance: "e0",
--- a/pool/messages.go
+++ b/pool/messages.go
@@ -10,8 +10,8 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// encodeAsk returns the message of an ask. Durations are sent in microseconds.
-func encodeAsk(a *Ask) *poolpb.Ask {
+// encodePlacementRequest returns the message of an ask. Durations are sent in microseconds.
+func encodePlacementRequest(a *PlacementRequest) *poolpb.Ask {
 	m := &poolpb.Ask{
 		Id:         a.ID,
 		Service:    a.Service,
@@ -26,61 +26,61 @@
 		GapUs:      a.Gap.Microseconds(),
 		DeadlineUs: a.Deadline.Microseconds(),
 		Exclude:    a.Exclude,
-		Again:      a.Again,
+		Again:      a.Retry,
 		Returning:  a.Returning,
-		SpentUs:    a.Spent.Microseconds(),
+		SpentUs:    a.Elapsed.Microseconds(),
 		Avoid:      a.Avoid,
-		Emptied:    a.Emptied,
+		Emptied:    a.DrainedDomains,
 		Replaces: &poolpb.Replaced{
-			Attempt:    a.Replaces.Attempt,
-			ForUs:      a.Replaces.For.Microseconds(),
+			Attempt:    a.Replaces.ID,
+			ForUs:      a.Replaces.SilentFor.Microseconds(),
 			PatienceUs: a.Replaces.Patience.Microseconds(),
 		},
 		Resumed: a.Resumed,
-		DueUs:   a.Due.Microseconds(),
+		DueUs:   a.DueIn.Microseconds(),
 	}
 	for _, r := range a.Backoffs {
 		m.Backoffs = append(m.Backoffs, &poolpb.Backoff{
 			Instance: r.Instance,
-			ForUs:    r.For.Microseconds(),
+			ForUs:    r.Duration.Microseconds(),
 		})
 	}
 	return m
 }
 
-// decodeAsk returns the ask of a message.
-func decodeAsk(m *poolpb.Ask) Ask {
-	a := Ask{
-		ID:        m.GetId(),
-		Service:   m.GetService(),
-		Customer:  m.GetCustomer(),
-		Rank:      int(m.GetRank()),
-		Route:     m.GetRoute(),
-		RouteRank: int(m.GetRouteRank()),
-		Content:   m.GetContent(),
-		Prompt:    int(m.GetPrompt()),
-		Output:    int(m.GetOutput()),
-		Target:    microseconds(m.GetTargetUs()),
-		Gap:       microseconds(m.GetGapUs()),
-		Deadline:  microseconds(m.GetDeadlineUs()),
-		Exclude:   m.GetExclude(),
-		Again:     m.GetAgain(),
-		Returning: m.GetReturning(),
-		Spent:     microseconds(m.GetSpentUs()),
-		Avoid:     m.GetAvoid(),
-		Emptied:   m.GetEmptied(),
-		Replaces: Replaced{
-			Attempt:  m.GetReplaces().GetAttempt(),
-			For:      microseconds(m.GetReplaces().GetForUs()),
-			Patience: microseconds(m.GetReplaces().GetPatienceUs()),
+// decodePlacementRequest returns the ask of a message.
+func decodePlacementRequest(m *poolpb.Ask) PlacementRequest {
+	a := PlacementRequest{
+		ID:             m.GetId(),
+		Service:        m.GetService(),
+		Customer:       m.GetCustomer(),
+		Rank:           int(m.GetRank()),
+		Route:          m.GetRoute(),
+		RouteRank:      int(m.GetRouteRank()),
+		Content:        m.GetContent(),
+		Prompt:         int(m.GetPrompt()),
+		Output:         int(m.GetOutput()),
+		Target:         microseconds(m.GetTargetUs()),
+		Gap:            microseconds(m.GetGapUs()),
+		Deadline:       microseconds(m.GetDeadlineUs()),
+		Exclude:        m.GetExclude(),
+		Retry:          m.GetAgain(),
+		Returning:      m.GetReturning(),
+		Elapsed:        microseconds(m.GetSpentUs()),
+		Avoid:          m.GetAvoid(),
+		DrainedDomains: m.GetEmptied(),
+		Replaces: ReplacedAttempt{
+			ID:        m.GetReplaces().GetAttempt(),
+			SilentFor: microseconds(m.GetReplaces().GetForUs()),
+			Patience:  microseconds(m.GetReplaces().GetPatienceUs()),
 		},
 		Resumed: m.GetResumed(),
-		Due:     microseconds(m.GetDueUs()),
+		DueIn:   microseconds(m.GetDueUs()),
 	}
 	for _, r := range m.GetBackoffs() {
 		a.Backoffs = append(a.Backoffs, Backoff{
 			Instance: r.GetInstance(),
-			For:      microseconds(r.GetForUs()),
+			Duration: microseconds(r.GetForUs()),
 		})
 	}
 	return a
@@ -91,17 +91,17 @@
 	return time.Duration(n) * time.Microsecond
 }
 
-// bornMessage returns the start of an endpoint's life as a Unix time in ms; zero when it
+// encodeStartTime returns the start of an endpoint's life as a Unix time in ms; zero when it
 // does not say.
-func bornMessage(t time.Time) int64 {
+func encodeStartTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMilli()
 }
 
-// bornOf returns the start of an endpoint's life that was sent as a number.
-func bornOf(ms int64) time.Time {
+// decodeStartTime returns the start of an endpoint's life that was sent as a number.
+func decodeStartTime(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
@@ -115,12 +115,12 @@
 		Id:       id,
 		Instance: g.Instance,
 		Address:  g.Address,
-		FirstUs:  g.First.Microseconds(),
+		FirstUs:  g.FirstEventIn.Microseconds(),
 		WaitedUs: g.Waited.Microseconds(),
-		By:       g.By,
-		BornMs:   bornMessage(g.Born),
+		By:       g.DecidedBy,
+		BornMs:   encodeStartTime(g.StartedAt),
 	}
-	for _, r := range g.Readers {
+	for _, r := range g.Shares {
 		m.Readers = append(m.Readers, &poolpb.Reader{
 			Instance: r.Instance,
 			Address:  r.Address,
@@ -133,15 +133,15 @@
 // decodeGrant returns the grant of a message.
 func decodeGrant(m *poolpb.Grant) Grant {
 	g := Grant{
-		Instance: m.GetInstance(),
-		Address:  m.GetAddress(),
-		First:    microseconds(m.GetFirstUs()),
-		Waited:   microseconds(m.GetWaitedUs()),
-		By:       m.GetBy(),
-		Born:     bornOf(m.GetBornMs()),
+		Instance:     m.GetInstance(),
+		Address:      m.GetAddress(),
+		FirstEventIn: microseconds(m.GetFirstUs()),
+		Waited:       microseconds(m.GetWaitedUs()),
+		DecidedBy:    m.GetBy(),
+		StartedAt:    decodeStartTime(m.GetBornMs()),
 	}
 	for _, r := range m.GetReaders() {
-		g.Readers = append(g.Readers, Reader{
+		g.Shares = append(g.Shares, PrefillShare{
 			Instance: r.GetInstance(),
 			Address:  r.GetAddress(),
 			Reserved: int(r.GetReserved()),
@@ -155,7 +155,7 @@
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Running{
 			Running: &poolpb.Running{
-				Ask:   encodeAsk(&r.ask),
+				Ask:   encodePlacementRequest(&r.ask),
 				Grant: encodeGrant(r.ask.ID, &r.grant),
 				Begun: r.begun,
 			},
@@ -202,8 +202,8 @@
 	}
 }
 
-// moveMessage tells an entry that an attempt is to move.
-func moveMessage(m *move) *poolpb.FromOwner {
+// migrationMessage tells an entry that an attempt is to move.
+func migrationMessage(m *migration) *poolpb.FromOwner {
 	return &poolpb.FromOwner{
 		Kind: &poolpb.FromOwner_Move{
 			Move: &poolpb.Move{
@@ -218,7 +218,7 @@
 func encodeNotice(n notice.Notice) *poolpb.Notice {
 	return &poolpb.Notice{
 		Instance: n.Instance,
-		BornMs:   bornMessage(n.Born),
+		BornMs:   encodeStartTime(n.Born),
 		Limited:  n.Limited,
 		Rate:     n.Rate,
 		Leaving:  n.Leaving,
@@ -230,7 +230,7 @@
 func decodeNotice(m *poolpb.Notice) notice.Notice {
 	return notice.Notice{
 		Instance: m.GetInstance(),
-		Born:     bornOf(m.GetBornMs()),
+		Born:     decodeStartTime(m.GetBornMs()),
 		Limited:  m.GetLimited(),
 		Rate:     m.GetRate(),
 		Leaving:  m.GetLeaving(),
@@ -238,8 +238,8 @@
 	}
 }
 
-// noticeToOwner tells an owner what an endpoint says of itself.
-func noticeToOwner(n notice.Notice) *poolpb.FromEntry {
+// ownerNoticeMessage tells an owner what an endpoint says of itself.
+func ownerNoticeMessage(n notice.Notice) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Notice{
 			Notice: encodeNotice(n),
@@ -247,8 +247,8 @@
 	}
 }
 
-// noticeToEntry tells an entry what an endpoint says of itself.
-func noticeToEntry(n notice.Notice) *poolpb.FromOwner {
+// entryNoticeMessage tells an entry what an endpoint says of itself.
+func entryNoticeMessage(n notice.Notice) *poolpb.FromOwner {
 	return &poolpb.FromOwner{
 		Kind: &poolpb.FromOwner_Notice{
 			Notice: encodeNotice(n),
@@ -256,8 +256,8 @@
 	}
 }
 
-// crashedMessage tells an owner of a crash.
-func crashedMessage(c quarantine.Crash, now time.Time) *poolpb.FromEntry {
+// crashMessage tells an owner of a crash.
+func crashMessage(c quarantine.Crash, now time.Time) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Crashed{
 			Crashed: quarantine.EncodeCrash(c, now),
@@ -265,8 +265,8 @@
 	}
 }
 
-// verdictToOwner and verdictToEntry tell the other end of a session of a verdict.
-func verdictToOwner(v quarantine.Verdict) *poolpb.FromEntry {
+// ownerVerdictMessage and verdictToEntry tell the other end of a session of a verdict.
+func ownerVerdictMessage(v quarantine.Verdict) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Verdict{
 			Verdict: quarantine.EncodeVerdict(v),
@@ -274,7 +274,7 @@
 	}
 }
 
-func verdictToEntry(v quarantine.Verdict) *poolpb.FromOwner {
+func entryVerdictMessage(v quarantine.Verdict) *poolpb.FromOwner {
 	return &poolpb.FromOwner{
 		Kind: &poolpb.FromOwner_Verdict{
 			Verdict: quarantine.EncodeVerdict(v),
--- a/pool/messages_test.go
+++ b/pool/messages_test.go
@@ -19,43 +19,43 @@
 func TestMessages(t *testing.T) {
 	t.Run("ask", func(t *testing.T) {
 		is := is.New(t)
-		a := Ask{
-			ID:        "a",
-			Service:   "s",
-			Customer:  "c",
-			Rank:      1,
-			Route:     "r",
-			RouteRank: 8,
-			Content:   9,
-			Prompt:    2,
-			Output:    3,
-			Target:    -4 * time.Millisecond,
-			Gap:       5 * time.Millisecond,
-			Deadline:  6 * time.Millisecond,
-			Exclude:   []string{"e"},
-			Avoid:     []string{"f"},
-			Emptied:   []string{"g"},
-			Returning: true,
-			Spent:     7 * time.Millisecond,
-			Again:     true,
-			Replaces: Replaced{
-				Attempt:  "b",
-				For:      8 * time.Millisecond,
-				Patience: -9 * time.Millisecond,
+		a := PlacementRequest{
+			ID:             "a",
+			Service:        "s",
+			Customer:       "c",
+			Rank:           1,
+			Route:          "r",
+			RouteRank:      8,
+			Content:        9,
+			Prompt:         2,
+			Output:         3,
+			Target:         -4 * time.Millisecond,
+			Gap:            5 * time.Millisecond,
+			Deadline:       6 * time.Millisecond,
+			Exclude:        []string{"e"},
+			Avoid:          []string{"f"},
+			DrainedDomains: []string{"g"},
+			Returning:      true,
+			Elapsed:        7 * time.Millisecond,
+			Retry:          true,
+			Replaces: ReplacedAttempt{
+				ID:        "b",
+				SilentFor: 8 * time.Millisecond,
+				Patience:  -9 * time.Millisecond,
 			},
 			Resumed: true,
-			Due:     -10 * time.Millisecond,
+			DueIn:   -10 * time.Millisecond,
 			Backoffs: []Backoff{
 				{
 					Instance: "h",
-					For:      11 * time.Millisecond,
+					Duration: 11 * time.Millisecond,
 				},
 			},
 		}
 		assertSet(t, a)
 		assertSet(t, a.Backoffs[0])
 		assertSet(t, a.Replaces)
-		is.Equal(decodeAsk(encodeAsk(&a)), a)
+		is.Equal(decodePlacementRequest(encodePlacementRequest(&a)), a)
 	})
 	t.Run("notice", func(t *testing.T) {
 		n := notice.Notice{
@@ -72,19 +72,19 @@
 	t.Run("grant", func(t *testing.T) {
 		is := is.New(t)
 		g := Grant{
-			Instance: "i",
-			Address:  "a:1",
-			Born:     time.UnixMilli(1796256000123),
-			Readers: []Reader{
+			Instance:  "i",
+			Address:   "a:1",
+			StartedAt: time.UnixMilli(1796256000123),
+			Shares: []PrefillShare{
 				{
 					Instance: "j",
 					Address:  "b:1",
 					Reserved: 1,
 				},
 			},
-			First:  time.Millisecond,
-			Waited: 2 * time.Millisecond,
-			By:     "n",
+			FirstEventIn: time.Millisecond,
+			Waited:       2 * time.Millisecond,
+			DecidedBy:    "n",
 		}
 		assertSet(t, g)
 		is.Equal(decodeGrant(encodeGrant("x", &g)), g)
@@ -108,12 +108,12 @@
 			Ended:    now.Add(-time.Second),
 		}
 		assertSet(t, c)
-		m := crashedMessage(c, now)
+		m := crashMessage(c, now)
 		is.Equal(quarantine.DecodeCrash(m.GetCrashed(), now), c)
 		c.Others = nil
-		is.True(proto.Size(crashedMessage(c, now)) <= 192)
+		is.True(proto.Size(crashMessage(c, now)) <= 192)
 		c.Others = []string{"10.128.100.101:8080", "10.128.100.102:8080"}
-		is.True(proto.Size(crashedMessage(c, now)) <= 192+2*24) // each reader adds its address
+		is.True(proto.Size(crashMessage(c, now)) <= 192+2*24) // each reader adds its address
 	})
 	t.Run("verdict", func(t *testing.T) {
 		is := is.New(t)
@@ -124,9 +124,9 @@
 			Times:    9,
 		}
 		assertSet(t, v)
-		is.Equal(quarantine.DecodeVerdict(verdictToEntry(v).GetVerdict()), v)
-		is.Equal(quarantine.DecodeVerdict(verdictToOwner(v).GetVerdict()), v)
-		is.True(proto.Size(verdictToEntry(v)) <= 32)
+		is.Equal(quarantine.DecodeVerdict(entryVerdictMessage(v).GetVerdict()), v)
+		is.Equal(quarantine.DecodeVerdict(ownerVerdictMessage(v).GetVerdict()), v)
+		is.True(proto.Size(entryVerdictMessage(v)) <= 32)
 	})
 }
 
--- a/pool/overload_test.go
+++ b/pool/overload_test.go
@@ -132,11 +132,11 @@
 		a.Output = shortOutput
 		a.Gap = 250 * time.Millisecond
 		a.Returning = try > 0
-		a.Spent = time.Since(began)
+		a.Elapsed = time.Since(began)
 		first, err := m.attempt(ctx, a)
 		var r *pool.Refusal
 		if errors.As(err, &r) {
-			time.Sleep(r.After)
+			time.Sleep(r.RetryAfter)
 			continue
 		}
 		if err == nil {
@@ -165,7 +165,7 @@
 }
 
 // attempt runs a request and returns when its first event came.
-func (m *emulation) attempt(ctx context.Context, a pool.Ask) (time.Time, error) {
+func (m *emulation) attempt(ctx context.Context, a pool.PlacementRequest) (time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	g, err := m.s.Place(ctx, a)
--- a/pool/pace.go
+++ b/pool/pace.go
@@ -275,7 +275,7 @@
 			delete(p.paces.of, name)
 			continue
 		}
-		asks := s.asks(p, now) && p.takesPart(e) && p.takesQuestions(e, v, now)
+		asks := s.asks(p, now) && p.acceptsRequests(e) && p.takesQuestions(e, v, now)
 		if asks && left > 0 && r.due(e, now) {
 			left--
 			s.askPace(p, e, r, now)
--- a/pool/pace_test.go
+++ b/pool/pace_test.go
@@ -86,7 +86,7 @@
 }
 
 // place places a request, and returns its place and the attempt's id.
-func (f *pacePool) place(a pool.Ask) (pool.Grant, string) {
+func (f *pacePool) place(a pool.PlacementRequest) (pool.Grant, string) {
 	f.t.Helper()
 	f.count++
 	a.ID = fmt.Sprint("a", f.count)
@@ -99,10 +99,10 @@
 
 // serve places a request, and lets its first event come so many times as late as
 // predicted, and some time more. It returns where that was.
-func (f *pacePool) serve(a pool.Ask, pace float64, more time.Duration) pool.Grant {
+func (f *pacePool) serve(a pool.PlacementRequest, pace float64, more time.Duration) pool.Grant {
 	f.t.Helper()
 	g, id := f.place(a)
-	f.now = f.now.Add(time.Duration(float64(g.First)*pace) + more)
+	f.now = f.now.Add(time.Duration(float64(g.FirstEventIn)*pace) + more)
 	f.pool.First(id, "engines")
 	f.pool.End(id, "engines", pool.Served, "")
 	f.answer()
@@ -110,7 +110,7 @@
 }
 
 // on returns a request that one engine reads in 100 ms and that only this one may get.
-func (f *pacePool) on(name string) pool.Ask {
+func (f *pacePool) on(name string) pool.PlacementRequest {
 	a := prompt("", 10_000, 5*time.Second)
 	for other := range f.engines {
 		if other := fmt.Sprint("e", other); other != name {
@@ -134,16 +134,16 @@
 	f.now = f.now.Add(d)
 }
 
-func (f *pacePool) figures() pool.Figures {
-	return f.pool.Figures()["engines"]
+func (f *pacePool) figures() pool.Stats {
+	return f.pool.Stats()["engines"]
 }
 
 // ownPrompt is one that one engine reads in 100 ms, and jointPrompt one that several read.
-func ownPrompt() pool.Ask {
+func ownPrompt() pool.PlacementRequest {
 	return prompt("", 10_000, time.Second)
 }
 
-func jointPrompt() pool.Ask {
+func jointPrompt() pool.PlacementRequest {
 	return prompt("", 400_000, 2*time.Second)
 }
 
@@ -151,7 +151,7 @@
 func TestSuspects(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		ask  pool.Ask
+		ask  pool.PlacementRequest
 		pace float64
 		more time.Duration
 		// asked is whether all engines of the attempt are.
@@ -178,10 +178,10 @@
 				want = 1
 			}
 			is.Equal(f.asked[g.Instance], want)
-			for _, r := range g.Readers {
+			for _, r := range g.Shares {
 				is.Equal(f.asked[r.Instance], want)
 			}
-			is.Equal(len(f.asked), want*(len(g.Readers)+1))
+			is.Equal(len(f.asked), want*(len(g.Shares)+1))
 		})
 	}
 }
@@ -210,7 +210,7 @@
 	is := is.New(t)
 	f := newPacePool(t, 2, pool.PaceBoth)
 	g, _ := f.place(prompt("", 40_000, 5*time.Second))
-	f.rest(g.First + 250*time.Millisecond)
+	f.rest(g.FirstEventIn + 250*time.Millisecond)
 	other := ownPrompt()
 	other.Exclude = []string{g.Instance}
 	f.place(other)
@@ -327,8 +327,8 @@
 		a := ownPrompt()
 		a.ID = "adopted"
 		f.pool.Adopt(a, pool.Grant{
-			Instance: "e0",
-			First:    100 * time.Millisecond,
+			Instance:     "e0",
+			FirstEventIn: 100 * time.Millisecond,
 		}, false)
 		f.rest(400 * time.Millisecond)
 		f.pool.First("adopted", "engines")
@@ -393,7 +393,7 @@
 			row.bar(f.snap, &e)
 			f.snap.Endpoints[g.Instance] = e
 			f.pool.Update(f.snap)
-			f.rest(3 * g.First)
+			f.rest(3 * g.FirstEventIn)
 			f.pool.First(id, "engines")
 			is.Equal(f.asked[g.Instance], row.asked)
 		})
--- a/pool/pace_work_test.go
+++ b/pool/pace_work_test.go
@@ -66,7 +66,7 @@
 					Capacity:      1_000_000,
 				},
 			})
-			w := s.submit(Ask{
+			w := s.submit(PlacementRequest{
 				ID:       "a",
 				Service:  "engines",
 				Prompt:   10_000,
--- a/pool/plain_test.go
+++ b/pool/plain_test.go
@@ -42,7 +42,7 @@
 // placePlain places a request and returns the endpoint.
 func placePlain(t *testing.T, s *pool.Scheduler, id string) string {
 	t.Helper()
-	g, err := s.Place(t.Context(), pool.Ask{
+	g, err := s.Place(t.Context(), pool.PlacementRequest{
 		ID:       id,
 		Service:  "plain",
 		Target:   300 * time.Millisecond,
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -143,8 +143,8 @@
 	f.nodes = append(f.nodes, n)
 }
 
-func ask(id string) pool.Ask {
-	return pool.Ask{
+func ask(id string) pool.PlacementRequest {
+	return pool.PlacementRequest{
 		ID:       id,
 		Service:  "engines",
 		Prompt:   1000,
@@ -170,7 +170,7 @@
 			if err != nil {
 				f.t.Fatal(err)
 			}
-			by[g.By]++
+			by[g.DecidedBy]++
 			n.client.End(id, "engines", pool.Served, "")
 		}
 		for _, n := range f.nodes {
@@ -184,7 +184,7 @@
 	return nil
 }
 
-func (n *node) place(t *testing.T, a pool.Ask) pool.Grant {
+func (n *node) place(t *testing.T, a pool.PlacementRequest) pool.Grant {
 	t.Helper()
 	g, err := n.client.Place(t.Context(), a)
 	if err != nil {
@@ -233,7 +233,7 @@
 				continue
 			}
 			id := fmt.Sprintf("third-%d-%d", round, i)
-			by[n.place(t, ask(id)).By]++
+			by[n.place(t, ask(id)).DecidedBy]++
 			n.client.End(id, "engines", pool.Served, "")
 		}
 		if len(by) == 1 {
@@ -266,7 +266,7 @@
 	entry.place(t, ask("last"))
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err := entry.client.Place(ctx, pool.Ask{ID: "over", Service: "engines", Prompt: 1000, Target: time.Second * 3, Deadline: 5 * time.Second})
+	_, err := entry.client.Place(ctx, pool.PlacementRequest{ID: "over", Service: "engines", Prompt: 1000, Target: time.Second * 3, Deadline: 5 * time.Second})
 	is.True(err != nil) // all slots are taken
 }
 
@@ -274,7 +274,7 @@
 func (n *node) placedAgain(t *testing.T, id string) bool {
 	t.Helper()
 	a := ask(id)
-	a.Again = true
+	a.Retry = true
 	_, err := n.client.Place(t.Context(), a)
 	var r *pool.Refusal
 	if err != nil && !errors.As(err, &r) {
@@ -329,7 +329,7 @@
 	f := newFleet(t, 3)
 	// The ends of the attempts that found the owner are on their way: while they are, its
 	// first engines count as filled.
-	for owner := f.owner(""); owner.scheduler.Figures()["engines"].Placed > 0; {
+	for owner := f.owner(""); owner.scheduler.Stats()["engines"].Placed > 0; {
 		time.Sleep(time.Millisecond)
 	}
 	fail := func(n *node, i int) {
@@ -384,6 +384,6 @@
 	for _, n := range f.nodes {
 		a := ask("plain-" + n.self.ID)
 		a.Service = "plain"
-		is.Equal(n.place(t, a).By, n.self.ID)
+		is.Equal(n.place(t, a).DecidedBy, n.self.ID)
 	}
 }
--- a/pool/price.go
+++ b/pool/price.go
@@ -93,7 +93,7 @@
 func (p *state) inUse(now time.Time) float64 {
 	used, all := 0.0, 0
 	for _, e := range p.list {
-		if p.leftOut(e, now) {
+		if p.excluded(e, now) {
 			continue
 		}
 		all++
--- a/pool/rates_test.go
+++ b/pool/rates_test.go
@@ -151,7 +151,7 @@
 func (w *rateWorld) ask(s *Scheduler, alone bool) (*Refusal, bool) {
 	w.asked++
 	id := fmt.Sprint("r", w.asked)
-	x := s.submit(Ask{
+	x := s.submit(PlacementRequest{
 		ID:       id,
 		Service:  "s",
 		Prompt:   100,
@@ -235,7 +235,7 @@
 	r, decided := w.ask(s, false)
 	is.New(t).True(decided)
 	is.New(t).True(r != nil)
-	is.New(t).True(r.After >= 2*time.Second)
+	is.New(t).True(r.RetryAfter >= 2*time.Second)
 	w.run(2*time.Second, func(int) {})
 	r, decided = w.ask(s, false)
 	is.New(t).True(decided && r == nil)
@@ -255,7 +255,7 @@
 		w.ask(s, false)
 		refused := 0
 		for i := range 20 {
-			x := s.Submit(Ask{
+			x := s.Submit(PlacementRequest{
 				ID:       fmt.Sprint("q", i),
 				Service:  "s",
 				Target:   300 * time.Millisecond,
--- a/pool/readings.go
+++ b/pool/readings.go
@@ -17,7 +17,7 @@
 	p.longestGap = max(p.longestGap, w.ask.Gap)
 	reading, all := 0, 0
 	for _, e := range p.list {
-		if p.leftOut(e, now) {
+		if p.excluded(e, now) {
 			continue
 		}
 		all++
--- a/pool/returning.go
+++ b/pool/returning.go
@@ -84,17 +84,17 @@
 }
 
 // left returns the time left until the next event that an ask waits for would be late.
-func (a *Ask) left() time.Duration {
+func (a *PlacementRequest) left() time.Duration {
 	if a.Resumed {
-		return a.Due
+		return a.DueIn
 	}
-	return a.Target - a.Spent
+	return a.Target - a.Elapsed
 }
 
 // hurried states whether an ask waits for slots rather than for reading: its prompt is read
 // within a pass. What is left of the target of a stream that goes on says nothing of its
 // prompt; such streams are told apart by their longest pauses.
-func (a *Ask) hurried() bool {
+func (a *PlacementRequest) hurried() bool {
 	if a.Resumed {
 		return a.Gap <= resumedGap
 	}
@@ -154,7 +154,7 @@
 	r.returned++
 	c := r.cut[id][i]
 	r.set(id, slices.Delete(r.cut[id], i, i+1))
-	if !w.ask.Again {
+	if !w.ask.Retry {
 		w.request.TargetAt = c.dueAt
 	}
 }
--- a/pool/returning_test.go
+++ b/pool/returning_test.go
@@ -70,7 +70,7 @@
 		time.Sleep(10 * time.Millisecond)
 		for i, n := range f.nodes {
 			id := fmt.Sprintf("after-%d-%d", round, i)
-			by[n.place(t, ask(id)).By]++
+			by[n.place(t, ask(id)).DecidedBy]++
 			n.client.End(id, "engines", pool.Served, "")
 		}
 	}
@@ -87,7 +87,7 @@
 	if entry == owner {
 		entry = f.nodes[1]
 	}
-	for owner.scheduler.Figures()["engines"].Placed > 0 {
+	for owner.scheduler.Stats()["engines"].Placed > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	const attempts, ended = 10, 7
@@ -101,12 +101,12 @@
 		entry.client.End(fmt.Sprint("cut-", i), "engines", pool.Abandoned, "")
 	}
 	began := time.Now()
-	for owner.scheduler.Figures()["engines"].Placed != attempts-ended && time.Since(began) < time.Second {
+	for owner.scheduler.Stats()["engines"].Placed != attempts-ended && time.Since(began) < time.Second {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(owner.scheduler.Figures()["engines"].Placed, attempts-ended)
+	is.Equal(owner.scheduler.Stats()["engines"].Placed, attempts-ended)
 	time.Sleep(2500 * time.Millisecond)
-	is.Equal(owner.scheduler.Figures()["engines"].Placed, attempts-ended)
+	is.Equal(owner.scheduler.Stats()["engines"].Placed, attempts-ended)
 }
 
 // TestOwnerTellsToMove lets two entries suspect streams of one engine: the owner tells
@@ -123,7 +123,7 @@
 		n.learn(f.snap)
 	}
 	owner := f.owner("")
-	for owner.scheduler.Figures()["engines"].Placed > 0 {
+	for owner.scheduler.Stats()["engines"].Placed > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	moved := make(chan string, 10)
@@ -132,11 +132,11 @@
 		a.Gap = 5 * time.Second
 		n.place(t, a)
 		n.client.First(a.ID, "engines")
-		n.client.OnMove(a.ID, func() { moved <- a.ID })
+		n.client.OnMigrate(a.ID, func() { moved <- a.ID })
 	}
 	time.Sleep(400 * time.Millisecond)
 	for i, n := range f.nodes {
-		n.client.Suspect(fmt.Sprint("move-", i), "engines", 300*time.Millisecond)
+		n.client.ReportSilence(fmt.Sprint("move-", i), "engines", 300*time.Millisecond)
 	}
 	got := make(map[string]bool)
 	for len(got) < len(f.nodes) {
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -62,7 +62,7 @@
 	// marks counts the sessions that ended.
 	marks int64
 	// tell are what tells entries which of their attempts are to move.
-	tell map[string]*func(move)
+	tell map[string]*func(migration)
 }
 
 // NewScheduler returns a scheduler without endpoints.
@@ -84,7 +84,7 @@
 		log:      log,
 		pools:    make(map[string]*state),
 		wake:     make(chan struct{}, 1),
-		tell:     make(map[string]*func(move)),
+		tell:     make(map[string]*func(migration)),
 	}
 }
 
@@ -135,18 +135,18 @@
 }
 
 // Place implements Placer.
-func (s *Scheduler) Place(ctx context.Context, a Ask) (Grant, error) {
+func (s *Scheduler) Place(ctx context.Context, a PlacementRequest) (Grant, error) {
 	return s.place(ctx, a, false)
 }
 
 // place returns a place. An instance that is alone because no owner of the pool
 // is in touch has only its part of the retry budget.
-func (s *Scheduler) place(ctx context.Context, a Ask, alone bool) (Grant, error) {
+func (s *Scheduler) place(ctx context.Context, a PlacementRequest, alone bool) (Grant, error) {
 	return s.placeFor(ctx, a, s.settings.Self, alone)
 }
 
 // placeFor returns a place for an entry's request.
-func (s *Scheduler) placeFor(ctx context.Context, a Ask, entry string, alone bool) (Grant, error) {
+func (s *Scheduler) placeFor(ctx context.Context, a PlacementRequest, entry string, alone bool) (Grant, error) {
 	w := s.submitFor(a, entry, alone)
 	select {
 	case g := <-w.reply:
@@ -161,30 +161,30 @@
 
 // Submit takes a request without waiting for the decision, which may be there at once or
 // after a Review.
-func (s *Scheduler) Submit(a Ask) *Waiter {
+func (s *Scheduler) Submit(a PlacementRequest) *Waiter {
 	return s.submit(a, false)
 }
 
 // submit takes a request: it is placed or refused at once, or waits in the queue.
-func (s *Scheduler) submit(a Ask, alone bool) *Waiter {
+func (s *Scheduler) submit(a PlacementRequest, alone bool) *Waiter {
 	return s.submitFor(a, s.settings.Self, alone)
 }
 
 // submitFor takes an entry's request.
-func (s *Scheduler) submitFor(a Ask, entry string, alone bool) *Waiter {
+func (s *Scheduler) submitFor(a PlacementRequest, entry string, alone bool) *Waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.settings.Now()
 	p := s.pool(a.Service)
 	p.refusedBefore.recall(&a, now)
-	if !a.Returning && !a.Again {
+	if !a.Returning && !a.Retry {
 		p.worth.Note(a.kind())
 	}
-	s.lookForStopped(p, a.Service, now)
+	s.evaluateIfDue(p, a.Service, now)
 	w := s.waiter(p, a, now)
 	w.entry, w.alone = entry, alone
 	s.noteAlone(p, alone, now)
-	if r := p.keeps(a.Replaces, now); r != nil {
+	if r := p.refuseReplacement(a.Replaces, now); r != nil {
 		w.refuse <- r
 		return w
 	}
@@ -223,7 +223,7 @@
 	usable := p.usable(w, now)
 	used, slots := slotsOf(usable)
 	s.log.Info("refuse", "attempt", w.ask.ID, "service", w.ask.Service, "prompt", w.ask.Prompt, "reason", r.Reason,
-		"after_ms", r.After.Milliseconds(), "waited_ms", now.Sub(w.arrived).Milliseconds(), "queue", len(p.queue),
+		"after_ms", r.RetryAfter.Milliseconds(), "waited_ms", now.Sub(w.arrived).Milliseconds(), "queue", len(p.queue),
 		"endpoints", len(usable), "withheld", p.withheld(w, now), "running", used, "slots", slots, "worth", w.request.Worth,
 		"returning", w.ask.Returning, "rank", w.ask.Rank, "route_rank", w.ask.RouteRank,
 		"work_ms", work.Milliseconds(), "price", p.priceNow(now))
@@ -273,7 +273,7 @@
 		return
 	}
 	now := s.settings.Now()
-	if o == Silent && (at.moved || p.asPlanned(id, at, now)) {
+	if o == Silent && (at.moved || p.silenceExpected(id, at, now)) {
 		// What showed that the endpoint is silent has been counted, or is no fault.
 		o = Abandoned
 	}
@@ -294,7 +294,7 @@
 			"failures", h.all.failures, "for_ms", h.all.until.Sub(now).Milliseconds(), "attempt", id,
 			"reporter", reporter)
 		if o == Unreachable {
-			s.unreachable(p, service, instance, now)
+			s.handleUnreachable(p, service, instance, now)
 		}
 	}
 	s.poke()
--- a/pool/server.go
+++ b/pool/server.go
@@ -16,24 +16,24 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// forgetAfter is how long the attempts of an entry whose session broke off are
+// orphanTimeout is how long the attempts of an entry whose session broke off are
 // counted as running: an entry that lives is back by then.
-const forgetAfter = 2 * time.Second
+const orphanTimeout = 2 * time.Second
 
 // Server serves a Scheduler to other instances.
 type Server struct {
 	poolpb.UnimplementedPoolServer
 
 	scheduler *Scheduler
-	// known is closed once the endpoints are known.
-	known <-chan struct{}
+	// ready is closed once the endpoints are ready.
+	ready <-chan struct{}
 	// closing ends all sessions.
 	closing <-chan struct{}
 
 	mu sync.Mutex
 	// sessions are the newest ones, by entry, and cut what the ended ones had running.
 	sessions map[string]*session
-	cut      map[string][]cutSession
+	orphans  map[string][]orphanSet
 }
 
 // NewServer returns a server. Sessions begin once known is closed, and end when closing
@@ -41,10 +41,10 @@
 func NewServer(s *Scheduler, known, closing <-chan struct{}) *Server {
 	return &Server{
 		scheduler: s,
-		known:     known,
+		ready:     known,
 		closing:   closing,
 		sessions:  make(map[string]*session),
-		cut:       make(map[string][]cutSession),
+		orphans:   make(map[string][]orphanSet),
 	}
 }
 
@@ -54,10 +54,10 @@
 	stream grpc.BidiStreamingServer[poolpb.FromEntry, poolpb.FromOwner]
 	// entry names the instance at the other end, and stopMoves ends telling it of attempts
 	// that are to move; nil until it has said its name.
-	entry     string
-	stopMoves func()
-	// stopTelling ends telling it what all instances hear; nil until it has said its name.
-	stopTelling func()
+	entry          string
+	stopMigrations func()
+	// stopNotifying ends telling it what all instances hear; nil until it has said its name.
+	stopNotifying func()
 
 	// replaced is closed, by replace, when another session of the entry has begun.
 	replaced chan struct{}
@@ -67,10 +67,10 @@
 	sending sync.Mutex
 
 	mu sync.Mutex
-	// over states that the session ends: its entry may say its name at that moment.
-	over bool
-	// asked are the asks that wait for a place, by attempt, with what ends them.
-	asked map[string]context.CancelFunc
+	// ending states that the session ends: its entry may say its name at that moment.
+	ending bool
+	// pending are the asks that wait for a place, by attempt, with what ends them.
+	pending map[string]context.CancelFunc
 	// attempts are what the entry has running, by id with their service.
 	attempts map[string]string
 	wait     sync.WaitGroup
@@ -80,7 +80,7 @@
 func (s *Server) Session(stream grpc.BidiStreamingServer[poolpb.FromEntry, poolpb.FromOwner]) error {
 	// Instances that start together come before the endpoints are known.
 	select {
-	case <-s.known:
+	case <-s.ready:
 	case <-stream.Context().Done():
 		return stream.Context().Err()
 	case <-s.closing:
@@ -90,7 +90,7 @@
 		server:   s,
 		stream:   stream,
 		replaced: make(chan struct{}),
-		asked:    make(map[string]context.CancelFunc),
+		pending:  make(map[string]context.CancelFunc),
 		attempts: make(map[string]string),
 	}
 	x.replace = sync.OnceFunc(func() { close(x.replaced) })
@@ -113,13 +113,13 @@
 // in time.
 func (x *session) end() {
 	x.mu.Lock()
-	x.over = true
-	for _, cancel := range x.asked {
+	x.ending = true
+	for _, cancel := range x.pending {
 		cancel()
 	}
 	x.mu.Unlock()
 	x.wait.Wait()
-	x.server.ended(x)
+	x.server.unregisterSession(x)
 }
 
 // receive takes the entry's messages.
@@ -129,34 +129,34 @@
 		if err != nil {
 			return err
 		}
-		if err := x.take(ctx, m); err != nil {
+		if err := x.handle(ctx, m); err != nil {
 			return err
 		}
 	}
 }
 
-// take takes over a message of the entry. An error ends the session.
-func (x *session) take(ctx context.Context, m *poolpb.FromEntry) error {
+// handle takes over a message of the entry. An error ends the session.
+func (x *session) handle(ctx context.Context, m *poolpb.FromEntry) error {
 	s := x.server.scheduler
 	switch k := m.GetKind().(type) {
 	case *poolpb.FromEntry_Hello:
-		x.begin(k.Hello.GetEntry())
+		x.register(k.Hello.GetEntry())
 	case *poolpb.FromEntry_Ask:
-		x.place(ctx, decodeAsk(k.Ask))
+		x.place(ctx, decodePlacementRequest(k.Ask))
 	case *poolpb.FromEntry_Withdraw:
 		x.withdraw(k.Withdraw.GetId())
 	case *poolpb.FromEntry_Running:
-		a := decodeAsk(k.Running.GetAsk())
-		if x.note(a.ID, a.Service) {
+		a := decodePlacementRequest(k.Running.GetAsk())
+		if x.addAttempt(a.ID, a.Service) {
 			s.adoptFor(a, decodeGrant(k.Running.GetGrant()), x.entry, k.Running.GetBegun())
 		}
 	case *poolpb.FromEntry_First:
 		s.FirstBy(k.First.GetId(), k.First.GetService(), x.entry)
 	case *poolpb.FromEntry_End:
-		x.drop(k.End.GetId())
+		x.removeAttempt(k.End.GetId())
 		s.EndBy(k.End.GetId(), k.End.GetService(), Outcome(k.End.GetOutcome()), k.End.GetCulprit(), x.entry)
 	case *poolpb.FromEntry_Suspicion:
-		s.Suspect(k.Suspicion.GetId(), k.Suspicion.GetService(), microseconds(k.Suspicion.GetSilenceUs()))
+		s.ReportSilence(k.Suspicion.GetId(), k.Suspicion.GetService(), microseconds(k.Suspicion.GetSilenceUs()))
 	case *poolpb.FromEntry_Crashed:
 		s.settings.Quarantine.Report(quarantine.DecodeCrash(k.Crashed, s.settings.Now()))
 	case *poolpb.FromEntry_Verdict:
@@ -165,7 +165,7 @@
 		s.settings.Notices.Learn(decodeNotice(k.Notice))
 	case *poolpb.FromEntry_Ping:
 		if k.Ping.GetSeq() == greetingEnd {
-			x.server.greeted(x)
+			x.server.endMissingOrphans(x)
 		}
 		return x.send(&poolpb.FromOwner{
 			Kind: &poolpb.FromOwner_Pong{
@@ -185,8 +185,8 @@
 	return x.stream.Send(m)
 }
 
-// note adds to what the entry has running. It returns false when the session has ended.
-func (x *session) note(id, service string) bool {
+// addAttempt adds to what the entry has running. It returns false when the session has ended.
+func (x *session) addAttempt(id, service string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.attempts == nil {
@@ -196,8 +196,8 @@
 	return true
 }
 
-// drop takes from what the entry has running.
-func (x *session) drop(id string) {
+// removeAttempt takes from what the entry has running.
+func (x *session) removeAttempt(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.attempts, id)
@@ -207,37 +207,37 @@
 func (x *session) withdraw(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if cancel := x.asked[id]; cancel != nil {
+	if cancel := x.pending[id]; cancel != nil {
 		cancel()
 	}
 }
 
 // place answers an ask as soon as there is a place or a refusal.
-func (x *session) place(ctx context.Context, a Ask) {
+func (x *session) place(ctx context.Context, a PlacementRequest) {
 	ctx, cancel := context.WithCancel(ctx)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.over {
+	if x.ending {
 		cancel()
 		return
 	}
-	x.asked[a.ID] = cancel
+	x.pending[a.ID] = cancel
 	x.wait.Go(func() {
 		defer cancel()
 		g, err := x.server.scheduler.placeFor(ctx, a, x.entry, false)
 		x.mu.Lock()
-		delete(x.asked, a.ID)
+		delete(x.pending, a.ID)
 		x.mu.Unlock()
 		x.reply(a, g, err)
 	})
 }
 
 // reply tells the entry what became of its ask.
-func (x *session) reply(a Ask, g Grant, err error) {
+func (x *session) reply(a PlacementRequest, g Grant, err error) {
 	var r *Refusal
 	switch {
 	case err == nil:
-		if !x.note(a.ID, a.Service) {
+		if !x.addAttempt(a.ID, a.Service) {
 			x.server.scheduler.EndBy(a.ID, a.Service, Abandoned, "", x.entry)
 			return
 		}
@@ -252,8 +252,8 @@
 				Refusal: &poolpb.Refusal{
 					Id:      a.ID,
 					Reason:  r.Reason,
-					AfterUs: r.After.Microseconds(),
-					Kept:    r.Kept,
+					AfterUs: r.RetryAfter.Microseconds(),
+					Kept:    r.KeepReplaced,
 				},
 			},
 		})
--- a/pool/server_tell.go
+++ b/pool/server_notify.go
@@ -8,19 +8,19 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// tellQueue bounds what waits to be told to an entry: what comes about in a second of a storm
+// notifyQueueSize bounds what waits to be told to an entry: what comes about in a second of a storm
 // of crashes. An entry that takes no more hears the rest when its next session begins.
-const tellQueue = 256
+const notifyQueueSize = 256
 
-// tellChanges tells the entry what is thought of requests that crash endpoints, and what endpoints
+// notifyChanges tells the entry what is thought of requests that crash endpoints, and what endpoints
 // say of themselves, now and as it changes, in order. An entry that takes nothing doesn't hold
 // up the others.
-func (x *session) tellChanges() {
+func (x *session) notifyChanges() {
 	s := &x.server.scheduler.settings
-	queue := make(chan *poolpb.FromOwner, tellQueue)
-	stopVerdicts := s.Quarantine.OnVerdict(func(v quarantine.Verdict) { x.queue(queue, verdictToEntry(v)) })
-	stopNotices := s.Notices.OnChange(func(n notice.Notice) { x.queue(queue, noticeToEntry(n)) })
-	x.stopTelling = func() {
+	queue := make(chan *poolpb.FromOwner, notifyQueueSize)
+	stopVerdicts := s.Quarantine.OnVerdict(func(v quarantine.Verdict) { x.enqueueNotification(queue, entryVerdictMessage(v)) })
+	stopNotices := s.Notices.OnChange(func(n notice.Notice) { x.enqueueNotification(queue, entryNoticeMessage(n)) })
+	x.stopNotifying = func() {
 		stopVerdicts()
 		stopNotices()
 		close(queue)
@@ -28,19 +28,19 @@
 	verdicts, notices := s.Quarantine.Verdicts(), s.Notices.Notices()
 	go func() {
 		for _, v := range verdicts {
-			x.tell(verdictToEntry(v))
+			x.notify(entryVerdictMessage(v))
 		}
 		for _, n := range notices {
-			x.tell(noticeToEntry(n))
+			x.notify(entryNoticeMessage(n))
 		}
 		for m := range queue {
-			x.tell(m)
+			x.notify(m)
 		}
 	}()
 }
 
-// queue has the entry told of a change, unless too much waits.
-func (x *session) queue(queue chan<- *poolpb.FromOwner, m *poolpb.FromOwner) {
+// enqueueNotification has the entry told of a change, unless too much waits.
+func (x *session) enqueueNotification(queue chan<- *poolpb.FromOwner, m *poolpb.FromOwner) {
 	select {
 	case queue <- m:
 	default:
@@ -48,8 +48,8 @@
 	}
 }
 
-// tell tells the entry of one change.
-func (x *session) tell(m *poolpb.FromOwner) {
+// notify tells the entry of one change.
+func (x *session) notify(m *poolpb.FromOwner) {
 	if err := x.send(m); err != nil {
 		x.server.scheduler.log.V(1).Info("entry not told", "entry", x.entry, "of", m.String(), "cause", err.Error())
 	}
--- a/pool/session_test.go
+++ b/pool/session_test.go
@@ -135,7 +135,7 @@
 func assertServed(t *testing.T, c poolpb.PoolClient, session fromOwner) {
 	t.Helper()
 	is := is.New(t)
-	a := Ask{
+	a := PlacementRequest{
 		ID:       "a",
 		Service:  "engines",
 		Prompt:   100,
@@ -146,7 +146,7 @@
 	for range 2 {
 		err := session.Send(&poolpb.FromEntry{
 			Kind: &poolpb.FromEntry_Ask{
-				Ask: encodeAsk(&a),
+				Ask: encodePlacementRequest(&a),
 			},
 		})
 		if err == nil {
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -77,8 +77,8 @@
 // done.
 func (s *Scheduler) refusal(reason string, ahead time.Duration) *Refusal {
 	return &Refusal{
-		Reason: reason,
-		After:  max(shedAfter, ahead) + s.settings.Draw(max(shedSpread, ahead)),
+		Reason:     reason,
+		RetryAfter: max(shedAfter, ahead) + s.settings.Draw(max(shedSpread, ahead)),
 	}
 }
 
@@ -163,7 +163,7 @@
 // firstTry states whether the caller asks for the first time and no endpoint had the
 // request: it can be told to come back.
 func (w *Waiter) firstTry() bool {
-	return !w.ask.Returning && !w.ask.Again && !w.ask.Resumed && w.ask.Target > 0
+	return !w.ask.Returning && !w.ask.Retry && !w.ask.Resumed && w.ask.Target > 0
 }
 
 // outOfSlots states whether a short request would be late for want of slots, so that it
--- a/pool/silence_test.go
+++ b/pool/silence_test.go
@@ -13,13 +13,13 @@
 )
 
 // replacing returns an ask that is to replace a silent attempt.
-func replacing(attempt string, silence, patience time.Duration) pool.Ask {
+func replacing(attempt string, silence, patience time.Duration) pool.PlacementRequest {
 	a := prompt("again", 1000, time.Second)
-	a.Again = true
-	a.Replaces = pool.Replaced{
-		Attempt:  attempt,
-		For:      silence,
-		Patience: patience,
+	a.Retry = true
+	a.Replaces = pool.ReplacedAttempt{
+		ID:        attempt,
+		SilentFor: silence,
+		Patience:  patience,
 	}
 	return a
 }
@@ -43,9 +43,9 @@
 				is.NoErr(err)
 				time.Sleep(row.silence)
 				_, r, ok := s.Submit(replacing("silent", row.silence, row.patience)).Decision()
-				is.Equal(ok && r != nil && r.Kept, row.kept)
+				is.Equal(ok && r != nil && r.KeepReplaced, row.kept)
 				if row.kept {
-					is.True(r.After > 1500*time.Millisecond && r.After < 2500*time.Millisecond)
+					is.True(r.RetryAfter > 1500*time.Millisecond && r.RetryAfter < 2500*time.Millisecond)
 				}
 			})
 		})
--- a/pool/state.go
+++ b/pool/state.go
@@ -34,7 +34,7 @@
 	// spend that has no owner to ask.
 	retry  spender
 	alone  spender
-	errors errorStats
+	errors predictionStats
 	// worth tells what requests are worth.
 	worth *worth.Scale
 	// refusedBefore are callers that may come back.
@@ -54,7 +54,7 @@
 	// suspicion is what shows that endpoints have stopped.
 	suspicion suspicion
 	// checks are how all endpoints are checked when some have stopped.
-	checks checks
+	checks checkState
 	// returning is the work that was cut and comes back.
 	returning returning
 	// notices has what endpoints say of themselves.
@@ -229,8 +229,8 @@
 
 // admit counts a request against the retry budget. It returns a refusal when
 // the budget is spent.
-func (p *state) admit(a Ask, alone bool, now time.Time) *Refusal {
-	if !a.Again {
+func (p *state) admit(a PlacementRequest, alone bool, now time.Time) *Refusal {
+	if !a.Retry {
 		p.retry.first(now)
 		p.alone.first(now)
 		return nil
@@ -243,8 +243,8 @@
 		return nil
 	}
 	return &Refusal{
-		Reason: "retry budget is spent",
-		After:  retryAfter,
+		Reason:     "retry budget is spent",
+		RetryAfter: retryAfter,
 	}
 }
 
--- a/pool/figures.go
+++ b/pool/stats.go
@@ -8,8 +8,8 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// Figures are the state of one pool.
-type Figures struct {
+// Stats are the state of one pool.
+type Stats struct {
 	// Endpoints is how many are known.
 	Endpoints int `json:"endpoints"`
 	// Placed is how many attempts have a place.
@@ -18,8 +18,8 @@
 	Queued int `json:"queued"`
 	// Predicted counts the first events that were predicted.
 	Predicted int `json:"predicted"`
-	// Within counts those that were off by a fifth of the prediction or less.
-	Within int `json:"within"`
+	// WithinTolerance counts those that were off by a fifth of the prediction or less.
+	WithinTolerance int `json:"within"`
 	// Cold is how many endpoints are cold, or taken to be.
 	Cold int `json:"cold"`
 	// ColdPassedOver counts how often a decision found a cold endpoint that had been
@@ -33,15 +33,15 @@
 	PaceChanges int `json:"pace_changes"`
 	// Cut counts the attempts that their callers or their engines cut, Returned those of
 	// them that came back within a second, and Crowds how often many did at once.
-	Cut      int `json:"cut"`
-	Returned int `json:"returned"`
-	Crowds   int `json:"crowds"`
+	Cut             int `json:"cut"`
+	Returned        int `json:"returned"`
+	ReconnectBursts int `json:"crowds"`
 	// Suspected counts the suspicions of entries, Agreed the endpoints that were left out by
 	// them, Moved the attempts that were told to move, Checked the checks of endpoints, and
 	// Absent those that failed and had the endpoint left out.
 	Suspected int `json:"suspected"`
-	Agreed    int `json:"agreed"`
-	Moved     int `json:"moved"`
+	Confirmed int `json:"agreed"`
+	Migrated  int `json:"moved"`
 	Checked   int `json:"checked"`
 	Absent    int `json:"absent"`
 	// Limited is how many endpoints name a rate limit, PassedOver counts those that were passed
@@ -54,56 +54,56 @@
 	Routes map[string]worth.Usual `json:"routes,omitempty"`
 }
 
-// Figures returns the state of all pools by service.
-func (s *Scheduler) Figures() map[string]Figures {
+// Stats returns the state of all pools by service.
+func (s *Scheduler) Stats() map[string]Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]Figures, len(s.pools))
+	out := make(map[string]Stats, len(s.pools))
 	for name, p := range s.pools {
-		out[name] = Figures{
-			Endpoints:      len(p.list),
-			Placed:         len(p.placed),
-			Queued:         len(p.queue),
-			Predicted:      p.errors.count,
-			Within:         p.errors.within,
-			Slow:           p.slow(),
-			PaceAsked:      p.paces.asked,
-			PaceChanges:    p.paces.changes,
-			Cold:           p.cold.count(s.settings.Now()),
-			ColdPassedOver: p.cold.passedOver,
-			Cut:            p.returning.cuts,
-			Returned:       p.returning.returned,
-			Crowds:         p.returning.crowds,
-			Suspected:      p.suspicion.suspected,
-			Agreed:         p.suspicion.agreed,
-			Moved:          p.suspicion.moved,
-			Checked:        p.checks.checked,
-			Absent:         p.checks.failed,
-			Limited:        p.limited(),
-			PassedOver:     p.passedOver,
-			Unavailable:    p.unavailable,
-			Routes:         p.worth.Routes(),
+		out[name] = Stats{
+			Endpoints:       len(p.list),
+			Placed:          len(p.placed),
+			Queued:          len(p.queue),
+			Predicted:       p.errors.count,
+			WithinTolerance: p.errors.within,
+			Slow:            p.slow(),
+			PaceAsked:       p.paces.asked,
+			PaceChanges:     p.paces.changes,
+			Cold:            p.cold.count(s.settings.Now()),
+			ColdPassedOver:  p.cold.passedOver,
+			Cut:             p.returning.cuts,
+			Returned:        p.returning.returned,
+			ReconnectBursts: p.returning.crowds,
+			Suspected:       p.suspicion.suspected,
+			Confirmed:       p.suspicion.agreed,
+			Migrated:        p.suspicion.moved,
+			Checked:         p.checks.checked,
+			Absent:          p.checks.failed,
+			Limited:         p.limited(),
+			PassedOver:      p.passedOver,
+			Unavailable:     p.unavailable,
+			Routes:          p.worth.Routes(),
 		}
 	}
 	return out
 }
 
-// errorStats are how far predictions were off.
-type errorStats struct {
+// predictionStats are how far predictions were off.
+type predictionStats struct {
 	count int
 	// within counts predictions that were met.
 	within int
 }
 
-// metWithin is the relative error up to which a prediction counts as met: one that
+// predictionTolerance is the relative error up to which a prediction counts as met: one that
 // is off by more may change a decision.
-const metWithin = 0.2
+const predictionTolerance = 0.2
 
 // add counts a prediction.
-func (s *errorStats) add(predicted, actual time.Duration) {
+func (s *predictionStats) add(predicted, actual time.Duration) {
 	s.count++
 	off := (actual - predicted).Abs()
-	if float64(off) <= metWithin*float64(predicted) {
+	if float64(off) <= predictionTolerance*float64(predicted) {
 		s.within++
 	}
 }
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -13,43 +13,43 @@
 
 // The measures of suspecting an endpoint.
 const (
-	// SuspectLeast is the shortest silence of a stream that is suspected: passes that read
-	// prompts take as long. SuspectPasses is how many of its usual pauses a silence lasts
+	// MinSuspectSilence is the shortest silence of a stream that is suspected: passes that read
+	// prompts take as long. SuspectGapFactor is how many of its usual pauses a silence lasts
 	// before it is suspected: an engine that works at a third of its pace is slow, not dead.
-	SuspectLeast  = 200 * time.Millisecond
-	SuspectPasses = 4
-	// suspicionHolds is how long a suspicion counts that is not repeated: entries repeat it
-	// each SuspectLeast while the silence lasts.
-	suspicionHolds = 300 * time.Millisecond
-	// silentLeast and silentFactor times its predicted time is how much longer than
+	MinSuspectSilence = 200 * time.Millisecond
+	SuspectGapFactor  = 4
+	// suspicionTTL is how long a suspicion counts that is not repeated: entries repeat it
+	// each MinSuspectSilence while the silence lasts.
+	suspicionTTL = 300 * time.Millisecond
+	// minSilentLateness and silentFactor times its predicted time is how much longer than
 	// predicted a first event takes that is suspected; after doubtLeast, and its predicted
 	// time once more, its endpoint gets nothing new if others are in doubt as well.
-	silentLeast  = 400 * time.Millisecond
-	silentFactor = 2
-	doubtLeast   = 150 * time.Millisecond
-	// silentLong is the predicted time from which on a first event waits for a long
+	minSilentLateness    = 400 * time.Millisecond
+	silentLatenessFactor = 2
+	minDoubtLateness     = 150 * time.Millisecond
+	// longPrefillThreshold is the predicted time from which on a first event waits for a long
 	// reading, during which other streams of the engine are silent.
-	silentLong = 250 * time.Millisecond
-	// agreeing is how many instances must suspect an endpoint for it to be set aside, and
+	longPrefillThreshold = 250 * time.Millisecond
+	// confirmQuorum is how many instances must suspect an endpoint for it to be set aside, and
 	// doubting how many must have some endpoint in doubt for one that a single instance
 	// doubts, and none has a sign of life of, to get nothing new. The link of a single
 	// instance is no ground for either.
-	agreeing = 2
-	doubting = 3
-	// suspectEvery bounds how often the attempts are looked at.
-	suspectEvery = 10 * time.Millisecond
-	// lateMovesWithin is how long moves are spread over that are late already: their callers
+	confirmQuorum = 2
+	doubtQuorum   = 3
+	// evaluateInterval bounds how often the attempts are looked at.
+	evaluateInterval = 10 * time.Millisecond
+	// lateMigrationSpread is how long moves are spread over that are late already: their callers
 	// wait for two seconds at least, and a fourth of that has passed.
-	lateMovesWithin = 600 * time.Millisecond
+	lateMigrationSpread = 600 * time.Millisecond
 )
 
-// Suspecter hears of streams that are silent for longer than usual, and tells which
+// SilenceMonitor hears of streams that are silent for longer than usual, and tells which
 // attempts are to move to another endpoint.
-type Suspecter interface {
-	// Suspect notes the silence of an attempt.
-	Suspect(id, service string, silence time.Duration)
-	// OnMove has a function called, at any time until stop is, when an attempt is to move.
-	OnMove(id string, move func()) (stop func())
+type SilenceMonitor interface {
+	// ReportSilence notes the silence of an attempt.
+	ReportSilence(id, service string, silence time.Duration)
+	// OnMigrate has a function called, at any time until stop is, when an attempt is to move.
+	OnMigrate(id string, move func()) (stop func())
 }
 
 // suspicion is what attempts show of endpoints that have stopped. The zero value is ready
@@ -66,8 +66,8 @@
 	moved     int
 }
 
-// move tells an entry that an attempt is to move.
-type move struct {
+// migration tells an entry that an attempt is to migration.
+type migration struct {
 	entry   string
 	id      string
 	service string
@@ -79,24 +79,24 @@
 	joint bool
 }
 
-// sign is what one attempt shows of the endpoint that answers it.
-type sign int
+// signal is what one attempt shows of the endpoint that answers it.
+type signal int
 
 // The signs.
 const (
-	// noSign is that of an attempt that tells nothing, or whose endpoint has a reason for
+	// signalNone is that of an attempt that tells nothing, or whose endpoint has a reason for
 	// its silence.
-	noSign sign = iota
-	// aliveSign is that of a stream whose events come.
-	aliveSign
-	// lateSign is that of a first event that is overdue by less than a silent one.
-	lateSign
-	// silentSign is that of an attempt that is overdue.
-	silentSign
+	signalNone signal = iota
+	// signalAlive is that of a stream whose events come.
+	signalAlive
+	// signalLate is that of a first event that is overdue by less than a silent one.
+	signalLate
+	// signalSilent is that of an attempt that is overdue.
+	signalSilent
 )
 
-// signs are the entries of the attempts on an endpoint, by what these show of it.
-type signs struct {
+// endpointSignals are the entries of the attempts on an endpoint, by what these show of it.
+type endpointSignals struct {
 	silent map[string]bool
 	late   map[string]bool
 	alive  map[string]bool
@@ -104,12 +104,12 @@
 
 // watched states whether the entry suspects an attempt of the ask when it is silent: its
 // stream has pauses that count, and the request an attempt left.
-func (a *Ask) watched() bool {
-	return a.Gap > 0 && !a.Again
+func (a *PlacementRequest) watched() bool {
+	return a.Gap > 0 && !a.Retry
 }
 
 // Suspect notes the silence of an attempt, as its entry reports it.
-func (s *Scheduler) Suspect(id, service string, silence time.Duration) {
+func (s *Scheduler) ReportSilence(id, service string, silence time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
@@ -121,14 +121,14 @@
 	at.suspectedAt = now
 	at.silentSince = now.Add(-silence)
 	p.suspicion.suspected++
-	s.suspect(p, service, now)
+	s.evaluateSuspicions(p, service, now)
 }
 
-// suspect looks which endpoints have stopped, sets them aside and has their attempts move.
+// evaluateSuspicions looks which endpoints have stopped, sets them aside and has their attempts move.
 // The caller holds the lock.
-func (s *Scheduler) suspect(p *state, service string, now time.Time) {
+func (s *Scheduler) evaluateSuspicions(p *state, service string, now time.Time) {
 	p.suspicion.lookedAt = now
-	seen, entries := p.signs(now)
+	seen, entries := p.collectSignals(now)
 	p.suspicion.doubted = nil
 	for _, e := range p.list {
 		t := seen[e.Instance]
@@ -136,8 +136,8 @@
 			continue
 		}
 		switch {
-		case p.health[e.Instance].answered(now):
-		case t.agree():
+		case p.health[e.Instance].answeredRecently(now):
+		case t.confirmed():
 			s.verify(p, service, e, len(t.silent), now)
 			p.suspicion.doubt(e.Instance)
 		case t.inDoubt(entries):
@@ -146,28 +146,28 @@
 	}
 }
 
-// lookForStopped does what suspect does, unless that was done just now. The caller holds
+// evaluateIfDue does what suspect does, unless that was done just now. The caller holds
 // the lock.
-func (s *Scheduler) lookForStopped(p *state, service string, now time.Time) {
-	if p.plain || now.Sub(p.suspicion.lookedAt) < suspectEvery {
+func (s *Scheduler) evaluateIfDue(p *state, service string, now time.Time) {
+	if p.plain || now.Sub(p.suspicion.lookedAt) < evaluateInterval {
 		return
 	}
-	s.suspect(p, service, now)
+	s.evaluateSuspicions(p, service, now)
 }
 
-// signs returns what the attempts show of each endpoint, and how many entries have some
+// collectSignals returns what the attempts show of each endpoint, and how many entries have some
 // endpoint in doubt.
-func (p *state) signs(now time.Time) (map[string]*signs, int) {
-	seen := make(map[string]*signs)
+func (p *state) collectSignals(now time.Time) (map[string]*endpointSignals, int) {
+	seen := make(map[string]*endpointSignals)
 	entries := make(map[string]bool)
 	for id, at := range p.placed {
-		shown := p.shows(id, at, now)
-		if shown == noSign || at.entry == "" {
+		shown := p.signalOf(id, at, now)
+		if shown == signalNone || at.entry == "" {
 			continue
 		}
 		t := seen[at.instance]
 		if t == nil {
-			t = &signs{
+			t = &endpointSignals{
 				silent: make(map[string]bool),
 				late:   make(map[string]bool),
 				alive:  make(map[string]bool),
@@ -175,7 +175,7 @@
 			seen[at.instance] = t
 		}
 		t.note(shown, at.entry)
-		if shown != aliveSign {
+		if shown != signalAlive {
 			entries[at.entry] = true
 		}
 	}
@@ -183,51 +183,51 @@
 }
 
 // note takes over what an entry's attempt shows.
-func (t *signs) note(shown sign, entry string) {
+func (t *endpointSignals) note(shown signal, entry string) {
 	switch shown {
-	case silentSign:
+	case signalSilent:
 		t.silent[entry] = true
-	case lateSign:
+	case signalLate:
 		t.late[entry] = true
-	case aliveSign:
+	case signalAlive:
 		t.alive[entry] = true
-	case noSign:
+	case signalNone:
 	}
 }
 
-// shows returns what an attempt shows of the endpoint that answers it.
-func (p *state) shows(id string, at *placed, now time.Time) sign {
+// signalOf returns what an attempt signalOf of the endpoint that answers it.
+func (p *state) signalOf(id string, at *placed, now time.Time) signal {
 	if at.begun {
-		return p.streamShows(id, at, now)
+		return p.streamSignalOf(id, at, now)
 	}
 	late := now.Sub(at.at) - at.first
 	switch {
-	case late < doubtLeast || late < at.first || len(at.readers) > 0:
-		return noSign
-	case p.reads(id, at, late, now):
-		return noSign
-	case late >= max(silentLeast, silentFactor*at.first):
-		return silentSign
+	case late < minDoubtLateness || late < at.first || len(at.readers) > 0:
+		return signalNone
+	case p.silenceExplained(id, at, late, now):
+		return signalNone
+	case late >= max(minSilentLateness, silentLatenessFactor*at.first):
+		return signalSilent
 	}
-	return lateSign
+	return signalLate
 }
 
-// streamShows does what shows does for an attempt whose first event has come.
-func (p *state) streamShows(id string, at *placed, now time.Time) sign {
-	suspected := now.Sub(at.suspectedAt) <= suspicionHolds
+// streamSignalOf does what shows does for an attempt whose first event has come.
+func (p *state) streamSignalOf(id string, at *placed, now time.Time) signal {
+	suspected := now.Sub(at.suspectedAt) <= suspicionTTL
 	switch {
-	case suspected && !p.reads(id, at, now.Sub(at.silentSince), now):
-		return silentSign
+	case suspected && !p.silenceExplained(id, at, now.Sub(at.silentSince), now):
+		return signalSilent
 	case !suspected && at.watched:
-		return aliveSign
+		return signalAlive
 	}
-	return noSign
+	return signalNone
 }
 
-// reads states whether an endpoint of an attempt has a reason for its silence: by its model
-// it reads, or is in a pass that long, or a long reading there has not ended for certain.
-func (p *state) reads(id string, at *placed, silence time.Duration, now time.Time) bool {
-	if _, reason := p.expects(id, at, silence, now); reason {
+// silenceExplained states whether an endpoint of an attempt has a reason for its silence: by its model
+// it silenceExplained, or is in a pass that long, or a long reading there has not ended for certain.
+func (p *state) silenceExplained(id string, at *placed, silence time.Duration, now time.Time) bool {
+	if _, reason := p.expectedWait(id, at, silence, now); reason {
 		return true
 	}
 	for _, name := range at.endpoints() {
@@ -248,21 +248,21 @@
 // should have: predictions of long ones are off by half at most.
 func (p *state) mayRead(j *placement.Job, now time.Time) bool {
 	at := p.placed[j.ID]
-	if at == nil || at.begun || at.first < silentLong {
+	if at == nil || at.begun || at.first < longPrefillThreshold {
 		return false
 	}
-	return now.Before(at.at.Add(at.first + max(silentLeast, at.first/2)))
+	return now.Before(at.at.Add(at.first + max(minSilentLateness, at.first/2)))
 }
 
-// agree states whether independent instances agree that the endpoint has stopped: two
+// confirmed states whether independent instances confirmed that the endpoint has stopped: two
 // at least, and none has a sign of life.
-func (t *signs) agree() bool {
-	return len(t.silent) >= agreeing && len(t.alive) == 0
+func (t *endpointSignals) confirmed() bool {
+	return len(t.silent) >= confirmQuorum && len(t.alive) == 0
 }
 
 // inDoubt states whether the endpoint is to get nothing new for now. Entries is how many
 // have some endpoint in doubt.
-func (t *signs) inDoubt(entries int) bool {
+func (t *endpointSignals) inDoubt(entries int) bool {
 	if len(t.alive) > 0 {
 		return false
 	}
@@ -272,7 +272,7 @@
 			n++
 		}
 	}
-	return n >= agreeing || n > 0 && entries >= doubting
+	return n >= confirmQuorum || n > 0 && entries >= doubtQuorum
 }
 
 // doubt notes that an endpoint is in doubt.
@@ -283,44 +283,44 @@
 	x.doubted[instance] = true
 }
 
-// stopped leaves an endpoint out that has stopped, and has its attempts move. Silent is how
+// handleStopped leaves an endpoint out that has handleStopped, and has its attempts move. Silent is how
 // many instances agree. The caller holds the lock.
-func (s *Scheduler) stopped(p *state, service, instance string, silent int, now time.Time) {
+func (s *Scheduler) handleStopped(p *state, service, instance string, silent int, now time.Time) {
 	h := p.health[instance]
-	if h == nil || !h.usable(now) || p.hasLife(instance, now) {
+	if h == nil || !h.usable(now) || p.hasLiveStream(instance, now) {
 		return
 	}
-	s.leaveOut(p, service, instance, now)
+	s.exclude(p, service, instance, now)
 	p.suspicion.agreed++
 	s.checkAll(p, service, instance, now)
-	n := s.moveAway(p, service, instance, now)
+	n := s.migrateAll(p, service, instance, now)
 	s.log.Info("endpoint suspected", "service", service, "endpoint", instance, "silent_for", silent, "moved", n)
 }
 
-// unreachable has the attempts of an endpoint move that instances agree they can't reach,
+// handleUnreachable has the attempts of an endpoint move that instances agree they can't reach,
 // unless a stream there has a sign of life: an endpoint turns connections away that are
 // too many, too. The caller holds the lock.
-func (s *Scheduler) unreachable(p *state, service, instance string, now time.Time) {
-	if p.plain || p.hasLife(instance, now) {
+func (s *Scheduler) handleUnreachable(p *state, service, instance string, now time.Time) {
+	if p.plain || p.hasLiveStream(instance, now) {
 		return
 	}
-	s.leaveOut(p, service, instance, now)
+	s.exclude(p, service, instance, now)
 	s.checkAll(p, service, instance, now)
-	if n := s.moveAway(p, service, instance, now); n > 0 {
+	if n := s.migrateAll(p, service, instance, now); n > 0 {
 		s.log.Info("endpoint unreachable", "service", service, "endpoint", instance, "moved", n)
 	}
 }
 
-// moveAway has all attempts move that an endpoint answers or reads for, those first that
+// migrateAll has all attempts move that an endpoint answers or reads for, those first that
 // are due first and can still be in time. It returns how many. The caller holds the lock.
-func (s *Scheduler) moveAway(p *state, service, instance string, now time.Time) int {
-	var out []move
+func (s *Scheduler) migrateAll(p *state, service, instance string, now time.Time) int {
+	var out []migration
 	for id, at := range p.placed {
 		if at.moved || at.entry == "" || !slices.Contains(at.endpoints(), instance) {
 			continue
 		}
 		at.moved = true
-		out = append(out, move{
+		out = append(out, migration{
 			entry:    at.entry,
 			id:       id,
 			service:  service,
@@ -329,17 +329,17 @@
 			joint:    len(at.readers) > 0 && !at.begun,
 		})
 	}
-	slices.SortFunc(out, func(a, b move) int {
+	slices.SortFunc(out, func(a, b migration) int {
 		return cmp.Or(cmp.Compare(a.order(), b.order()), cmp.Compare(a.id, b.id))
 	})
 	p.suspicion.moved += len(out)
-	s.tellMoves(out)
+	s.sendMigrations(out)
 	return len(out)
 }
 
 // order sorts moves: those that are due first go first, and those that are late already
 // after all others.
-func (m *move) order() time.Duration {
+func (m *migration) order() time.Duration {
 	if m.due <= 0 {
 		return math.MaxInt64
 	}
@@ -351,18 +351,18 @@
 	if !at.begun {
 		return at.work.targetAt.Sub(now)
 	}
-	if now.Sub(at.suspectedAt) > suspicionHolds {
+	if now.Sub(at.suspectedAt) > suspicionTTL {
 		return at.work.gap
 	}
 	return at.silentSince.Add(at.work.gap).Sub(now)
 }
 
-// tellMoves tells the entries: at once of those that can be in time, and of those that
+// sendMigrations tells the entries: at once of those that can be in time, and of those that
 // engines still read for; of the others, which are late already, one after the other, so
 // that their prompts are not all read in front of the streams of other engines. The caller
 // holds the lock.
-func (s *Scheduler) tellMoves(moves []move) {
-	atOnce := make(map[*func(move)][]move)
+func (s *Scheduler) sendMigrations(moves []migration) {
+	atOnce := make(map[*func(migration)][]migration)
 	late := 0
 	for _, m := range moves {
 		tell := s.tell[m.entry]
@@ -372,7 +372,7 @@
 			atOnce[tell] = append(atOnce[tell], m)
 		default:
 			late++
-			wait := lateMovesWithin * time.Duration(late) / time.Duration(len(moves))
+			wait := lateMigrationSpread * time.Duration(late) / time.Duration(len(moves))
 			time.AfterFunc(wait, func() { (*tell)(m) })
 		}
 	}
@@ -386,9 +386,9 @@
 	}
 }
 
-// onMoves has a function called with the attempts of an entry that are to move, until
+// onMigrations has a function called with the attempts of an entry that are to move, until
 // stop is called or another function takes its place.
-func (s *Scheduler) onMoves(entry string, tell func(move)) (stop func()) {
+func (s *Scheduler) onMigrations(entry string, tell func(migration)) (stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tell[entry] = &tell
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -26,7 +26,7 @@
 func (c *crowdPool) listen(entries ...string) *told {
 	l := &told{}
 	for _, entry := range entries {
-		c.onMoves(entry, func(m move) {
+		c.onMigrations(entry, func(m migration) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			l.ids = append(l.ids, m.id)
@@ -58,16 +58,16 @@
 }
 
 // begin places a stream of an entry and lets it begin.
-func (c *crowdPool) begin(is *is.I, entry string, a Ask) Grant {
+func (c *crowdPool) begin(is *is.I, entry string, a PlacementRequest) Grant {
 	g, _, ok := c.submitFor(a, entry, false).Decision()
 	is.True(ok)
-	c.now = c.now.Add(g.First)
+	c.now = c.now.Add(g.FirstEventIn)
 	c.First(a.ID, "engines")
 	return g
 }
 
 // patient returns an ask for a stream that allows long pauses.
-func patient(i int) Ask {
+func patient(i int) PlacementRequest {
 	a := stream(i)
 	a.Gap = time.Second
 	return a
@@ -84,7 +84,7 @@
 		silent  int
 		// ask makes the streams, and reading states that the engine has just begun to read
 		// a long prompt.
-		ask     func(int) Ask
+		ask     func(int) PlacementRequest
 		reading bool
 		// after is how long after the suspicions the engine is looked at.
 		after time.Duration
@@ -114,7 +114,7 @@
 			}
 			c.now = c.now.Add(300 * time.Millisecond)
 			for i := range row.silent {
-				c.Suspect(fmt.Sprint("s", i), "engines", 250*time.Millisecond)
+				c.ReportSilence(fmt.Sprint("s", i), "engines", 250*time.Millisecond)
 			}
 			is.Equal(!c.pools["engines"].health["e00"].usable(c.now), row.out)
 			is.Equal(l.want(len(row.moved)), row.moved)
@@ -134,12 +134,12 @@
 		}
 		c.now = c.now.Add(350 * time.Millisecond)
 		for i := range streams {
-			c.Suspect(fmt.Sprint("s", i), "engines", 300*time.Millisecond)
+			c.ReportSilence(fmt.Sprint("s", i), "engines", 300*time.Millisecond)
 		}
-		time.Sleep(lateMovesWithin / 2)
+		time.Sleep(lateMigrationSpread / 2)
 		synctest.Wait()
 		is.Equal(l.count(), streams/2)
-		time.Sleep(lateMovesWithin / 2)
+		time.Sleep(lateMigrationSpread / 2)
 		synctest.Wait()
 		is.Equal(l.count(), streams)
 	})
@@ -153,9 +153,9 @@
 	c.begin(is, "a", patient(0))
 	c.begin(is, "b", patient(1))
 	c.now = c.now.Add(300 * time.Millisecond)
-	c.Suspect("s0", "engines", 250*time.Millisecond)
-	c.now = c.now.Add(suspicionHolds + time.Millisecond)
-	c.Suspect("s1", "engines", 250*time.Millisecond)
+	c.ReportSilence("s0", "engines", 250*time.Millisecond)
+	c.now = c.now.Add(suspicionTTL + time.Millisecond)
+	c.ReportSilence("s1", "engines", 250*time.Millisecond)
 	is.True(c.pools["engines"].health["e00"].usable(c.now))
 }
 
@@ -206,7 +206,7 @@
 			}
 			c.now = c.now.Add(300 * time.Millisecond)
 			for i := range 2 {
-				c.Suspect(fmt.Sprint("s", i), "engines", 250*time.Millisecond)
+				c.ReportSilence(fmt.Sprint("s", i), "engines", 250*time.Millisecond)
 			}
 			moved := 0
 			if row.want != nil {
@@ -215,7 +215,7 @@
 			is.Equal(len(l.want(moved)), moved)
 			is.Equal(c.leftOut(), row.want)
 			// One that is there is taken for busy for a while, and gets requests.
-			c.Suspect("s0", "engines", 250*time.Millisecond)
+			c.ReportSilence("s0", "engines", 250*time.Millisecond)
 			is.Equal(c.pools["engines"].suspicion.doubted["e00"], row.want != nil)
 		})
 	}
@@ -232,7 +232,7 @@
 func (c *crowdPool) stop(instance string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stopped(c.pools["engines"], "engines", instance, 2, c.now)
+	c.handleStopped(c.pools["engines"], "engines", instance, 2, c.now)
 }
 
 // TestChecksOthers looks that all engines are checked when two have stopped, and which of
@@ -291,7 +291,7 @@
 	p.engines["e04"].Closed = true
 	c.stop("e03")
 	c.stop("e00")
-	time.Sleep(recheckEvery + 50*time.Millisecond)
+	time.Sleep(recheckInterval + 50*time.Millisecond)
 	mu.Lock()
 	defer mu.Unlock()
 	is.Equal(asked, map[string]bool{"e00:1": true, "e01:1": true, "e02:1": true})
@@ -338,14 +338,14 @@
 		c := checkedPool(2, func(string) error { return nil })
 		c.stop("e00")
 		is.Equal(c.leftOut(), []string{"e00"})
-		time.Sleep(recheckEvery + 50*time.Millisecond)
+		time.Sleep(recheckInterval + 50*time.Millisecond)
 		is.Equal(len(c.leftOut()), 0)
 	})
 	t.Run("does not", func(t *testing.T) {
 		is := is.New(t)
 		c := checkedPool(2, func(string) error { return errors.New("no answer") })
 		c.stop("e00")
-		c.now = c.now.Add(absentMost - time.Millisecond)
+		c.now = c.now.Add(maxAbsence - time.Millisecond)
 		is.Equal(c.leftOut(), []string{"e00"})
 		c.now = c.now.Add(time.Millisecond)
 		is.Equal(len(c.leftOut()), 0)
@@ -371,8 +371,8 @@
 			a.Prompt, a.Target = 600_000, 20*time.Second
 			g, _, ok := c.submitFor(a, "a", false).Decision()
 			is.True(ok)
-			is.Equal(len(g.Readers), 1)
-			helper := g.Readers[0].Instance
+			is.Equal(len(g.Shares), 1)
+			helper := g.Shares[0].Instance
 			for i, entry := range []string{"b", "c"} {
 				c.mu.Lock()
 				c.pools["engines"].placed[fmt.Sprint("x", i)] = &placed{
--- a/pool/trial_test.go
+++ b/pool/trial_test.go
@@ -20,7 +20,7 @@
 			end := func(entry string, fails bool) (tried bool) {
 				w.asked++
 				id := fmt.Sprint("r", w.asked)
-				x := s.submitFor(Ask{
+				x := s.submitFor(PlacementRequest{
 					ID:       id,
 					Service:  "s",
 					Target:   300 * time.Millisecond,
--- a/pool/types.go
+++ b/pool/types.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Ask is a request for a place. Durations count from when it is made, so that
+// PlacementRequest is a request for a place. Durations count from when it is made, so that
 // clocks need not agree.
-type Ask struct {
+type PlacementRequest struct {
 	// ID names one attempt of a request. No other attempt has it.
 	ID string
 	// Service names the service.
@@ -42,37 +42,37 @@
 	// Avoid are endpoints that failed the entry's requests of late. They are
 	// used when there is no other.
 	Avoid []string
-	// Emptied are the failure domains that get nothing new, as the entry knows.
-	Emptied []string
+	// DrainedDomains are the failure domains that get nothing new, as the entry knows.
+	DrainedDomains []string
 	// Backoffs are the endpoints that have asked the entry for a back-off.
 	Backoffs []Backoff
 	// Returning states that the caller has come back after a refusal, or tries
 	// again.
 	Returning bool
-	// Spent is how long before Target began to count the caller first asked: a
+	// Elapsed is how long before Target began to count the caller first asked: a
 	// caller that has come back is late by its first try.
-	Spent time.Duration
-	// Again states that the request was sent to an endpoint before.
-	Again bool
+	Elapsed time.Duration
+	// Retry states that the request was sent to an endpoint before.
+	Retry bool
 	// Replaces is the silent attempt that the ask is to replace, if any.
-	Replaces Replaced
+	Replaces ReplacedAttempt
 	// Resumed states that the caller has events of the stream already.
 	Resumed bool
-	// Due is the time that is left until the next event of a resumed stream would be
+	// DueIn is the time that is left until the next event of a resumed stream would be
 	// late. It may be negative.
-	Due time.Duration
+	DueIn time.Duration
 }
 
 // Backoff is an endpoint that wants nothing from an entry.
 type Backoff struct {
 	// Instance names the endpoint.
 	Instance string
-	// For is for how long.
-	For time.Duration
+	// Duration is for how long.
+	Duration time.Duration
 }
 
-// Reader is an endpoint that helps to read a prompt.
-type Reader struct {
+// PrefillShare is an endpoint that helps to read a prompt.
+type PrefillShare struct {
 	// Instance names the endpoint.
 	Instance string
 	// Address is its host and port.
@@ -89,27 +89,27 @@
 	Instance string
 	// Address is its host and port.
 	Address string
-	// Born is when the endpoint's life started that the place is at, as the one who
+	// StartedAt is when the endpoint's life started that the place is at, as the one who
 	// decided knows it; zero when it does not say.
-	Born time.Time
-	// Readers are the endpoints that read the prompt together with it.
-	Readers []Reader
-	// First is the predicted time to the first event.
-	First time.Duration
+	StartedAt time.Time
+	// Shares are the endpoints that read the prompt together with it.
+	Shares []PrefillShare
+	// FirstEventIn is the predicted time to the first event.
+	FirstEventIn time.Duration
 	// Waited is how long the request was held for a better moment.
 	Waited time.Duration
-	// By names the instance that decided.
-	By string
+	// DecidedBy names the instance that decided.
+	DecidedBy string
 }
 
 // Refusal is the error of a request that gets no place.
 type Refusal struct {
 	// Reason says why, in a few words.
 	Reason string
-	// After is when coming back makes sense.
-	After time.Duration
-	// Kept states that the attempt which the ask was to replace goes on after that.
-	Kept bool
+	// RetryAfter is when coming back makes sense.
+	RetryAfter time.Duration
+	// KeepReplaced states that the attempt which the ask was to replace goes on after that.
+	KeepReplaced bool
 }
 
 // Error returns the reason.
@@ -150,7 +150,7 @@
 // Placer finds places for requests and hears what becomes of them.
 type Placer interface {
 	// Place returns a place. The error is a *Refusal, or that of ctx.
-	Place(ctx context.Context, a Ask) (Grant, error)
+	Place(ctx context.Context, a PlacementRequest) (Grant, error)
 	// First notes the first event of an attempt.
 	First(id, service string)
 	// End notes the end of an attempt. Culprit names the endpoint at fault by
--- a/pool/unavailable_test.go
+++ b/pool/unavailable_test.go
@@ -56,7 +56,7 @@
 			w.leave("e1")
 			r, decided := w.ask(w.instances[0], false)
 			is.New(t).True(decided && r != nil)
-			is.New(t).True(r.After >= leavingAfter)
+			is.New(t).True(r.RetryAfter >= leavingAfter)
 		})
 	}
 }
@@ -73,7 +73,7 @@
 		is.New(t).True(decided)
 		is.New(t).Equal(r != nil, refused)
 		if refused {
-			is.New(t).True(r.After >= 5*time.Second)
+			is.New(t).True(r.RetryAfter >= 5*time.Second)
 		}
 	}
 	assert(false)
@@ -89,7 +89,7 @@
 	s := w.instances[0]
 	place := func(entry string, backoffs ...Backoff) (string, *Refusal) {
 		w.asked++
-		x := s.submitFor(Ask{
+		x := s.submitFor(PlacementRequest{
 			ID:       fmt.Sprint("r", w.asked),
 			Service:  "s",
 			Prompt:   100,
@@ -101,24 +101,24 @@
 		is.New(t).True(decided)
 		return g.Instance, r
 	}
-	first := Backoff{Instance: "e0", For: 3 * time.Second}
-	second := Backoff{Instance: "e1", For: 2 * time.Second}
+	first := Backoff{Instance: "e0", Duration: 3 * time.Second}
+	second := Backoff{Instance: "e1", Duration: 2 * time.Second}
 	at, _ := place("a", first)
 	is.New(t).Equal(at, "e1")
 	at, _ = place("b")
 	is.New(t).Equal(at, "e0")
 	_, r := place("a", first, second)
 	is.New(t).True(r != nil)
-	is.New(t).True(r.After >= 2*time.Second && r.After <= 4*time.Second)
+	is.New(t).True(r.RetryAfter >= 2*time.Second && r.RetryAfter <= 4*time.Second)
 
 	t.Run("one that soon takes a request again is waited for", func(t *testing.T) {
-		x := s.Submit(Ask{
+		x := s.Submit(PlacementRequest{
 			ID:       "waits",
 			Service:  "s",
 			Prompt:   100,
 			Target:   300 * time.Millisecond,
 			Deadline: 4 * time.Second,
-			Backoffs: []Backoff{first, {Instance: "e1", For: 100 * time.Millisecond}},
+			Backoffs: []Backoff{first, {Instance: "e1", Duration: 100 * time.Millisecond}},
 		})
 		_, _, decided := x.Decision()
 		is.New(t).True(!decided)
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -76,8 +76,8 @@
 }
 
 // prompt returns a request with a prompt that is in time within a target.
-func prompt(id string, tokens int, target time.Duration) pool.Ask {
-	return pool.Ask{
+func prompt(id string, tokens int, target time.Duration) pool.PlacementRequest {
+	return pool.PlacementRequest{
 		ID:       id,
 		Service:  "engines",
 		Prompt:   tokens,
@@ -88,7 +88,7 @@
 }
 
 // returning returns the same of a caller that has come back.
-func returning(id string, tokens int, target time.Duration) pool.Ask {
+func returning(id string, tokens int, target time.Duration) pool.PlacementRequest {
 	a := prompt(id, tokens, target)
 	a.Returning = true
 	return a
@@ -106,7 +106,7 @@
 			g, err := s.Place(ctx, returning("r", 50_000, 1400*time.Millisecond))
 			is.NoErr(err)
 			is.True(g.Waited >= 300*time.Millisecond)
-			is.True(g.Waited+g.First < 1400*time.Millisecond)
+			is.True(g.Waited+g.FirstEventIn < 1400*time.Millisecond)
 		})
 	})
 	t.Run("no room in time", func(t *testing.T) {
@@ -128,7 +128,7 @@
 		name string
 		// before is what the engine has to read when the request comes.
 		before int
-		ask    pool.Ask
+		ask    pool.PlacementRequest
 		// after is the least time to come back; zero means that the request is placed.
 		after time.Duration
 	}{
@@ -150,7 +150,7 @@
 				var r *pool.Refusal
 				is.True(errors.As(err, &r))
 				is.Equal(time.Since(began), time.Duration(0))
-				is.True(r.After >= row.after)
+				is.True(r.RetryAfter >= row.after)
 			})
 		})
 	}
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -10,7 +10,7 @@
 
 // Waiter is a request that has been submitted and waits for its decision.
 type Waiter struct {
-	ask     Ask
+	ask     PlacementRequest
 	request placement.Request
 	arrived time.Time
 	// reply or refuse gets the decision.
@@ -43,19 +43,19 @@
 
 // backoffsUntil returns the endpoints that want nothing from the entry, with until when; nil for
 // none.
-func (a *Ask) backoffsUntil(now time.Time) map[string]time.Time {
+func (a *PlacementRequest) backoffsUntil(now time.Time) map[string]time.Time {
 	if len(a.Backoffs) == 0 {
 		return nil
 	}
 	out := make(map[string]time.Time, len(a.Backoffs))
 	for _, r := range a.Backoffs {
-		out[r.Instance] = now.Add(r.For)
+		out[r.Instance] = now.Add(r.Duration)
 	}
 	return out
 }
 
 // waiter makes the state of an ask.
-func (s *Scheduler) waiter(p *state, a Ask, now time.Time) *Waiter {
+func (s *Scheduler) waiter(p *state, a PlacementRequest, now time.Time) *Waiter {
 	v := p.worth.Value(a.kind())
 	return &Waiter{
 		ask:      a,
--- a/pool/worth.go
+++ b/pool/worth.go
@@ -5,7 +5,7 @@
 import "github.com/linkmast/linkmast/worth"
 
 // kind returns what the worth of a request depends on.
-func (a *Ask) kind() worth.Kind {
+func (a *PlacementRequest) kind() worth.Kind {
 	k := worth.Kind{
 		Customer:  a.Rank,
 		Route:     a.Route,
--- a/relay/barred.go
+++ b/relay/barred.go
@@ -24,10 +24,10 @@
 // have begun to leave, or its failure domain been emptied, while the request waited, or
 // the one who placed it may know less.
 func (l *Relay) barred(g *pool.Grant) *barredError {
-	if e := l.barredOne(g.Instance, g.Born); e != nil {
+	if e := l.barredOne(g.Instance, g.StartedAt); e != nil {
 		return e
 	}
-	for _, r := range g.Readers {
+	for _, r := range g.Shares {
 		if e := l.barredOne(r.Instance, time.Time{}); e != nil {
 			return e
 		}
--- a/relay/barred_test.go
+++ b/relay/barred_test.go
@@ -40,7 +40,7 @@
 	}{
 		{"none", pool.Grant{Instance: "e0"}, ""},
 		{"the one that answers", pool.Grant{Instance: "e1"}, "e1"},
-		{"one that reads", pool.Grant{Instance: "e0", Readers: []pool.Reader{{Instance: "e2"}, {Instance: "e1"}}}, "e1"},
+		{"one that reads", pool.Grant{Instance: "e0", Shares: []pool.PrefillShare{{Instance: "e2"}, {Instance: "e1"}}}, "e1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := l.barred(&c.grant)
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -79,7 +79,7 @@
 // addresses returns those of the endpoints that work on an attempt, its own first.
 func (t *try) addresses() []string {
 	out := []string{t.grant.Address}
-	for _, r := range t.grant.Readers {
+	for _, r := range t.grant.Shares {
 		out = append(out, r.Address)
 	}
 	return out
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -86,7 +86,7 @@
 		},
 		grant: pool.Grant{
 			Address: "e1",
-			Readers: []pool.Reader{{
+			Shares: []pool.PrefillShare{{
 				Address: "e2",
 			}},
 		},
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -40,7 +40,7 @@
 	Placer pool.Placer
 	// Suspicions hears of silent streams and says which attempts are to move; nil means
 	// that each is watched by itself.
-	Suspicions pool.Suspecter
+	Suspicions pool.SilenceMonitor
 	// Quarantine keeps requests from endpoints that crash these; nil means that none is kept.
 	Quarantine quarantine.Guard
 	// Check opens a connection to an endpoint that broke an answer off, to see whether it
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -49,12 +49,12 @@
 		cancel: func() {},
 	}
 	// The grant is shared with those who keep account of it.
-	t.grant.Readers = slices.Clone(t.grant.Readers)
-	for i, r := range t.grant.Readers {
+	t.grant.Shares = slices.Clone(t.grant.Shares)
+	for i, r := range t.grant.Shares {
 		if r.Reserved == 0 {
 			continue
 		}
-		t.grant.Readers[i].Reservation = t.ask.ID
+		t.grant.Shares[i].Reservation = t.ask.ID
 		h.items = append(h.items, reserved{
 			address: r.Address,
 			name:    t.ask.ID,
--- a/relay/resume_test.go
+++ b/relay/resume_test.go
@@ -83,7 +83,7 @@
 				w.end()
 				is.True(len(k.asks) > 0)
 				is.Equal(k.asks[0].Resumed, row.begun)
-				is.Equal(k.asks[0].Due, row.due)
+				is.Equal(k.asks[0].DueIn, row.due)
 			})
 		})
 	}
--- a/relay/serve.go
+++ b/relay/serve.go
@@ -74,7 +74,7 @@
 		l.giveBack(p)
 		l.Metrics.add("places_declined")
 		l.parts.Log.Info("place declined", "request", j.head.ID, "attempt", p.ask.ID, "endpoint", b.endpoint,
-			"reason", b.reason, "by", p.grant.By)
+			"reason", b.reason, "by", p.grant.DecidedBy)
 		j.exclude = append(j.exclude, b.endpoint)
 		return true, nil
 	}
@@ -104,7 +104,7 @@
 		return p, nil
 	}
 	a := l.ask(j)
-	a.Resumed, a.Due = j.resumes()
+	a.Resumed, a.DueIn = j.resumes()
 	g, err := l.parts.Placer.Place(ctx, a)
 	if err != nil {
 		return nil, err
@@ -137,8 +137,8 @@
 }
 
 // ask describes the request to the pool.
-func (l *Relay) ask(j *job) pool.Ask {
-	a := pool.Ask{
+func (l *Relay) ask(j *job) pool.PlacementRequest {
+	a := pool.PlacementRequest{
 		ID:        j.head.ID + "." + l.settings.Self + "." + strconv.FormatUint(l.counter.Add(1), 36),
 		Service:   j.service,
 		Customer:  j.customer,
@@ -151,9 +151,9 @@
 		Target:    j.route.Target - steady.Since(j.arrived),
 		Deadline:  j.left(),
 		Exclude:   j.exclude,
-		Again:     j.sends > 0,
+		Retry:     j.sends > 0,
 		Returning: j.spent > 0,
-		Spent:     j.spent,
+		Elapsed:   j.spent,
 	}
 	if j.route.Kind == route.Streaming {
 		a.Gap = j.route.GapTarget
@@ -165,7 +165,7 @@
 func (j *job) unplaced(ctx context.Context, err error) *refusal {
 	var r *pool.Refusal
 	if errors.As(err, &r) {
-		return j.giveUp(r.Reason, r.After)
+		return j.giveUp(r.Reason, r.RetryAfter)
 	}
 	if ctx.Err() != nil {
 		return j.giveUp("no place in time", comeBack)
@@ -207,8 +207,8 @@
 	l.parts.Log.Info("attempt", "request", j.head.ID, "attempt", t.ask.ID, "route", j.route.Name,
 		"version", j.table.Version, "age_ms", age.Milliseconds(), "service", j.service, "customer", j.customer, "prompt", j.head.PromptTokens,
 		"identity", j.history.Identity.String(),
-		"endpoint", t.grant.Instance, "by", t.grant.By, "readers", len(t.grant.Readers),
-		"waited_ms", t.grant.Waited.Milliseconds(), "first_predicted_ms", t.grant.First.Milliseconds(),
+		"endpoint", t.grant.Instance, "by", t.grant.DecidedBy, "readers", len(t.grant.Shares),
+		"waited_ms", t.grant.Waited.Milliseconds(), "first_predicted_ms", t.grant.FirstEventIn.Milliseconds(),
 		"first_ms", t.firstAfter.Milliseconds(), "ms", steady.Since(t.began).Milliseconds(),
 		"outcome", res.outcome.String(), "reason", res.reason, "status", res.status, "events", j.out.events.count,
 		"longest_gap_ms", t.longestGap.Milliseconds(), "target_ms", j.route.Target.Milliseconds(),
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -13,7 +13,7 @@
 	// usualWeight is the weight of one more pause in a stream's usual one: the last four
 	// count for two thirds, so that one long pass does not make a pause usual.
 	usualWeight = 0.25
-	// lateTimer is how much later than set a timer may end, in each pool.SuspectLeast of the
+	// lateTimer is how much later than set a timer may end, in each pool.MinSuspectSilence of the
 	// silence: with more, this instance stood still, and not the endpoint.
 	lateTimer = 100 * time.Millisecond
 	// moveAgain is when another place is looked for again after there was none for a
@@ -27,7 +27,7 @@
 	if s == nil {
 		return
 	}
-	w.stopMoves = s.OnMove(w.try.ask.ID, w.move)
+	w.stopMoves = s.OnMigrate(w.try.ask.ID, w.move)
 }
 
 // unlisten ends what listen and notePause began. The caller holds the lock.
@@ -62,7 +62,7 @@
 
 // overdue returns the silence that is suspected.
 func (w *watch) overdue() time.Duration {
-	return max(pool.SuspectLeast, pool.SuspectPasses*w.usual)
+	return max(pool.MinSuspectSilence, pool.SuspectGapFactor*w.usual)
 }
 
 // suspect tells the owner of the pool that the stream is silent, and again while it is.
@@ -77,12 +77,12 @@
 		// An event came at this moment.
 		return
 	}
-	if (silence-w.overdue())%pool.SuspectLeast < lateTimer {
+	if (silence-w.overdue())%pool.MinSuspectSilence < lateTimer {
 		t := w.try
 		t.relay.Metrics.add("suspicions")
-		t.relay.parts.Suspicions.Suspect(t.ask.ID, t.ask.Service, silence)
+		t.relay.parts.Suspicions.ReportSilence(t.ask.ID, t.ask.Service, silence)
 	}
-	w.early.Reset(pool.SuspectLeast)
+	w.early.Reset(pool.MinSuspectSilence)
 }
 
 // move has the attempt leave its endpoint, which has stopped. A stream that has begun
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -23,14 +23,14 @@
 	move    func()
 }
 
-// Suspect implements pool.Suspecter.
-func (s *suspecter) Suspect(_, _ string, silence time.Duration) {
+// ReportSilence implements pool.SilenceMonitor.
+func (s *suspecter) ReportSilence(_, _ string, silence time.Duration) {
 	s.at = append(s.at, time.Now())
 	s.silence = append(s.silence, silence)
 }
 
-// OnMove implements pool.Suspecter.
-func (s *suspecter) OnMove(_ string, move func()) func() {
+// OnMigrate implements pool.SilenceMonitor.
+func (s *suspecter) OnMigrate(_ string, move func()) func() {
 	s.move = move
 	return func() { s.move = nil }
 }
@@ -58,12 +58,12 @@
 			},
 			arrived: time.Now(),
 		},
-		ask: pool.Ask{
+		ask: pool.PlacementRequest{
 			ID: "attempt",
 		},
 		grant: pool.Grant{
-			Instance: "e0",
-			First:    time.Second,
+			Instance:     "e0",
+			FirstEventIn: time.Second,
 		},
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -103,7 +103,7 @@
 				is.True(len(s.at) >= 3)
 				is.Equal(s.at[0].Sub(last), row.first)
 				is.Equal(s.silence[0], row.first)
-				is.Equal(s.at[1].Sub(s.at[0]), pool.SuspectLeast)
+				is.Equal(s.at[1].Sub(s.at[0]), pool.MinSuspectSilence)
 				w.touch()
 				n := len(s.at)
 				time.Sleep(row.first - time.Millisecond)
@@ -123,7 +123,7 @@
 }
 
 // Place implements pool.Placer.
-func (f *finder) Place(_ context.Context, a pool.Ask) (pool.Grant, error) {
+func (f *finder) Place(_ context.Context, a pool.PlacementRequest) (pool.Grant, error) {
 	f.asks = append(f.asks, a)
 	return pool.Grant{
 		Instance: "e1",
--- a/relay/try.go
+++ b/relay/try.go
@@ -21,7 +21,7 @@
 type try struct {
 	relay *Relay
 	job   *job
-	ask   pool.Ask
+	ask   pool.PlacementRequest
 	grant pool.Grant
 
 	// caller ends when the caller goes or its time is over.
@@ -101,7 +101,7 @@
 		Wait:      j.left(),
 		LastEvent: j.out.events.last,
 		Rank:      j.rank,
-		Readers:   t.grant.Readers,
+		Readers:   t.grant.Shares,
 	}
 	t.relay.parts.Wire.Outgoing(h, call)
 	fresh := freshOnce
@@ -141,7 +141,7 @@
 	}
 	a := notice.Answer{
 		Instance: t.grant.Instance,
-		Born:     t.grant.Born,
+		Born:     t.grant.StartedAt,
 		Request:  t.job.head.ID,
 	}
 	if own {
@@ -255,7 +255,7 @@
 	if res.culprit == "" || res.culprit == t.grant.Address {
 		return []string{t.grant.Instance}
 	}
-	for _, r := range t.grant.Readers {
+	for _, r := range t.grant.Shares {
 		if r.Address == res.culprit || r.Instance == res.culprit {
 			return []string{r.Instance}
 		}
--- a/relay/types.go
+++ b/relay/types.go
@@ -49,7 +49,7 @@
 	// Rank is the request's priority; 0 goes first.
 	Rank int
 	// Readers are the endpoints that read the prompt together with this one.
-	Readers []pool.Reader
+	Readers []pool.PrefillShare
 }
 
 // AnswerHead is what an endpoint's answer says of itself.
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -16,7 +16,7 @@
 
 // place is a place for the next attempt, found before the present one is ended.
 type place struct {
-	ask   pool.Ask
+	ask   pool.PlacementRequest
 	grant pool.Grant
 }
 
@@ -61,7 +61,7 @@
 	if r.Kind != route.Streaming || !r.Resumable || t.job.attemptsLeft() <= 0 {
 		return w
 	}
-	limit, first := pool.Silence(r.GapTarget, t.grant.First)
+	limit, first := pool.SilenceLimits(r.GapTarget, t.grant.FirstEventIn)
 	w.limit = limit
 	w.heard = time.Now()
 	// The timer may end before it is kept.
@@ -84,9 +84,9 @@
 	a.Exclude = append(a.Exclude[:len(a.Exclude):len(a.Exclude)], t.grant.Instance)
 	a.Replaces = w.silent()
 	if w.begun && a.Gap > 0 {
-		a.Resumed, a.Due = true, a.Gap-a.Replaces.For
+		a.Resumed, a.DueIn = true, a.Gap-a.Replaces.SilentFor
 	}
-	ctx, cancel := context.WithTimeout(w.stopped, pool.ReplaceWithin)
+	ctx, cancel := context.WithTimeout(w.stopped, pool.ReplacementTimeout)
 	defer cancel()
 	g, err := t.relay.parts.Placer.Place(ctx, a)
 	if err != nil {
@@ -103,25 +103,25 @@
 }
 
 // silent describes the attempt. The caller holds the lock.
-func (w *watch) silent() pool.Replaced {
+func (w *watch) silent() pool.ReplacedAttempt {
 	r := w.try.job.route
 	patience := placement.Patience(r.Target, r.GapTarget)
 	if w.begun {
 		patience = placement.Patience(0, r.GapTarget)
 	}
 	silence := time.Since(w.heard)
-	return pool.Replaced{
-		Attempt:  w.try.ask.ID,
-		For:      silence,
-		Patience: patience - silence,
+	return pool.ReplacedAttempt{
+		ID:        w.try.ask.ID,
+		SilentFor: silence,
+		Patience:  patience - silence,
 	}
 }
 
 // nextLook returns when to look for another place again after there was none.
 func (w *watch) nextLook(err error) time.Duration {
 	var r *pool.Refusal
-	if errors.As(err, &r) && r.Kept {
-		return r.After
+	if errors.As(err, &r) && r.KeepReplaced {
+		return r.RetryAfter
 	}
 	return w.limit
 }
--- a/relay/watch_test.go
+++ b/relay/watch_test.go
@@ -19,12 +19,12 @@
 // keeper refuses each place with an error and notes what it was asked.
 type keeper struct {
 	err  error
-	asks []pool.Ask
+	asks []pool.PlacementRequest
 	at   []time.Time
 }
 
 // Place implements pool.Placer.
-func (k *keeper) Place(_ context.Context, a pool.Ask) (pool.Grant, error) {
+func (k *keeper) Place(_ context.Context, a pool.PlacementRequest) (pool.Grant, error) {
 	k.asks = append(k.asks, a)
 	k.at = append(k.at, time.Now())
 	return pool.Grant{}, k.err
@@ -51,10 +51,10 @@
 		left  time.Duration
 		again time.Duration
 	}{
-		{"kept", &pool.Refusal{Kept: true, After: 400 * time.Millisecond}, true, 1300 * time.Millisecond, 700 * time.Millisecond, 400 * time.Millisecond},
-		{"refused", &pool.Refusal{After: 400 * time.Millisecond}, true, 1300 * time.Millisecond, 700 * time.Millisecond, 1300 * time.Millisecond},
+		{"kept", &pool.Refusal{KeepReplaced: true, RetryAfter: 400 * time.Millisecond}, true, 1300 * time.Millisecond, 700 * time.Millisecond, 400 * time.Millisecond},
+		{"refused", &pool.Refusal{RetryAfter: 400 * time.Millisecond}, true, 1300 * time.Millisecond, 700 * time.Millisecond, 1300 * time.Millisecond},
 		{"no answer", errors.New("none"), true, 1300 * time.Millisecond, 700 * time.Millisecond, 1300 * time.Millisecond},
-		{"kept before the first event", &pool.Refusal{Kept: true, After: time.Second}, false, 2700 * time.Millisecond, 3300 * time.Millisecond, time.Second},
+		{"kept before the first event", &pool.Refusal{KeepReplaced: true, RetryAfter: time.Second}, false, 2700 * time.Millisecond, 3300 * time.Millisecond, time.Second},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -69,8 +69,8 @@
 				w.end()
 				is.True(len(k.asks) >= 2)
 				r := k.asks[0].Replaces
-				is.Equal(r.Attempt, "attempt")
-				is.Equal(r.For, row.first)
+				is.Equal(r.ID, "attempt")
+				is.Equal(r.SilentFor, row.first)
 				is.Equal(r.Patience, row.left)
 				is.Equal(k.at[0].Sub(began), row.first)
 				is.Equal(k.at[1].Sub(k.at[0]), row.again)
@@ -99,12 +99,12 @@
 			},
 			arrived: time.Now(),
 		},
-		ask: pool.Ask{
+		ask: pool.PlacementRequest{
 			ID: "attempt",
 		},
 		grant: pool.Grant{
-			Instance: "e0",
-			First:    time.Second,
+			Instance:     "e0",
+			FirstEventIn: time.Second,
 		},
 	}
 	return a.watch(t.Context(), func() {})
