--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -70,11 +70,11 @@
 			Overage: f.Cold.Overage,
 			Slack:   f.Cold.Slack,
 		},
-		SlowdownQuerier:    platform.NewReports(wirehttp.Bounded(idleQuestions), g.heardAt, g.log.WithName("reports")),
-		Check:      tcp.Check,
-		Worth:      f.Worth,
-		Quarantine: g.quarantine,
-		Notices:    g.notices,
+		SlowdownQuerier: platform.NewReports(wirehttp.Bounded(idleQuestions), g.heardAt, g.log.WithName("reports")),
+		Check:           tcp.Check,
+		Worth:           f.Worth,
+		Quarantine:      g.quarantine,
+		Notices:         g.notices,
 	}, log)
 	g.placer = pool.NewClient(g.self, g.pools, g.peers, log)
 }
--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -6,12 +6,12 @@
 
 // Adopt takes over an attempt that another instance placed. It changes nothing
 // when the attempt is known.
-func (s *Scheduler) Adopt(a Ask, g Grant, begun bool) {
+func (s *Scheduler) Adopt(a PlacementRequest, g Grant, begun bool) {
 	s.adoptFor(a, g, s.settings.Self, begun)
 }
 
 // adoptFor takes over an entry's attempt.
-func (s *Scheduler) adoptFor(a Ask, g Grant, entry string, begun bool) {
+func (s *Scheduler) adoptFor(a PlacementRequest, g Grant, entry string, begun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(a.Service)
@@ -20,7 +20,7 @@
 		return
 	}
 	now := s.settings.Now()
-	if !a.Again {
+	if !a.Retry {
 		p.ownerRetries.countFirst(now)
 	}
 	w := s.newWaiter(p, a, now)
@@ -31,9 +31,9 @@
 	}
 	at := &attempt{
 		instance:       g.Instance,
-		startedAt:      g.Born,
+		startedAt:      g.StartedAt,
 		placedAt:       now,
-		predictedFirst: g.First,
+		predictedFirst: g.FirstEventIn,
 		begun:          begun,
 		workload:       w.workload(),
 		entry:          entry,
@@ -43,16 +43,16 @@
 		p.cold.recordPlacement(g.Instance, now)
 	}
 	if p.plain {
-		p.give(at, now)
+		p.countAssignment(at, now)
 		addPlain(e, a.ID)
 		p.attempts[a.ID] = at
 		return
 	}
-	plan := p.planOf(&a, &g, e)
+	plan := p.planFromGrant(&a, &g, e)
 	for _, o := range plan.Others {
 		at.joint = append(at.joint, o.Engine.Instance)
 	}
-	p.give(at, now)
+	p.countAssignment(at, now)
 	plan.Apply(w.request, now)
 	p.attempts[a.ID] = at
 	if begun {
@@ -60,15 +60,15 @@
 	}
 }
 
-// planOf returns the plan that a grant was made from, as far as its endpoints are
+// planFromGrant returns the plan that a grant was made from, as far as its endpoints are
 // known.
-func (p *poolState) planOf(a *Ask, g *Grant, e *placement.Engine) placement.Plan {
+func (p *poolState) planFromGrant(a *PlacementRequest, g *Grant, e *placement.Engine) placement.Plan {
 	plan := placement.Plan{
 		Engine:      e,
-		PrefillTime: e.Model.PrefillTime(a.Prompt, len(g.Readers)+1),
+		PrefillTime: e.Model.PrefillTime(a.Prompt, len(g.Shares)+1),
 		Memory:      a.Prompt + a.Output,
 	}
-	for _, r := range g.Readers {
+	for _, r := range g.Shares {
 		o := p.engines[r.Instance]
 		if o == nil {
 			continue
@@ -82,8 +82,8 @@
 	return plan
 }
 
-// orphan marks attempts whose entry is out of touch, and returns the mark.
-func (s *Scheduler) orphan(attempts map[string]string) int64 {
+// markOrphans marks attempts whose entry is out of touch, and returns the mark.
+func (s *Scheduler) markOrphans(attempts map[string]string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastOrphanMark++
@@ -96,8 +96,8 @@
 	return s.lastOrphanMark
 }
 
-// forget ends the attempts that still have a mark.
-func (s *Scheduler) forget(attempts map[string]string, mark int64) {
+// endOrphans ends the attempts that still have a mark.
+func (s *Scheduler) endOrphans(attempts map[string]string, mark int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, service := range attempts {
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -110,7 +110,7 @@
 // and 169 when callers that have come back counted as new ones (emulated pool of the
 // tests).
 func (w *Waiter) yields() bool {
-	return w.lateFromStart() && !w.ask.Again && w.ask.isShort()
+	return w.lateFromStart() && !w.ask.Retry && w.ask.isShort()
 }
 
 // remainingWorth returns what a request keeps still if it is served at once: one that was late when
--- a/pool/drained.go
+++ b/pool/drained.go
@@ -21,13 +21,13 @@
 
 // excludes states whether an endpoint must not get a request, by what this instance knows or by
 // what the entry that asks does: either may be cut off from the store.
-func (d drainedDomains) excludes(a *Ask, e *placement.Engine) bool {
+func (d drainedDomains) excludes(a *PlacementRequest, e *placement.Engine) bool {
 	_, known := d[e.FailureDomain]
-	return known || slices.Contains(a.Emptied, e.FailureDomain)
+	return known || slices.Contains(a.DrainedDomains, e.FailureDomain)
 }
 
 // excludesAny states whether at least one of the endpoints must not get a request.
-func (d drainedDomains) excludesAny(a *Ask, list []*placement.Engine) bool {
+func (d drainedDomains) excludesAny(a *PlacementRequest, list []*placement.Engine) bool {
 	return slices.ContainsFunc(list, func(e *placement.Engine) bool {
 		return d.excludes(a, e)
 	})
--- a/pool/incarnation.go
+++ b/pool/incarnation.go
@@ -59,5 +59,5 @@
 // that does not say counts as given at the present life.
 func (p *poolState) isStale(g *Grant) bool {
 	h := p.health[g.Instance]
-	return h != nil && !g.Born.IsZero() && g.Born.Before(h.startedAt)
+	return h != nil && !g.StartedAt.IsZero() && g.StartedAt.Before(h.startedAt)
 }
--- a/pool/refused_callers.go
+++ b/pool/refused_callers.go
@@ -12,7 +12,7 @@
 }
 
 // callerKeyOf returns the caller of a request, or false when nothing tells it.
-func callerKeyOf(a *Ask) (callerKey, bool) {
+func callerKeyOf(a *PlacementRequest) (callerKey, bool) {
 	return callerKey{
 		customer: a.Customer,
 		content:  a.Content,
@@ -56,15 +56,15 @@
 		r.callers = make(map[callerKey]refusedCaller)
 	}
 	r.callers[key] = refusedCaller{
-		firstAskedAt: w.arrived.Add(-w.ask.Spent),
+		firstAskedAt: w.arrived.Add(-w.ask.Elapsed),
 		waitsUntil:   w.arrived.Add(w.ask.Deadline),
 	}
 }
 
 // recognize completes an ask whose caller was refused before. What an endpoint had is no new
 // try of the caller.
-func (r *refusedCallers) recognize(a *Ask, now time.Time) {
-	if a.Again || a.Replaces.Attempt != "" {
+func (r *refusedCallers) recognize(a *PlacementRequest, now time.Time) {
+	if a.Retry || a.Replaces.ID != "" {
 		return
 	}
 	key, ok := callerKeyOf(a)
@@ -80,7 +80,7 @@
 		return
 	}
 	a.Returning = true
-	a.Spent = max(a.Spent, now.Sub(first.firstAskedAt))
+	a.Elapsed = max(a.Elapsed, now.Sub(first.firstAskedAt))
 }
 
 // expire drops the callers that wait no longer.
@@ -98,7 +98,7 @@
 // late is read and it has no place still: others come all the time that go first, so that
 // waiting further would be in vain.
 func (s *Scheduler) refuseLate(p *poolState, w *Waiter, ready, now time.Time) *Refusal {
-	if w.ask.Target <= shortTarget || w.ask.Again || w.request.TargetAt.After(now) {
+	if w.ask.Target <= shortTarget || w.ask.Retry || w.request.TargetAt.After(now) {
 		return nil
 	}
 	if w.placeBy.IsZero() {
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -275,7 +275,7 @@
 			delete(p.slowdowns.records, name)
 			continue
 		}
-		asks := s.mayQuery(p, now) && p.takesPart(e) && p.acceptsQueries(e, v, now)
+		asks := s.mayQuery(p, now) && p.acceptsRequests(e) && p.acceptsQueries(e, v, now)
 		if asks && left > 0 && r.queryDue(e, now) {
 			left--
 			s.querySlowdown(p, e, r, now)
--- a/pool/state.go
+++ b/pool/state.go
@@ -34,7 +34,7 @@
 	// spend that has no owner to ask.
 	ownerRetries    retryCounter
 	fallbackRetries retryCounter
-	predictions     errorStats
+	predictions     predictionStats
 	// worth tells what requests are worth.
 	worth *worth.Scale
 	// refusedCallers are callers that may come back.
@@ -54,7 +54,7 @@
 	// suspicion is what shows that endpoints have stopped.
 	suspicion suspicion
 	// checks are how all endpoints are checked when some have stopped.
-	checks checks
+	checks checkState
 	// reconnects is the work that was cut and comes back.
 	reconnects reconnects
 	// notices has what endpoints say of themselves.
@@ -214,7 +214,7 @@
 	var failed []*placement.Engine
 	for _, e := range p.list {
 		switch {
-		case p.excluded(w, e, v) || p.availableAt(w, e, v).After(now):
+		case p.ineligible(w, e, v) || p.availableAt(w, e, v).After(now):
 		case slices.Contains(w.ask.Avoid, e.Instance) || !p.health[e.Instance].usable(now) || p.suspicion.doubted[e.Instance]:
 			failed = append(failed, e)
 		default:
@@ -229,8 +229,8 @@
 
 // admit counts a request against the retry budget. It returns a refusal when
 // the budget is spent.
-func (p *poolState) admit(a Ask, alone bool, now time.Time) *Refusal {
-	if !a.Again {
+func (p *poolState) admit(a PlacementRequest, alone bool, now time.Time) *Refusal {
+	if !a.Retry {
 		p.ownerRetries.countFirst(now)
 		p.fallbackRetries.countFirst(now)
 		return nil
@@ -243,8 +243,8 @@
 		return nil
 	}
 	return &Refusal{
-		Reason: "retry budget is spent",
-		After:  defaultRetryAfter,
+		Reason:     "retry budget is spent",
+		RetryAfter: defaultRetryAfter,
 	}
 }
 
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -24,8 +24,8 @@
 	return e.Closed || v.AnyLeaving() && v.IsLeaving(e.Instance, p.health[e.Instance].startedAt)
 }
 
-// excluded states whether a request must not be placed on an endpoint.
-func (p *poolState) excluded(w *Waiter, e *placement.Engine, v *notice.View) bool {
+// ineligible states whether a request must not be placed on an endpoint.
+func (p *poolState) ineligible(w *Waiter, e *placement.Engine, v *notice.View) bool {
 	return p.isLeaving(e, v) || slices.Contains(w.ask.Exclude, e.Instance) || p.drained.excludes(&w.ask, e)
 }
 
@@ -75,7 +75,7 @@
 		switch {
 		case p.isLeaving(e, v):
 			o.someLeaving = true
-		case !p.excluded(w, e, v):
+		case !p.ineligible(w, e, v):
 			if o.rate == 0 || at.Before(o.soonest) {
 				o.soonest = at
 			}
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -88,7 +88,7 @@
 		},
 		grant: pool.Grant{
 			Address: "e1",
-			Readers: []pool.Reader{{
+			Shares: []pool.PrefillShare{{
 				Address: "e2",
 			}},
 		},
--- a/relay/excluded.go
+++ b/relay/excluded.go
@@ -24,10 +24,10 @@
 // have begun to leave, or its failure domain been emptied, while the request waited, or
 // the one who placed it may know less.
 func (l *Relay) findExcluded(g *pool.Grant) *excludedError {
-	if e := l.checkExcluded(g.Instance, g.Born); e != nil {
+	if e := l.checkExcluded(g.Instance, g.StartedAt); e != nil {
 		return e
 	}
-	for _, r := range g.Readers {
+	for _, r := range g.Shares {
 		if e := l.checkExcluded(r.Instance, time.Time{}); e != nil {
 			return e
 		}
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -49,12 +49,12 @@
 		cancel: func() {},
 	}
 	// The grant is shared with those who keep account of it.
-	t.grant.Readers = slices.Clone(t.grant.Readers)
-	for i, r := range t.grant.Readers {
+	t.grant.Shares = slices.Clone(t.grant.Shares)
+	for i, r := range t.grant.Shares {
 		if r.Reserved == 0 {
 			continue
 		}
-		t.grant.Readers[i].Reservation = t.request.ID
+		t.grant.Shares[i].Reservation = t.request.ID
 		h.items = append(h.items, reservation{
 			address: r.Address,
 			name:    t.request.ID,
--- a/relay/suspicion.go
+++ b/relay/suspicion.go
@@ -13,7 +13,7 @@
 	// pauseWeight is the weight of one more pause in a stream's usual one: the last four
 	// count for two thirds, so that one long pass does not make a pause usual.
 	pauseWeight = 0.25
-	// timerTolerance is how much later than set a timer may end, in each pool.SuspectLeast of the
+	// timerTolerance is how much later than set a timer may end, in each pool.MinSuspectSilence of the
 	// silence: with more, this instance stood still, and not the endpoint.
 	timerTolerance = 100 * time.Millisecond
 	// migrateRetry is when another place is looked for again after there was none for a
@@ -27,7 +27,7 @@
 	if s == nil {
 		return
 	}
-	w.stopMigrations = s.OnMove(w.try.request.ID, w.migrate)
+	w.stopMigrations = s.OnMigrate(w.try.request.ID, w.migrate)
 }
 
 // unsubscribe ends what listen and notePause began. The caller holds the lock.
@@ -62,7 +62,7 @@
 
 // suspectAfter returns the silence that is suspected.
 func (w *watch) suspectAfter() time.Duration {
-	return max(pool.SuspectLeast, pool.SuspectPasses*w.meanPause)
+	return max(pool.MinSuspectSilence, pool.SuspectGapFactor*w.meanPause)
 }
 
 // suspect tells the owner of the pool that the stream is silent, and again while it is.
@@ -77,12 +77,12 @@
 		// An event came at this moment.
 		return
 	}
-	if (silence-w.suspectAfter())%pool.SuspectLeast < timerTolerance {
+	if (silence-w.suspectAfter())%pool.MinSuspectSilence < timerTolerance {
 		t := w.try
 		t.relay.Metrics.add("suspicions")
-		t.relay.parts.Suspicions.Suspect(t.request.ID, t.request.Service, silence)
+		t.relay.parts.Suspicions.ReportSilence(t.request.ID, t.request.Service, silence)
 	}
-	w.suspectTimer.Reset(pool.SuspectLeast)
+	w.suspectTimer.Reset(pool.MinSuspectSilence)
 }
 
 // migrate has the attempt leave its endpoint, which has stopped. A stream that has begun
