--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -108,7 +108,7 @@
 	return a.Gap > 0 && !a.Retry
 }
 
-// Suspect notes the silence of an attempt, as its entry reports it.
+// ReportSilence notes the silence of an attempt, as its entry reports it.
 func (s *Scheduler) ReportSilence(id, service string, silence time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
