--- a/placement/apply.go
+++ b/placement/apply.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// memoryReserve is the part of an engine's memory that plans leave free, for
-// answers that get longer than expected.
+// memoryReserve is the fraction of an engine's memory that plans leave free for answers that
+// turn out longer than expected.
 const memoryReserve = 0.04
 
-// allocateMemory spreads the memory over the plan's engines. It returns false when they
-// have too little.
+// allocateMemory distributes need tokens of memory over the plan's engines: Engine takes all of
+// it if it can, else as much as it has, and the engines with the most free memory take the
+// rest. It returns false when the engines together have too little.
 func (p *Plan) allocateMemory(need int) bool {
-	room := p.Engine.usableMemory()
-	if room >= need {
+	usable := p.Engine.usableMemory()
+	if usable >= need {
 		p.Memory = need
 		return true
 	}
 	if len(p.Others) == 0 {
 		return false
 	}
-	p.Memory = room
-	left := need - room
+	p.Memory = usable
+	left := need - usable
 	slices.SortFunc(p.Others, func(a, b Share) int {
 		return cmp.Compare(b.Engine.usableMemory(), a.Engine.usableMemory())
 	})
@@ -39,12 +40,12 @@
 	return left <= 0
 }
 
-// usableMemory returns the memory that a plan may use.
+// usableMemory returns the free memory that a plan may use, in tokens.
 func (e *Engine) usableMemory() int {
 	return e.Free() - int(memoryReserve*float64(e.Model.Capacity))
 }
 
-// Apply gives a plan's jobs to its engines.
+// Apply adds the plan's jobs to the modelled state of its engines.
 func (p *Plan) Apply(r Request, now time.Time) {
 	n := len(p.Others) + 1
 	job := Job{
@@ -78,14 +79,15 @@
 	}
 }
 
-// assign adds a job that delays the reads that wait.
+// assign advances the engine to now, postpones its waiting prefills by delay and adds the job.
 func (e *Engine) assign(j Job, delay time.Duration, now time.Time) {
 	e.Advance(now)
 	e.delayPrefills(e.scaled(delay))
 	e.Add(&j, now)
 }
 
-// delayPrefills notes that the reads that wait on the engine are delayed.
+// delayPrefills postpones the expected first event of every request whose prompt the current
+// pass does not complete.
 func (e *Engine) delayPrefills(delay time.Duration) {
 	for _, j := range e.Jobs {
 		if j.PromptLeft > j.inPass && !j.Helper {
--- a/placement/blocking_test.go
+++ b/placement/blocking_test.go
@@ -9,18 +9,17 @@
 	"github.com/matryer/is"
 )
 
-// TestKeepsOpen places a stream on one of two engines: an empty one, or one with a less
-// patient stream. While long prompts are read it goes where it closes nothing, but never
-// late for that.
-func TestKeepsOpen(t *testing.T) {
+// TestBlockingCost guards against streams with short pause limits that block an empty engine
+// for long prefills, and against requests that become late to avoid this.
+func TestBlockingCost(t *testing.T) {
 	engine := func(name string, gap time.Duration) *Engine {
 		e := &Engine{
 			Instance: name,
-			Model:    readingModel(),
+			Model:    testModel(),
 			Slots:    8,
 		}
 		if gap > 0 {
-			j := readingJob("writer", 0)
+			j := testJob("decoding", 0)
 			j.Gap = gap
 			e.Add(j, origin)
 		}
@@ -32,9 +31,9 @@
 		target time.Duration
 		want   string
 	}{
-		{"nothing is read", 0, time.Minute, "empty"},
-		{"long prompts are read", 0.8, time.Minute, "other"},
-		{"in time on the empty one only", 0.8, 310 * time.Millisecond, "empty"},
+		{"no long prefills", 0, time.Minute, "empty"},
+		{"long prefills", 0.8, time.Minute, "other"},
+		{"late on the other engine", 0.8, 310 * time.Millisecond, "empty"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -59,8 +58,8 @@
 	}
 }
 
-// TestOpen holds which part of the readings an engine is open to.
-func TestOpen(t *testing.T) {
+// TestOpenFraction checks the fraction of long prefills that an engine is open to.
+func TestOpenFraction(t *testing.T) {
 	l := LongPrefills{
 		MaxGap: time.Second,
 	}
--- a/placement/candidate.go
+++ b/placement/candidate.go
@@ -6,74 +6,75 @@
 	"time"
 )
 
-// candidate is an engine with what reading a part there would do.
+// candidate is an engine with the estimated effects of prefilling a share on it.
 type candidate struct {
 	engine *Engine
-	// othersLoss is what others lose.
+	// othersLoss is the value that other requests lose.
 	othersLoss float64
-	// cost is what others lose and what the request itself loses here.
+	// cost is the weighted loss of other requests plus that of the request itself.
 	cost float64
-	// firstEvent is the time to the firstEvent event, as far as this engine goes.
+	// firstEvent is the time to the first event if this engine is the slowest to prefill its
+	// share.
 	firstEvent time.Duration
-	// delay is what the reads that wait there take longer.
+	// delay is how much longer waiting prefills on the engine take.
 	delay time.Duration
-	// freeMemory is the memory that may be used, in tokens.
+	// freeMemory is the memory that a plan may use, in tokens.
 	freeMemory int
-	// hasSlot states whether a request may run there.
+	// hasSlot states whether the engine can accept the request itself.
 	hasSlot bool
-	// freeSlots is how many slots are free.
+	// freeSlots is the number of unoccupied slots.
 	freeSlots int
-	// pass is how long the engine's next pass would take.
+	// pass is the duration of the engine's next pass with the share.
 	pass time.Duration
-	// jointPrefill states that the engine has parts of prompts to read that it shares
-	// with others.
+	// jointPrefill states that the engine has unfinished shares of joint prefills.
 	jointPrefill bool
-	// crowded is 1 for an engine that should not be filled further, else 0.
+	// crowded is 1 for an engine that should not be packed further, else 0.
 	crowded int
-	// pause is the longest pause that the request's stream would have there.
+	// pause is the longest predicted pause in the request's stream on this engine.
 	pause time.Duration
-	// needsSimulation states that more than the next pass is to be looked at.
+	// needsSimulation states that the share affects more than the next pass.
 	needsSimulation bool
-	// decodeCost is what it costs beside that the engine gets the request itself.
+	// decodeCost is the additional cost of decoding the request on this engine.
 	decodeCost float64
-	// index is the engine's place in the fixed index of engines.
+	// index is the engine's position in the list of usable engines.
 	index int
 }
 
-// promptShare is what an engine would have to read.
+// promptShare is what one engine would have to prefill: the whole prompt, or its share of a
+// joint prefill.
 type promptShare struct {
 	tokens int
 	time   time.Duration
-	// joint states that several engines read the prompt.
+	// joint states that several engines prefill the prompt.
 	joint bool
-	// transitTime is how long it takes until the engine has it.
+	// transitTime is how long the request takes to reach the engine.
 	transitTime time.Duration
 }
 
-// load is what an engine has before it after its present pass.
+// load is an engine's remaining work after its current pass.
 type load struct {
-	// wait is what is left of the present pass.
+	// wait is the time until the current pass ends.
 	wait time.Duration
-	// running counts the requests that have a slot, and writers those that
-	// write.
+	// running counts the occupied slots, and decoding the requests that decode.
 	running  int
 	decoding int
-	// context is what a step has to look at, in tokens.
+	// context is the number of context tokens of one decode step.
 	context int
-	// joint are parts that several engines read, and own whole prompts.
+	// joint sums up the shares of joint prefills, and whole the other prompts.
 	joint pendingPrompts
 	whole pendingPrompts
-	// jointPrefill states that some of a joint part is left, in this pass or later.
+	// jointPrefill states that a share of a joint prefill is unfinished, including one in the
+	// current pass.
 	jointPrefill bool
 }
 
-// pendingPrompts are prompts that wait to be read.
+// pendingPrompts sums up prompt tokens that wait for prefill.
 type pendingPrompts struct {
 	tokens int
 	time   time.Duration
 }
 
-// pending returns all that waits to be read.
+// pending returns the sum of all waiting prompts.
 func (l *load) pending() pendingPrompts {
 	return pendingPrompts{
 		tokens: l.joint.tokens + l.whole.tokens,
@@ -81,14 +82,14 @@
 	}
 }
 
-// add adds what the present pass leaves of a job's reads.
-func (r *pendingPrompts) add(j *Job) {
+// add adds the prompt tokens of j that remain after the current pass.
+func (p *pendingPrompts) add(j *Job) {
 	n := j.PromptLeft - j.inPass
-	r.tokens += n
-	r.time += j.prefillTime(n)
+	p.tokens += n
+	p.time += j.prefillTime(n)
 }
 
-// load returns what the engine has before it.
+// load returns the engine's remaining work after its current pass.
 func (e *Engine) load(now time.Time) load {
 	var l load
 	if !e.passEnd.IsZero() {
@@ -116,8 +117,8 @@
 	return l
 }
 
-// estimate returns what reading a part on an engine with a load would do, as far as the next
-// pass tells.
+// estimate predicts the effects of prefilling share p on an engine with load l. It covers only
+// the next pass.
 func (e *Engine) estimate(l *load, p promptShare) candidate {
 	p.time = e.scaled(p.time)
 	pass := time.Duration(0)
@@ -155,9 +156,9 @@
 	return c
 }
 
-// startDelay returns when the first pass begins that a part is in, when the next pass takes
-// a time without it. A part that is on its way when that pass begins waits for its end:
-// with passes of 72 ms and 6 ms on the way that is one of twelve.
+// startDelay returns the time until the first pass that includes share p, where next is the
+// duration of the next pass without it. A share that is still in transit when the next pass
+// starts has to wait until that pass ends.
 func (l *load) startDelay(p promptShare, next time.Duration) time.Duration {
 	switch {
 	case p.transitTime <= l.wait:
@@ -168,16 +169,16 @@
 	return max(l.wait+next, p.transitTime)
 }
 
-// timeWithin returns the time of what a pass with a budget of tokens reads.
-func (r *pendingPrompts) timeWithin(budget int) time.Duration {
-	if r.tokens <= budget || r.tokens == 0 {
-		return r.time
+// timeWithin returns the prefill time of the tokens that fit into a pass with the given budget.
+func (p *pendingPrompts) timeWithin(budget int) time.Duration {
+	if p.tokens <= budget || p.tokens == 0 {
+		return p.time
 	}
-	return time.Duration(float64(r.time) * float64(budget) / float64(r.tokens))
+	return time.Duration(float64(p.time) * float64(budget) / float64(p.tokens))
 }
 
-// firstEvent returns when the firstEvent event of a part would come, from the end of the
-// present pass.
+// firstEvent returns the time from the start of the first pass that includes share p to its
+// first event, where pass is the decode time of one pass.
 func (l *load) firstEvent(p promptShare, pass time.Duration, budget int) time.Duration {
 	ahead := pendingPrompts{
 		tokens: p.tokens,
@@ -194,8 +195,7 @@
 	passes := max((ahead.tokens-1)/budget+1, 1)
 	d := time.Duration(passes)*pass + ahead.time
 	if p.joint {
-		// What waits behind it is read in the same passes as far as there is
-		// room.
+		// Prompts behind the share use up what is left of the budget of these passes.
 		d += behind.timeWithin(max(passes*budget-ahead.tokens, 0))
 	}
 	return d
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -8,45 +8,44 @@
 	"time"
 )
 
-// The measures of filling engines in order.
+// Limits for packing short prompts onto the first engines of the list.
 const (
-	// maxPackedPrompt is the longest prompt that engines are filled with, in
-	// tokens; reading it takes less than half of the shortest pause that counts.
+	// maxPackedPrompt is the longest prompt that is packed, in tokens. Its prefill takes less
+	// than half of the shortest allowed pause.
 	maxPackedPrompt = 24_000
-	// maxPackedPass is the longest pass that filling may lead to: well below the
-	// shortest pause that counts on the sheets, 250 ms, as several prompts may
-	// arrive in one pass.
+	// maxPackedPass is the longest next pass that packing may cause. It is well below the
+	// shortest allowed pause of 250 ms because several prompts may arrive during one pass.
 	maxPackedPass = 150 * time.Millisecond
-	// maxPackedTargetShare is the part of the target up to which the first event may take
-	// on an engine that is filled.
+	// maxPackedTargetShare is the fraction of the target time within which the first event must
+	// come on a packed engine.
 	maxPackedTargetShare = 0.75
-	// reservedSlots is how many slots filling leaves free.
+	// reservedSlots is the number of slots that packing leaves free on an engine.
 	reservedSlots = 2
 )
 
-// The differences up to which candidates count as equal.
+// Differences up to which two candidates count as equal.
 const (
-	// costTolerance is one of cost, in units of worth.
+	// costTolerance applies to costs, in units of value.
 	costTolerance = 0.02
-	// firstEventTolerance is one of the time to the first event.
+	// firstEventTolerance applies to times to the first event.
 	firstEventTolerance = 2 * time.Millisecond
 )
 
-// candidates returns what reading a part of the request would do on each engine,
-// the best first. Out is room for them.
-func (r *Request) candidates(engines []*Engine, p promptShare, o *evaluation, out []candidate) []candidate {
+// candidates estimates the effect of prefilling share p on each engine and returns the results,
+// best first. It reuses the memory of out.
+func (r *Request) candidates(engines []*Engine, p promptShare, ev *evaluation, out []candidate) []candidate {
 	for i, e := range engines {
-		c := e.estimate(&o.loads[i], p)
+		c := e.estimate(&ev.loads[i], p)
 		if p.joint && c.jointPrefill {
-			// The new part would go before the one that is being read.
+			// The new share would be prefilled before the joint share in progress.
 			continue
 		}
 		if c.needsSimulation {
-			o.simulate(&c, i, p)
+			ev.simulate(&c, i, p)
 		}
 		c.index = i
-		c.cost = othersLossWeight*c.othersLoss + r.ownLoss(c.firstEvent, o.now)
-		c.crowded = c.isCrowded(r.TargetAt.Sub(o.now))
+		c.cost = othersLossWeight*c.othersLoss + r.ownLoss(c.firstEvent, ev.now)
+		c.crowded = c.isCrowded(r.TargetAt.Sub(ev.now))
 		c.decodeCost = r.blockingCost(e) + r.pauseLoss(c.pause)
 		if !p.joint {
 			c.cost += c.decodeCost
@@ -57,35 +56,36 @@
 	return out
 }
 
-// selectEngines returns n of the candidates, which are in order, and which of them gets
-// the request: among those that can, the one that costs least as its head. The others are
-// the cheapest. The index is negative when none can.
+// selectEngines picks n of the sorted candidates and returns the index of the one that receives
+// the request, or -1 when none has a free slot and enough memory. The receiving engine is the
+// first that qualifies or, in a joint prefill, the one with the lowest sum of cost and decode
+// cost. The other engines are the cheapest.
 func selectEngines(cands []candidate, need, n int) (int, []candidate) {
 	if len(cands) < n {
 		return -1, nil
 	}
-	head := -1
+	receiver := -1
 	for i := range cands {
 		c := &cands[i]
 		if !c.hasSlot || c.freeMemory < need/n {
 			continue
 		}
-		if head < 0 || n > 1 && c.cost+c.decodeCost < cands[head].cost+cands[head].decodeCost-costTolerance {
-			head = i
+		if receiver < 0 || n > 1 && c.cost+c.decodeCost < cands[receiver].cost+cands[receiver].decodeCost-costTolerance {
+			receiver = i
 		}
 	}
-	if head < n {
-		return head, cands[:n]
+	if receiver < n {
+		return receiver, cands[:n]
 	}
-	// What comes before it in order are the others.
-	chosen := slices.Concat(cands[:n-1], cands[head:head+1])
+	// The cheapest candidates help with the prefill.
+	chosen := slices.Concat(cands[:n-1], cands[receiver:receiver+1])
 	return n - 1, chosen
 }
 
-// compare orders candidates: those with the least cost first. Among equals, short
-// prompts fill the engines from the front of the fixed order as long as passes stay
-// short, and long ones take them from the back: so the long ones find engines where
-// they make nobody wait.
+// compare orders candidates by cost. Among candidates of equal cost, short prompts go to the
+// first engines of the list until these are crowded, and long prompts go to the engine with the
+// earliest first event, at equal times to the last of the list. Long prompts thus find engines
+// whose streams they don't interrupt.
 func (r *Request) compare(a, b candidate) int {
 	if d := a.cost - b.cost; d < -costTolerance || d > costTolerance {
 		return cmp.Compare(a.cost, b.cost)
@@ -105,8 +105,9 @@
 	return cmp.Compare(a.firstEvent, b.firstEvent)
 }
 
-// isCrowded returns 1 for an engine that should not be filled further: with a
-// long pass now or next, or none but the last slots free.
+// isCrowded returns 1 for an engine that should not be packed further, because its next pass
+// would be long, few slots are free or the first event would come close to the target.
+// Otherwise it returns 0.
 func (c *candidate) isCrowded(target time.Duration) int {
 	if c.pass > maxPackedPass || c.freeSlots <= reservedSlots || c.firstEvent > time.Duration(maxPackedTargetShare*float64(target)) {
 		return 1
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -6,26 +6,24 @@
 	"time"
 )
 
-// Cost returns what the plan costs in all but for its number of engines, in units
-// of worth.
+// Cost returns the plan's cost in units of value, without the cost of its helpers.
 func (p *Plan) Cost() float64 {
 	return othersLossWeight*p.OthersLoss + p.OwnLoss + p.DecodeCost
 }
 
-// othersLossWeight is what a loss of others weighs against one of the request
-// itself. Above 1 it stands for what comes in while engines stand still, which a
-// plan does not see.
+// othersLossWeight is the weight of losses of other requests relative to those of the request
+// itself. It exceeds 1 to account for requests unknown to the plan that arrive while the prefill
+// stalls the engine.
 const othersLossWeight = 2
 
-// The part of a bound at which a prediction begins to count as late, and that
-// at which it surely is.
+// Fractions of a time limit from which a prediction counts as possibly late and as certainly
+// late.
 const (
 	lateFrom = 0.85
 	lateTo   = 1.05
 )
 
-// lateness returns how likely something that is predicted to take d is late, from
-// 0 to 1.
+// lateness returns how likely an event that is predicted after d exceeds bound, from 0 to 1.
 func lateness(d, bound time.Duration) float64 {
 	if bound <= 0 {
 		return 1
@@ -34,16 +32,17 @@
 	return min(max((r-lateFrom)/(lateTo-lateFrom), 0), 1)
 }
 
-// helperCost is what each further engine costs a plan: one more that may fail
-// under the request, and a disturbance for what comes next.
+// helperCost is the cost of each helper in a plan: another engine whose failure breaks the
+// request, and which is less available to the next one.
 const helperCost = 0.01
 
-// helpersCost returns what the plan's further engines cost.
+// helpersCost returns the cost of all the plan's helpers.
 func (p *Plan) helpersCost() float64 {
 	return helperCost * float64(len(p.Others))
 }
 
-// ownLoss returns what the request itself ownLoss when its first event takes a time.
+// ownLoss returns the value that the request loses when its first event comes after the given
+// time.
 func (r *Request) ownLoss(first time.Duration, now time.Time) float64 {
 	if !r.GiveUpAt.IsZero() && now.Add(first).After(r.GiveUpAt) {
 		return r.Worth
@@ -51,7 +50,8 @@
 	return r.stake() * lateness(first, r.TargetAt.Sub(now))
 }
 
-// pauseLoss returns what the request's stream loses when its longest pause takes a time.
+// pauseLoss returns the value that the request loses when the longest pause in its stream is
+// the given time.
 func (r *Request) pauseLoss(longest time.Duration) float64 {
 	if r.Gap == 0 {
 		return 0
@@ -59,8 +59,8 @@
 	return r.stake() * lateness(longest, r.Gap)
 }
 
-// addedLoss returns what a job loses when the next pass takes after rather than
-// before, and reads that wait are delayed.
+// addedLoss returns the additional value that a job loses when the next pass takes after
+// instead of before and waiting prefills are postponed by delay.
 func (j *Job) addedLoss(before, after, delay time.Duration) float64 {
 	if j.Helper || j.Stake == 0 {
 		return 0
@@ -79,8 +79,8 @@
 	return j.pauseLoss(after) - j.pauseLoss(before)
 }
 
-// pauseLoss returns what a pause costs a stream: its stake when the stream is late, and
-// what is left as well when its caller gives up.
+// pauseLoss returns the value that a stream loses by a pause: its stake when the pause is too
+// long, and all its value when the caller gives up.
 func (j *Job) pauseLoss(pause time.Duration) float64 {
 	if pause >= Patience(0, j.Gap) {
 		return j.Stake + j.LateWorth
--- a/placement/cost_test.go
+++ b/placement/cost_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestPauseLoss holds what a pause costs a stream against the bounds of its
-// caller: late from 250 ms on, and gone after two seconds.
+// TestPauseLoss checks that a stream is late from 250 ms on and loses all its value after two
+// seconds.
 func TestPauseLoss(t *testing.T) {
 	j := Job{
 		Gap:       250 * time.Millisecond,
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,19 +1,18 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package placement decides which engines run a request, and with how many
-// others each reads the prompt.
+// Package placement decides which engine runs a request, and which other engines help to
+// prefill its prompt.
 //
-// It models every engine by package batch: the pass that it is in, what waits
-// for the next one, and what writes. Reading R more on an engine makes its next
-// pass
+// It models each engine with package batch: the current pass, the prompts that wait for the
+// next one, and the decoding requests. Prefilling a prompt, which takes time R, extends the
+// engine's next pass to
 //
-//	pass = Pass(writers) + waiting reads + R
+//	pass = PassTime(decoding requests) + waiting prefills + R
 //
-// long. A stream whose pause between events would exceed its bound, or whose
-// first event would exceed its target, is late and loses most of its worth. A
-// plan's cost is what it makes others lose plus what the request itself loses,
-// and the cheapest plan is taken. The worth of a request grows with its prompt.
+// A stream is late when a pause between its events exceeds its limit, or its first event comes
+// after its target time. It then loses most of its value. The cost of a plan is the value that
+// other requests lose plus the value that the request itself loses. MakePlan returns the
+// cheapest plan.
 //
-// Decisions are pure: the state of the engines, the request and the time go in,
-// a plan with its figures comes out.
+// Decisions depend only on the state of the engines, the request and the time.
 package placement
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -10,84 +10,85 @@
 	"github.com/linkmast/linkmast/batch"
 )
 
-// Job is a request, or a part of its prompt, on one engine.
+// Job is a request, or a share of a joint prefill, on one engine.
 type Job struct {
-	// ID names the attempt.
+	// ID identifies the attempt; all shares of a joint prefill have the same one.
 	ID string
-	// PromptLeft are what is left to read here.
+	// PromptLeft is the number of prompt tokens still to prefill on this engine.
 	PromptLeft int
-	// PrefillPerToken is the time that reading one of them takes.
+	// PrefillPerToken is the prefill time of one token.
 	PrefillPerToken time.Duration
-	// Joint states that several engines read the prompt. Such parts go before
+	// Joint states that several engines prefill the prompt together. Such shares go before
 	// other prompts, the latest first.
 	Joint bool
-	// Helper states that the job only helps with another engine's request.
+	// Helper states that the job only holds a share of a request that runs on another engine.
 	Helper bool
-	// Memory is what the job holds here, in tokens.
+	// Memory is the memory that the job occupies on this engine, in tokens.
 	Memory int
-	// Context is what each step has to look at here, in tokens.
+	// Context is the number of tokens on this engine that each decode step attends to.
 	Context int
-	// Gap is the longest pause between events in time; zero means none counts.
+	// Gap is the longest allowed pause between events; zero means no limit.
 	Gap time.Duration
-	// Stake is what is lost when the request is late, and LateWorth what is lost beside
-	// that when its caller goes.
+	// Stake is the value lost when the request is late. LateWorth is lost in addition when its
+	// caller gives up.
 	Stake     float64
 	LateWorth float64
 	// PlacedAt is when the request was placed.
 	PlacedAt time.Time
-	// TargetAt is when the first event would be late.
+	// TargetAt is the latest time at which the first event is on time.
 	TargetAt time.Time
 	// FirstEventAt is when the first event is expected.
 	FirstEventAt time.Time
-	// ArrivesAt is when the engine gets the job; zero means that it has it.
+	// ArrivesAt is when the job reaches the engine; zero means that it is there already.
 	ArrivesAt time.Time
 
-	// inPass are the tokens that the present pass reads.
+	// inPass is the number of prompt tokens that the current pass prefills.
 	inPass int
-	// prefilledAt is when the model let the job begin to write.
+	// prefilledAt is when the modelled prefill ended; zero before, and for a job added without
+	// a prompt.
 	prefilledAt time.Time
-	// confirmed states that the first event has come.
+	// confirmed states that the first event was observed, or that a helper finished its share.
 	confirmed bool
 }
 
-// prefillTime returns the time of reading n tokens of the job.
+// prefillTime returns the time to prefill n tokens of the job.
 func (j *Job) prefillTime(n int) time.Duration {
 	return time.Duration(n) * j.PrefillPerToken
 }
 
 // Engine is the modelled state of an engine.
 type Engine struct {
-	// Instance names the engine.
+	// Instance identifies the endpoint that runs the engine.
 	Instance string
-	// Address is its host and port.
+	// Address is the engine's host and port.
 	Address string
-	// FailureDomain is where it runs.
+	// FailureDomain is the failure domain of the endpoint.
 	FailureDomain string
-	// Model is its cost model.
+	// Model predicts the engine's times.
 	Model *batch.Model
-	// Slots bounds the requests that run at once.
+	// Slots is the maximum number of requests that run at once.
 	Slots int
-	// Closed engines get nothing new.
+	// Closed engines are not used by new plans.
 	Closed bool
-	// Full engines get no request now, but may help to read the prompts of others.
+	// Full engines accept no requests for now, but may help with the prefill of others.
 	Full bool
-	// Slowdown is how many times as long as by its model the engine takes for all work; zero
-	// counts as 1. SetSlowdown changes it while the engine works.
+	// Slowdown is the ratio of the engine's actual time for any work to the time its model
+	// predicts; zero counts as 1. Use SetSlowdown to change it while the engine works.
 	Slowdown float64
-	// Jobs are what the engine works on, in the order in which they came.
+	// Jobs are in order of arrival.
 	Jobs []*Job
 
-	// passEnd is when the present pass ends; zero when the engine rests.
+	// passEnd is when the current pass ends; zero while the engine is idle.
 	passEnd time.Time
-	// passStart is when it began.
+	// passStart is when the latest pass began.
 	passStart time.Time
 }
 
-// stepsPerIdlePass is how many steps without writers are taken for one pass of the
-// model, so that it need not follow each of them.
+// stepsPerIdlePass is the number of steps that are modelled as one pass while no request is
+// decoding. It keeps the simulation short.
 const stepsPerIdlePass = 4
 
-// Advance lets the engine work until a moment.
+// Advance simulates the engine up to now.
 func (e *Engine) Advance(now time.Time) {
 	for {
 		at := e.passEnd
@@ -100,14 +101,14 @@
 		e.finishPass(at)
 		e.startPass(at)
 		if e.passEnd.IsZero() && !e.nextStart(now).After(at) {
-			// There is nothing to do.
+			// The engine has no work left.
 			return
 		}
 	}
 }
 
-// nextStart returns when an engine that rests starts to work: when the first prompt
-// reaches it, or now.
+// nextStart returns when an idle engine starts its next pass: at the arrival of the first
+// prompt, or now.
 func (e *Engine) nextStart(now time.Time) time.Time {
 	var first *Job
 	for _, j := range e.Jobs {
@@ -121,7 +122,7 @@
 	return first.ArrivesAt
 }
 
-// finishPass ends the present pass: what has been read writes from now on.
+// finishPass ends the current pass. Jobs whose prompt is complete decode from the next pass on.
 func (e *Engine) finishPass(at time.Time) {
 	e.passEnd = time.Time{}
 	for _, j := range e.Jobs {
@@ -136,26 +137,26 @@
 	}
 }
 
-// confirmTimeout is how long after the model's end of a joint part the engine counts as
-// reading it while the first event has not come. A new part would go before what is left
-// of it: one that came 6 ms too early put the end of another off by 3.4 s.
+// confirmTimeout is how long after the modelled end of a joint share, while its first event has
+// not come, the engine still counts as prefilling it. A new joint share would run before the
+// unfinished rest and could delay that by seconds.
 const confirmTimeout = 100 * time.Millisecond
 
-// isPrefilled states whether the job's prompt, or its part of it, has been read for certain.
+// isPrefilled reports whether the job's prompt or share counts as complete.
 func (j *Job) isPrefilled(now time.Time) bool {
 	return j.PromptLeft == 0 && (j.confirmed || j.prefilledAt.IsZero() || now.Sub(j.prefilledAt) > confirmTimeout)
 }
 
-// startPass begins a pass if there is anything to do.
+// startPass begins a pass if there is work to do.
 func (e *Engine) startPass(at time.Time) {
 	if len(e.Jobs) == 0 {
 		return
 	}
-	writers, context := e.decoding()
+	decoding, context := e.decoding()
 	length := time.Duration(0)
-	budget := e.prefillBudget(writers)
-	if writers > 0 {
-		length = e.Model.PassTime(writers, context)
+	budget := e.prefillBudget(decoding)
+	if decoding > 0 {
+		length = e.Model.PassTime(decoding, context)
 	}
 	for _, j := range e.prefillOrder(at) {
 		j.inPass = min(j.PromptLeft, budget)
@@ -168,8 +169,8 @@
 	}
 }
 
-// prefillOrder returns what is to be read in a pass that starts at a moment: joint parts
-// first, the latest before the others, then the prompts in the order in which they came.
+// prefillOrder returns the jobs to prefill in a pass that starts at the given time: joint
+// shares, the latest first, then whole prompts in order of arrival.
 func (e *Engine) prefillOrder(at time.Time) []*Job {
 	out := make([]*Job, 0, len(e.Jobs))
 	for _, j := range slices.Backward(e.Jobs) {
@@ -185,17 +186,17 @@
 	return out
 }
 
-// prefillBudget returns how many tokens a pass of the model reads.
-func (e *Engine) prefillBudget(writers int) int {
-	b := e.Model.PrefillBudget(writers)
-	if writers > 0 || b > math.MaxInt/stepsPerIdlePass {
-		// Without a bound there is nothing to multiply.
+// prefillBudget returns the maximum number of prompt tokens in one pass of the model.
+func (e *Engine) prefillBudget(decoding int) int {
+	b := e.Model.PrefillBudget(decoding)
+	if decoding > 0 || b > math.MaxInt/stepsPerIdlePass {
+		// An unbounded budget must not overflow.
 		return b
 	}
 	return b * stepsPerIdlePass
 }
 
-// decoding returns how many jobs write, and the context of a step.
+// decoding returns the number of decoding requests and the context tokens of one step.
 func (e *Engine) decoding() (int, int) {
 	n, context := 0, 0
 	for _, j := range e.Jobs {
@@ -210,7 +211,7 @@
 	return n, context
 }
 
-// Running returns how many requests have a slot.
+// Running returns the number of occupied slots.
 func (e *Engine) Running() int {
 	n := 0
 	for _, j := range e.Jobs {
@@ -221,7 +222,7 @@
 	return n
 }
 
-// PendingPrefill returns the time that the engine needs to read what it has before it.
+// PendingPrefill returns the time that the engine needs to prefill all remaining prompt tokens.
 func (e *Engine) PendingPrefill() time.Duration {
 	d := time.Duration(0)
 	for _, j := range e.Jobs {
@@ -230,7 +231,7 @@
 	return e.scaled(d)
 }
 
-// Free returns the memory that no job holds, in tokens.
+// Free returns the unoccupied memory in tokens.
 func (e *Engine) Free() int {
 	free := e.Model.Capacity
 	for _, j := range e.Jobs {
@@ -239,14 +240,14 @@
 	return free
 }
 
-// Add gives the engine a job at a moment.
+// Add adds a job to the engine at the given time.
 func (e *Engine) Add(j *Job, now time.Time) {
 	e.Advance(now)
 	e.Jobs = append(e.Jobs, j)
 	e.Advance(now)
 }
 
-// Remove ends a job.
+// Remove deletes all jobs with the given ID.
 func (e *Engine) Remove(id string) {
 	e.Jobs = slices.DeleteFunc(e.Jobs, func(j *Job) bool {
 		return j.ID == id
--- a/placement/observe.go
+++ b/placement/observe.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// maxShift bounds how far one observation moves the model, so that a delay on
-// the way of the event is not taken for one of the engine.
+// maxShift bounds the correction of the model by one late event, because the delay may have
+// occurred on the way from the engine.
 const maxShift = 100 * time.Millisecond
 
-// Observe corrects the model by the first event of a job: a pass of the engine
-// ended just now. It returns how much later that was than the model said.
+// Observe corrects the model when the first event of a job arrives, which shows that a pass of
+// the engine has just ended. It returns how much later than predicted the event came; the value
+// is negative for an early event and zero for an unknown job.
 func (e *Engine) Observe(id string, now time.Time) time.Duration {
 	e.Advance(now)
 	for _, j := range e.Jobs {
@@ -39,7 +40,7 @@
 	return 0
 }
 
-// FinishShare notes that a helping engine has read its part of a prompt.
+// FinishShare records that a helper has completed its share of a prompt.
 func (e *Engine) FinishShare(id string, now time.Time) {
 	e.Advance(now)
 	e.Jobs = slices.DeleteFunc(e.Jobs, func(j *Job) bool {
@@ -52,9 +53,9 @@
 	})
 }
 
-// NextEvent returns when a job that has been silent for a while gives a sign, and whether
-// the engine is known to have a reason for the silence: it still reads the job's prompt,
-// or is in a pass that began no later than the silence did.
+// NextEvent returns the predicted time until the next event of a job that has been silent for
+// the given time. The boolean reports whether the model explains the silence: the prompt is
+// still being prefilled, or the current pass began no later than the silence.
 func (e *Engine) NextEvent(id string, silence time.Duration, now time.Time) (time.Duration, bool) {
 	e.Advance(now)
 	for i, j := range e.Jobs {
--- a/placement/patience.go
+++ b/placement/patience.go
@@ -4,16 +4,16 @@
 
 import "time"
 
-// Callers give a stream up after a silence of the longest of these: a time, so many targets
-// for the first event until it has come, or so many of the longest pauses in time.
+// A caller abandons a silent stream after the longest of these: a fixed time, a multiple of its
+// target for the first event before that has come, or a multiple of its longest allowed pause.
 const (
 	minPatience     = 2 * time.Second
 	patienceTargets = 4
 	patienceGaps    = 8
 )
 
-// Patience returns how long a caller waits in silence before it leaves, by its target for
-// the first event, zero once that has come, and its longest pause in time.
+// Patience returns how long a caller waits during a silence before it gives up. Target is the
+// time allowed for the first event, zero once that has come, and gap the longest allowed pause.
 func Patience(target, gap time.Duration) time.Duration {
 	return max(minPatience, patienceTargets*target, patienceGaps*gap)
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -13,7 +13,7 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// model is an engine of both sites of today.
+// model returns an engine with 16 slots and 232,000 tokens of memory.
 func model() *batch.Model {
 	return &batch.Model{
 		Slots:              16,
@@ -43,7 +43,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// short and long are typical requests.
+// short and long return typical requests.
 func short(id string, now time.Time) placement.Request {
 	return placement.Request{
 		ID:        id,
@@ -68,13 +68,13 @@
 	}
 }
 
-// fill lets n short requests write on an engine.
+// fill places n short requests on an engine and lets them decode.
 func fill(e *placement.Engine, n int, now time.Time) {
 	for i := range n {
 		r := short(fmt.Sprintf("%s-%d", e.Instance, i), now)
 		p, ok := placement.MakePlan([]*placement.Engine{e}, r, now)
 		if !ok {
-			panic("no room")
+			panic("no plan for a request to fill the engine with")
 		}
 		p.Apply(r, now)
 	}
@@ -104,7 +104,7 @@
 		p.Apply(r, now)
 		used[p.Engine.Instance]++
 	}
-	is.Equal(len(used), 1) // the others stay free for long prompts
+	is.Equal(len(used), 1) // the other engines stay free for long prompts
 }
 
 func TestLongPromptAvoidsStreams(t *testing.T) {
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestPartsWhereStreamsAreEverywhere(t *testing.T) {
+func TestJointPrefillAmongStreams(t *testing.T) {
 	is := is.New(t)
 	list := engines(18)
 	for _, e := range list {
@@ -129,7 +129,7 @@
 	}
 	now := start.Add(time.Second)
 	p := mustMake(t, list, long(100_000, now), now)
-	is.True(len(p.Others) >= 7) // whole it would take 1.2 s on one engine
+	is.True(len(p.Others) >= 7) // one engine alone would take 1.2 s
 	is.True(p.OthersLoss < 1)
 }
 
@@ -150,7 +150,7 @@
 		_, ok := placement.MakePlan(engines(2), long(500_000, start), start)
 		is.True(!ok)
 	})
-	t.Run("full front engine", func(t *testing.T) {
+	t.Run("first engine full", func(t *testing.T) {
 		is := is.New(t)
 		list := engines(3)
 		r := long(220_000, start)
@@ -176,7 +176,7 @@
 	is.Equal(mustMake(t, list, short("b", now), now).Engine, list[0])
 }
 
-func TestExcluded(t *testing.T) {
+func TestClosedAndExcluded(t *testing.T) {
 	is := is.New(t)
 	list := engines(3)
 	list[0].Closed = true
@@ -185,21 +185,21 @@
 	is.Equal(mustMake(t, list, r, start).Engine, list[2])
 }
 
-// TestPredictedFirst holds the model against its own worked example: a prompt
-// that comes while a pass runs is read in the next one.
-func TestPredictedFirst(t *testing.T) {
+// TestTimeToFirstEvent compares the prediction with a worked example: a prompt that arrives
+// during a pass is prefilled in the next one.
+func TestTimeToFirstEvent(t *testing.T) {
 	is := is.New(t)
 	list := engines(1)
 	a := short("a", start)
 	p := mustMake(t, list, a, start)
-	read := model().PrefillTime(5_000, 1)
-	is.Equal(p.TimeToFirstEvent, read)
+	prefill := model().PrefillTime(5_000, 1)
+	is.Equal(p.TimeToFirstEvent, prefill)
 	p.Apply(a, start)
 	now := start.Add(5 * time.Millisecond)
 	q := mustMake(t, list, short("b", now), now)
-	// The rest of the first pass, then a pass with one writer and the reading.
-	// Times of reading are kept per token, in whole nanoseconds.
-	want := read - 5*time.Millisecond + model().PassTime(1, 5_000) + read
+	// The sum of the rest of the first pass, the decode time of one request in the next pass
+	// and the prefill. Prefill times are kept per token in whole nanoseconds.
+	want := prefill - 5*time.Millisecond + model().PassTime(1, 5_000) + prefill
 	is.True((q.TimeToFirstEvent - want).Abs() < 10*time.Microsecond)
 }
 
@@ -213,7 +213,7 @@
 	is.True((late - 30*time.Millisecond).Abs() < 10*time.Microsecond)
 }
 
-func BenchmarkMake(b *testing.B) {
+func BenchmarkMakePlan(b *testing.B) {
 	list := engines(64)
 	for _, e := range list {
 		fill(e, 12, start)
@@ -226,44 +226,45 @@
 	}
 }
 
-// TestTravel looks when a prompt is read that is on its way to the engine for 10 ms.
-func TestTravel(t *testing.T) {
-	const way = 10 * time.Millisecond
-	first := func(e *placement.Engine, travel time.Duration, now time.Time) time.Duration {
+// TestTransitTime guards against predictions that ignore the 10 ms a prompt takes to reach its
+// engine.
+func TestTransitTime(t *testing.T) {
+	const transit = 10 * time.Millisecond
+	first := func(e *placement.Engine, transit time.Duration, now time.Time) time.Duration {
 		r := short("r", now)
-		r.TransitTime = travel
+		r.TransitTime = transit
 		p := mustMake(t, []*placement.Engine{e}, r, now)
 		return p.TimeToFirstEvent
 	}
-	t.Run("engine rests", func(t *testing.T) {
+	t.Run("idle engine", func(t *testing.T) {
 		e := engines(1)[0]
-		is.New(t).Equal(first(e, way, start)-first(e, 0, start), way)
+		is.New(t).Equal(first(e, transit, start)-first(e, 0, start), transit)
 	})
-	t.Run("pass ends before it comes", func(t *testing.T) {
+	t.Run("pass ends before arrival", func(t *testing.T) {
 		is := is.New(t)
 		e := engines(1)[0]
 		fill(e, 2, start)
 		now := start.Add(time.Second)
-		// The wait until the present pass ends falls as the moment comes nearer; when
-		// the prompt comes after that end, one more pass is before it.
+		// The wait for the end of the current pass shrinks as time passes. A prompt that
+		// arrives after that end has to wait for one more pass.
 		longest := time.Duration(0)
 		for range 100 {
 			now = now.Add(time.Millisecond)
 			e.Advance(now)
-			longest = max(longest, first(e, way, now)-first(e, 0, now))
+			longest = max(longest, first(e, transit, now)-first(e, 0, now))
 		}
-		is.True(longest > 2*way)
+		is.True(longest > 2*transit)
 	})
-	t.Run("is not read before it comes", func(t *testing.T) {
+	t.Run("no prefill before arrival", func(t *testing.T) {
 		is := is.New(t)
 		e := engines(1)[0]
 		r := short("r", start)
-		r.TransitTime = way
+		r.TransitTime = transit
 		p := mustMake(t, []*placement.Engine{e}, r, start)
 		p.Apply(r, start)
-		unread := e.PendingPrefill()
-		e.Advance(start.Add(way / 2))
-		is.Equal(e.PendingPrefill(), unread)
+		pending := e.PendingPrefill()
+		e.Advance(start.Add(transit / 2))
+		is.Equal(e.PendingPrefill(), pending)
 		e.Advance(start.Add(time.Second))
 		is.Equal(e.PendingPrefill(), time.Duration(0))
 	})
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -9,80 +9,79 @@
 	"github.com/linkmast/linkmast/batch"
 )
 
-// Request is what a plan is made for.
+// Request describes a request to place.
 type Request struct {
-	// ID names the attempt.
+	// ID identifies the attempt.
 	ID string
 	// Prompt is the length of the prompt in tokens.
 	Prompt int
-	// Output is the likely length of the answer in tokens.
+	// Output is the expected length of the answer in tokens.
 	Output int
-	// Gap is the longest pause between events in time; zero means none counts.
+	// Gap is the longest allowed pause between events; zero means no limit.
 	Gap time.Duration
-	// TargetAt is when the first event would be late.
+	// TargetAt is the latest time at which the first event is on time.
 	TargetAt time.Time
-	// GiveUpAt is when the caller goes if there is no event; zero when that is
-	// not known.
+	// GiveUpAt is when the caller gives up if no event has come; zero when unknown.
 	GiveUpAt time.Time
-	// Worth is what an answer in time is worth, and LateWorth what a late one is.
+	// Worth is the value of an answer on time, and LateWorth that of a late one.
 	Worth     float64
 	LateWorth float64
-	// TransitTime is how long it takes until an engine has the request.
+	// TransitTime is how long the request takes to reach an engine.
 	TransitTime time.Duration
-	// Exclude are engines that must not be used.
+	// Exclude lists the instances that must not be used.
 	Exclude []string
-	// LongPrefills is what long prompts want of the engines.
+	// LongPrefills describes the competition by long prompts.
 	LongPrefills LongPrefills
 }
 
-// stake returns what is lost when the request is late.
+// stake returns the value lost when the request is late.
 func (r *Request) stake() float64 {
 	return r.Worth - r.LateWorth
 }
 
-// Work returns the time of one engine that a request takes.
+// Work returns the engine time that the request takes.
 func (r *Request) Work(m *batch.Model) time.Duration {
 	return m.Work(r.Prompt, r.Output)
 }
 
-// Share is the part of a plan on an engine that helps.
+// Share is the contribution of a helper to a joint prefill.
 type Share struct {
-	// Engine is the engine that helps.
+	// Engine is the helper.
 	Engine *Engine
-	// Memory is the memory that it holds for the request, in tokens.
+	// Memory is the memory that the helper holds for the request, in tokens.
 	Memory int
 }
 
-// Plan is where a request would run.
+// Plan assigns a request to engines.
 type Plan struct {
-	// Engine gets the request.
+	// Engine receives the request and decodes the answer.
 	Engine *Engine
-	// Others read the prompt with it.
+	// Others help with the prefill.
 	Others []Share
-	// PrefillTime is the time of reading on each engine.
+	// PrefillTime is the modelled prefill time on each engine.
 	PrefillTime time.Duration
-	// Memory is the memory that Engine holds, in tokens.
+	// Memory is the memory that the request takes on Engine, in tokens.
 	Memory int
-	// TimeToFirstEvent is the predicted time to the first event.
+	// TimeToFirstEvent is a prediction, counted from the time of the plan.
 	TimeToFirstEvent time.Duration
-	// OthersLoss is what others lose, in units of worth.
+	// OthersLoss is the value that other requests lose.
 	OthersLoss float64
-	// OwnLoss is what the request itself loses, in units of worth.
+	// OwnLoss is the value that the request itself loses by a late first event.
 	OwnLoss float64
-	// DecodeCost is what its stream costs there where it writes: by pauses of its own, and by
-	// closing the engine to readings that come.
+	// DecodeCost is the cost of decoding on Engine: long pauses in the request's own stream,
+	// and an engine that future long prefills can't use.
 	DecodeCost float64
 }
 
-// MaxPrefillEngines bounds the engines that read a prompt together: one and sixteen
-// that help it.
+// MaxPrefillEngines bounds the number of engines in a joint prefill, including the one that
+// receives the request.
 const MaxPrefillEngines = 17
 
-// engineCounts are the numbers of engines that are tried: more of them cost time, and
-// those between gain little.
+// engineCounts lists the numbers of engines to try. Numbers in between would take time and
+// improve plans little.
 var engineCounts = [...]int{1, 2, 3, 4, 6, 8, 12, MaxPrefillEngines}
 
-// MakePlan returns the cheapest plan, or false when no engine can take the request.
+// MakePlan returns the cheapest plan for the request, or false when no engine can take it.
 func MakePlan(engines []*Engine, r Request, now time.Time) (Plan, bool) {
 	usable := make([]*Engine, 0, len(engines))
 	for _, e := range engines {
@@ -94,12 +93,12 @@
 	}
 	best, found := Plan{}, false
 	cands := make([]candidate, 0, len(usable))
-	o := newEvaluation(usable, now)
+	ev := newEvaluation(usable, now)
 	for _, n := range engineCounts {
 		if n > len(usable) || n > 1 && usable[0].Model.PrefillTime(r.Prompt, n) < minShareTime {
 			break
 		}
-		p, ok := planWithEngines(usable, r, n, o, cands)
+		p, ok := planWithEngines(usable, r, n, ev, cands)
 		if ok && (!found || p.Cost()+p.helpersCost() < best.Cost()+best.helpersCost()) {
 			best, found = p, true
 		}
@@ -107,43 +106,43 @@
 	return best, found
 }
 
-// MinPrefillTime returns the least time in which engines of one model, each at its pace, can
-// read a request's prompt together if all of them are free, but no less than minShareTime; zero when
-// there are none.
+// MinPrefillTime returns the shortest time in which the engines could prefill the request's
+// prompt together if all of them were idle, but at least minShareTime. It is zero without
+// engines. All engines must have the same model, but may differ in their slowdown.
 func MinPrefillTime(engines []*Engine, r Request) time.Duration {
 	if len(engines) == 0 {
 		return 0
 	}
-	return max(minPrefillTime(engines, r.Prompt), minShareTime)
+	return max(shortestPrefill(engines, r.Prompt), minShareTime)
 }
 
-// minShareTime is the least time of reading that is split off: with less, one more
-// engine that may fail is not worth the shorter pause.
+// minShareTime is the shortest prefill of one engine in a joint prefill. Below it, the shorter
+// prefill does not justify one more engine that may fail.
 const minShareTime = 40 * time.Millisecond
 
-// planWithEngines returns the cheapest planWithEngines in which n engines read the prompt, or false when
-// there is none. Cands is room for the candidates.
-func planWithEngines(usable []*Engine, r Request, n int, o *evaluation, cands []candidate) (Plan, bool) {
+// planWithEngines returns the cheapest plan with n engines, or false when there is none. It
+// reuses the memory of cands.
+func planWithEngines(usable []*Engine, r Request, n int, ev *evaluation, cands []candidate) (Plan, bool) {
 	share := promptShare{
 		tokens:      r.Prompt / n,
 		time:        usable[0].Model.PrefillTime(r.Prompt, n),
 		joint:       n > 1,
 		transitTime: r.TransitTime,
 	}
-	cands = r.candidates(usable, share, o, cands[:0])
+	cands = r.candidates(usable, share, ev, cands[:0])
 	need := r.Prompt + r.Output
-	head, chosen := selectEngines(cands, need, n)
-	if head < 0 {
+	receiver, chosen := selectEngines(cands, need, n)
+	if receiver < 0 {
 		return Plan{}, false
 	}
 	p := Plan{
-		Engine:      chosen[head].engine,
+		Engine:      chosen[receiver].engine,
 		PrefillTime: share.time,
 	}
 	for i, c := range chosen {
 		p.OthersLoss += c.othersLoss
 		p.TimeToFirstEvent = max(p.TimeToFirstEvent, c.firstEvent)
-		if i != head {
+		if i != receiver {
 			p.Others = append(p.Others, Share{
 				Engine: c.engine,
 			})
@@ -152,7 +151,7 @@
 	if !p.allocateMemory(need) {
 		return Plan{}, false
 	}
-	p.OwnLoss = r.ownLoss(p.TimeToFirstEvent, o.now)
-	p.DecodeCost = chosen[head].decodeCost
+	p.OwnLoss = r.ownLoss(p.TimeToFirstEvent, ev.now)
+	p.DecodeCost = chosen[receiver].decodeCost
 	return p, true
 }
--- a/placement/simulate.go
+++ b/placement/simulate.go
@@ -8,52 +8,52 @@
 	"time"
 )
 
-// forecast is what becomes of a job until the engine has read all that it has.
+// forecast is the predicted progress of a job until its engine has no prompt left to prefill.
 type forecast struct {
 	job *Job
-	// promptLeft are the tokens still to read.
+	// promptLeft is the number of prompt tokens still to prefill.
 	promptLeft int
-	// firstEvent is when its firstEvent event comes, from now; it has come already for a job that
-	// writes.
+	// firstEvent is the time until the first event. It is meaningless for a job that is already
+	// decoding.
 	firstEvent time.Duration
-	// pause is the longest pause between its events.
+	// pause is the longest pause between the job's events.
 	pause time.Duration
 }
 
-// loss returns what a job loses by what the simulation tells.
-func (c *forecast) loss(now time.Time) float64 {
-	j := c.job
+// loss returns the value that the job loses according to the forecast.
+func (f *forecast) loss(now time.Time) float64 {
+	j := f.job
 	if j.Helper || j.Stake == 0 {
 		return 0
 	}
 	late := 0.0
 	if j.PromptLeft > j.inPass {
-		late = lateness(now.Add(c.firstEvent).Sub(j.PlacedAt), j.TargetAt.Sub(j.PlacedAt))
+		late = lateness(now.Add(f.firstEvent).Sub(j.PlacedAt), j.TargetAt.Sub(j.PlacedAt))
 	}
 	if j.Gap > 0 {
-		late = max(late, j.pauseLoss(c.pause))
+		late = max(late, j.pauseLoss(f.pause))
 	}
 	return j.Stake * late
 }
 
-// simulation plays an engine forward, pass by pass, until all that it has is read. It can
-// be used again; the zero value is ready for use.
+// simulation runs an engine's model forward until all its prompts are prefilled. The zero value
+// is ready for use, and a simulation can be reused.
 type simulation struct {
 	engine *Engine
-	// at is the end of the pass that was played last, from now.
+	// at is the end of the latest simulated pass, relative to the start of the simulation.
 	at time.Duration
-	// jobs are the engine's jobs and, last, a part that is added.
+	// jobs holds a forecast for each of the engine's jobs and, last, for an added share.
 	jobs  []forecast
 	share Job
-	// prefilling are the indices of the jobs that are read, in the order in which they are,
-	// and writing those of the jobs that write.
+	// prefilling holds the indices of jobs with prompt tokens left, in order of prefill, and
+	// decoding those of decoding requests.
 	prefilling []int
 	decoding   []int
 	context    int
 }
 
-// run plays an engine with a part, or with none, and returns what becomes of its jobs
-// and, last, of the part. The result holds until the next call.
+// run simulates an engine, with an additional share if p is not nil. It returns a forecast for
+// each job and, last, for the share. The result is valid until the next call.
 func (s *simulation) run(e *Engine, p *promptShare, now time.Time) []forecast {
 	s.start(e, now)
 	if p != nil {
@@ -65,7 +65,7 @@
 	return s.jobs
 }
 
-// start sets up the state at the end of the engine's present pass.
+// start sets up the state at the end of the engine's current pass.
 func (s *simulation) start(e *Engine, now time.Time) {
 	s.engine, s.at, s.context = e, 0, 0
 	s.jobs, s.prefilling, s.decoding = s.jobs[:0], s.prefilling[:0], s.decoding[:0]
@@ -81,7 +81,7 @@
 		})
 		switch {
 		case left > 0 && j.Joint:
-			// Joint parts go before other prompts, the latest first.
+			// Joint shares go before other prompts, the latest first.
 			s.prefilling = slices.Insert(s.prefilling, 0, i)
 		case left > 0:
 			s.prefilling = append(s.prefilling, i)
@@ -91,7 +91,8 @@
 	}
 }
 
-// startDecode lets a job write, or hold its memory, from now on.
+// startDecode adds the job's context to the decode steps and, unless it is a helper's share,
+// counts it as decoding.
 func (s *simulation) startDecode(i int) {
 	j := s.jobs[i].job
 	s.context += j.Context
@@ -100,8 +101,8 @@
 	}
 }
 
-// addShare plays until a part has come that is on its way, and adds it to what is read. What
-// comes during a pass waits for its end.
+// addShare simulates passes until the share arrives and then adds it to the prompts to prefill.
+// A share that arrives during a pass waits for its end.
 func (s *simulation) addShare(p *promptShare) {
 	for s.at < p.transitTime && len(s.prefilling)+len(s.decoding) > 0 {
 		s.runPass(p.transitTime - s.at)
@@ -124,21 +125,21 @@
 	s.prefilling = append(s.prefilling, i)
 }
 
-// runPass plays one runPass. Without writers those are short: they are played together until a
-// prompt is read, or for so long.
-func (s *simulation) runPass(long time.Duration) {
+// runPass simulates one pass. Without decoding requests it continues until the first prompt is
+// complete, but no longer than the given time.
+func (s *simulation) runPass(limit time.Duration) {
 	var length time.Duration
 	if n := len(s.decoding); n > 0 {
 		length = s.engine.scaled(s.engine.Model.PassTime(n, s.context) + s.prefill(s.engine.Model.PrefillBudget(n)))
 	} else {
-		c := &s.jobs[s.prefilling[0]]
-		length = s.engine.scaled(c.job.prefillTime(c.promptLeft))
+		f := &s.jobs[s.prefilling[0]]
+		length = s.engine.scaled(f.job.prefillTime(f.promptLeft))
 		left := 0
-		if length > long {
-			left = c.promptLeft - int(float64(c.promptLeft)*float64(long)/float64(length))
-			length = long
+		if length > limit {
+			left = f.promptLeft - int(float64(f.promptLeft)*float64(limit)/float64(length))
+			length = limit
 		}
-		c.promptLeft = left
+		f.promptLeft = left
 	}
 	s.at += length
 	for _, i := range s.decoding {
@@ -152,66 +153,64 @@
 	}
 }
 
-// prefill reads as many tokens as a pass may, and returns how long that takes.
+// prefill consumes up to budget prompt tokens and returns the time this takes.
 func (s *simulation) prefill(budget int) time.Duration {
 	length := time.Duration(0)
 	for _, i := range s.prefilling {
-		c := &s.jobs[i]
-		take := min(c.promptLeft, budget)
-		c.promptLeft -= take
+		f := &s.jobs[i]
+		take := min(f.promptLeft, budget)
+		f.promptLeft -= take
 		budget -= take
-		length += c.job.prefillTime(take)
+		length += f.job.prefillTime(take)
 	}
 	return length
 }
 
-// evaluation judges what parts do to engines at one moment.
+// evaluation compares the effects of adding shares to engines at one moment.
 type evaluation struct {
 	now time.Time
 	sim simulation
-	// loads are what the engines have before them.
+	// loads holds the load of each engine.
 	loads []load
-	// baseLoss is what the jobs of each engine lose without a part; NaN until it is known.
+	// baseLoss is what the jobs of each engine lose without an additional share; NaN until
+	// computed.
 	baseLoss []float64
 }
 
-// newEvaluation returns one for some engines.
+// newEvaluation returns an evaluation with the current loads of the engines.
 func newEvaluation(engines []*Engine, now time.Time) *evaluation {
-	o := &evaluation{
+	ev := &evaluation{
 		now:      now,
 		loads:    make([]load, len(engines)),
 		baseLoss: make([]float64, len(engines)),
 	}
 	for i, e := range engines {
-		o.loads[i] = e.load(now)
-		o.baseLoss[i] = math.NaN()
+		ev.loads[i] = e.load(now)
+		ev.baseLoss[i] = math.NaN()
 	}
-	return o
+	return ev
 }
 
-// simulate corrects what reading a part does on the engine with an index, where that takes
-// more than the next pass: what the engine has to read makes streams pause that begin
-// after it, the part's own as well.
-//
-// It guards against prompts that are read one after the other on an engine, the first of
-// which writes while the next is read: by the next pass alone the figure of emulated days
-// was 0.905, so it was 0.926 (60 engines, bursts of long prompts, 24 seeds).
-func (o *evaluation) simulate(c *candidate, i int, p promptShare) {
-	if math.IsNaN(o.baseLoss[i]) {
-		o.baseLoss[i] = o.totalLoss(o.sim.run(c.engine, nil, o.now))
-	}
-	jobs := o.sim.run(c.engine, &p, o.now)
+// simulate replaces the estimates of c by simulated ones, for a share that affects more than
+// the next pass of engine i. Streams that start after a prompt pause while later prompts are
+// prefilled; an estimate of the next pass alone misses these pauses, and those of the request's
+// own stream.
+func (ev *evaluation) simulate(c *candidate, i int, p promptShare) {
+	if math.IsNaN(ev.baseLoss[i]) {
+		ev.baseLoss[i] = ev.totalLoss(ev.sim.run(c.engine, nil, ev.now))
+	}
+	jobs := ev.sim.run(c.engine, &p, ev.now)
 	own := jobs[len(jobs)-1]
-	c.othersLoss = o.totalLoss(jobs[:len(jobs)-1]) - o.baseLoss[i]
+	c.othersLoss = ev.totalLoss(jobs[:len(jobs)-1]) - ev.baseLoss[i]
 	c.firstEvent = own.firstEvent
 	c.pause = own.pause
 }
 
-// totalLoss returns what some jobs lose.
-func (o *evaluation) totalLoss(jobs []forecast) float64 {
+// totalLoss returns the sum of the losses of some jobs.
+func (ev *evaluation) totalLoss(jobs []forecast) float64 {
 	sum := 0.0
 	for i := range jobs {
-		sum += jobs[i].loss(o.now)
+		sum += jobs[i].loss(ev.now)
 	}
 	return sum
 }
--- a/placement/simulate_test.go
+++ b/placement/simulate_test.go
@@ -14,12 +14,12 @@
 	"github.com/linkmast/linkmast/batch"
 )
 
-// origin is when the engines of these tests begin.
+// origin is the start time of the simulated engines.
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// readingModel is an engine that reads 100 000 tokens a second, in passes of 10 000 and
-// 100 ms of steps.
-func readingModel() *batch.Model {
+// testModel is an engine that prefills 100,000 tokens a second, with passes of 10,000 tokens
+// and 100 ms of decode steps.
+func testModel() *batch.Model {
 	return &batch.Model{
 		Slots:            8,
 		Capacity:         10_000_000,
@@ -30,8 +30,8 @@
 	}
 }
 
-// readingJob returns a job with some tokens to read; none means that it writes.
-func readingJob(id string, tokens int) *Job {
+// testJob returns a job with the given number of prompt tokens left; with zero it decodes.
+func testJob(id string, tokens int) *Job {
 	return &Job{
 		ID:              id,
 		PromptLeft:      tokens,
@@ -43,47 +43,47 @@
 	}
 }
 
-// TestPlayMatchesEngine compares what is simulated with what a copy of the engine does
-// step by step.
-func TestPlayMatchesEngine(t *testing.T) {
+// TestSimulationMatchesEngine compares the simulation of an engine with advancing the same
+// engine step by step.
+func TestSimulationMatchesEngine(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
 			r := rand.New(rand.NewPCG(seed, 0))
-			planned, played := newReading(), newReading()
+			simulated, advanced := newDecodingEngine(), newDecodingEngine()
 			for i := range 2 + r.IntN(4) {
 				tokens := 1 + r.IntN(30_000)
 				joint := r.IntN(3) == 0
-				for _, e := range []*Engine{planned, played} {
-					j := readingJob(fmt.Sprint(i), tokens)
+				for _, e := range []*Engine{simulated, advanced} {
+					j := testJob(fmt.Sprint(i), tokens)
 					j.Joint = joint
 					e.Add(j, origin)
 				}
 			}
-			var f simulation
-			jobs := f.run(planned, nil, origin)
-			done := readAt(played)
-			for _, c := range jobs {
-				if c.job.ID != "writer" {
-					is.Equal(c.firstEvent, done[c.job.ID])
+			var sim simulation
+			jobs := sim.run(simulated, nil, origin)
+			done := prefillTimes(advanced)
+			for _, f := range jobs {
+				if f.job.ID != "decoding" {
+					is.Equal(f.firstEvent, done[f.job.ID])
 				}
 			}
 		})
 	}
 }
 
-// newReading returns an engine on which one request writes.
-func newReading() *Engine {
+// newDecodingEngine returns an engine with one decoding request.
+func newDecodingEngine() *Engine {
 	e := &Engine{
-		Model: readingModel(),
+		Model: testModel(),
 		Slots: 8,
 	}
-	e.Add(readingJob("writer", 0), origin)
+	e.Add(testJob("decoding", 0), origin)
 	return e
 }
 
-// readAt lets an engine work and returns when each of its prompts has been read.
-func readAt(e *Engine) map[string]time.Duration {
+// prefillTimes advances an engine and returns when each of its prompts is complete.
+func prefillTimes(e *Engine) map[string]time.Duration {
 	done := make(map[string]time.Duration)
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Microsecond {
 		e.Advance(origin.Add(at))
@@ -96,25 +96,25 @@
 	return done
 }
 
-// TestReadBehind asks for a place on an engine that reads a prompt already, whose stream
-// bears pauses of a second. A prompt that is read after it makes that stream wait.
-func TestReadBehind(t *testing.T) {
+// TestPrefillBehind checks that a plan counts the pause that a new prompt causes for a stream
+// which is not decoding yet. The stream allows pauses of one second.
+func TestPrefillBehind(t *testing.T) {
 	for _, row := range []struct {
-		prompt int
-		spoils bool
+		prompt     int
+		othersLose bool
 	}{
 		{50_000, false},
 		{200_000, true},
 	} {
 		t.Run(fmt.Sprint(row.prompt), func(t *testing.T) {
 			is := is.New(t)
-			m := readingModel()
-			m.Chunk = 1500 // a pass reads 150 000 tokens
+			m := testModel()
+			m.Chunk = 1500 // a pass prefills up to 150,000 tokens
 			e := &Engine{
 				Model: m,
 				Slots: 8,
 			}
-			e.Add(readingJob("before", 20_000), origin)
+			e.Add(testJob("before", 20_000), origin)
 			p, ok := MakePlan([]*Engine{e}, Request{
 				Prompt:    row.prompt,
 				TargetAt:  origin.Add(time.Minute),
@@ -122,13 +122,13 @@
 				LateWorth: 0.25,
 			}, origin.Add(time.Millisecond))
 			is.True(ok)
-			is.Equal(p.OthersLoss > 0, row.spoils)
+			is.Equal(p.OthersLoss > 0, row.othersLose)
 		})
 	}
 }
 
-// TestOwnPause gives a prompt to two engines, of which the first has another one to read
-// after its part: a stream there would pause for that. The second one gets the stream.
+// TestOwnPause checks that the request's own stream avoids an engine with a long prompt left to
+// prefill if that would pause the stream for too long.
 func TestOwnPause(t *testing.T) {
 	for _, row := range []struct {
 		gap  time.Duration
@@ -139,8 +139,8 @@
 	} {
 		t.Run(row.gap.String(), func(t *testing.T) {
 			is := is.New(t)
-			m := readingModel()
-			m.Chunk = 600 // a pass reads 60 000 tokens
+			m := testModel()
+			m.Chunk = 600 // a pass prefills up to 60,000 tokens
 			var engines []*Engine
 			for i, before := range []int{300_000, 0} {
 				e := &Engine{
@@ -148,9 +148,9 @@
 					Model:    m,
 					Slots:    8,
 				}
-				e.Add(readingJob("writer", 0), origin)
+				e.Add(testJob("decoding", 0), origin)
 				if before > 0 {
-					e.Add(readingJob("before", before), origin)
+					e.Add(testJob("before", before), origin)
 				}
 				engines = append(engines, e)
 			}
@@ -170,27 +170,26 @@
 	}
 }
 
-// TestUnconfirmedPart looks that an engine on which a joint part has been read by the
-// model gets no other one before the first event has come, or is overdue: the new part
-// would go before what may be left.
-func TestUnconfirmedPart(t *testing.T) {
+// TestUnconfirmedShare checks that an engine gets no new joint share until the first event of
+// the previous one has come or is overdue. The new share would delay what may be left.
+func TestUnconfirmedShare(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		after     time.Duration
 		confirmed bool
-		used      bool
+		usable    bool
 	}{
-		{"just read", 10 * time.Millisecond, false, false},
+		{"just completed", 10 * time.Millisecond, false, false},
 		{"confirmed", 10 * time.Millisecond, true, true},
 		{"overdue", 2 * confirmTimeout, false, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			e := &Engine{
-				Model: readingModel(),
+				Model: testModel(),
 				Slots: 8,
 			}
-			j := readingJob("before", 1000)
+			j := testJob("before", 1000)
 			j.Joint = true
 			e.Add(j, origin)
 			e.Advance(origin.Add(10 * time.Millisecond))
@@ -202,40 +201,40 @@
 				TargetAt: now.Add(time.Minute),
 			}
 			list := []*Engine{e}
-			o := newEvaluation(list, now)
+			ev := newEvaluation(list, now)
 			cands := r.candidates(list, promptShare{
 				tokens: 1000,
 				time:   10 * time.Millisecond,
 				joint:  true,
-			}, o, nil)
-			is.Equal(len(cands) == 1, row.used)
+			}, ev, nil)
+			is.Equal(len(cands) == 1, row.usable)
 		})
 	}
 }
 
-// TestExpects asks when a silent job gives a sign, and whether the engine has a reason for
-// the silence.
-func TestExpects(t *testing.T) {
-	e := newReading()
-	e.Add(readingJob("read", 5_000), origin)
+// TestNextEvent checks the predicted time of a silent job's next event, and whether the model
+// explains the silence.
+func TestNextEvent(t *testing.T) {
+	e := newDecodingEngine()
+	e.Add(testJob("prefilling", 5_000), origin)
 	e.Advance(origin.Add(100 * time.Millisecond))
 	now := origin.Add(120 * time.Millisecond)
 	for _, row := range []struct {
-		name    string
-		id      string
-		silence time.Duration
-		left    time.Duration
-		reason  bool
+		name      string
+		id        string
+		silence   time.Duration
+		left      time.Duration
+		explained bool
 	}{
-		{"reads still", "read", time.Second, 130 * time.Millisecond, true},
-		{"silent for this pass", "writer", 20 * time.Millisecond, 130 * time.Millisecond, true},
-		{"silent for longer", "writer", 90 * time.Millisecond, 130 * time.Millisecond, false},
-		{"not there", "other", 0, 0, false},
+		{"prompt incomplete", "prefilling", time.Second, 130 * time.Millisecond, true},
+		{"silent since the pass began", "decoding", 20 * time.Millisecond, 130 * time.Millisecond, true},
+		{"silent since before the pass", "decoding", 90 * time.Millisecond, 130 * time.Millisecond, false},
+		{"unknown job", "other", 0, 0, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			left, reason := e.NextEvent(row.id, row.silence, now)
-			is.Equal(reason, row.reason)
+			left, explained := e.NextEvent(row.id, row.silence, now)
+			is.Equal(explained, row.explained)
 			is.Equal(left, row.left)
 		})
 	}
--- a/placement/slowdown.go
+++ b/placement/slowdown.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// slowdown returns how many times as long as by its model the engine takes.
+// slowdown returns the factor between actual and modelled times.
 func (e *Engine) slowdown() float64 {
 	if e.Slowdown <= 0 {
 		return 1
@@ -15,13 +15,12 @@
 	return e.Slowdown
 }
 
-// Speed returns what the engine does in a second, in seconds of its model: the inverse
-// of its pace.
+// Speed returns the engine's speed relative to its model, the inverse of its slowdown.
 func (e *Engine) Speed() float64 {
 	return 1 / e.slowdown()
 }
 
-// scaled returns how long the engine takes for what takes a time by its model.
+// scaled converts a time of the model to the engine's actual time.
 func (e *Engine) scaled(d time.Duration) time.Duration {
 	if e.Slowdown <= 0 || e.Slowdown == 1 {
 		return d
@@ -29,12 +28,11 @@
 	return time.Duration(float64(d) * e.Slowdown)
 }
 
-// SetSlowdown changes the pace at a moment. What is left of the present pass takes as much
-// more or less.
-func (e *Engine) SetSlowdown(pace float64, now time.Time) {
+// SetSlowdown changes the slowdown at the given time and rescales the rest of the current pass.
+func (e *Engine) SetSlowdown(slowdown float64, now time.Time) {
 	e.Advance(now)
 	before := e.slowdown()
-	e.Slowdown = pace
+	e.Slowdown = slowdown
 	if e.passEnd.IsZero() {
 		return
 	}
@@ -42,26 +40,26 @@
 	e.passEnd = now.Add(time.Duration(left))
 }
 
-// minPrefillTime returns the least time in which some of the engines can read a prompt
-// together in equal parts: the quickest ones, as many as make the slowest of them no
-// hindrance.
-func minPrefillTime(engines []*Engine, prompt int) time.Duration {
+// shortestPrefill returns the shortest time in which some of the engines can prefill a prompt
+// together in equal shares. For each number of engines it takes the fastest ones, since the
+// slowest of them determines the time.
+func shortestPrefill(engines []*Engine, prompt int) time.Duration {
 	model := engines[0].Model
-	most := min(len(engines), MaxPrefillEngines)
+	count := min(len(engines), MaxPrefillEngines)
 	if !slices.ContainsFunc(engines, func(e *Engine) bool { return e.slowdown() != 1 }) {
-		return model.PrefillTime(prompt, most)
+		return model.PrefillTime(prompt, count)
 	}
-	paces := make([]float64, 0, len(engines))
+	slowdowns := make([]float64, 0, len(engines))
 	for _, e := range engines {
-		paces = append(paces, e.slowdown())
+		slowdowns = append(slowdowns, e.slowdown())
 	}
-	slices.Sort(paces)
-	least := time.Duration(0)
-	for i, pace := range paces[:most] {
-		read := time.Duration(float64(model.PrefillTime(prompt, i+1)) * pace)
-		if i == 0 || read < least {
-			least = read
+	slices.Sort(slowdowns)
+	shortest := time.Duration(0)
+	for i, slowdown := range slowdowns[:count] {
+		prefill := time.Duration(float64(model.PrefillTime(prompt, i+1)) * slowdown)
+		if i == 0 || prefill < shortest {
+			shortest = prefill
 		}
 	}
-	return least
+	return shortest
 }
