--- a/batch/batch.go
+++ b/batch/batch.go
@@ -7,39 +7,40 @@
 	"time"
 )
 
-// The units of the measures.
+// Numbers of tokens and of token pairs that the measures refer to.
 const (
 	thousand = 1000
 	million  = 1e6
 )
 
-// Model holds the measures of an engine.
+// Model holds the performance figures of an engine.
 type Model struct {
-	// Slots bounds the requests that run at once.
+	// Slots is the maximum number of requests that run at once.
 	Slots int
 	// Capacity is the memory for context, in tokens.
 	Capacity int
-	// StepsPerPass is the number of steps in a pass that has writers.
+	// StepsPerPass is the number of decode steps in a pass.
 	StepsPerPass int
-	// Chunk bounds the prompt tokens that are read in a step; zero means no
-	// bound.
+	// Chunk is the maximum number of prompt tokens prefilled per step; zero means no limit.
 	Chunk int
-	// Step is the time of a step without what its writers and their context add.
+	// Step is the duration of a step without the parts that grow with the decoding requests and
+	// their context.
 	Step time.Duration
-	// PerSequence is what each writer adds to a step.
+	// PerSequence is the additional time of a step for each decoding request.
 	PerSequence time.Duration
-	// PerThousandContext is what a thousand tokens of context add to a step.
+	// PerThousandContext is the additional time of a step for each thousand tokens of context.
 	PerThousandContext time.Duration
-	// PrefillPerSecond is the number of prompt tokens read in a second.
+	// PrefillPerSecond is the prefill rate in tokens per second, without the time for pairs.
 	PrefillPerSecond float64
-	// PerMillionPairs is what a million pairs of tokens add to reading.
+	// PerMillionPairs is the additional prefill time for each million pairs of tokens.
 	PerMillionPairs time.Duration
-	// JointOverhead is what a step takes longer when several engines hold its context.
+	// JointOverhead is the additional time of a step when several engines hold the context. The
+	// methods of Model ignore it.
 	JointOverhead time.Duration
 }
 
-// PrefillTime returns the time that each of n engines takes to read its part of a
-// prompt.
+// PrefillTime returns the time that each of n engines takes for its share of a prompt of the
+// given length.
 func (m *Model) PrefillTime(tokens, n int) time.Duration {
 	if tokens <= 0 || n <= 0 {
 		return 0
@@ -54,34 +55,34 @@
 	return d / time.Duration(n)
 }
 
-// PassTime returns the time of a pass without reading: writers requests with
-// context tokens together get StepsPerPass tokens each. Without writers it is that of
-// one step.
-func (m *Model) PassTime(writers, context int) time.Duration {
-	if writers == 0 {
+// PassTime returns the duration of a pass without prefill, in which each decoding request gets
+// StepsPerPass tokens. Context is the sum of their contexts in tokens. Without decoding
+// requests it returns the duration of one step.
+func (m *Model) PassTime(decoding, context int) time.Duration {
+	if decoding == 0 {
 		return m.Step
 	}
-	step := m.Step + time.Duration(writers)*m.PerSequence
+	step := m.Step + time.Duration(decoding)*m.PerSequence
 	step += time.Duration(float64(context) / thousand * float64(m.PerThousandContext))
 	return step * time.Duration(max(m.StepsPerPass, 1))
 }
 
-// PrefillBudget returns how many prompt tokens a pass reads at the most; math.MaxInt when
-// there is no bound.
-func (m *Model) PrefillBudget(writers int) int {
+// PrefillBudget returns the maximum number of prompt tokens that a pass prefills; math.MaxInt
+// when there is no limit.
+func (m *Model) PrefillBudget(decoding int) int {
 	if m.Chunk <= 0 {
 		return math.MaxInt
 	}
-	if writers == 0 {
+	if decoding == 0 {
 		return m.Chunk
 	}
 	return m.Chunk * max(m.StepsPerPass, 1)
 }
 
-// Work returns the time of one engine that a request takes: that of reading its prompt,
-// however many engines share it, and its part of the steps that write, which the
-// requests of all slots share.
+// Work returns the engine time that a request takes: the prefill of its whole prompt, however
+// many engines share it, and its part of the decode steps, which the requests in all slots
+// share.
 func (m *Model) Work(prompt, output int) time.Duration {
-	write := time.Duration(output) * m.Step / time.Duration(max(m.Slots, 1))
-	return m.PrefillTime(prompt, 1) + write
+	decode := time.Duration(output) * m.Step / time.Duration(max(m.Slots, 1))
+	return m.PrefillTime(prompt, 1) + decode
 }
--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestRead holds the arithmetic against worked examples, to a millisecond.
-func TestRead(t *testing.T) {
+// TestPrefillTime compares prefill times with worked examples, to a millisecond.
+func TestPrefillTime(t *testing.T) {
 	m := model()
 	for _, row := range []struct {
 		tokens int
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestPass(t *testing.T) {
+func TestPassTime(t *testing.T) {
 	is := is.New(t)
 	m := model()
 	is.Equal(m.PassTime(0, 0), m.Step)
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -10,57 +10,57 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Summary is what an owner tells others of one endpoint. It lags behind.
+// Summary is the state of one endpoint as its owner reports it to other instances. It is
+// slightly out of date when it arrives.
 type Summary struct {
-	// Endpoint is the endpoint's id.
+	// Endpoint is the endpoint's ID.
 	Endpoint string
-	// Backlog is the prefill that waits or is outstanding for each priority,
-	// in seconds.
+	// Backlog is the waiting and unfinished prefill of each priority, in seconds.
 	Backlog [Priorities]float32
-	// Free is the memory that is free and not waited for, in bytes; below zero
-	// when more is waited for than is free.
+	// Free is the free memory less the memory that queued requests need, in bytes. It may be
+	// negative.
 	Free int64
-	// Turnover is how fast memory comes free, in bytes a second.
+	// Turnover is the rate at which memory becomes free, in bytes per second.
 	Turnover float64
-	// Slots is how many more leases there may be, less those waiting.
+	// Slots is the number of free slots less the number of queued requests. It may be negative.
 	Slots int
-	// Aside is true while the endpoint is set aside.
+	// Aside states that the endpoint gets no requests, because its owner has ejected it or it
+	// is leaving.
 	Aside bool
 }
 
-// Candidate is one endpoint that a request may go to.
+// Candidate is an endpoint that may serve a request.
 type Candidate struct {
-	// Summary is what was last heard.
+	// Summary is the latest summary of the endpoint.
 	Summary
-	// Hash is the hash of the endpoint's id.
+	// Hash is the hash of the endpoint's ID.
 	Hash uint64
-	// Rate is the prefill rate R in tokens a second; zero for a plain service.
+	// Rate is the prefill rate R in tokens per second; zero for a plain service.
 	Rate float64
-	// Memory is the endpoint's KV memory in bytes.
+	// Memory is the endpoint's KV memory in bytes; zero for a plain service.
 	Memory int64
-	// Known is false while nothing has been heard of the endpoint.
+	// Known states that a recent summary of the endpoint is available.
 	Known bool
-	// Excluded is true when the endpoint may get no new work: it is leaving,
-	// or this request has failed there.
+	// Excluded states that the endpoint must get no new requests: it is leaving, or this
+	// request has failed on it.
 	Excluded bool
-	// Pending is the prefill that this entry has sent since the summary, in
+	// Pending is the prefill that this instance has sent to the endpoint since the summary, in
 	// seconds, by priority.
 	Pending [Priorities]float32
-	// PendingBytes is the memory that this entry has asked for since then, and
-	// PendingLeases how many leases.
+	// PendingBytes is the memory that this instance has requested since the summary.
 	PendingBytes int64
-	// PendingLeases is how many leases this entry has asked for since then.
+	// PendingLeases is the number of leases that this instance has requested since the summary.
 	PendingLeases int
-	// MaxRunning bounds the leases.
+	// MaxRunning is the maximum number of leases at once.
 	MaxRunning int
-	// Delay is the delay to the endpoint's failure domain.
+	// Delay is the network delay to the endpoint's failure domain.
 	Delay time.Duration
 
-	// ahead is the sum of Backlog and Pending up to each priority.
+	// ahead is the sum of Backlog and Pending up to and including each priority.
 	ahead [Priorities]float32
 }
 
-// Update must be called after a change of Backlog or Pending.
+// Update recomputes derived values. Call it after every change of Backlog or Pending.
 func (c *Candidate) Update() {
 	sum := float32(0)
 	for p := range Priorities {
@@ -69,36 +69,37 @@
 	}
 }
 
-// Decision is where a request goes.
+// Decision is the outcome of Choose.
 type Decision struct {
-	// Index is the candidate; -1 when there is none.
+	// Index is the index of the chosen candidate; -1 when none is usable.
 	Index int
-	// Estimate is the estimated time to first token.
+	// Estimate is the estimated time to first token on the chosen candidate.
 	Estimate time.Duration
-	// Alternative is the estimate of the next best candidate.
+	// Alternative is the estimate of the next best candidate; the maximum duration when there
+	// is none.
 	Alternative time.Duration
-	// Reason says why.
+	// Reason explains the choice.
 	Reason Reason
 }
 
-// The measures of the choice.
+// Assumed times in estimates.
 const (
-	// unknownWait is assumed of an endpoint that nothing was heard of.
+	// unknownWait is the waiting time assumed for an endpoint without a recent summary.
 	unknownWait = 50 * time.Millisecond
-	// leaseCost is what each running lease adds, so that decoding is spread
-	// where nothing else tells endpoints apart.
+	// leaseCost is added for each running, queued and pending lease, to spread decoding over
+	// endpoints whose estimates are otherwise equal.
 	leaseCost = 500 * time.Microsecond
-	// slotWait is assumed where no slot is free.
+	// slotWait is added for each slot that must become free first.
 	slotWait = 500 * time.Millisecond
-	// memoryWait is assumed where memory is short and its turnover unknown.
+	// memoryWait is added when too little memory is free and the turnover is unknown.
 	memoryWait = 2 * time.Second
-	// longStep is what a prefill in progress adds to the wait of a request
-	// that goes ahead of it: the rest of a step.
+	// longStep is added when prefills of lower priority are outstanding, because the engine
+	// finishes its current step first.
 	longStep = 20 * time.Millisecond
 )
 
-// Choose returns where work goes. Hit is the part of the prompt that is
-// expected to be cached on the endpoints that its prefix belongs to.
+// Choose picks the endpoint for a request. Hit is the fraction of the prompt that is expected
+// to be cached on the endpoints that its prefix is assigned to.
 func Choose(s Strategy, w *Work, hit float64, cs []Candidate, now time.Time) Decision {
 	switch s.(type) {
 	case Naive:
@@ -108,7 +109,7 @@
 	}
 }
 
-// chooseRandom is the naive choice: any endpoint that can hold the work.
+// chooseRandom picks any endpoint that is usable for the request.
 func chooseRandom(w *Work, cs []Candidate) Decision {
 	d := Decision{
 		Index:  -1,
@@ -127,15 +128,15 @@
 	return d
 }
 
-// usable states whether a candidate can take the work at all.
+// usable reports whether a candidate can take the request at all.
 func usable(w *Work, c *Candidate) bool {
 	return !c.Excluded && !c.Aside && (c.Memory == 0 || w.Bytes <= c.Memory)
 }
 
-// chooseWeighed is the choice by least estimated time to first token. One pass
-// finds the least estimates without a cached share and the endpoints that the
-// prefix belongs to, by rendezvous hashing (Thaler and Ravishankar, 1998); the
-// share is then allowed for on those.
+// chooseWeighed picks the endpoint with the lowest estimated time to first token. A single pass
+// over the candidates finds the lowest estimates without a cached prefix and the two endpoints
+// that the prefix is assigned to by rendezvous hashing (Thaler and Ravishankar, 1998). These
+// two are then compared with the expected cache hit taken into account.
 func chooseWeighed(w *Work, hit float64, cs []Candidate, now time.Time) Decision {
 	priority := Priority(w.RankAt(now), w.Class())
 	affine := hit > 0 && w.Prefix != 0
@@ -197,7 +198,7 @@
 	return newDecision(best, next, reason)
 }
 
-// scored is a candidate on the way to a choice.
+// scored is a candidate with its estimate or its rendezvous hash.
 type scored struct {
 	index int
 	wait  time.Duration
@@ -217,8 +218,8 @@
 	return d
 }
 
-// tie orders candidates of equal estimate, alike for requests of one prefix
-// and apart for requests of none.
+// tie ranks candidates of equal estimate. Requests with the same prefix get the same ranking,
+// and requests without a prefix a ranking of their own.
 func tie(w *Work, c *Candidate) uint64 {
 	if w.Prefix != 0 {
 		return Mix(w.Prefix, c.Hash)
@@ -226,8 +227,8 @@
 	return Mix(xxhash.Sum64String(w.ID), c.Hash)
 }
 
-// Mix combines two hashes into one that depends on both in every bit
-// (the finalizer of MurmurHash3).
+// Mix combines two hashes into one in which every bit depends on both, using the finalizer of
+// MurmurHash3.
 func Mix(a, b uint64) uint64 {
 	h := a ^ (b*0x9e3779b97f4a7c15 + 0x7f4a7c15)
 	h ^= h >> 33
@@ -237,13 +238,13 @@
 	return h ^ h>>33
 }
 
-// Estimate returns the estimated time to first token of work at a candidate:
-// the prefill ahead of it, its own prefill less the cached share, what waits
-// for memory and slots, and the delay.
-func Estimate(w *Work, priority int, share float64, c *Candidate) time.Duration {
+// Estimate returns the estimated time to first token on a candidate: the prefill ahead of the
+// request, its own prefill without the cached fraction hit, the waits for memory and slots, and
+// the network delay.
+func Estimate(w *Work, priority int, hit float64, c *Candidate) time.Duration {
 	ahead := c.ahead[priority]
 	behind := c.ahead[Priorities-1] - ahead
-	wait := time.Duration(ahead*float32(time.Second)) + prefill(w, share, c) + c.Delay
+	wait := time.Duration(ahead*float32(time.Second)) + prefill(w, hit, c) + c.Delay
 	wait += leaseCost * time.Duration(c.MaxRunning-c.Slots+c.PendingLeases)
 	if !c.Known {
 		return wait + unknownWait
@@ -260,11 +261,11 @@
 	return wait
 }
 
-func prefill(w *Work, share float64, c *Candidate) time.Duration {
+func prefill(w *Work, hit float64, c *Candidate) time.Duration {
 	if c.Rate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(w.Prompt) * (1 - share) / c.Rate * float64(time.Second))
+	return time.Duration(float64(w.Prompt) * (1 - hit) / c.Rate * float64(time.Second))
 }
 
 func memoryDelay(missing int64, turnover float64) time.Duration {
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// The measures of Ledger.
+// Parameters of Ledger.
 const (
-	// prefillWindow is how much prefill may be outstanding at an engine for
-	// requests of at least the same priority, so that the order stays with the
-	// owner.
+	// prefillWindow bounds the outstanding prefill of at least the same priority on an engine,
+	// so that requests wait in the owner's queue, where it can still reorder them.
 	prefillWindow = 150 * time.Millisecond
-	// longShare is the part of an engine's memory that long prompts may hold.
+	// longShare is the fraction of an engine's memory that long prompts may hold.
 	longShare = 0.8
-	// maxLong is how many long prompts may be in prefill at one engine.
+	// maxLong is the number of long prompts that one engine may prefill at once.
 	maxLong = 1
-	// minLongRemainder is the part of a long prompt that counts as left until its
-	// holder tells of the first token. Shorter prompts that go ahead hold long
-	// ones up for longer than the estimate knows.
+	// minLongRemainder is the fraction of a long prompt that counts as left until its first
+	// token is reported. Shorter prompts that overtake a long one delay it by more than the
+	// estimate accounts for.
 	minLongRemainder = 0.05
-	// initialTokenInterval is the time between tokens that is assumed at first.
+	// initialTokenInterval is the time between tokens that is assumed before any observation.
 	initialTokenInterval = 20 * time.Millisecond
-	// smoothing is the weight of a new observation.
+	// smoothing is the weight of a new observation in moving averages.
 	smoothing = 0.1
 )
 
-// Entry is one lease in a Ledger.
+// Entry is a lease in a Ledger.
 type Entry struct {
-	// ID names the lease.
+	// ID identifies the lease.
 	ID string
-	// Customer is who pays.
+	// Customer identifies the customer; empty for an adopted lease.
 	Customer string
-	// Priority is the priority that the engine was given.
+	// Priority is the priority of the request on the engine.
 	Priority int
-	// Class is the class of the prompt.
+	// Class is the length class of the prompt.
 	Class Class
-	// Bytes is the memory reserved.
+	// Bytes is the reserved memory.
 	Bytes int64
-	// Left is the prefill that is estimated to be left, in tokens.
+	// Left is the estimated number of prompt tokens still to prefill.
 	Left float64
-	// Granted is when the lease was given.
+	// Granted is when the lease was granted or adopted.
 	Granted time.Time
 
-	// floor is what Left does not fall below before the first token is seen.
+	// floor is the lower bound of Left until the first token is reported.
 	floor float64
 }
 
-// Ledger is the memory and the outstanding prefill of one endpoint. The zero
-// value is an endpoint without memory; use NewLedger.
+// Ledger accounts for the memory and the outstanding prefill of one endpoint. Use NewLedger to
+// create one.
 type Ledger struct {
 	// Memory is the endpoint's KV memory in bytes; zero for a plain service.
 	Memory int64
-	// Rate is the prefill rate R in tokens a second.
+	// Rate is the prefill rate R in tokens per second.
 	Rate float64
-	// MaxRunning bounds the leases.
+	// MaxRunning is the maximum number of leases at once.
 	MaxRunning int
-	// HeldByOthers is memory held at the endpoint by others' leases.
+	// HeldByOthers is the memory of running attempts that have no lease in this ledger, in
+	// bytes.
 	HeldByOthers int64
 
 	held    int64
@@ -67,11 +67,11 @@
 	order         [Priorities][]*Entry
 	advancedAt    time.Time
 	tokenInterval time.Duration
-	// turnover is how fast memory comes free, in bytes a second.
+	// turnover is the rate at which memory becomes free, in bytes per second.
 	turnover float64
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns a ledger without leases. Memory is in bytes, rate in tokens per second.
 func NewLedger(memory int64, rate float64, maxRunning int) *Ledger {
 	return &Ledger{
 		Memory:        memory,
@@ -88,7 +88,7 @@
 	return l.held
 }
 
-// Free returns the memory that neither leases nor others hold, in bytes.
+// Free returns the memory that is neither reserved by leases nor held by others, in bytes.
 func (l *Ledger) Free() int64 {
 	return l.Memory - l.held - l.HeldByOthers
 }
@@ -98,20 +98,20 @@
 	return len(l.entries)
 }
 
-// Entry returns a lease by id.
+// Entry returns the lease with the given ID.
 func (l *Ledger) Entry(id string) (*Entry, bool) {
 	e, ok := l.entries[id]
 	return e, ok
 }
 
-// Each calls f for every lease.
+// Each calls f for every lease, in no particular order.
 func (l *Ledger) Each(f func(*Entry)) {
 	for _, e := range l.entries {
 		f(e)
 	}
 }
 
-// Add reserves what a request needs.
+// Add records a lease and reserves its memory.
 func (l *Ledger) Add(w *Work, id string, priority int, now time.Time) {
 	l.advance(now)
 	e := &Entry{
@@ -135,7 +135,7 @@
 	}
 }
 
-// Remove returns what a lease held. It is false when there is no such lease.
+// Remove deletes a lease and releases its memory. It returns false when there is no such lease.
 func (l *Ledger) Remove(id string, now time.Time) bool {
 	e, ok := l.entries[id]
 	if !ok {
@@ -155,7 +155,7 @@
 	return true
 }
 
-// dropCustomer counts one lease less of a customer.
+// dropCustomer decrements the number of a customer's leases.
 func (l *Ledger) dropCustomer(customer string) {
 	l.customers[customer]--
 	if l.customers[customer] <= 0 {
@@ -163,7 +163,7 @@
 	}
 }
 
-// Share returns the part of the leases that a customer has, between 0 and 1.
+// Share returns a customer's fraction of the leases, from 0 to 1.
 func (l *Ledger) Share(customer string) float64 {
 	if len(l.entries) == 0 {
 		return 0
@@ -171,12 +171,12 @@
 	return float64(l.customers[customer]) / float64(len(l.entries))
 }
 
-// Observe corrects the time between tokens by what an answer showed.
+// Observe updates the moving average of the time between tokens.
 func (l *Ledger) Observe(step time.Duration) {
 	l.tokenInterval += time.Duration(smoothing * float64(step-l.tokenInterval))
 }
 
-// FirstToken notes that a lease's prompt is done.
+// FirstToken records that the prompt of a lease is complete.
 func (l *Ledger) FirstToken(id string, now time.Time) {
 	if e, ok := l.entries[id]; ok {
 		e.Left = 0
@@ -184,7 +184,7 @@
 	l.advance(now)
 }
 
-// advance lets the estimated prefill advance to now, in order of priority.
+// advance updates the estimated prefill of the leases to now, in order of priority.
 func (l *Ledger) advance(now time.Time) {
 	tokens := now.Sub(l.advancedAt).Seconds() * l.Rate
 	l.advancedAt = now
@@ -203,8 +203,7 @@
 	}
 }
 
-// Outstanding returns the prefill that is left at the engine for each
-// priority, in seconds.
+// Outstanding returns the unfinished prefill of each priority, in seconds.
 func (l *Ledger) Outstanding(now time.Time) [Priorities]float64 {
 	l.advance(now)
 	var out [Priorities]float64
@@ -219,7 +218,7 @@
 	return out
 }
 
-// Prefill returns how long a prompt of n tokens takes alone.
+// Prefill returns the time to prefill n tokens on an otherwise idle engine.
 func (l *Ledger) Prefill(n int) time.Duration {
 	if l.Rate <= 0 {
 		return 0
@@ -227,8 +226,8 @@
 	return time.Duration(float64(n) / l.Rate * float64(time.Second))
 }
 
-// MinTime returns the shortest time in which work can be done: its prefill and
-// the steps of its answer.
+// MinTime returns the time that a request takes on an otherwise idle engine: its prefill and
+// the decode steps of an answer of maximum length.
 func (l *Ledger) MinTime(w *Work) time.Duration {
 	if l.Rate <= 0 {
 		return 0
@@ -236,7 +235,7 @@
 	return l.Prefill(w.Prompt) + time.Duration(w.Output)*l.tokenInterval
 }
 
-// Fits states whether work can start now, and if not, why.
+// Fits reports whether a request can start now and, if not, the reason.
 func (l *Ledger) Fits(w *Work, now time.Time) (bool, Reason) {
 	if len(l.entries) >= l.MaxRunning {
 		return false, ReasonSlots
@@ -269,7 +268,7 @@
 	return true, ReasonNone
 }
 
-// prefilling returns how many leases of at least a class are in prefill.
+// prefilling returns the number of leases of class c or longer whose prompt is unfinished.
 func (l *Ledger) prefilling(c Class) int {
 	n := 0
 	for _, queue := range l.order {
@@ -282,8 +281,8 @@
 	return n
 }
 
-// MemoryWait estimates how long until bytes come free, when more than is free
-// is needed.
+// MemoryWait estimates the time until the given number of bytes is free; zero when that much is
+// free now.
 func (l *Ledger) MemoryWait(bytes int64) time.Duration {
 	missing := bytes - l.Free()
 	if l.Memory == 0 || missing <= 0 {
@@ -295,13 +294,13 @@
 	return time.Duration(float64(missing) / l.turnover * float64(time.Second))
 }
 
-// Turnover returns how fast memory comes free, in bytes a second.
+// Turnover returns the rate at which memory becomes free, in bytes per second.
 func (l *Ledger) Turnover() float64 {
 	return l.turnover
 }
 
-// Adopt takes over memory that an attempt holds already, and whose prompt is
-// taken as done.
+// Adopt records a lease for an attempt that is already running and holds memory. Its prompt
+// counts as complete.
 func (l *Ledger) Adopt(id string, bytes int64, now time.Time) {
 	if _, ok := l.entries[id]; ok {
 		return
--- a/policy/order.go
+++ b/policy/order.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Reason says why a decision came out as it did. It is written to the log.
+// Reason explains a decision. It appears in the log.
 type Reason string
 
-// The reasons of decisions.
+// Reasons of decisions.
 const (
 	ReasonNone        Reason = "fits"
 	ReasonSlots       Reason = "no slot is free"
@@ -25,29 +25,29 @@
 	ReasonOrder       Reason = "first by tier, work, share and age"
 )
 
-// The measures of the order.
+// Parameters of the order.
 const (
-	// ageing is how much expected work a second of waiting makes up for.
+	// ageing is the expected work, in seconds, that one second of waiting offsets.
 	ageing = 0.2
-	// shareWeight is how much expected work a customer's whole share of the leases
-	// counts as, in seconds, so that a large customer does not hold up the
-	// others of its tier.
+	// shareWeight is the expected work, in seconds, that counts for a customer who holds all
+	// leases. It keeps a customer with many requests from delaying others of its tier.
 	shareWeight = 2
-	// reserveAfter is the part of MaxWait after which memory that comes free
-	// is kept for the request that waits for it.
+	// reserveAfter is the fraction of MaxWait after which memory that becomes free is reserved
+	// for the waiting request.
 	reserveAfter = 0.5
 )
 
-// Strategy is how an owner orders its queue and an entry chooses.
+// Strategy selects how owners order their queues and how endpoints are chosen.
 type Strategy interface {
 	strategy()
 }
 
-// Weighed is the strategy of this package.
+// Weighed orders by tier, expected work, customer share and age, and chooses the endpoint with
+// the lowest estimated time to first token.
 type Weighed struct{}
 
-// Naive chooses a random endpoint and serves in order of arrival. It is the
-// baseline that Weighed is measured against.
+// Naive serves in order of arrival and chooses a random endpoint. It is a baseline for
+// comparisons with Weighed.
 type Naive struct{}
 
 func (Weighed) strategy() {}
@@ -55,13 +55,13 @@
 
 // Verdict is the outcome of Next.
 type Verdict struct {
-	// Index is the place in the queue that goes next; -1 when none can.
+	// Index is the queue index of the request that starts next; -1 when none can start.
 	Index int
-	// Reason says why.
+	// Reason explains the verdict.
 	Reason Reason
 }
 
-// Next returns which of the waiting requests starts next on the endpoint.
+// Next picks the request of a queue that starts next on the endpoint.
 func Next(s Strategy, queue []*Work, l *Ledger, now time.Time) Verdict {
 	switch s.(type) {
 	case Naive:
@@ -71,7 +71,7 @@
 	}
 }
 
-// nextArrival is the naive order: the first that came, if it fits.
+// nextArrival picks the first request of the queue if it fits.
 func nextArrival(queue []*Work, l *Ledger) Verdict {
 	if len(queue) == 0 {
 		return Verdict{
@@ -97,9 +97,9 @@
 	}
 }
 
-// nextWeighed is the order by tier, expected work and age. A request that does
-// not fit is passed over, until it has waited for reserveAfter of its MaxWait;
-// from then on nothing behind it takes memory.
+// nextWeighed picks the first request that fits, in the order of Before. Requests that don't
+// fit may be overtaken until they have waited for reserveAfter of their MaxWait; from then on
+// memory is reserved for them.
 func nextWeighed(queue []*Work, l *Ledger, now time.Time) Verdict {
 	best := Verdict{
 		Index: -1,
@@ -129,7 +129,7 @@
 	return best
 }
 
-// Before states whether a goes ahead of b.
+// Before reports whether a goes ahead of b.
 func Before(a, b *Work, l *Ledger, now time.Time) bool {
 	ra, rb := a.RankAt(now), b.RankAt(now)
 	if ra != rb {
@@ -142,14 +142,14 @@
 	return a.Arrived.Before(b.Arrived)
 }
 
-// score is the expected work in seconds and the customer's share, less what
-// waiting makes up for.
+// score returns the expected work in seconds, increased by the customer's share of the leases
+// and decreased by the waiting time. Lower scores go first.
 func score(w *Work, l *Ledger, now time.Time) float64 {
 	return l.MinTime(w).Seconds() + shareWeight*l.Share(w.Customer) - ageing*now.Sub(w.Arrived).Seconds()
 }
 
-// mustKeepMemory states whether a request that lacks memory and has waited long goes
-// ahead of w, so that w must leave the memory alone.
+// mustKeepMemory reports whether w must not start because the memory is reserved for a request
+// of the same or a better rank that has waited long for it.
 func mustKeepMemory(queue []*Work, w *Work, l *Ledger, now time.Time) bool {
 	for _, o := range queue {
 		if o == w || now.Sub(o.Arrived) < time.Duration(reserveAfter*float64(o.MaxWait)) {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawWork draws a request that came within the last minutes.
+// drawWork draws a request that arrived within the last 100 seconds.
 func drawWork(t *rapid.T, i int) *Work {
 	prompt := rapid.SampledFrom([]int{10, 1_000, 4_000, 20_000, 100_000, 300_000}).Draw(t, "prompt")
 	output := rapid.IntRange(1, 500).Draw(t, "output")
@@ -39,9 +39,9 @@
 	return l
 }
 
-// TestNextHolds checks what must hold of every choice of the order, for any
-// queue and ledger.
-func TestNextHolds(t *testing.T) {
+// TestNextInvariants guards against starting a request that does not fit or overtakes one of a
+// better rank that does.
+func TestNextInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLedger(t)
 		var queue []*Work
@@ -68,9 +68,9 @@
 	})
 }
 
-// TestNextAgainstNaive compares the choice with a naive one that sorts all that
-// fits.
-func TestNextAgainstNaive(t *testing.T) {
+// TestNextAgainstReference compares the verdict with the first request that fits in the order of
+// Before.
+func TestNextAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLedger(t)
 		var queue []*Work
@@ -88,13 +88,13 @@
 		}
 		v := Next(Weighed{}, queue, l, start)
 		if v.Index != want && v.Reason != ReasonReserved {
-			t.Fatalf("chose %d, naive %d", v.Index, want)
+			t.Fatalf("got index %d, want %d", v.Index, want)
 		}
 	})
 }
 
-// TestLedgerReturnsMemory checks that whatever is added and removed, the memory
-// held is that of the leases that are left, and none in the end.
+// TestLedgerReturnsMemory guards against memory that leaks or is released twice when leases are
+// added and removed.
 func TestLedgerReturnsMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger(1<<40, 40_000, 1000)
@@ -107,7 +107,7 @@
 				id := fmt.Sprintf("l%d", rapid.IntRange(0, i).Draw(t, "which"))
 				_, there := held[id]
 				if l.Remove(id, now) != there {
-					t.Fatalf("removing %s says it was there: %v", id, !there)
+					t.Fatalf("Remove(%s) returned %v", id, !there)
 				}
 				delete(held, id)
 				continue
@@ -121,7 +121,7 @@
 			total += b
 		}
 		if l.Held() != total {
-			t.Fatalf("held %d, the leases are %d", l.Held(), total)
+			t.Fatalf("%d bytes held, want %d for the leases", l.Held(), total)
 		}
 		for id := range held {
 			l.Remove(id, now)
@@ -132,8 +132,8 @@
 	})
 }
 
-// TestBoundedWait checks that a long prompt of the lowest tier starts, though
-// short ones of the highest keep coming faster than the engine serves them.
+// TestBoundedWait guards against starvation of a long prompt of the lowest tier by short ones
+// of the highest tier that arrive faster than the engine serves them.
 func TestBoundedWait(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(400_000<<10, 40_000, 64)
@@ -175,7 +175,7 @@
 			}
 			w := queue[v.Index]
 			if w == long {
-				is.True(now.Sub(start) < 3*20*time.Second+30*time.Second) // three ranks, and the drain
+				is.True(now.Sub(start) < 3*20*time.Second+30*time.Second) // ageing by three ranks, and time to free the memory
 				return
 			}
 			l.Add(w, w.ID, Priority(w.RankAt(now), w.Class()), now)
@@ -186,14 +186,14 @@
 	t.Fatal("the long prompt never started")
 }
 
-// TestChooseAgainstNaive compares the choice with a naive one that works out
-// every estimate and takes the least.
-func TestChooseAgainstNaive(t *testing.T) {
+// TestChooseAgainstReference compares the choice with the lowest of all estimates, computed
+// separately.
+func TestChooseAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cs := candidates(rapid.IntRange(1, 30).Draw(t, "endpoints"))
 		for i := range cs {
-			cs[i].Excluded = rapid.Bool().Draw(t, "barred")
-			cs[i].Aside = rapid.Bool().Draw(t, "aside")
+			cs[i].Excluded = rapid.Bool().Draw(t, "excluded")
+			cs[i].Aside = rapid.Bool().Draw(t, "ejected")
 			cs[i].Known = rapid.Bool().Draw(t, "known")
 			cs[i].Free = int64(rapid.IntRange(-1<<28, 1<<29).Draw(t, "free"))
 			cs[i].Slots = rapid.IntRange(-3, 5).Draw(t, "slots")
@@ -209,7 +209,7 @@
 			if cs[i].Excluded || cs[i].Aside || w.Bytes > cs[i].Memory {
 				continue
 			}
-			if e := naiveEstimate(w, &cs[i]); least < 0 || e < least {
+			if e := referenceEstimate(w, &cs[i]); least < 0 || e < least {
 				least = e
 			}
 		}
@@ -228,8 +228,8 @@
 	})
 }
 
-// naiveEstimate adds up an estimate term by term.
-func naiveEstimate(w *Work, c *Candidate) time.Duration {
+// referenceEstimate adds up the terms of an estimate.
+func referenceEstimate(w *Work, c *Candidate) time.Duration {
 	seconds := float64(w.Prompt) / c.Rate
 	behind := false
 	for p, b := range c.Backlog {
@@ -255,8 +255,8 @@
 	return wait
 }
 
-// TestPrefixAffinity checks that requests of one prefix go to the same
-// endpoints while those are not busy, and elsewhere when they are.
+// TestPrefixAffinity checks that requests with the same prefix go to the same endpoints, and
+// elsewhere when these are busy.
 func TestPrefixAffinity(t *testing.T) {
 	is := is.New(t)
 	cs := candidates(20)
@@ -277,7 +277,7 @@
 	cs[first.Index].Update()
 	second := Choose(Weighed{}, w, 0.9, cs, start)
 	is.True(second.Index != first.Index)
-	is.Equal(second.Reason, ReasonPrefix) // a prefix belongs to two endpoints
+	is.Equal(second.Reason, ReasonPrefix) // a prefix is assigned to two endpoints
 	cs[second.Index].Backlog[0] = 1
 	cs[second.Index].Update()
 	is.Equal(Choose(Weighed{}, w, 0.9, cs, start).Reason, ReasonLeastWait)
@@ -321,16 +321,15 @@
 	// Output: idle 50ms least estimated time to first token
 }
 
-// The seed of the drawn cases is fixed, so that every run has the same verdict;
-// -rapid.seed=0 draws others.
+// The seed is fixed so that all runs draw the same cases; -rapid.seed=0 draws others.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
 }
 
-// TestFairShare checks that a customer whose requests fill an endpoint does not
-// hold up another of its tier.
+// TestFairShare checks that a customer whose requests fill an endpoint does not delay another
+// one of the same tier.
 func TestFairShare(t *testing.T) {
 	for _, tokens := range []int{1_000, 20_000} {
 		t.Run(fmt.Sprint(tokens), func(t *testing.T) {
@@ -360,7 +359,7 @@
 			queue = append(queue, request("small", 1, 0))
 			v := Next(Weighed{}, queue, l, start)
 			is.Equal(queue[v.Index].Customer, "small")
-			// Yet the large one is not starved: who waited long goes first.
+			// A request that has waited long goes first even if its customer holds all leases.
 			queue = append(queue, request("large", 999, 15*time.Second))
 			v = Next(Weighed{}, queue, l, start)
 			is.Equal(queue[v.Index].ID, "large999")
--- a/policy/work.go
+++ b/policy/work.go
@@ -9,7 +9,7 @@
 // Class groups requests by prompt length.
 type Class int
 
-// The classes of prompt length.
+// Classes of prompt length.
 const (
 	// Short prompts have up to ShortTokens.
 	Short Class = iota
@@ -24,7 +24,7 @@
 // Classes is the number of classes.
 const Classes = 4
 
-// The bounds of the classes, in tokens.
+// Upper bounds of the classes, in tokens.
 const (
 	ShortTokens  = 4_000
 	MediumTokens = 32_000
@@ -59,49 +59,47 @@
 	return "unknown"
 }
 
-// Ranks is the number of ranks that summaries tell apart. Higher ranks count
-// as the last.
+// Ranks is the number of ranks that summaries distinguish. Greater ranks count as the last one.
 const Ranks = 3
 
 // Priorities is the number of priorities.
 const Priorities = Ranks * Classes
 
-// Priority returns the priority of a rank and class; lower goes first.
+// Priority returns the priority of a rank and class; lower values go first.
 func Priority(rank int, c Class) int {
 	return min(max(rank, 0), Ranks-1)*Classes + int(c)
 }
 
-// Work is what a decision needs to know of a request.
+// Work describes a request, or its share for one endpoint.
 type Work struct {
-	// ID is the request's id.
+	// ID identifies the request.
 	ID string
-	// Customer is who pays.
+	// Customer identifies the customer.
 	Customer string
-	// Rank is the rank of the tier that holds for the request.
+	// Rank is the rank of the request's tier; lower ranks go first.
 	Rank int
-	// MaxWait is the age at which the request counts as one rank higher.
+	// MaxWait is the waiting time that improves the rank by one; zero disables ageing.
 	MaxWait time.Duration
-	// Prompt is the length of the prompt, or of its part for this endpoint,
-	// in tokens.
+	// Prompt is the length of the prompt, or of this endpoint's share of it, in tokens.
 	Prompt int
-	// Output bounds the answer, in tokens.
+	// Output is the maximum length of the answer in tokens.
 	Output int
 	// Bytes is the KV memory that the request holds from start to end.
 	Bytes int64
-	// Prefix is a hash of the prompt's beginning; zero means none.
+	// Prefix is a hash of the beginning of the prompt; zero means none.
 	Prefix uint64
-	// Arrived is when the request came.
+	// Arrived is when the request arrived.
 	Arrived time.Time
-	// Deadline is when the answer must be whole.
+	// Deadline is when the answer must be complete.
 	Deadline time.Time
 }
 
-// Class returns the class of the work's prompt.
+// Class returns the length class of the prompt.
 func (w *Work) Class() Class {
 	return ClassOf(w.Prompt)
 }
 
-// RankAt returns the rank at a moment, with ageing. It can fall below zero.
+// RankAt returns the rank at the given time, improved by ageing. It may be negative.
 func (w *Work) RankAt(now time.Time) int {
 	if w.MaxWait <= 0 {
 		return w.Rank
--- a/worth/doc.go
+++ b/worth/doc.go
@@ -1,23 +1,23 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package worth tells what the answer to a request is worth to who pays for it.
+// Package worth computes the value of answering a request, on time or late.
 //
-// Customers pay for the engines' time that a request of a route usually takes, within the
-// route by the size of the request, and for the priority that they bought. With w the work
-// of a usual request of the route, in time of one engine, and u that of a usual request of
+// The value reflects what customers pay for: the engine time that requests of a route usually
+// take, within the route the size of the request, and the priority that the customer bought.
+// With w the engine time of a typical request of the route and u that of a typical request of
 // the service,
 //
-//	in time = unit × (fixed + w/u) × (fixed + (1 − fixed) × size/mean size) × tier/mean tier
-//	late    = late × in time
+//	on time = baseValue × (fixed + w/u) × (fixed + (1 − fixed) × size/mean size) × tier/mean tier
+//	late    = late × on time
 //
-// The tier falls with the rank of the customer, and less with that of the route, so that a
-// customer's rank goes before its routes'. The mean is over the requests of late: where
-// all are of one rank, tiers change nothing.
+// The tier falls with the rank of the customer and, less steeply, with that of the route, so
+// that a customer's rank takes precedence over the ranks of routes. The mean tier is taken over
+// recent requests: where all have the same rank, tiers have no effect.
 //
-// It guards against urgent requests that are refused for long ones where engines are
-// scarce, as they would be with one line over the length of the prompt for all.
+// A value that only grew with the length of the prompt would favour long requests over urgent
+// ones when engines are scarce.
 //
-// Worth is in units of which a short prompt is worth some 1.3. All that decides on a
-// request asks this package: where it is placed, whom it may displace, what the engines'
-// time costs, who is refused, and when callers may return.
+// Values are in units in which a short prompt is worth about 1.3. The same values decide on the
+// placement of a request, which requests it may displace, the price of engine time, refusals,
+// and when callers may come back.
 package worth
--- a/worth/mean.go
+++ b/worth/mean.go
@@ -2,23 +2,23 @@
 
 package worth
 
-// mean is a mean of what came of late. The zero value has seen nothing.
+// mean is a weighted mean in which older values count less. The zero value is empty.
 type mean struct {
 	sum    float64
 	weight float64
 }
 
-// add adds a value; earlier ones count less by one part in so many.
-func (m *mean) add(v, over float64) {
-	kept := 1 - 1/over
+// add adds a value. The weight of each earlier value shrinks by the fraction 1/window.
+func (m *mean) add(v, window float64) {
+	kept := 1 - 1/window
 	m.sum = kept*m.sum + v
 	m.weight = kept*m.weight + 1
 }
 
-// valueOr returns the mean, valueOr another value when there is none.
-func (m *mean) valueOr(otherwise float64) float64 {
+// valueOr returns the mean, or fallback when it is empty.
+func (m *mean) valueOr(fallback float64) float64 {
 	if m.weight == 0 {
-		return otherwise
+		return fallback
 	}
 	return m.sum / m.weight
 }
--- a/worth/scale.go
+++ b/worth/scale.go
@@ -11,22 +11,22 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// Settings are what an operator may set. The zero value stands for the defaults.
+// Settings are the operator's settings. The zero value stands for the defaults.
 type Settings struct {
-	// Fixed is the part of the worth of a usual request that does not depend on its
-	// size; the default is 0.3.
+	// Fixed is the part of a typical request's value that does not depend on its size; the
+	// default is 0.3.
 	Fixed float64 `toml:"fixed"`
-	// Late is the part of its worth that a late answer keeps; the default is 0.25.
+	// Late is the fraction of its value that a late answer keeps; the default is 0.25.
 	Late float64 `toml:"late"`
-	// Routes are what requests of routes of rank 0, 1, ... are worth relative to each
-	// other. Ranks beyond the last count as the last. The default is 1, 1/2, 1/3, ...
+	// Routes are the relative values of requests on routes of rank 0, 1, ... Ranks beyond the
+	// last count as the last. The default is 1, 1/2, 1/3, ...
 	Routes []float64 `toml:"routes"`
-	// Customers are the same for the ranks of customers; by default each is a quarter of
-	// the one before.
+	// Customers are the relative values for customers of rank 0, 1, ... Ranks beyond the last
+	// count as the last. By default each is a quarter of the one before.
 	Customers []float64 `toml:"customers"`
 }
 
-// Check returns an error that names what makes no sense.
+// Check returns an error that names the first invalid setting.
 func (s *Settings) Check() error {
 	switch {
 	case s.Fixed < 0:
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// nonIncreasing states whether values are above zero and none is greater than the one before, so
-// that no request is worth more for being less urgent.
+// nonIncreasing reports whether all values are positive and none exceeds the one before, so
+// that a less urgent request never has a greater value.
 func nonIncreasing(values []float64) bool {
 	for i, v := range values {
 		if v <= 0 || i > 0 && v > values[i-1] {
@@ -52,64 +52,61 @@
 	return true
 }
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
 	defaultFixed = 0.3
 	defaultLate  = 0.25
-	// customerRankRatio is how many times as much a request is worth as one of the next rank
-	// of customers: more than the three first ranks of routes are apart, so that a
-	// customer's rank goes before its routes'.
+	// customerRankRatio is the ratio of the values of two successive customer ranks. It exceeds
+	// the ratio of route ranks 0 and 2, so that a customer's rank takes precedence over those
+	// of its routes.
 	customerRankRatio = 4
-	// maxCustomerRanks bounds the ranks of customers that are told apart.
+	// maxCustomerRanks is the number of customer ranks that the default distinguishes.
 	maxCustomerRanks = 5
 )
 
-// baseValue is what the work of a usual request is worth. With it a short prompt is worth some
-// 1.3, the baseValue of all measures in units of worth.
+// baseValue scales all values. With it a short prompt is worth about 1.3.
 const baseValue = 1.25
 
-// defaultTypicalSize stands for the size of a usual request where the configuration does not say
-// it.
+// defaultTypicalSize is the size of a typical request of a service whose configuration does not
+// specify it.
 var defaultTypicalSize = route.Size{
 	Prompt: 14_000,
 	Answer: 1_300,
 }
 
-// Request is what the worth of a request depends on.
+// Request holds the properties of a request that determine its value.
 type Request struct {
-	// Customer is the rank that its customer bought; 0 goes first.
+	// Customer is the rank that the customer bought; 0 goes first.
 	Customer int
-	// Route names its route, and RouteRank is the rank of that; 0 goes first.
+	// Route is the name of the route, and RouteRank its rank; 0 goes first.
 	Route     string
 	RouteRank int
-	// Prompt and Output are the lengths of the prompt and of the likely answer, in
-	// tokens.
+	// Prompt and Output are the lengths of the prompt and of the expected answer, in tokens.
 	Prompt int
 	Output int
 }
 
-// Value is what an answer is worth, in units of worth.
+// Value is the value of an answer.
 type Value struct {
-	// InTime is what one in time is worth, and Late what a late one is.
+	// InTime is the value of an answer on time, and Late that of a late one.
 	InTime float64
 	Late   float64
 }
 
-// Scale tells the worth of requests of one service. It learns what is usual for each route
-// from the requests that come; one that has seen none takes each request for a usual one
-// of its route.
+// Scale computes the values of the requests of one service. It learns the typical size of each
+// route's requests. Until a route has had requests, each one counts as typical for it.
 type Scale struct {
 	settings Settings
 	model    *batch.Model
 	// typical is the size of a typical request of the service.
 	typical route.Size
-	// meanTier is the mean tier of the requests of late.
+	// meanTier is the mean tier of recent requests.
 	meanTier mean
-	// routes are the sizes of the routes' requests by name.
+	// routes holds the sizes of the routes' requests by name.
 	routes map[string]*routeSizes
 }
 
-// routeSizes are the mean lengths of the requests of a route, in tokens, and its last request.
+// routeSizes holds the mean lengths of a route's requests, in tokens, and the latest of them.
 type routeSizes struct {
 	prompt mean
 	output mean
@@ -126,78 +123,77 @@
 	}
 }
 
-// SetModel takes over the cost model of the service's engines and the size of a usual
-// request; a zero one is not known.
-func (s *Scale) SetModel(m *batch.Model, usual route.Size) {
+// SetModel sets the cost model of the service's engines and the size of a typical request. It
+// ignores a nil model and a zero size.
+func (s *Scale) SetModel(m *batch.Model, typical route.Size) {
 	if m != nil {
 		s.model = m
 	}
-	if usual != (route.Size{}) {
-		s.typical = usual
+	if typical != (route.Size{}) {
+		s.typical = typical
 	}
 }
 
 const (
-	// tierWindow is over how many requests the mean tier is taken: some seconds of them,
-	// so that it follows what is asked for and no single request moves it.
+	// tierWindow is the number of requests that the mean tier covers: a few seconds of traffic,
+	// so that the mean follows the demand but no single request moves it.
 	tierWindow = 500
-	// sizeWindow is over how many requests of a route their mean size is taken: so many that
-	// it is off by less than a tenth of what single requests differ by.
+	// sizeWindow is the number of requests of a route that its mean size covers.
 	sizeWindow = 100
-	// maxRoutes bounds the memory for routes whose sizes are kept. Requests of those beyond
-	// it count by their own sizes.
+	// maxRoutes bounds the number of routes with learned sizes, and so the memory. Requests of
+	// further routes are valued by their own size.
 	maxRoutes = 256
 )
 
-// Observe takes over that a request of a kind has come.
-func (s *Scale) Observe(k Request) {
-	s.meanTier.add(s.settings.tier(k), tierWindow)
-	seen := s.routes[k.Route]
-	if seen == nil {
+// Observe updates the means with a request that has arrived.
+func (s *Scale) Observe(r Request) {
+	s.meanTier.add(s.settings.tier(r), tierWindow)
+	sizes := s.routes[r.Route]
+	if sizes == nil {
 		if len(s.routes) >= maxRoutes {
 			return
 		}
-		seen = &routeSizes{}
-		s.routes[k.Route] = seen
+		sizes = &routeSizes{}
+		s.routes[r.Route] = sizes
 	}
-	seen.last = k
-	seen.prompt.add(float64(k.Prompt), sizeWindow)
-	seen.output.add(float64(k.Output), sizeWindow)
+	sizes.last = r
+	sizes.prompt.add(float64(r.Prompt), sizeWindow)
+	sizes.output.add(float64(r.Output), sizeWindow)
 }
 
-// Value returns what an answer to a request of a kind is worth.
-func (s *Scale) Value(k Request) Value {
-	inTime := s.routeValue(k) * s.sizeFactor(k) * s.settings.tier(k) / s.meanTier.valueOr(1)
+// Value returns the value of an answer to the request.
+func (s *Scale) Value(r Request) Value {
+	inTime := s.routeValue(r) * s.sizeFactor(r) * s.settings.tier(r) / s.meanTier.valueOr(1)
 	return Value{
 		InTime: inTime,
 		Late:   orDefault(s.settings.Late, defaultLate) * inTime,
 	}
 }
 
-// routeValue returns what a usual request of a kind's route is worth before its tier.
-func (s *Scale) routeValue(k Request) float64 {
-	prompt, output := s.meanLengths(k)
-	usual := s.model.Work(s.typical.Prompt, s.typical.Answer)
+// routeValue returns the value of a typical request of the route, without its tier.
+func (s *Scale) routeValue(r Request) float64 {
+	prompt, output := s.meanLengths(r)
+	typical := s.model.Work(s.typical.Prompt, s.typical.Answer)
 	work := 1.0
-	if usual > 0 {
-		work = s.model.Work(int(math.Round(prompt)), int(math.Round(output))).Seconds() / usual.Seconds()
+	if typical > 0 {
+		work = s.model.Work(int(math.Round(prompt)), int(math.Round(output))).Seconds() / typical.Seconds()
 	}
 	return baseValue * (s.settings.fixed() + work)
 }
 
-// sizeFactor returns what a request is worth in parts of a usual one of its route: a fixed part,
-// and one in proportion to its size.
-func (s *Scale) sizeFactor(k Request) float64 {
-	usual := s.size(s.meanLengths(k))
-	if usual == 0 {
+// sizeFactor returns the value of a request relative to a typical one of its route: a fixed
+// part and one proportional to the size.
+func (s *Scale) sizeFactor(r Request) float64 {
+	typical := s.size(s.meanLengths(r))
+	if typical == 0 {
 		return 1
 	}
 	fixed := s.settings.fixed()
-	return fixed + (1-fixed)*s.size(float64(k.Prompt), float64(k.Output))/usual
+	return fixed + (1-fixed)*s.size(float64(r.Prompt), float64(r.Output))/typical
 }
 
-// size weighs the tokens of a prompt and an answer by the time that engines take for one,
-// in seconds; a long prompt does not count for more than its tokens.
+// size returns the time, in seconds, that engines take for the tokens of a prompt and an
+// answer. It ignores that tokens of long prompts take longer.
 func (s *Scale) size(prompt, output float64) float64 {
 	if s.model.PrefillPerSecond == 0 {
 		return 0
@@ -205,52 +201,51 @@
 	return prompt/s.model.PrefillPerSecond + output*s.model.Step.Seconds()/float64(max(s.model.Slots, 1))
 }
 
-// meanLengths returns the mean lengths of the requests of a kind's route, in tokens.
-func (s *Scale) meanLengths(k Request) (prompt, output float64) {
-	seen := s.routes[k.Route]
-	if seen == nil {
-		seen = &routeSizes{}
+// meanLengths returns the mean lengths of the requests of r's route, in tokens.
+func (s *Scale) meanLengths(r Request) (prompt, output float64) {
+	sizes := s.routes[r.Route]
+	if sizes == nil {
+		sizes = &routeSizes{}
 	}
-	return seen.prompt.valueOr(float64(k.Prompt)), seen.output.valueOr(float64(k.Output))
+	return sizes.prompt.valueOr(float64(r.Prompt)), sizes.output.valueOr(float64(r.Output))
 }
 
-// TypicalRequest is what is usual for the requests of a route.
+// TypicalRequest describes the requests of a route.
 type TypicalRequest struct {
-	// Prompt and Output are the mean lengths of late, in tokens.
+	// Prompt and Output are the mean lengths of recent requests, in tokens.
 	Prompt int `json:"prompt"`
 	Output int `json:"output"`
-	// Worth is what an answer of that size in time is worth, in units of worth.
+	// Worth is the value of an answer on time to a request of that size.
 	Worth float64 `json:"worth"`
 }
 
-// TypicalRequests returns what is usual for the routes that had requests, by name.
+// TypicalRequests returns the typical request of every route that has had requests, by name.
 func (s *Scale) TypicalRequests() map[string]TypicalRequest {
 	out := make(map[string]TypicalRequest, len(s.routes))
-	for name, seen := range s.routes {
-		k := seen.last
-		k.Prompt = int(math.Round(seen.prompt.valueOr(0)))
-		k.Output = int(math.Round(seen.output.valueOr(0)))
+	for name, sizes := range s.routes {
+		r := sizes.last
+		r.Prompt = int(math.Round(sizes.prompt.valueOr(0)))
+		r.Output = int(math.Round(sizes.output.valueOr(0)))
 		out[name] = TypicalRequest{
-			Prompt: k.Prompt,
-			Output: k.Output,
-			Worth:  s.Value(k).InTime,
+			Prompt: r.Prompt,
+			Output: r.Output,
+			Worth:  s.Value(r).InTime,
 		}
 	}
 	return out
 }
 
-// tier returns what a request is worth by its ranks alone, in parts of one of the first
-// ranks.
-func (s *Settings) tier(k Request) float64 {
-	return s.customer(k.Customer) * s.route(k.RouteRank)
+// tier returns the factor for the ranks of a request; it is 1 for the first ranks by default.
+func (s *Settings) tier(r Request) float64 {
+	return s.customer(r.Customer) * s.route(r.RouteRank)
 }
 
-// fixed returns the part of the worth that does not depend on the size.
+// fixed returns the part of the value that does not depend on the size.
 func (s *Settings) fixed() float64 {
 	return orDefault(s.Fixed, defaultFixed)
 }
 
-// route returns what a request is worth by the rank of its route.
+// route returns the factor for the rank of a route.
 func (s *Settings) route(rank int) float64 {
 	if len(s.Routes) > 0 {
 		return s.Routes[clampIndex(rank, len(s.Routes))]
@@ -258,27 +253,27 @@
 	return 1 / float64(1+max(rank, 0))
 }
 
-// customer returns what a request is worth by the rank of its customer.
+// customer returns the factor for the rank of a customer.
 func (s *Settings) customer(rank int) float64 {
 	if len(s.Customers) > 0 {
 		return s.Customers[clampIndex(rank, len(s.Customers))]
 	}
-	worth := 1.0
+	value := 1.0
 	for range clampIndex(rank, maxCustomerRanks) {
-		worth /= customerRankRatio
+		value /= customerRankRatio
 	}
-	return worth
+	return value
 }
 
-// clampIndex returns the index of a rank in a list.
+// clampIndex limits a rank to the indices of a list.
 func clampIndex(rank, length int) int {
 	return min(max(rank, 0), length-1)
 }
 
-// orDefault returns a value, or its default when it is zero.
-func orDefault(v, otherwise float64) float64 {
+// orDefault returns v, or fallback when v is zero.
+func orDefault(v, fallback float64) float64 {
 	if v == 0 {
-		return otherwise
+		return fallback
 	}
 	return v
 }
--- a/worth/scale_test.go
+++ b/worth/scale_test.go
@@ -16,8 +16,8 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// model is that of engines that read 100,000 tokens a second and write one in a tenth of
-// a millisecond; long prompts take longer for each token.
+// model returns engines that prefill 100,000 tokens and decode 10,000 tokens a second; tokens
+// of long prompts take longer.
 func model() *batch.Model {
 	return &batch.Model{
 		Slots:            10,
@@ -27,31 +27,31 @@
 	}
 }
 
-// usual is the size of a usual request in these tests.
-var usual = route.Size{
+// typical is the size of a typical request in these tests.
+var typical = route.Size{
 	Prompt: 10_000,
 	Answer: 1_000,
 }
 
-// scale returns a scale that has seen requests of some kinds, each so often.
-func scale(s worth.Settings, kinds ...worth.Request) *worth.Scale {
+// scale returns a scale that has observed each request 100 times.
+func scale(s worth.Settings, requests ...worth.Request) *worth.Scale {
 	out := worth.New(s)
-	out.SetModel(model(), usual)
+	out.SetModel(model(), typical)
 	for range 100 {
-		for _, k := range kinds {
-			out.Observe(k)
+		for _, r := range requests {
+			out.Observe(r)
 		}
 	}
 	return out
 }
 
-// sized returns a request of a usual size.
-func sized(k worth.Request) worth.Request {
-	k.Prompt, k.Output = usual.Prompt, usual.Answer
-	return k
+// sized returns r with a typical size.
+func sized(r worth.Request) worth.Request {
+	r.Prompt, r.Output = typical.Prompt, typical.Answer
+	return r
 }
 
-// assertNear fails unless a value is as wanted but for rounding.
+// assertNear fails unless got equals want up to rounding errors.
 func assertNear(t *testing.T, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*math.Abs(want) {
@@ -59,21 +59,21 @@
 	}
 }
 
-// TestOneRank looks that ranks change nothing where all requests have the same.
+// TestOneRank checks that ranks have no effect when all requests have the same ones.
 func TestOneRank(t *testing.T) {
 	for _, rank := range []int{0, 1, 2, 9} {
 		t.Run(fmt.Sprint(rank), func(t *testing.T) {
-			k := sized(worth.Request{
+			r := sized(worth.Request{
 				Customer:  rank,
 				RouteRank: rank,
 			})
-			assertNear(t, scale(worth.Settings{}, k).Value(k).InTime, 1.25*1.3)
+			assertNear(t, scale(worth.Settings{}, r).Value(r).InTime, 1.25*1.3)
 		})
 	}
 }
 
-// TestOrder looks that of requests of one size that of the better rank is worth more, and
-// that a customer's rank goes before its routes'.
+// TestOrder checks that a better rank has a greater value at equal size, and that a customer's
+// rank takes precedence over the ranks of routes.
 func TestOrder(t *testing.T) {
 	order := []worth.Request{
 		sized(worth.Request{Customer: 0, RouteRank: 0}),
@@ -94,80 +94,80 @@
 	}
 }
 
-// TestRoutes looks that routes are worth what the work of their usual requests is, and
-// requests within a route grow with their size, not with the work of long prompts.
+// TestRoutes checks that a route's value follows the engine time of its typical requests, and
+// that within a route it grows with the number of tokens.
 func TestRoutes(t *testing.T) {
 	short := worth.Request{Route: "short", Prompt: 5_000, Output: 1_000}
 	long := worth.Request{Route: "long", Prompt: 200_000, Output: 500}
 	s := scale(worth.Settings{}, short, long)
-	work := func(k worth.Request) float64 {
-		return model().Work(k.Prompt, k.Output).Seconds() / model().Work(usual.Prompt, usual.Answer).Seconds()
+	work := func(r worth.Request) float64 {
+		return model().Work(r.Prompt, r.Output).Seconds() / model().Work(typical.Prompt, typical.Answer).Seconds()
 	}
-	for _, k := range []worth.Request{short, long} {
-		t.Run(k.Route, func(t *testing.T) {
+	for _, r := range []worth.Request{short, long} {
+		t.Run(r.Route, func(t *testing.T) {
 			is := is.New(t)
-			v := s.Value(k)
-			assertNear(t, v.InTime, 1.25*(0.3+work(k)))
+			v := s.Value(r)
+			assertNear(t, v.InTime, 1.25*(0.3+work(r)))
 			assertNear(t, v.Late, v.InTime/4)
-			twice := k
-			twice.Prompt, twice.Output = 2*k.Prompt, 2*k.Output
+			twice := r
+			twice.Prompt, twice.Output = 2*r.Prompt, 2*r.Output
 			assertNear(t, s.Value(twice).InTime, 1.7*v.InTime)
-			none := k
+			none := r
 			none.Prompt, none.Output = 0, 0
 			is.True(s.Value(none).InTime > 0)
 		})
 	}
 }
 
-// TestUsual tells what is usual for each route.
-func TestUsual(t *testing.T) {
+// TestTypicalRequests checks the typical sizes and values that are reported per route.
+func TestTypicalRequests(t *testing.T) {
 	is := is.New(t)
-	k := worth.Request{Route: "long", RouteRank: 1, Prompt: 200_000, Output: 500}
-	got := scale(worth.Settings{}, k).TypicalRequests()
+	r := worth.Request{Route: "long", RouteRank: 1, Prompt: 200_000, Output: 500}
+	got := scale(worth.Settings{}, r).TypicalRequests()
 	is.Equal(len(got), 1)
 	is.Equal(got["long"].Prompt, 200_000)
 	is.Equal(got["long"].Output, 500)
-	assertNear(t, got["long"].Worth, scale(worth.Settings{}, k).Value(k).InTime)
+	assertNear(t, got["long"].Worth, scale(worth.Settings{}, r).Value(r).InTime)
 }
 
-// TestPace looks that worth does not depend on how fast engines are.
-func TestPace(t *testing.T) {
-	k := worth.Request{Route: "long", Prompt: 200_000, Output: 500}
-	quick, slow := scale(worth.Settings{}, k), worth.New(worth.Settings{})
+// TestEngineSpeed checks that values don't depend on the speed of engines.
+func TestEngineSpeed(t *testing.T) {
+	r := worth.Request{Route: "long", Prompt: 200_000, Output: 500}
+	quick, slow := scale(worth.Settings{}, r), worth.New(worth.Settings{})
 	m := model()
 	m.Step *= 3
 	m.PrefillPerSecond /= 3
 	m.PerMillionPairs *= 3
-	slow.SetModel(m, usual)
-	slow.Observe(k)
-	if got, want := slow.Value(k).InTime, quick.Value(k).InTime; math.Abs(got-want) > 1e-6*want {
+	slow.SetModel(m, typical)
+	slow.Observe(r)
+	if got, want := slow.Value(r).InTime, quick.Value(r).InTime; math.Abs(got-want) > 1e-6*want {
 		t.Errorf("got %g, want %g", got, want)
 	}
 }
 
-// TestMix looks that the mean worth of requests stays where most of another rank come.
-func TestMix(t *testing.T) {
+// TestRankMix checks that the mean value of requests stays the same when the mix of ranks
+// changes.
+func TestRankMix(t *testing.T) {
 	urgent, other := sized(worth.Request{}), sized(worth.Request{RouteRank: 2})
-	for _, kinds := range [][]worth.Request{
+	for _, requests := range [][]worth.Request{
 		{urgent, urgent, urgent, other},
 		{urgent, other, other, other},
 	} {
-		t.Run(fmt.Sprint(kinds), func(t *testing.T) {
-			s := scale(worth.Settings{}, kinds...)
+		t.Run(fmt.Sprint(requests), func(t *testing.T) {
+			s := scale(worth.Settings{}, requests...)
 			sum := 0.0
-			for _, k := range kinds {
-				sum += s.Value(k).InTime
+			for _, r := range requests {
+				sum += s.Value(r).InTime
 			}
-			if mean := sum / float64(len(kinds)); math.Abs(mean-1.25*1.3) > 0.02 {
-				t.Errorf("mean worth %g", mean)
+			if mean := sum / float64(len(requests)); math.Abs(mean-1.25*1.3) > 0.02 {
+				t.Errorf("mean value %g", mean)
 			}
 			assertNear(t, s.Value(urgent).InTime/s.Value(other).InTime, 3)
 		})
 	}
 }
 
-// TestManyRoutes looks that routes beyond those that are kept have a worth by their own
-// size.
+// TestManyRoutes checks that routes beyond the limit are valued by the size of each request.
 func TestManyRoutes(t *testing.T) {
 	s := scale(worth.Settings{})
 	for i := range 1000 {
@@ -176,7 +176,7 @@
 	assertNear(t, s.Value(sized(worth.Request{Route: "999"})).InTime, 1.25*1.3)
 }
 
-// TestSettings takes what an operator set before the defaults.
+// TestSettings checks that settings take precedence over the defaults.
 func TestSettings(t *testing.T) {
 	s := scale(worth.Settings{
 		Fixed:     0.5,
@@ -188,8 +188,8 @@
 	assertNear(t, first.InTime, 1.25*1.5)
 	assertNear(t, first.Late/first.InTime, 0.4)
 	for _, row := range []struct {
-		kind worth.Request
-		want float64
+		request worth.Request
+		want    float64
 	}{
 		{worth.Request{RouteRank: 1}, 0.8},
 		{worth.Request{RouteRank: 7}, 0.8},
@@ -197,13 +197,13 @@
 		{worth.Request{Customer: 3, RouteRank: 3}, 0.72},
 		{worth.Request{Customer: -1, RouteRank: -1}, 1},
 	} {
-		t.Run(fmt.Sprint(row.kind), func(t *testing.T) {
-			assertNear(t, s.Value(sized(row.kind)).InTime/first.InTime, row.want)
+		t.Run(fmt.Sprint(row.request), func(t *testing.T) {
+			assertNear(t, s.Value(sized(row.request)).InTime/first.InTime, row.want)
 		})
 	}
 }
 
-// TestCheck names settings that make no sense.
+// TestCheck checks that errors name the invalid setting.
 func TestCheck(t *testing.T) {
 	for _, row := range []struct {
 		settings worth.Settings
@@ -231,14 +231,14 @@
 	}
 }
 
-// TestNoModel takes requests of a service without engines, which all have a worth.
+// TestNoModel checks that requests of a service without engines have a value.
 func TestNoModel(t *testing.T) {
 	assertNear(t, worth.New(worth.Settings{}).Value(sized(worth.Request{})).InTime, 1.25*1.3)
 }
 
 func ExampleScale() {
 	s := worth.New(worth.Settings{})
-	s.SetModel(model(), usual)
+	s.SetModel(model(), typical)
 	question := worth.Request{Route: "desk", Prompt: 5_000, Output: 1_000}
 	report := worth.Request{Route: "reports", RouteRank: 2, Prompt: 100_000, Output: 500}
 	for range 9 {
@@ -251,10 +251,10 @@
 
 func BenchmarkValue(b *testing.B) {
 	s := worth.New(worth.Settings{})
-	s.SetModel(model(), usual)
-	k := sized(worth.Request{Customer: 1})
+	s.SetModel(model(), typical)
+	r := sized(worth.Request{Customer: 1})
 	for b.Loop() {
-		s.Observe(k)
-		s.Value(k)
+		s.Observe(r)
+		s.Value(r)
 	}
 }
