--- a/order/doc.go
+++ b/order/doc.go
@@ -1,18 +1,17 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package order brings endpoints to the model, version and adapters that the
-// configuration names.
+// Package order orders endpoints to load the model, version and adapters that the configuration
+// names.
 //
-// The owner of an endpoint compares the desired state with the reported one,
-// and orders what is missing. An order carries a fence: the offset of a record
-// in the log, taken only when an order is due. An endpoint that checks fences
-// refuses an order below the highest fence that it has seen, so a holder that
-// was paused and wakes changes nothing there. An endpoint that does not check
-// them is given an order only after it has been in the owner's hands for
-// HolderLease, so that orders of the former holder have arrived, and the state
-// is compared again afterwards: what a stale holder changes is put right.
+// The owner of an endpoint compares the desired state with the reported one and orders what is
+// missing. Each order carries a fence: the offset of a record in the log, which is appended
+// only when an order is due. An endpoint that checks fences refuses an order with a lower fence
+// than the highest it has seen, so a former owner that resumes after a pause can't change it.
+// An endpoint that does not check fences gets an order only after the new owner has held it for
+// HolderLease, so that orders of the former owner have arrived by then. Later reconciliations
+// correct whatever a stale owner still changes.
 //
-// Before an order to fetch weights, the owner takes a permit of the weight
-// store. Where the store's limit is used up, endpoints that requests wait for
-// go first: a lower Demand waits longer before it asks again.
+// Before an order that makes an endpoint fetch weights, the owner obtains a permit from the
+// weight store. When the store's rate limit is exhausted, endpoints with waiting requests go
+// first: the others wait longer before they ask for a permit again.
 package order
--- a/order/order.go
+++ b/order/order.go
@@ -18,20 +18,20 @@
 	"github.com/linkmast/linkmast/weights"
 )
 
-// Stream is the name of the stream that fences are taken from.
+// Stream is the name of the log stream whose offsets serve as fences.
 const Stream = "orders"
 
 // State is what an endpoint has loaded, or should have.
 type State struct {
-	// Model names the model.
+	// Model is the name of the model.
 	Model string `json:"model"`
 	// Version is the version of the weights.
 	Version string `json:"version"`
-	// Adapters are the adapters, in any order.
+	// Adapters lists the names of the adapters, in any order.
 	Adapters []string `json:"adapters"`
 }
 
-// equal states whether two states are the same.
+// equal reports whether two states are the same.
 func (s State) equal(o State) bool {
 	return s.sameWeights(o) && slices.Equal(sorted(s.Adapters), sorted(o.Adapters))
 }
@@ -44,46 +44,46 @@
 	return slices.Sorted(slices.Values(list))
 }
 
-// Target is one endpoint that may need an order.
+// Target is an endpoint with its desired state.
 type Target struct {
-	// Endpoint names the endpoint.
+	// Endpoint is the endpoint's ID.
 	Endpoint string
 	// Want is the desired state.
 	Want State
 	// Checks states whether the endpoint checks fences.
 	Checks bool
-	// Demand is how many requests wait for the endpoint.
+	// Demand is the number of requests that wait for the endpoint.
 	Demand int
 }
 
-// Outcome is what Reconcile did.
+// Outcome is the result of Reconcile.
 type Outcome string
 
-// The outcomes of Reconcile.
+// Outcomes of Reconcile.
 const (
-	// Settled means that the endpoint is as desired.
+	// Settled means that the endpoint is in the desired state.
 	Settled Outcome = "settled"
-	// Waiting means that an order is due later.
+	// Waiting means that no order is due yet.
 	Waiting Outcome = "waiting"
-	// Limited means that the weight store's limit is used up.
+	// Limited means that the weight store's rate limit is exhausted.
 	Limited Outcome = "limited"
-	// Ordered means that an order was given.
+	// Ordered means that the endpoint accepted an order.
 	Ordered Outcome = "ordered"
 	// Refused means that the endpoint has seen a higher fence.
 	Refused Outcome = "refused"
-	// Failed means that the log, the store or the endpoint did not answer.
+	// Failed means that the log, the weight store or the endpoint failed.
 	Failed Outcome = "failed"
 )
 
-// Settings are the times of Orders. A zero value means the default.
+// Settings are the timing parameters of a Reconciler. Zero values mean the defaults.
 type Settings struct {
-	// HolderLease is how long an endpoint that does not check fences must have
-	// been in the owner's hands; the default is 10s.
+	// HolderLease is how long the owner must have held an endpoint that does not check fences
+	// before it gives an order; the default is 10s.
 	HolderLease time.Duration
-	// LoadTime is how long an order may take before it is given again; the
+	// LoadTime is how long to wait for an order to take effect before it is repeated; the
 	// default is 30s.
 	LoadTime time.Duration
-	// Retry is when to try again after a failure; the default is 2s.
+	// Retry is the wait after a failure or a refusal; the default is 2s.
 	Retry time.Duration
 }
 
@@ -93,7 +93,7 @@
 	defaultRetry       = 2 * time.Second
 )
 
-// Reconciler brings endpoints to their desired states.
+// Reconciler brings endpoints to their desired states. It is safe for concurrent use.
 type Reconciler struct {
 	settings Settings
 	log      logsvc.Log
@@ -104,17 +104,18 @@
 	progress map[string]*progress
 }
 
-// progress is how far one endpoint is.
+// progress is the state of reconciling one endpoint.
 type progress struct {
-	// ownedSince is when the owner first saw the endpoint.
+	// ownedSince is when the owner first reconciled the endpoint.
 	ownedSince time.Time
-	// want is what was ordered last.
+	// want is the desired state at the latest attempt to give an order, or when the endpoint
+	// was first seen.
 	want State
-	// next is when to act again.
+	// next is when to try again.
 	next time.Time
 }
 
-// New returns Orders over the platform's log and weight store.
+// New returns a reconciler that uses the given log and weight store.
 func New(s Settings, log logsvc.Log, store weights.Store, logger logr.Logger) *Reconciler {
 	if s.HolderLease == 0 {
 		s.HolderLease = defaultHolderLease
@@ -134,71 +135,71 @@
 	}
 }
 
-// Forget notes that an endpoint is no longer in the owner's hands.
-func (o *Reconciler) Forget(endpoint string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	delete(o.progress, endpoint)
+// Forget discards the state of an endpoint that the instance no longer owns.
+func (r *Reconciler) Forget(endpoint string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.progress, endpoint)
 }
 
-// Reconcile compares what an endpoint has with what it should have, and orders
-// what is missing when an order is due. It is called again and again.
-func (o *Reconciler) Reconcile(ctx context.Context, t Target, have State, client engine.Client) Outcome {
-	if !o.due(&t, have) {
+// Reconcile compares the state of an endpoint with the desired one and, when an order is due,
+// orders what is missing. Call it at regular intervals.
+func (r *Reconciler) Reconcile(ctx context.Context, t Target, have State, client engine.Client) Outcome {
+	if !r.due(&t, have) {
 		if t.Want.equal(have) {
 			return Settled
 		}
 		return Waiting
 	}
-	out, after := o.giveOrder(ctx, &t, have, client)
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if p := o.progress[t.Endpoint]; p != nil {
+	outcome, after := r.giveOrder(ctx, &t, have, client)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if p := r.progress[t.Endpoint]; p != nil {
 		p.want = t.Want
 		p.next = steady.Now().Add(after)
 	}
-	return out
+	return outcome
 }
 
-// due states whether to act now.
-func (o *Reconciler) due(t *Target, have State) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// due reports whether to give an order now.
+func (r *Reconciler) due(t *Target, have State) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	now := steady.Now()
-	p := o.progress[t.Endpoint]
+	p := r.progress[t.Endpoint]
 	if p == nil {
 		p = &progress{
 			ownedSince: now,
 			want:       t.Want,
 		}
-		o.progress[t.Endpoint] = p
+		r.progress[t.Endpoint] = p
 	}
 	if t.Want.equal(have) {
 		p.next = time.Time{}
 		return false
 	}
-	if !t.Checks && now.Sub(p.ownedSince) < o.settings.HolderLease {
+	if !t.Checks && now.Sub(p.ownedSince) < r.settings.HolderLease {
 		return false
 	}
 	return !now.Before(p.next) || !p.want.equal(t.Want)
 }
 
-// giveOrder takes a permit and a fence, and gives the order. It returns when to giveOrder
-// again if the state does not change.
-func (o *Reconciler) giveOrder(ctx context.Context, t *Target, have State, client engine.Client) (Outcome, time.Duration) {
+// giveOrder obtains a permit and a fence and sends the order to the endpoint. It returns how
+// long to wait before the next attempt if the state does not change.
+func (r *Reconciler) giveOrder(ctx context.Context, t *Target, have State, client engine.Client) (Outcome, time.Duration) {
 	if !t.Want.sameWeights(have) {
-		_, err := o.store.Permit(ctx, t.Want.Model, t.Want.Version)
+		_, err := r.store.Permit(ctx, t.Want.Model, t.Want.Version)
 		var limited *weights.LimitedError
 		if errors.As(err, &limited) {
-			return Limited, o.permitDelay(limited.After, t.Demand)
+			return Limited, r.permitDelay(limited.After, t.Demand)
 		}
 		if err != nil {
-			return o.failed(t, "weight store", err)
+			return r.failed(t, "weight store", err)
 		}
 	}
-	fence, err := o.fence(ctx, t)
+	fence, err := r.fence(ctx, t)
 	if err != nil {
-		return o.failed(t, "log", err)
+		return r.failed(t, "log", err)
 	}
 	err = client.Order(ctx, engine.Order{
 		Fence:    fence,
@@ -208,36 +209,37 @@
 	})
 	var re *engine.RunError
 	if errors.As(err, &re) && re.Code == engine.RefusedFence {
-		o.logger.Info("order refused", "endpoint", t.Endpoint, "fence", fence, "cause", err.Error())
-		return Refused, o.settings.Retry
+		r.logger.Info("order refused", "endpoint", t.Endpoint, "fence", fence, "cause", err.Error())
+		return Refused, r.settings.Retry
 	}
 	if err != nil {
-		return o.failed(t, "endpoint", err)
+		return r.failed(t, "endpoint", err)
 	}
-	o.logger.Info("order", "endpoint", t.Endpoint, "fence", fence, "model", t.Want.Model, "version", t.Want.Version,
+	r.logger.Info("order given", "endpoint", t.Endpoint, "fence", fence, "model", t.Want.Model, "version", t.Want.Version,
 		"adapters", t.Want.Adapters)
-	return Ordered, o.settings.LoadTime
+	return Ordered, r.settings.LoadTime
 }
 
-// permitDelay returns when to ask the store again: later where nobody waits.
-func (o *Reconciler) permitDelay(after time.Duration, demand int) time.Duration {
+// permitDelay returns how long to wait before asking for a permit again. Endpoints without
+// waiting requests wait longer.
+func (r *Reconciler) permitDelay(after time.Duration, demand int) time.Duration {
 	if demand > 0 {
 		return after
 	}
-	return after + o.settings.Retry
+	return after + r.settings.Retry
 }
 
-func (o *Reconciler) failed(t *Target, what string, err error) (Outcome, time.Duration) {
-	o.logger.Info("order not given", "endpoint", t.Endpoint, "at", what, "cause", err.Error())
-	return Failed, o.settings.Retry
+func (r *Reconciler) failed(t *Target, what string, err error) (Outcome, time.Duration) {
+	r.logger.Info("order not given", "endpoint", t.Endpoint, "at", what, "cause", err.Error())
+	return Failed, r.settings.Retry
 }
 
-// fence appends a record and returns its offset. An append whose answer was
-// lost has used up an offset for nothing; the next is higher.
-func (o *Reconciler) fence(ctx context.Context, t *Target) (int64, error) {
+// fence appends a record to the log and returns its offset. If the answer to an append is lost,
+// its offset remains unused and the next one is higher.
+func (r *Reconciler) fence(ctx context.Context, t *Target) (int64, error) {
 	data, err := json.Marshal(t)
 	if err != nil {
-		return 0, errors.Wrap(err, "encode order")
+		return 0, errors.Wrap(err, "encode order record")
 	}
-	return o.log.Append(ctx, Stream, [][]byte{data})
+	return r.log.Append(ctx, Stream, [][]byte{data})
 }
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -15,11 +15,12 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// scene is an endpoint, a platform and two holders.
+// scene holds an endpoint, the platform services and two reconcilers that both act as its
+// owner.
 type scene struct {
 	engine   *standin.Engine
 	platform *standin.Platform
-	holders  [2]*Reconciler
+	owners   [2]*Reconciler
 	target   Target
 }
 
@@ -41,13 +42,13 @@
 			Checks: checks,
 		},
 	}
-	for i := range s.holders {
-		s.holders[i] = New(Settings{}, s.platform.Log, s.platform.Weights, logr.Discard())
+	for i := range s.owners {
+		s.owners[i] = New(Settings{}, s.platform.Log, s.platform.Weights, logr.Discard())
 	}
 	return s
 }
 
-// have returns what the engine reports.
+// have returns the state that the engine reports.
 func (s *scene) have(t *testing.T) State {
 	t.Helper()
 	st, err := s.engine.Status(t.Context(), false)
@@ -61,34 +62,34 @@
 	}
 }
 
-// work lets a holder reconcile each second for a while.
-func (s *scene) work(t *testing.T, holder int, within time.Duration) []Outcome {
+// reconcile reconciles once a second for the given time and returns the outcomes.
+func (s *scene) reconcile(t *testing.T, owner int, within time.Duration) []Outcome {
 	t.Helper()
 	var out []Outcome
 	for range int(within / time.Second) {
-		out = append(out, s.holders[holder].Reconcile(t.Context(), s.target, s.have(t), s.engine))
+		out = append(out, s.owners[owner].Reconcile(t.Context(), s.target, s.have(t), s.engine))
 		time.Sleep(time.Second)
 	}
 	return out
 }
 
-func TestOrders(t *testing.T) {
+func TestReconcile(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		checks bool
 		run    func(t *testing.T, s *scene)
 		want   string
 	}{
-		{"version", true, func(t *testing.T, s *scene) {
-			is.New(t).Equal(s.work(t, 0, 3*time.Second), []Outcome{Ordered, Settled, Settled})
+		{"new version", true, func(t *testing.T, s *scene) {
+			is.New(t).Equal(s.reconcile(t, 0, 3*time.Second), []Outcome{Ordered, Settled, Settled})
 		}, "2"},
-		{"endpoint that does not check waits out the former holder", false, func(t *testing.T, s *scene) {
-			is.New(t).Equal(s.work(t, 0, 9*time.Second)[8], Waiting)
-			s.work(t, 0, 4*time.Second)
+		{"endpoint without fence checks waits for HolderLease", false, func(t *testing.T, s *scene) {
+			is.New(t).Equal(s.reconcile(t, 0, 9*time.Second)[8], Waiting)
+			s.reconcile(t, 0, 4*time.Second)
 		}, "2"},
-		{"stale holder, endpoint checks", true, func(t *testing.T, s *scene) {
-			s.work(t, 0, 2*time.Second)
-			// A former holder wakes with the fence that it took long ago.
+		{"stale owner, endpoint checks fences", true, func(t *testing.T, s *scene) {
+			s.reconcile(t, 0, 2*time.Second)
+			// A former owner resumes with an old fence.
 			err := s.engine.Order(t.Context(), engine.Order{
 				Fence:   0,
 				Model:   "m1",
@@ -96,55 +97,55 @@
 			})
 			is.New(t).True(err != nil)
 		}, "2"},
-		{"stale holder, endpoint does not check: put right", false, func(t *testing.T, s *scene) {
-			s.work(t, 0, 15*time.Second)
+		{"stale owner, endpoint does not check fences, corrected later", false, func(t *testing.T, s *scene) {
+			s.reconcile(t, 0, 15*time.Second)
 			err := s.engine.Order(t.Context(), engine.Order{
 				Fence:   0,
 				Model:   "m1",
 				Version: "1",
 			})
 			is.New(t).NoErr(err)
-			s.work(t, 0, 5*time.Second)
+			s.reconcile(t, 0, 5*time.Second)
 		}, "2"},
-		{"two holders at once", true, func(t *testing.T, s *scene) {
-			s.work(t, 0, 2*time.Second)
-			s.work(t, 1, 2*time.Second)
+		{"two owners at once", true, func(t *testing.T, s *scene) {
+			s.reconcile(t, 0, 2*time.Second)
+			s.reconcile(t, 1, 2*time.Second)
 		}, "2"},
-		{"log down, then back", true, func(t *testing.T, s *scene) {
+		{"log outage", true, func(t *testing.T, s *scene) {
 			s.platform.Log.SetFaults(standin.Faults{Outage: true})
-			is.New(t).Equal(s.work(t, 0, time.Second), []Outcome{Failed})
+			is.New(t).Equal(s.reconcile(t, 0, time.Second), []Outcome{Failed})
 			is.New(t).Equal(s.have(t).Version, "1")
 			s.platform.Log.SetFaults(standin.Faults{})
-			s.work(t, 0, 5*time.Second)
+			s.reconcile(t, 0, 5*time.Second)
 		}, "2"},
-		{"answer of the log lost", true, func(t *testing.T, s *scene) {
+		{"lost answer of the log", true, func(t *testing.T, s *scene) {
 			s.platform.Log.SetFaults(standin.Faults{LoseAnswer: 1})
-			s.work(t, 0, 5*time.Second)
+			s.reconcile(t, 0, 5*time.Second)
 		}, "2"},
-		{"answer of the endpoint lost", true, func(t *testing.T, s *scene) {
+		{"lost answer of the endpoint", true, func(t *testing.T, s *scene) {
 			s.engine.SetFaults(standin.Faults{LoseAnswer: 1})
-			is.New(t).Equal(s.work(t, 0, 2*time.Second), []Outcome{Failed, Settled})
+			is.New(t).Equal(s.reconcile(t, 0, 2*time.Second), []Outcome{Failed, Settled})
 		}, "2"},
-		{"weight store down, then back", true, func(t *testing.T, s *scene) {
+		{"weight store outage", true, func(t *testing.T, s *scene) {
 			s.platform.Weights.SetFaults(standin.Faults{Outage: true})
-			s.work(t, 0, 3*time.Second)
+			s.reconcile(t, 0, 3*time.Second)
 			is.New(t).Equal(s.have(t).Version, "1")
 			s.platform.Weights.SetFaults(standin.Faults{})
-			s.work(t, 0, 5*time.Second)
+			s.reconcile(t, 0, 5*time.Second)
 		}, "2"},
-		{"configuration changes meanwhile", true, func(t *testing.T, s *scene) {
-			s.work(t, 0, 2*time.Second)
+		{"configuration change", true, func(t *testing.T, s *scene) {
+			s.reconcile(t, 0, 2*time.Second)
 			s.target.Want.Version = "3"
-			s.work(t, 0, 4*time.Second)
+			s.reconcile(t, 0, 4*time.Second)
 		}, "3"},
-		{"adapters take no permit", true, func(t *testing.T, s *scene) {
+		{"adapters need no permit", true, func(t *testing.T, s *scene) {
 			s.target.Want = State{
 				Model:    "m1",
 				Version:  "1",
 				Adapters: []string{"b", "a"},
 			}
 			s.platform.Weights.SetFaults(standin.Faults{Outage: true})
-			is.New(t).Equal(s.work(t, 0, 2*time.Second), []Outcome{Ordered, Settled})
+			is.New(t).Equal(s.reconcile(t, 0, 2*time.Second), []Outcome{Ordered, Settled})
 		}, "1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -158,8 +159,8 @@
 	}
 }
 
-// TestWeightsWithinLimit proves that many endpoints are loaded no faster than
-// the weight store allows, and that none is left out.
+// TestWeightsWithinLimit checks that many endpoints load no faster than the weight store
+// allows, and that all of them load in the end.
 func TestWeightsWithinLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/route/route.go
+++ b/route/route.go
@@ -13,17 +13,17 @@
 	"github.com/linkmast/linkmast/batch"
 )
 
-// Kind states how often a request may run and what its answer looks like.
+// Kind states whether a request may run more than once and whether its answer is a stream.
 type Kind int
 
-// The kinds of route.
+// Kinds of routes.
 const (
 	// Unsafe requests run at most once.
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
-	// Streaming requests are answered by a series of events. They run at most
-	// once unless they are resumable.
+	// Streaming requests are answered by a stream of events. They run at most once unless the
+	// route is resumable.
 	Streaming
 )
 
@@ -38,50 +38,50 @@
 	return "unsafe"
 }
 
-// Share is the part of a route's requests that a service gets.
+// Share is a service with its share of a route's requests.
 type Share struct {
-	// Service names the service.
+	// Service is the name of the service.
 	Service string
-	// Weight is relative to the other shares of the route.
+	// Weight is relative to the sum of the weights of the route's shares.
 	Weight int
 }
 
-// Route says how requests with a host and a path prefix are served.
+// Route defines how requests with a host and a path prefix are served.
 type Route struct {
 	// Name identifies the route.
 	Name string
-	// Host is the host that the route belongs to, in lower case.
+	// Host is the host name in lower case.
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Kind states how often a request may run.
+	// Kind determines whether a request may run more than once.
 	Kind Kind
-	// Timeout is the longest time that a request is held; zero means no bound.
+	// Timeout is the maximum time for a request; zero means no limit.
 	Timeout time.Duration
-	// Target is the time within which an answer, or the first event of a
-	// stream, is in time.
+	// Target is the time within which an answer, or the first event of a stream, is on time.
 	Target time.Duration
-	// GapTarget is the longest pause between events of a stream in time.
+	// GapTarget is the longest allowed pause between events of a stream; zero means no limit.
 	GapTarget time.Duration
-	// Rank orders requests; rank 0 goes first. A customer's rank replaces it.
+	// Rank is the priority of the route's requests; rank 0 goes first. A customer's rank
+	// replaces it.
 	Rank int
-	// Shares are the services; at least one.
+	// Shares lists the services of the route; there is at least one.
 	Shares []Share
-	// MaxAttempts bounds the endpoints that one request is sent to.
+	// MaxAttempts is the maximum number of endpoints that one request is sent to.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams can be continued at another endpoint.
+	// Resumable streams can continue on another endpoint.
 	Resumable bool
 }
 
-// Idempotent states whether a request of the route may run more than once.
+// Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Service returns the service for a request. The choice depends on the
-// request's id alone, so that it comes out the same wherever it is made.
+// Service returns the service for a request. The choice depends only on the request's ID, so
+// that all instances make the same one.
 func (r *Route) Service(id string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -103,81 +103,80 @@
 	return r.Shares[0].Service
 }
 
-// Service is a set of endpoints that answer alike.
+// Service is a set of interchangeable endpoints.
 type Service struct {
 	// Name identifies the service.
 	Name string
-	// MaxConns bounds the connections to one endpoint from all callers.
+	// MaxConns is the maximum number of connections to one endpoint, from all callers.
 	MaxConns int
-	// Engine is the cost model of the service's engines; nil for a plain
-	// service.
+	// Engine is the cost model of the service's engines; nil for a plain service.
 	Engine *batch.Model
-	// ColdPerSecond is the rate of requests that an endpoint bears while it is cold;
-	// zero when it is not bounded.
+	// ColdPerSecond is the number of requests per second that a cold endpoint can take; zero
+	// means no limit.
 	ColdPerSecond float64
-	// ColdStart is how long an endpoint stays cold that has started.
+	// ColdStart is how long an endpoint stays cold after its start.
 	ColdStart time.Duration
-	// TypicalSize is the mean size of its requests; zero when it is not known.
+	// TypicalSize is the mean size of the service's requests; zero when unknown.
 	TypicalSize Size
 }
 
-// Size is the length of a request in tokens.
+// Size is the length of a prompt and of its answer, in tokens.
 type Size struct {
 	Prompt int
 	Answer int
 }
 
-// Customer is a holder of keys.
+// Customer is the owner of a set of keys.
 type Customer struct {
-	// ID names the customer.
+	// ID identifies the customer.
 	ID string
-	// Keys are the customer's keys.
+	// Keys lists the customer's keys.
 	Keys []string
 	// Rank is the priority that the customer bought; 0 goes first.
 	Rank int
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what callers may send. Zero means that the configuration does not set the
+// limit, in which case a default may apply.
 type Limits struct {
-	// HeaderBytes bounds the header of a request; zero means that the
-	// configuration does not say, as for the other limits.
+	// HeaderBytes is the maximum size of a request's header.
 	HeaderBytes int
-	// BodyBytes bounds the body of a request.
+	// BodyBytes is the maximum size of a request's body.
 	BodyBytes int64
-	// HeaderTimeout bounds the time in which the header arrives.
+	// HeaderTimeout bounds the time until the header is complete.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a caller may let a connection rest.
+	// IdleTimeout is how long a caller may keep a connection idle.
 	IdleTimeout time.Duration
 }
 
-// Table is one version of the configuration, ready for look-ups.
+// Table is one version of the configuration, indexed for look-ups.
 type Table struct {
 	// Version orders tables; a higher version replaces a lower one.
 	Version int64
-	// Routes are all routes.
+	// Routes lists all routes.
 	Routes []Route
-	// Services are all services by name.
+	// Services holds all services by name.
 	Services map[string]*Service
-	// Limits bound requests.
+	// Limits bounds all requests.
 	Limits Limits
-	// KeysRequired states whether routes that are not public need a key.
+	// KeysRequired states whether routes that are not public require a key.
 	KeysRequired bool
 
-	// byHost are the routes of each host, those with the longest prefix first.
+	// byHost holds the routes of each host, longest prefix first.
 	byHost map[string][]*Route
-	// byKey are the customers by key.
+	// byKey holds the customers by key.
 	byKey map[string]*Customer
 }
 
-// New returns the table of a version. It takes over its arguments. Keyed states
-// whether routes that are not public need a key.
-func New(version int64, routes []Route, services []Service, customers []Customer, keyed bool, l Limits) *Table {
+// New returns the table of a configuration version. It takes ownership of its arguments.
+// KeysRequired states whether routes that are not public require a key.
+func New(version int64, routes []Route, services []Service, customers []Customer, keysRequired bool, l Limits) *Table {
 	t := &Table{
 		Version:      version,
 		Routes:       routes,
 		Services:     make(map[string]*Service, len(services)),
 		Limits:       l,
-		KeysRequired: keyed,
+		KeysRequired: keysRequired,
 		byHost:       make(map[string][]*Route),
 		byKey:        make(map[string]*Customer),
 	}
@@ -193,7 +192,7 @@
 	return t
 }
 
-// orderRoutes puts the routes of each host in the order in which they are tried.
+// orderRoutes sorts the routes of each host by descending prefix length.
 func (t *Table) orderRoutes() {
 	for i := range t.Routes {
 		r := &t.Routes[i]
@@ -206,8 +205,7 @@
 	}
 }
 
-// Match returns the route of a host and path, or nil. A port behind the host
-// does not count.
+// Match returns the route for a host and path, or nil. It ignores a port in the host.
 func (t *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -220,7 +218,7 @@
 	return nil
 }
 
-// Customer returns the holder of a key, or false when nobody holds it.
+// Customer returns the owner of a key, or false when the key is unknown.
 func (t *Table) Customer(key string) (*Customer, bool) {
 	c, ok := t.byKey[key]
 	return c, ok
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -67,7 +67,7 @@
 	n := make(map[string]int)
 	for i := range 10_000 {
 		id := strconv.Itoa(i)
-		is.Equal(r.Service(id), r.Service(id)) // the same wherever it is asked
+		is.Equal(r.Service(id), r.Service(id)) // the choice is repeatable
 		n[r.Service(id)]++
 	}
 	is.True(n["b"] > 850 && n["b"] < 1150)
--- a/weights/weights.go
+++ b/weights/weights.go
@@ -1,14 +1,12 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package weights is the interface to the platform's weight store, and its
-// adapter over HTTP.
+// Package weights is a client of the platform's weight store.
 //
-// The store serves weights under a rate limit. An engine fetches the weights
-// itself when it is ordered to load a model; whoever gives the order first
-// takes a permit, so that orders stay within the limit and urgent models come
-// first.
+// The store limits the rate at which weights are served. An engine fetches weights itself when
+// it is ordered to load a model. Whoever gives the order first obtains a permit, which keeps
+// the fetches within the limit.
 //
-// The protocol over HTTP: POST /v1/weights/{model}/{version}/permits -> Permit,
+// The protocol over HTTP is POST /v1/weights/{model}/{version}/permits, which returns a Permit,
 // or 429 with Retry-After.
 package weights
 
@@ -27,37 +25,37 @@
 
 // Permit allows one fetch of one version of a model.
 type Permit struct {
-	// ID is given to the engine with the order.
+	// ID identifies the permit.
 	ID string `json:"id"`
 	// Bytes is the size of the weights.
 	Bytes int64 `json:"bytes"`
 }
 
-// LimitedError says that the store's limit is used up.
+// LimitedError reports that the store's rate limit is exhausted.
 type LimitedError struct {
-	// After is when to ask again.
+	// After is how long to wait before asking again.
 	After time.Duration
 }
 
-// Error returns when to ask again.
+// Error implements error.
 func (e *LimitedError) Error() string {
-	return "weight store: limit is used up, ask again in " + e.After.String()
+	return "weight store: rate limit exhausted, retry in " + e.After.String()
 }
 
 // Store is the platform's weight store.
 type Store interface {
-	// Permit asks for one fetch. It returns a *LimitedError when the limit is
-	// used up.
+	// Permit requests permission for one fetch. It returns a *LimitedError when the rate limit
+	// is exhausted.
 	Permit(ctx context.Context, model, version string) (Permit, error)
 }
 
-// HTTP is the adapter to the weight store over HTTP.
+// HTTP is a Store that is reached over HTTP.
 type HTTP struct {
 	client *http.Client
 	base   string
 }
 
-// NewHTTP returns an adapter to the weight store at a host and port.
+// NewHTTP returns a client of the weight store at address, a host and port.
 func NewHTTP(client *http.Client, address string) *HTTP {
 	return &HTTP{
 		client: client,
@@ -68,14 +66,14 @@
 // Permit implements Store.
 func (h *HTTP) Permit(ctx context.Context, model, version string) (Permit, error) {
 	var p Permit
-	path := h.base + "/v1/weights/" + url.PathEscape(model) + "/" + url.PathEscape(version) + "/permits"
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, path, nil)
+	permitURL := h.base + "/v1/weights/" + url.PathEscape(model) + "/" + url.PathEscape(version) + "/permits"
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, permitURL, nil)
 	if err != nil {
-		return p, errors.Wrap(err, "weight permit")
+		return p, errors.Wrap(err, "create weight permit request")
 	}
 	res, err := h.client.Do(req)
 	if err != nil {
-		return p, errors.Wrap(err, "weight permit")
+		return p, errors.Wrap(err, "request weight permit")
 	}
 	defer wirehttp.Drain(res.Body)
 	switch res.StatusCode {
@@ -89,10 +87,10 @@
 			After: time.Duration(seconds) * time.Second,
 		}
 	default:
-		return p, errors.Errorf("weight permit: status %d", res.StatusCode)
+		return p, errors.Errorf("request weight permit: unexpected status %d", res.StatusCode)
 	}
 	if err := json.NewDecoder(res.Body).Decode(&p); err != nil {
-		return p, errors.Wrap(err, "weight permit")
+		return p, errors.Wrap(err, "decode weight permit")
 	}
 	return p, nil
 }
