--- a/order/doc.go
+++ b/order/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package order orders endpoints to load the model, version and adapters that the configuration
+// Package order makes endpoints load the model, version and adapters that the configuration
 // names.
 //
 // The owner of an endpoint compares the desired state with the reported one and orders what is
--- a/placement/blocking.go
+++ b/placement/blocking.go
@@ -17,8 +17,8 @@
 
 // Weights of the cost that a stream causes for future long prefills.
 const (
-	// blockingPrice is the cost of each second for which a stream makes an engine unusable for
-	// long prefills while all engines are busy with them, in units of value.
+	// blockingPrice is the cost, in units of value per second, of a stream that keeps all long
+	// prefills off its engine while every engine is busy with one.
 	blockingPrice = 2
 	// maxBlockingShare bounds the blocking cost to a fraction of the request's stake, so that
 	// no request becomes late to keep an engine free for others.
@@ -30,7 +30,7 @@
 // streams allow long pauses. A stream with a shorter limit makes the engine usable for fewer of
 // them:
 //
-//	blockingPrice × EngineShare × seconds of decoding × (open fraction before − after)
+//	blockingPrice × EngineShare × seconds of decoding × (openFraction before − openFraction after)
 //
 // Streams with short limits therefore gather on the same engines and leave the others to long
 // prefills.
@@ -49,7 +49,7 @@
 }
 
 // openFraction returns the fraction of the long prefills that may run on an engine whose
-// streams allow pauses up to gap. Zero means that the engine has no such stream.
+// streams allow pauses up to gap. Zero means that no stream on the engine has a limit.
 func (l *LongPrefills) openFraction(gap time.Duration) float64 {
 	if gap == 0 {
 		return 1
--- a/placement/candidate.go
+++ b/placement/candidate.go
@@ -11,7 +11,8 @@
 	engine *Engine
 	// othersLoss is the value that other requests lose.
 	othersLoss float64
-	// cost is the weighted loss of other requests plus that of the request itself.
+	// cost is the weighted loss of other requests plus that of the request itself. For a whole
+	// prompt it includes decodeCost.
 	cost float64
 	// firstEvent is the time to the first event if this engine is the slowest to prefill its
 	// share.
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -10,11 +10,12 @@
 
 // Limits for packing short prompts onto the first engines of the list.
 const (
-	// maxPackedPrompt is the longest prompt that is packed, in tokens. Its prefill takes less
-	// than half of the shortest allowed pause.
+	// maxPackedPrompt is the longest prompt that is packed, in tokens. Longer ones would
+	// interrupt the packed streams for too long.
 	maxPackedPrompt = 24_000
-	// maxPackedPass is the longest next pass that packing may cause. It is well below the
-	// shortest allowed pause of 250 ms because several prompts may arrive during one pass.
+	// maxPackedPass is the longest next pass that packing may cause. Several prompts may arrive
+	// during one pass, so it stays well below 250 ms, the shortest pause limit that is
+	// expected.
 	maxPackedPass = 150 * time.Millisecond
 	// maxPackedTargetShare is the fraction of the target time within which the first event must
 	// come on a packed engine.
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -16,8 +16,8 @@
 // stalls the engine.
 const othersLossWeight = 2
 
-// Fractions of a time limit from which a prediction counts as possibly late and as certainly
-// late.
+// A prediction counts as possibly late from the fraction lateFrom of its limit on, and as
+// certainly late from lateTo on.
 const (
 	lateFrom = 0.85
 	lateTo   = 1.05
@@ -32,8 +32,8 @@
 	return min(max((r-lateFrom)/(lateTo-lateFrom), 0), 1)
 }
 
-// helperCost is the cost of each helper in a plan: another engine whose failure breaks the
-// request, and which is less available to the next one.
+// helperCost is the cost of each helper in a plan: one more engine that may fail, and that is
+// kept from other requests.
 const helperCost = 0.01
 
 // helpersCost returns the cost of all the plan's helpers.
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// confirmTimeout is how long after the modelled end of a joint share, while its first event has
-// not come, the engine still counts as prefilling it. A new joint share would run before the
+// confirmTimeout is how long an engine still counts as prefilling a joint share after the
+// modelled end, unless the first event has come. A new joint share would run before the
 // unfinished rest and could delay that by seconds.
 const confirmTimeout = 100 * time.Millisecond
 
--- a/placement/simulate.go
+++ b/placement/simulate.go
@@ -192,9 +192,9 @@
 }
 
 // simulate replaces the estimates of c by simulated ones, for a share that affects more than
-// the next pass of engine i. Streams that start after a prompt pause while later prompts are
-// prefilled; an estimate of the next pass alone misses these pauses, and those of the request's
-// own stream.
+// the next pass of engine i. A stream pauses while the prompts behind its own are prefilled. An
+// estimate of the next pass alone misses such pauses of streams that start later, including the
+// request's own.
 func (ev *evaluation) simulate(c *candidate, i int, p promptShare) {
 	if math.IsNaN(ev.baseLoss[i]) {
 		ev.baseLoss[i] = ev.totalLoss(ev.sim.run(c.engine, nil, ev.now))
--- a/placement/slowdown.go
+++ b/placement/slowdown.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// slowdown returns the factor between actual and modelled times.
+// slowdown returns the value of Slowdown, or 1 when it is not set.
 func (e *Engine) slowdown() float64 {
 	if e.Slowdown <= 0 {
 		return 1
--- a/worth/doc.go
+++ b/worth/doc.go
@@ -4,11 +4,11 @@
 //
 // The value reflects what customers pay for: the engine time that requests of a route usually
 // take, within the route the size of the request, and the priority that the customer bought.
-// With w the engine time of a typical request of the route and u that of a typical request of
-// the service,
+// With w the engine time of a typical request of the route, u that of a typical request of the
+// service, and the settings Fixed and Late,
 //
-//	on time = baseValue × (fixed + w/u) × (fixed + (1 − fixed) × size/mean size) × tier/mean tier
-//	late    = late × on time
+//	on time = baseValue × (Fixed + w/u) × (Fixed + (1 − Fixed) × size/mean size) × tier/mean tier
+//	late    = Late × on time
 //
 // The tier falls with the rank of the customer and, less steeply, with that of the route, so
 // that a customer's rank takes precedence over the ranks of routes. The mean tier is taken over
