--- a/quarantine/admission.go
+++ b/quarantine/admission.go
@@ -4,25 +4,24 @@
 
 import "time"
 
-// Admission is the leave of one request to run.
+// Admission is the permission for one request to run.
 type Admission struct {
-	// SingleEndpoint states that it may be sent to one endpoint only: its identity was banned, and
-	// shows now whether it still crashes endpoints.
+	// SingleEndpoint reports that the request may be sent to one endpoint only: its identity was
+	// banned, and it tests whether it still crashes endpoints.
 	SingleEndpoint bool
-	// Release ends the pass; it may be called once.
+	// Release ends the admission. It must be called once.
 	Release func()
 }
 
-// retestDelay is when a request may come back while another of its identity shows whether it
-// still crashes endpoints: the time of a short answer, until its end is known everywhere.
+// retestDelay is the least time between two requests of an identity after its ban: enough for a
+// short answer, and for all instances to learn how it ended.
 const retestDelay = 2 * time.Second
 
-// Admit gives a request leave to run, or returns when it may come back. After a ban one
-// request of the identity runs at a time at this instance, and instances begin to let one run
-// one after the other, up to tryAfter apart. Else a request that comes to all at the end of its
-// ban crashes as many endpoints as there are instances: 8 where 6 of them let it run, 1 now
-// (TestRetestTurns).
-func (r *Registry) Admit(id Identity) (p Admission, after time.Duration, ok bool) {
+// Admit admits a request, or returns after which time it may come back. After a ban each instance
+// admits one request of the identity at a time, and the instances start to do so one after another.
+// If all started at the end of the ban, a request sent to all of them would crash as many endpoints
+// as there are instances.
+func (r *Registry) Admit(id Identity) (a Admission, after time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	free := Admission{
@@ -49,24 +48,24 @@
 	}, 0, true
 }
 
-// maxTurnsDuration is how long it takes at most until all instances may let a request run whose ban is
-// over: a wrong ban lasts no more than twice as long as a first one, however many there are.
+// maxTurnsDuration bounds the time from the end of a ban until all instances may admit requests of
+// the identity, so that a large fleet doesn't prolong a wrong ban much.
 const maxTurnsDuration = firstBanDuration
 
-// RetestTurn is the place of an instance among all in showing whether requests of an identity still
-// crash endpoints.
+// RetestTurn is the position of an instance in the order in which instances admit requests of an
+// identity after its ban.
 type RetestTurn struct {
-	// Position is how many come before it, and Instances how many there are.
+	// Position is the number of instances before this one, and Instances the number of all.
 	Position, Instances int
 }
 
-// delay is how much later than the end of a ban the instance may let a request run.
+// delay returns the time from the end of a ban until the instance may admit a request.
 func (t RetestTurn) delay() time.Duration {
 	return time.Duration(t.Position) * min(retestDelay, maxTurnsDuration/time.Duration(max(t.Instances, 1)))
 }
 
-// retestAllowedFrom returns from when this instance may let a request run whose ban is over. The caller
-// holds the lock.
+// retestAllowedFrom returns when this instance may next admit a request of the identity. The caller
+// must hold the lock.
 func (r *Registry) retestAllowedFrom(id Identity, b *ban) time.Time {
 	if b.retestFrom.IsZero() {
 		b.retestFrom = b.until.Add(r.turn(id).delay())
--- a/quarantine/admission_test.go
+++ b/quarantine/admission_test.go
@@ -12,7 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// TestAdmit gives requests leave to run: none in a ban, after it one at a time that runs once.
+// TestAdmit guards against requests that are admitted during a ban, or more than one at a time
+// after it.
 func TestAdmit(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,15 +35,15 @@
 		is.Equal(after, retestDelay)
 		p.Release()
 		_, _, ok = b.Admit(1)
-		is.True(!ok) // what came of it may not be known yet
+		is.True(!ok) // the result of the last one may not be known yet
 		time.Sleep(retestDelay)
 		_, _, ok = b.Admit(1)
 		is.True(ok)
 	})
 }
 
-// bannedRegistries starts the books of some instances that tell each other everything and take turns, in
-// which the request 1 has just been bannedRegistries.
+// bannedRegistries returns the registries of n instances, with retest turns, in which request 1 has
+// just been banned.
 func bannedRegistries(n int) []*Registry {
 	var all []*Registry
 	for i := range n {
@@ -62,23 +63,23 @@
 	return all
 }
 
-// TestRetestTurns has callers come to all instances at once, again and again, with a request whose ban
-// is over. One of them shows what it does now; the others wait for that.
+// TestRetestTurns guards against a request that crashes more than one endpoint after its ban
+// because all instances admit it at once, and against a harmless one that isn't admitted again.
 func TestRetestTurns(t *testing.T) {
 	const (
 		instances = 6
 		every     = 200 * time.Millisecond
-		takes     = 100 * time.Millisecond
+		duration  = 100 * time.Millisecond
 	)
 	for _, row := range []struct {
 		name string
-		// crashes states that the request still crashes endpoints.
+		// crashes reports whether the request still crashes endpoints.
 		crashes bool
-		// least and most are how many of its tries run within a minute after the ban.
+		// least and most bound the requests that are admitted within a minute after the ban.
 		least, most int
 	}{
 		{"still crashes", true, 1, 1},
-		{"does no harm", false, instances * int(time.Minute/every) * 9 / 10, instances * int(time.Minute/every)},
+		{"harmless", false, instances * int(time.Minute/every) * 9 / 10, instances * int(time.Minute/every)},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -95,7 +96,7 @@
 						ran++
 						began := time.Now()
 						attempt := strconv.Itoa(ran)
-						time.AfterFunc(takes, func() {
+						time.AfterFunc(duration, func() {
 							p.Release()
 							for _, other := range all {
 								if !row.crashes {
@@ -115,22 +116,22 @@
 					time.Sleep(every)
 				}
 				synctest.Wait()
-				t.Logf("%d tries ran", ran)
+				t.Logf("%d requests ran", ran)
 				is.True(ran >= row.least && ran <= row.most)
 			})
 		})
 	}
 }
 
-// TestRetestTurnDelay looks that instances begin one after the other, and that many of them don't take
-// longer than a first ban.
+// TestRetestTurnDelay guards against instances that admit requests at the same time after a ban,
+// and against a large fleet that takes longer than a first ban for it.
 func TestRetestTurnDelay(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		turn RetestTurn
 		wait time.Duration
 	}{
-		{"alone", RetestTurn{}, 0},
+		{"only instance", RetestTurn{}, 0},
 		{"the first of six", RetestTurn{Position: 0, Instances: 6}, 0},
 		{"the last of six", RetestTurn{Position: 5, Instances: 6}, 5 * retestDelay},
 		{"the last of 1,200", RetestTurn{Position: 1199, Instances: 1200}, firstBanDuration - firstBanDuration/1200},
--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -13,95 +13,99 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// checkTimeout bounds the look whether an endpoint has ended: an ended process refuses
-// connections at once, a machine without power never answers.
+// checkTimeout bounds the check of an endpoint. An ended process refuses connections at once; a
+// host without power never answers.
 const checkTimeout = 250 * time.Millisecond
 
 // Checker opens a connection to an endpoint and closes it again.
 type Checker func(ctx context.Context, address string) error
 
-// RequestHistory is what is known of one try of a request over its attempts.
+// RequestHistory tracks the failed attempts of one request from a caller.
 type RequestHistory struct {
-	// Identity is that of the request.
+	// Identity is the identity of the request.
 	Identity Identity
-	// Request names the try, for the log.
+	// Request is the request's id for the log.
 	Request string
 
-	// lastFailed names its last attempt that broke off; empty lastFailed the first one.
+	// lastFailed is the id of the last failed attempt; empty before the first.
 	lastFailed string
-	// crashedAt is when an endpoint ended under it that was suspected before; zero if none did.
+	// crashedAt is when the last attempt crashed its endpoint although the request was already
+	// suspected; zero if it didn't, or after WaitSettled.
 	crashedAt time.Time
 }
 
-// FailedAttempt is an attempt that broke off, or whose endpoint is silent.
+// FailedAttempt is an attempt that broke off, or whose endpoint stopped responding.
 type FailedAttempt struct {
-	// Attempt names it.
+	// Attempt is the id of the attempt.
 	Attempt string
-	// StartedAt is when it was sent.
+	// StartedAt is when the attempt was sent.
 	StartedAt time.Time
-	// Endpoints are the addresses of the endpoints that worked on it, its own first.
+	// Endpoints are the addresses of the endpoints that worked on the attempt, the one that answers
+	// first.
 	Endpoints []string
-	// Suspects are those of them that may have ended.
+	// Suspects are the addresses of the endpoints that may have ended.
 	Suspects []string
 }
 
-// Detector looks whether endpoints have ended under attempts, and reports those crashes. A
-// connection that was reset, an answer that an endpoint broke off, or a connection that it no
-// longer kept are none.
+// Detector checks whether endpoints have ended under attempts, and reports each such crash to a
+// Guard. An endpoint that still accepts connections has not crashed, even if it reset a connection
+// or broke off an answer.
 type Detector struct {
 	guard   Guard
 	check   Checker
 	onCrash func()
 	log     logr.Logger
-	// checks are those that are under way, by address.
+	// checks merges concurrent checks of one address.
 	checks singleflight.Group
 }
 
-// NewDetector returns a detector. Count is called with each crash.
-func NewDetector(g Guard, check Checker, count func(), log logr.Logger) *Detector {
+// NewDetector returns a detector that calls onCrash for each crash.
+func NewDetector(g Guard, check Checker, onCrash func(), log logr.Logger) *Detector {
 	return &Detector{
 		guard:   g,
 		check:   check,
-		onCrash: count,
+		onCrash: onCrash,
 		log:     log,
 	}
 }
 
-// AttemptFailed reports an attempt of a try if one of its endpoints has ended. For a request that is
-// suspected it returns when that is known, as the next attempt depends on it.
-func (d *Detector) AttemptFailed(t *RequestHistory, b FailedAttempt) {
+// AttemptFailed checks the suspects of a failed attempt, and reports a crash if one of them has
+// ended. For a suspected request it waits for the result, on which the next attempt depends;
+// otherwise the check runs in the background.
+func (d *Detector) AttemptFailed(h *RequestHistory, a FailedAttempt) {
 	c := Crash{
-		Attempt:         b.Attempt,
-		PreviousAttempt: t.lastFailed,
-		Identity:        t.Identity,
-		OtherEndpoints:  b.Endpoints,
-		StartedAt:       b.StartedAt,
+		Attempt:         a.Attempt,
+		PreviousAttempt: h.lastFailed,
+		Identity:        h.Identity,
+		OtherEndpoints:  a.Endpoints,
+		StartedAt:       a.StartedAt,
 		EndedAt:         steady.Now(),
 	}
-	t.lastFailed = b.Attempt
-	if !d.guard.Suspected(t.Identity) {
-		go d.report(c, b.Suspects, t.Request)
+	h.lastFailed = a.Attempt
+	if !d.guard.Suspected(h.Identity) {
+		go d.report(c, a.Suspects, h.Request)
 		return
 	}
-	if d.report(c, b.Suspects, t.Request) {
-		t.crashedAt = c.EndedAt
+	if d.report(c, a.Suspects, h.Request) {
+		h.crashedAt = c.EndedAt
 	}
 }
 
-// WaitSettled waits, before a further attempt of a try that was suspected when it crashed an
-// endpoint, until it is known whether there may be one.
-func (t *RequestHistory) WaitSettled(ctx context.Context) {
-	if t.crashedAt.IsZero() {
+// WaitSettled waits before the next attempt of a suspected request that crashed its endpoint, until
+// the registry has decided whether that crash bans it.
+func (h *RequestHistory) WaitSettled(ctx context.Context) {
+	if h.crashedAt.IsZero() {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(steady.Until(t.crashedAt.Add(SettleDelay))):
+	case <-time.After(steady.Until(h.crashedAt.Add(SettleDelay))):
 	}
-	t.crashedAt = time.Time{}
+	h.crashedAt = time.Time{}
 }
 
-// report reports a crash if one of the suspects has ended, and returns whether it did.
+// report checks the suspects in order, reports the crash of the first that has ended, and reports
+// whether there was one.
 func (d *Detector) report(c Crash, suspects []string, request string) bool {
 	for _, address := range suspects {
 		err := d.checkEndpoint(address)
@@ -119,7 +123,8 @@
 	return false
 }
 
-// checkEndpoint opens a connection to an endpoint. All who want to know at one moment share it.
+// checkEndpoint opens a connection to an endpoint. Concurrent calls for one address share the
+// result.
 func (d *Detector) checkEndpoint(address string) error {
 	_, err, _ := d.checks.Do(address, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,24 +1,26 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package quarantine keeps requests from endpoints that crash the endpoints which run them.
+// Package quarantine stops requests that crash the endpoints that run them.
 //
-// A request is known again by its Identity: its path, who pays for it, and its body. Callers
-// name each try anew, send it to any instance, and try again when an endpoint breaks off,
-// so that nothing else links the crashes.
+// Requests with the same path, customer and body share an Identity. Callers use a new request id
+// for each retry, may send it to any instance and retry when an endpoint fails, so the identity is
+// the only link between the crashes that such a request causes.
 //
-// An instance whose attempt broke off looks whether its endpoint has ended (Detector), and reports
-// a Crash if it takes no connection. A Registry counts those of one identity that follow each other: an attempt that was under
-// way while the one before crashed its endpoint adds nothing, so that many equal requests
-// under way on endpoints that stop together count once. Nor does a crash at the moment of
-// which an endpoint ended as well that did not run the request, alone or in a joint reading. After three in a row the
-// identity is banned, and no instance sends it to an endpoint. An answer that is whole, of any
-// attempt, ends suspicion and ban.
+// When an attempt breaks off, a Detector checks whether the endpoint still accepts connections, and
+// reports a Crash if it does not. A Registry counts consecutive crashes of one identity: a crash
+// counts only if its attempt started after the previous crash, so that many copies of a request on
+// endpoints that fail together count once. A crash doesn't count if another endpoint that did not
+// run the request, alone or in a joint prefill, ended at the same moment. After three consecutive
+// crashes the identity is banned, and no instance sends its requests to endpoints. A complete
+// answer to any attempt ends both suspicion and ban.
 //
-// A ban lapses. Instances then let a request of the identity run in turn; the next crash bans it
-// again, for ten times as long.
+// Bans expire. Then each instance admits requests of the identity again, one at a time, and the
+// instances start to do so one after another. The next crash bans the identity for ten times as
+// long, up to a day.
 //
-// Each instance has a Registry. What one decides it tells others as a Verdict. Where entries have
-// sessions with the owner of a pool, package pool carries crashes there and verdicts back, and
-// a Recorder keeps bans in the platform's store, so that they outlast all instances. Where they
-// have none, a PeerGuard does, by calls between instances. Those who send requests ask a Guard.
+// Each instance has a Registry and sends its decisions to other instances as Verdicts. Where entry
+// instances have sessions with the owner of a pool, package pool carries crashes to the owner and
+// verdicts back, and a Recorder writes bans to the platform's store, so that they survive a restart
+// of all instances. Elsewhere a PeerGuard sends both by calls between instances. Code that sends
+// requests to endpoints uses the Guard interface.
 package quarantine
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -8,34 +8,33 @@
 	"time"
 )
 
-// The measures of the ends of endpoints.
+// The limits for matching the ends of endpoints.
 const (
-	// sameEndWindow is how far apart reports of one end of an endpoint may lie: an instance may
-	// notice it by silence, and an endpoint that starts again takes some seconds.
+	// sameEndWindow is the most by which two reports of the same end of an endpoint differ. It
+	// covers detection by silence and is shorter than the restart of an endpoint.
 	sameEndWindow = time.Second
-	// commonCauseWindow is how far apart endpoints end that have a cause in common: the ends of the
-	// answers of one engine reached six instances within 7 ms (incident), and busy ones take
-	// some tens.
+	// commonCauseWindow is the most time between the ends of two endpoints that are attributed to a
+	// common cause. It covers the delays with which instances notice an end.
 	commonCauseWindow = 50 * time.Millisecond
-	// SettleDelay is how long a crash is not counted, so that it is known what else ended at
-	// that moment. Who sends a suspected request again waits for as long.
+	// SettleDelay is the time from a crash until the registry decides whether it counts. Until then
+	// a suspected request that crashed its endpoint isn't sent again.
 	SettleDelay = 2 * commonCauseWindow
-	// endRetention is how long an end is kept.
+	// endRetention is how long the end of an endpoint is kept.
 	endRetention = 2 * time.Second
-	// maxIdentitiesPerEnd bounds the requests that an end is known to have run: more than engines
-	// have slots.
+	// maxIdentitiesPerEnd bounds the requests that are recorded for one end. It exceeds the number
+	// of slots of an engine.
 	maxIdentitiesPerEnd = 64
 )
 
-// endpointEnd is the endpointEnd of an endpoint.
+// endpointEnd is one end of an endpoint.
 type endpointEnd struct {
 	at time.Time
-	// identities are the requests that it identities, as far as they were reported.
+	// identities are the requests that the endpoint was running, as far as reported.
 	identities []Identity
 }
 
-// recordEnd returns the end of an endpoint that a crash tells of. The caller holds the lock, as
-// for the functions below.
+// recordEnd returns the end of an endpoint that a crash reports, a new one unless it was reported
+// before, and adds the crash's identity to it. The caller must hold the lock.
 func (r *Registry) recordEnd(c Crash, now time.Time) *endpointEnd {
 	e := r.ends[c.Endpoint]
 	if e == nil || c.EndedAt.Sub(e.at).Abs() > sameEndWindow {
@@ -51,10 +50,10 @@
 	return e
 }
 
-// hasCommonCause states whether an endpoint ended together with one that did not run the requests of a
-// suspect, so that these are not what ended them. Those of a joint reading ran it: when their
-// ends were known from other requests alone, a prompt that crashes its readers reached 6 to 11
-// attempts and was not banned (test with six engines that answer others).
+// hasCommonCause reports whether an endpoint that did not run the suspect's requests ended at the
+// same time as e, so that the suspect's requests are not the cause. An endpoint that took part in a
+// joint prefill of the suspect counts as having run it, even if its end was reported only by other
+// requests. The caller must hold the lock.
 func (r *Registry) hasCommonCause(id Identity, s *suspect, e *endpointEnd) bool {
 	for address, other := range r.ends {
 		if other == e || other.at.Sub(e.at).Abs() > commonCauseWindow {
@@ -67,8 +66,8 @@
 	return false
 }
 
-// settle counts a crash unless it has another cause, and bans the identity if it is one too
-// many.
+// settle decides whether a crash counts. At the limit it bans the identity, unless another suspect
+// explains the crashes; one crash before the limit it notifies the listeners of the suspicion.
 func (r *Registry) settle(id Identity, attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quarantine/evict.go
+++ b/quarantine/evict.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// evictionFraction is the part of what is remembered that goes when there is too much, so that it
-// is looked through once in many additions.
-const evictionFraction = 4
+// evictionDivisor is the ratio of the capacity to the entries that are evicted at once, so that a
+// full registry isn't sorted at every addition.
+const evictionDivisor = 4
 
-// evictSuspects makes room: what is over goes, and if that is not enough those of the
-// fewest crashes, the oldest of them first. The caller holds the lock, as for the functions
-// below.
+// evictSuspects removes expired suspects and, if the registry is still full, a quarter of its
+// capacity: those with the fewest crashes first, and the oldest of these. The caller must hold the
+// lock.
 func (r *Registry) evictSuspects(now time.Time) {
 	maps.DeleteFunc(r.suspects, func(_ Identity, s *suspect) bool { return now.Sub(s.lastSeen) > suspectRetention })
 	if len(r.suspects) < maxSuspects {
@@ -25,20 +25,20 @@
 		a, c := r.suspects[x], r.suspects[y]
 		return cmp.Or(cmp.Compare(len(a.chain), len(c.chain)), a.lastSeen.Compare(c.lastSeen))
 	})
-	for _, id := range ids[:maxSuspects/evictionFraction] {
+	for _, id := range ids[:maxSuspects/evictionDivisor] {
 		delete(r.suspects, id)
 	}
 }
 
-// evictBans makes room: bans that are over and remembered for long enough go, and if that
-// is not enough those that end first.
+// evictBans removes the bans whose retention time is over, and always at least a quarter of the
+// capacity: those that end first. The caller must hold the lock.
 func (r *Registry) evictBans(now time.Time) {
 	ids := slices.SortedFunc(maps.Keys(r.bans), func(x, y Identity) int {
 		return r.bans[x].until.Compare(r.bans[y].until)
 	})
 	for i, id := range ids {
 		b := r.bans[id]
-		if i >= maxBans/evictionFraction && !now.After(b.retainUntil()) {
+		if i >= maxBans/evictionDivisor && !now.After(b.retainUntil()) {
 			continue
 		}
 		delete(r.bans, id)
--- a/quarantine/explain.go
+++ b/quarantine/explain.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// isExplained states whether the crashes of a suspect are those of another one, which ran on the
-// same endpoints and each time began later: others ran there before it without harm. The
-// caller holds the lock, as for the functions below.
+// isExplained reports whether another suspect explains the crashes of a suspect: its chain contains
+// the same endpoint ends, and its attempts had run for a shorter time on average. A request that
+// was already running at each endpoint before that is not the cause. The caller must hold the lock.
 func (r *Registry) isExplained(id Identity, s *suspect) bool {
 	for other, o := range r.suspects {
 		if other != id && o.containsEndsOf(s) && o.meanRunTime() < s.meanRunTime() {
@@ -19,8 +19,8 @@
 	return false
 }
 
-// dropExplained takes the crashes of a request that is banned off the others that ran on the same
-// endpoints and had begun before it.
+// dropExplained removes from all other suspects the crashes that a banned request explains: those
+// at the same endpoint ends whose attempts had started earlier. The caller must hold the lock.
 func (r *Registry) dropExplained(banned *suspect) {
 	for _, s := range r.suspects {
 		if s == banned {
@@ -34,18 +34,18 @@
 	}
 }
 
-// hasEnd states whether an end is one of the chain's.
+// hasEnd reports whether the chain contains an endpoint end.
 func (s *suspect) hasEnd(e *endpointEnd) bool {
 	return slices.ContainsFunc(s.chain, func(l chainLink) bool { return l.end == e })
 }
 
-// containsEndsOf states whether all ends of another suspect's chain are among this one's.
+// containsEndsOf reports whether the chain contains all endpoint ends of another suspect's chain.
 func (s *suspect) containsEndsOf(other *suspect) bool {
 	return !slices.ContainsFunc(other.chain, func(l chainLink) bool { return !s.hasEnd(l.end) })
 }
 
-// meanRunTime returns how long the attempts of the chain had been under way at the ends of their
-// endpoints, in the mean; zero for an empty chain.
+// meanRunTime returns the mean time from the start of an attempt to its crash over the chain; zero
+// for an empty chain.
 func (s *suspect) meanRunTime() time.Duration {
 	sum := time.Duration(0)
 	for _, l := range s.chain {
--- a/quarantine/grpc.go
+++ b/quarantine/grpc.go
@@ -10,17 +10,17 @@
 	"github.com/linkmast/linkmast/quarantine/quarantinepb"
 )
 
-// Server takes what other instances report and tell.
+// Server serves a registry to other instances.
 type Server struct {
 	quarantinepb.UnimplementedQuarantineServer
 
 	registry *Registry
 }
 
-// NewServer returns the server of a book.
-func NewServer(b *Registry) *Server {
+// NewServer returns the server for a registry.
+func NewServer(registry *Registry) *Server {
 	return &Server{
-		registry: b,
+		registry: registry,
 	}
 }
 
@@ -36,13 +36,13 @@
 	return &quarantinepb.Taken{}, nil
 }
 
-// SendCrash reports a crash to the instance that a connection leads to.
+// SendCrash sends a crash over a connection to another instance.
 func SendCrash(ctx context.Context, conn grpc.ClientConnInterface, m *quarantinepb.Crashed) error {
 	_, err := quarantinepb.NewQuarantineClient(conn).Report(ctx, m)
 	return err
 }
 
-// SendVerdict tells that instance of a verdict.
+// SendVerdict sends a verdict over a connection to another instance.
 func SendVerdict(ctx context.Context, conn grpc.ClientConnInterface, v Verdict) error {
 	_, err := quarantinepb.NewQuarantineClient(conn).Tell(ctx, EncodeVerdict(v))
 	return err
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -4,20 +4,21 @@
 
 import "time"
 
-// Guard keeps requests from endpoints that crash the endpoints which run them. It is what
-// those ask who send requests to endpoints.
+// Guard decides whether a request may be sent to endpoints, depending on whether requests of its
+// identity crash them.
 type Guard interface {
-	// Admit gives a request leave to run, or returns when it may come back.
-	Admit(id Identity) (p Admission, after time.Duration, ok bool)
-	// BanRemaining states whether a request must not run any more, and for how much longer.
-	BanRemaining(id Identity) (after time.Duration, barred bool)
-	// Suspected states whether attempts of a request have ended with their endpoints of late.
+	// Admit admits a request, or returns after which time the caller may retry.
+	Admit(id Identity) (a Admission, after time.Duration, ok bool)
+	// BanRemaining returns how much longer a request is banned, and whether it is banned.
+	BanRemaining(id Identity) (remaining time.Duration, banned bool)
+	// Suspected reports whether the identity has recent crashes or a ban that has not been
+	// forgotten yet.
 	Suspected(id Identity) bool
 	// ReportCrash reports an attempt whose endpoint has ended.
 	ReportCrash(c Crash)
-	// ReportAnswered notes a whole answer.
+	// ReportAnswered reports a complete answer, which clears the identity.
 	ReportAnswered(id Identity)
 }
 
-// BannedDetail is the reason of refusals to requests that are banned.
+// BannedDetail is the reason in refusals of banned requests.
 const BannedDetail = "the request ended several endpoints that ran it"
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -10,17 +10,16 @@
 	"github.com/go-faster/errors"
 )
 
-// Identity tells requests apart by what they ask for: all tries of one request have the
-// same, at any instance. The zero value is that of no request.
+// Identity identifies requests with the same content. All retries of a request have the same
+// identity at every instance. The zero value means that there is no request.
 type Identity uint64
 
-// Identify returns the identity of a request by its target (path and query as the caller
-// wrote them), who pays, and its body. The names that callers give their tries don't count.
-// It is the start of a SHA-256, so that no caller can find a body that passes for another
-// request.
+// Identify returns the identity of a request with the given target (path and query as the caller
+// wrote them), customer and body. Request ids don't count. The identity is the start of a SHA-256
+// hash, so that callers can't construct a body that collides with another request.
 func Identify(target, customer string, body []byte) Identity {
 	h := sha256.New()
-	// A hash takes all that is written.
+	// Write never returns an error for a hash.
 	for _, part := range [...]string{target, customer} {
 		_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part))))
 		_, _ = h.Write([]byte(part))
@@ -29,7 +28,7 @@
 	return Identity(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// ParseIdentity returns the identity that String wrote.
+// ParseIdentity parses the output of String.
 func ParseIdentity(text string) (Identity, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
@@ -38,7 +37,7 @@
 	return Identity(n), nil
 }
 
-// String returns the identity in hexadecimal, as logs have it.
+// String returns the identity in hexadecimal, as it appears in logs.
 func (i Identity) String() string {
 	return strconv.FormatUint(uint64(i), 16)
 }
--- a/quarantine/identity_test.go
+++ b/quarantine/identity_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// TestIdentify changes one part of a request at a time.
+// TestIdentify guards against different requests with the same identity.
 func TestIdentify(t *testing.T) {
 	base := Identify("/a/b?x=1", "c1", []byte("body"))
 	for _, row := range []struct {
@@ -23,7 +23,7 @@
 		{"another query", "/a/b?x=2", "c1", "body", false},
 		{"another customer", "/a/b?x=1", "c2", "body", false},
 		{"another body", "/a/b?x=1", "c1", "bodY", false},
-		{"a part moved to the next one", "/a/b?x=1c", "1", "body", false},
+		{"a character moved to the next part", "/a/b?x=1c", "1", "body", false},
 		{"no body", "/a/b?x=1", "c1", "", false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// BenchmarkIdentify takes the identity of a body of a prompt of 5,000 tokens, 20 KB.
+// BenchmarkIdentify identifies a request with a body of 20 KB, about 5,000 tokens.
 func BenchmarkIdentify(b *testing.B) {
 	body := make([]byte, 20<<10)
 	for b.Loop() {
--- a/quarantine/messages.go
+++ b/quarantine/messages.go
@@ -8,7 +8,7 @@
 	"github.com/linkmast/linkmast/quarantine/quarantinepb"
 )
 
-// EncodeCrash returns the message of a crash that is sent now.
+// EncodeCrash returns the message for a crash. Its times are sent as ages at now.
 func EncodeCrash(c Crash, now time.Time) *quarantinepb.Crashed {
 	return &quarantinepb.Crashed{
 		Attempt:  c.Attempt,
@@ -21,7 +21,7 @@
 	}
 }
 
-// DecodeCrash returns the crash of a message that has come now.
+// DecodeCrash returns the crash of a message that was received at now.
 func DecodeCrash(m *quarantinepb.Crashed, now time.Time) Crash {
 	ago := func(us int64) time.Time { return now.Add(-time.Duration(us) * time.Microsecond) }
 	return Crash{
@@ -35,7 +35,7 @@
 	}
 }
 
-// EncodeVerdict returns the message of a verdict.
+// EncodeVerdict returns the message for a verdict.
 func EncodeVerdict(v Verdict) *quarantinepb.Verdict {
 	return &quarantinepb.Verdict{
 		Identity: uint64(v.Identity),
--- a/quarantine/peerguard.go
+++ b/quarantine/peerguard.go
@@ -12,42 +12,42 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Peers are the other instances, for those that have no sessions with each other.
+// Peers gives access to the other instances where instances have no pool sessions with each other.
 type Peers interface {
-	// CountingInstances returns the instances that count the crashes of an identity, this one among
-	// them or not.
+	// CountingInstances returns the instances that count the crashes of an identity, which may
+	// include this one.
 	CountingInstances(id Identity) []string
-	// Self names this instance, and Others all others.
+	// Self returns the id of this instance, and Others the ids of all others.
 	Self() string
 	Others() []string
-	// SendCrash tells an instance of a crash.
+	// SendCrash sends a crash to an instance.
 	SendCrash(ctx context.Context, instance string, c Crash) error
-	// SendVerdict tells an instance of a verdict.
+	// SendVerdict sends a verdict to an instance.
 	SendVerdict(ctx context.Context, instance string, v Verdict) error
 }
 
-// The measures of telling others.
+// The limits for messages to other instances.
 const (
-	// sendQueueSize bounds what waits to be told: what comes about in some seconds of a storm of
-	// crashes.
+	// sendQueueSize bounds each queue of messages, for bursts of several seconds.
 	sendQueueSize = 256
-	// crashSenders is how many crashes are told of at once: one whose counter does not answer
-	// takes some seconds, and doesn't hold up the next.
+	// crashSenders is how many goroutines send crashes, so that an instance that doesn't answer for
+	// some seconds doesn't delay the crashes behind it.
 	crashSenders = 8
-	// maxParallelSends bounds how many are told together, and tellTimeout each call: some
-	// milliseconds between instances, and as long as a sign of life may take.
+	// maxParallelSends bounds the instances that one message is sent to at a time, and sendTimeout
+	// each call.
 	maxParallelSends = 32
 	sendTimeout      = time.Second
-	// maxSendAttempts is how often one is told that does not answer, with tellPause between.
+	// maxSendAttempts is how often a message is sent to an instance that doesn't answer, with
+	// sendRetryDelay between the attempts.
 	maxSendAttempts = 3
 	sendRetryDelay  = 500 * time.Millisecond
-	// newInstanceInterval is how often it is looked whether instances have come.
+	// newInstanceInterval is the interval of checks for new instances.
 	newInstanceInterval = time.Second
 )
 
-// PeerGuard has all instances know what one of them finds out. Each identity has a few instances
-// that count its crashes; these tell all others what they decide, and those that come what is
-// banned. It implements Guard.
+// PeerGuard is a Guard that shares crashes and verdicts with the other instances. A few instances
+// count the crashes of each identity. They send their decisions to all others, and the bans to
+// instances that join.
 type PeerGuard struct {
 	// Done is closed when Run has ended.
 	Done chan struct{}
@@ -55,59 +55,58 @@
 	registry *Registry
 	peers    Peers
 	log      logr.Logger
-	// crashes and verdicts are what is to be told, each to the instances that it names.
-	// Verdicts are told in order.
+	// crashes and verdicts are the queues of messages. Verdicts are sent in order.
 	crashes  chan outgoing
 	verdicts chan outgoing
-	// greeted are the instances that were told of all bans.
-	greeted map[string]bool
+	// lastPresent are the instances that were present at the last check for new ones.
+	lastPresent map[string]bool
 }
 
-// outgoing is something to be told: a crash, or a verdict.
+// outgoing is a queued message with its recipients: a crash if it is set, otherwise a verdict.
 type outgoing struct {
 	to      []string
 	crash   *Crash
 	verdict Verdict
 }
 
-// NewPeerGuard returns what shares a book. Run shares until its context ends.
-func NewPeerGuard(b *Registry, p Peers, log logr.Logger) *PeerGuard {
+// NewPeerGuard returns a guard over a registry. It sends messages while Run runs.
+func NewPeerGuard(registry *Registry, p Peers, log logr.Logger) *PeerGuard {
 	return &PeerGuard{
-		Done:     make(chan struct{}),
-		registry: b,
-		peers:    p,
-		log:      log,
-		crashes:  make(chan outgoing, sendQueueSize),
-		verdicts: make(chan outgoing, sendQueueSize),
-		greeted:  make(map[string]bool),
+		Done:        make(chan struct{}),
+		registry:    registry,
+		peers:       p,
+		log:         log,
+		crashes:     make(chan outgoing, sendQueueSize),
+		verdicts:    make(chan outgoing, sendQueueSize),
+		lastPresent: make(map[string]bool),
 	}
 }
 
-// Run tells others until ctx ends.
+// Run sends messages to other instances until ctx ends.
 func (g *PeerGuard) Run(ctx context.Context) {
 	defer close(g.Done)
 	defer g.registry.OnVerdict(g.broadcastDecision)()
-	var parts sync.WaitGroup
+	var wg sync.WaitGroup
 	for range crashSenders {
-		parts.Go(func() { g.sendCrashes(ctx) })
+		wg.Go(func() { g.sendCrashes(ctx) })
 	}
-	parts.Go(func() { g.sendVerdicts(ctx) })
-	parts.Wait()
+	wg.Go(func() { g.sendVerdicts(ctx) })
+	wg.Wait()
 }
 
-// sendCrashes tells of crashes until ctx ends.
+// sendCrashes sends queued crashes until ctx ends.
 func (g *PeerGuard) sendCrashes(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-g.crashes:
-			g.sendToAll(ctx, n)
+		case m := <-g.crashes:
+			g.sendToAll(ctx, m)
 		}
 	}
 }
 
-// sendVerdicts tells of verdicts, and greets instances that have come, until ctx ends.
+// sendVerdicts sends queued verdicts, and the bans to instances that join, until ctx ends.
 func (g *PeerGuard) sendVerdicts(ctx context.Context) {
 	tick := time.NewTicker(newInstanceInterval)
 	defer tick.Stop()
@@ -115,16 +114,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-g.verdicts:
-			g.sendToAll(ctx, n)
+		case m := <-g.verdicts:
+			g.sendToAll(ctx, m)
 		case <-tick.C:
 			g.sendBansToNew(ctx)
 		}
 	}
 }
 
-// broadcastDecision tells all others of a verdict if this instance counts for its identity. It is called
-// by the book.
+// broadcastDecision queues a verdict for all other instances if this instance counts the crashes of
+// its identity. The registry calls it while holding its lock.
 func (g *PeerGuard) broadcastDecision(v Verdict) {
 	if slices.Contains(g.peers.CountingInstances(v.Identity), g.peers.Self()) {
 		g.enqueue(outgoing{
@@ -134,66 +133,66 @@
 	}
 }
 
-// enqueue has something told.
-func (g *PeerGuard) enqueue(n outgoing) {
+// enqueue queues a message without blocking. It drops the message if the queue is full.
+func (g *PeerGuard) enqueue(m outgoing) {
 	queue := g.verdicts
-	if n.crash != nil {
+	if m.crash != nil {
 		queue = g.crashes
 	}
 	select {
-	case queue <- n:
+	case queue <- m:
 	default:
-		g.log.Info("not told", "identity", n.identity().String(), "cause", "too much waits to be told")
+		g.log.Info("quarantine message dropped", "identity", m.identity().String(), "cause", "send queue is full")
 	}
 }
 
-// identity is that of the requests that a notice is about.
-func (n *outgoing) identity() Identity {
-	if n.crash != nil {
-		return n.crash.Identity
+// identity returns the identity that the message is about.
+func (m *outgoing) identity() Identity {
+	if m.crash != nil {
+		return m.crash.Identity
 	}
-	return n.verdict.Identity
+	return m.verdict.Identity
 }
 
-// sendToAll tells each instance that a notice names.
-func (g *PeerGuard) sendToAll(ctx context.Context, n outgoing) {
+// sendToAll sends a message to all its recipients and waits for the results.
+func (g *PeerGuard) sendToAll(ctx context.Context, m outgoing) {
 	var group errgroup.Group
 	group.SetLimit(maxParallelSends)
-	for _, to := range n.to {
+	for _, to := range m.to {
 		group.Go(func() error {
-			g.sendWithRetry(ctx, to, n)
+			g.sendWithRetry(ctx, to, m)
 			return nil
 		})
 	}
-	// The parts return no error.
+	// The goroutines return no errors.
 	_ = group.Wait()
 }
 
-// sendWithRetry tells one instance, in a few tries.
-func (g *PeerGuard) sendWithRetry(ctx context.Context, to string, n outgoing) {
+// sendWithRetry sends a message to one instance, and retries a few times.
+func (g *PeerGuard) sendWithRetry(ctx context.Context, to string, m outgoing) {
 	var err error
-	for try := range maxSendAttempts {
-		if try > 0 {
+	for attempt := range maxSendAttempts {
+		if attempt > 0 {
 			sleep(ctx, sendRetryDelay)
 		}
-		if err = g.send(ctx, to, n); err == nil || ctx.Err() != nil {
+		if err = g.send(ctx, to, m); err == nil || ctx.Err() != nil {
 			return
 		}
 	}
-	g.log.Info("not told", "identity", n.identity().String(), "instance", to, "cause", err.Error())
+	g.log.Info("quarantine message not delivered", "identity", m.identity().String(), "instance", to, "cause", err.Error())
 }
 
-// send makes one send.
-func (g *PeerGuard) send(ctx context.Context, to string, n outgoing) error {
+// send makes one call to an instance.
+func (g *PeerGuard) send(ctx context.Context, to string, m outgoing) error {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	if n.crash != nil {
-		return g.peers.SendCrash(ctx, to, *n.crash)
+	if m.crash != nil {
+		return g.peers.SendCrash(ctx, to, *m.crash)
 	}
-	return g.peers.SendVerdict(ctx, to, n.verdict)
+	return g.peers.SendVerdict(ctx, to, m.verdict)
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -201,35 +200,37 @@
 	}
 }
 
-// sendBansToNew tells instances that have come of the bans for whose identities this one counts.
+// sendBansToNew sends the bans whose identities this instance counts to the instances that have
+// joined since the last check.
 func (g *PeerGuard) sendBansToNew(ctx context.Context) {
-	there := g.peers.Others()
-	var come []string
-	for _, id := range there {
-		if !g.greeted[id] {
-			come = append(come, id)
+	present := g.peers.Others()
+	var joined []string
+	for _, id := range present {
+		if !g.lastPresent[id] {
+			joined = append(joined, id)
 		}
 	}
-	g.greeted = make(map[string]bool, len(there))
-	for _, id := range there {
-		g.greeted[id] = true
+	g.lastPresent = make(map[string]bool, len(present))
+	for _, id := range present {
+		g.lastPresent[id] = true
 	}
-	if len(come) == 0 {
+	if len(joined) == 0 {
 		return
 	}
 	for _, v := range g.registry.Verdicts() {
 		if v.State == Banned && slices.Contains(g.peers.CountingInstances(v.Identity), g.peers.Self()) {
 			g.sendToAll(ctx, outgoing{
-				to:      come,
+				to:      joined,
 				verdict: v,
 			})
 		}
 	}
 }
 
-// otherCountingInstances returns the instances that count for an identity, without this one.
+// otherCountingInstances returns the instances that count the crashes of an identity, except this
+// one.
 func (g *PeerGuard) otherCountingInstances(id Identity) []string {
-	return slices.DeleteFunc(g.peers.CountingInstances(id), func(one string) bool { return one == g.peers.Self() })
+	return slices.DeleteFunc(g.peers.CountingInstances(id), func(instance string) bool { return instance == g.peers.Self() })
 }
 
 // Admit implements Guard.
--- a/quarantine/peerguard_test.go
+++ b/quarantine/peerguard_test.go
@@ -15,17 +15,17 @@
 	"github.com/matryer/is"
 )
 
-// cluster is some instances that share what they know.
+// cluster is a set of instances with peer guards.
 type cluster struct {
 	mu        sync.Mutex
 	instances []*testInstance
-	// stopped are instances that others still count on.
+	// stopped are the instances that no longer answer but are still listed.
 	stopped map[string]bool
-	// calls counts what instances told each other.
+	// calls counts the calls between instances.
 	calls int
 }
 
-// testInstance is one of them. It implements Peers; the first two count.
+// testInstance is one instance. It implements Peers; the first two instances count crashes.
 type testInstance struct {
 	cluster  *cluster
 	name     string
@@ -33,7 +33,7 @@
 	guard    *PeerGuard
 }
 
-var errStopped = errors.New("gone")
+var errStopped = errors.New("instance has stopped")
 
 // CountingInstances implements Peers.
 func (m *testInstance) CountingInstances(Identity) []string { return []string{"i0", "i1"} }
@@ -46,42 +46,42 @@
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
 	var out []string
-	for _, x := range m.cluster.instances {
-		if x != m {
-			out = append(out, x.name)
+	for _, other := range m.cluster.instances {
+		if other != m {
+			out = append(out, other.name)
 		}
 	}
 	return out
 }
 
-// registryOf returns the book registryOf an instance.
+// registryOf returns the registry of an instance, or an error if it has stopped.
 func (c *cluster) registryOf(name string) (*Registry, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
-	for _, x := range c.instances {
-		if x.name == name && !c.stopped[name] {
-			return x.registry, nil
+	for _, instance := range c.instances {
+		if instance.name == name && !c.stopped[name] {
+			return instance.registry, nil
 		}
 	}
 	return nil, errStopped
 }
 
-// callCount returns how many calls were callCount.
+// callCount returns the number of calls so far.
 func (c *cluster) callCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// stop ends an instance that others go on to count on.
+// stop stops an instance, which remains listed.
 func (c *cluster) stop(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopped[name] = true
 }
 
-// hasStopped states whether an instance has hasStopped.
+// hasStopped reports whether an instance has stopped.
 func (c *cluster) hasStopped(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +106,7 @@
 	return err
 }
 
-// join adds an instance.
+// join adds an instance and starts its guard.
 func (c *cluster) join(t *testing.T) {
 	m := &testInstance{
 		cluster:  c,
@@ -125,8 +125,7 @@
 	})
 }
 
-// crashAt has an attempt of the request 1 crash its endpoint at each of some instances, one
-// after the other.
+// crashAt reports one crash of request 1 at each of the instances, one after another.
 func (c *cluster) crashAt(instances ...int) {
 	for n, i := range instances {
 		began := time.Now()
@@ -143,24 +142,24 @@
 	time.Sleep(time.Second)
 }
 
-// assertBannedAt checks at all instances that are there whether the request 1 is banned.
+// assertBannedAt checks whether request 1 is banned at all instances that have not stopped.
 func (c *cluster) assertBannedAt(t *testing.T, want bool) {
 	t.Helper()
-	for _, x := range c.instances {
-		if _, banned := x.guard.BanRemaining(1); banned != want && !c.hasStopped(x.name) {
-			t.Errorf("banned at %s: %t", x.name, banned)
+	for _, instance := range c.instances {
+		if _, banned := instance.guard.BanRemaining(1); banned != want && !c.hasStopped(instance.name) {
+			t.Errorf("banned at %s: %t", instance.name, banned)
 		}
 	}
 }
 
-// TestPeerGuard has a request crash endpoints at instances none of which sees it thrice, with
-// something else happening.
+// TestPeerGuard guards against a request that is not banned, or not cleared, because its crashes
+// and answers occur at different instances.
 func TestPeerGuard(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		run  func(t *testing.T, c *cluster)
 	}{
-		{"all are told of a ban", func(t *testing.T, c *cluster) {
+		{"all instances learn of a ban", func(t *testing.T, c *cluster) {
 			c.crashAt(2, 3, 4)
 			c.assertBannedAt(t, true)
 		}},
@@ -168,12 +167,12 @@
 			c.crashAt(2, 3)
 			c.assertBannedAt(t, false)
 		}},
-		{"one who counts is gone", func(t *testing.T, c *cluster) {
+		{"one counting instance has stopped", func(t *testing.T, c *cluster) {
 			c.stop("i0")
 			c.crashAt(2, 3, 4)
 			c.assertBannedAt(t, true)
 		}},
-		{"an answer anywhere clears for all", func(t *testing.T, c *cluster) {
+		{"an answer at one instance clears the request at all instances", func(t *testing.T, c *cluster) {
 			c.crashAt(2, 3, 4)
 			c.instances[5].guard.ReportAnswered(1)
 			time.Sleep(time.Second)
@@ -181,21 +180,22 @@
 		}},
 		{"an answer between crashes clears", func(t *testing.T, c *cluster) {
 			c.crashAt(2, 3)
-			c.instances[5].guard.ReportAnswered(1) // it was told that the request is suspected
+			c.instances[5].guard.ReportAnswered(1) // it knows that the request is suspected
 			time.Sleep(time.Second)
 			c.crashAt(4)
 			c.assertBannedAt(t, false)
 		}},
-		{"who comes later is told", func(t *testing.T, c *cluster) {
+		{"an instance that joins later learns of the ban", func(t *testing.T, c *cluster) {
 			c.crashAt(2, 3, 4)
 			c.join(t)
 			time.Sleep(2 * newInstanceInterval)
 			c.assertBannedAt(t, true)
 		}},
-		{"little is said", func(t *testing.T, c *cluster) {
+		{"few messages are sent", func(t *testing.T, c *cluster) {
 			c.crashAt(2, 3, 4)
 			time.Sleep(time.Minute)
-			// Three crashes to two, the suspicion and the ban by two to five each.
+			// Three crashes go to two instances, and a suspicion and a ban from two instances to
+			// five each.
 			is.New(t).True(c.callCount() <= 3*2+2*2*5)
 		}},
 	} {
@@ -214,7 +214,8 @@
 	}
 }
 
-// TestPeerGuardNeverBlocks reports more crashes than can be told while nobody answers: no caller waits.
+// TestPeerGuardNeverBlocks guards against callers that wait when more crashes are reported than can
+// be sent.
 func TestPeerGuardNeverBlocks(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		c := &cluster{
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -9,9 +9,9 @@
 	"github.com/go-logr/logr"
 )
 
-// Store keeps bans for as long as they are needed, over the end of all instances.
+// Store keeps bans independently of the life of instances.
 type Store interface {
-	// RecordBan writes a ban, in place of an earlier one of its identity.
+	// RecordBan writes a ban, replacing an earlier one of its identity.
 	RecordBan(ctx context.Context, v Verdict) error
 	// EraseBan removes the ban of an identity.
 	EraseBan(ctx context.Context, id Identity) error
@@ -21,38 +21,38 @@
 const (
 	// writeTimeout bounds one call.
 	writeTimeout = time.Second
-	// writeRetryDelay is the pause after a call that failed.
+	// writeRetryDelay is the pause after a failed call.
 	writeRetryDelay = 500 * time.Millisecond
-	// standbyDelay is how much later an instance writes that does not own the pool: time
-	// for the owner's record to be read by all.
+	// standbyDelay is how much later than the pool's owner another instance writes a change: time
+	// for the instances to read what the owner wrote.
 	standbyDelay = 2 * time.Second
 )
 
-// storeCall is one call of the store that is storeCall: a ban to record, or the identity of one to
-// erase.
+// storeCall is a pending call of the store. It records the verdict, or erases the ban of its
+// identity.
 type storeCall struct {
 	verdict Verdict
 	erase   bool
 }
 
-// SyncStored takes over all bans that the store has. Former are those of the time before: who is
-// missing now was cleared by another instance or an operator, or is over. A record stays for
-// as long as its ban is remembered, so that the end of one ban isn't taken for that of the
-// next.
-func (r *Registry) SyncStored(former, bans map[Identity]Verdict) {
+// SyncStored applies the bans that the store holds, given those that were read before. A ban that
+// is missing now has been cleared by another instance or an operator, or has expired. The store
+// keeps a record while its ban is retained, so that the expiry of one ban isn't mistaken for the
+// removal of the next.
+func (r *Registry) SyncStored(previous, current map[Identity]Verdict) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	for id, v := range bans {
-		if former[id] != v {
+	for id, v := range current {
+		if previous[id] != v {
 			r.applyBan(v, now)
 		}
 		if b := r.bans[id]; b != nil {
 			b.recorded = true
 		}
 	}
-	for id := range former {
-		if _, kept := bans[id]; kept {
+	for id := range previous {
+		if _, kept := current[id]; kept {
 			continue
 		}
 		b := r.bans[id]
@@ -68,8 +68,8 @@
 	r.signalChange()
 }
 
-// storeCalls returns what is to be written to the store now, and when there may be more to do; zero
-// for never. Owner states that this instance writes first.
+// storeCalls returns the calls that are due now, and when the next one will be; zero if none will
+// be. The pool's owner writes without delay, other instances after standbyDelay.
 func (r *Registry) storeCalls(owner bool) (calls []storeCall, next time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,10 +78,10 @@
 	if owner {
 		wait = 0
 	}
-	add := func(at time.Time, d storeCall) {
+	add := func(at time.Time, call storeCall) {
 		switch at = at.Add(wait); {
 		case !at.After(now):
-			calls = append(calls, d)
+			calls = append(calls, call)
 		case next.IsZero() || at.Before(next):
 			next = at
 		}
@@ -107,7 +107,7 @@
 	return calls, next
 }
 
-// eraseCall is the call that removes the ban of an identity.
+// eraseCall returns the call that erases the ban of an identity.
 func eraseCall(id Identity) storeCall {
 	return storeCall{
 		verdict: Verdict{
@@ -117,17 +117,17 @@
 	}
 }
 
-// confirmWritten notes that a call of the store was made.
-func (r *Registry) confirmWritten(d storeCall) {
+// confirmWritten records that a call of the store succeeded.
+func (r *Registry) confirmWritten(call storeCall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id := d.verdict.Identity
+	id := call.verdict.Identity
 	b := r.bans[id]
 	switch {
-	case !d.erase && b != nil:
+	case !call.erase && b != nil:
 		b.recorded = true
-	case !d.erase:
-		// It was cleared meanwhile: its record is to go.
+	case !call.erase:
+		// The ban was cleared while it was being written, so it must be erased.
 		r.pendingErasures[id] = r.now()
 	default:
 		delete(r.pendingErasures, id)
@@ -137,7 +137,7 @@
 	}
 }
 
-// Recorder keeps the bans in the store in line with a book.
+// Recorder writes the bans of a registry to a store.
 type Recorder struct {
 	registry *Registry
 	store    Store
@@ -145,11 +145,12 @@
 	log      logr.Logger
 }
 
-// NewRecorder returns a recorder. Owner states whether this instance writes first; others
-// write what the first did not.
-func NewRecorder(b *Registry, s Store, owner func() bool, log logr.Logger) *Recorder {
+// NewRecorder returns a recorder. The function owner reports whether this instance owns the pool
+// and therefore writes without delay; other instances write only what the owner has not written by
+// then.
+func NewRecorder(registry *Registry, s Store, owner func() bool, log logr.Logger) *Recorder {
 	return &Recorder{
-		registry: b,
+		registry: registry,
 		store:    s,
 		owner:    owner,
 		log:      log,
@@ -173,19 +174,19 @@
 	}
 }
 
-// write makes the calls that are due. It returns when to look again, or false when there is
-// nothing to wait for.
+// write makes the calls that are due. It returns the time until the next check, or false if none is
+// needed before the next change.
 func (r *Recorder) write(ctx context.Context) (time.Duration, bool) {
 	calls, next := r.registry.storeCalls(r.owner())
-	for _, d := range calls {
-		if err := r.call(ctx, d); err != nil {
-			r.log.Info("ban can't be written to the store", "identity", d.verdict.Identity.String(), "erase", d.erase, "cause", err.Error())
+	for _, pending := range calls {
+		if err := r.call(ctx, pending); err != nil {
+			r.log.Info("ban can't be written to the store", "identity", pending.verdict.Identity.String(), "erase", pending.erase, "cause", err.Error())
 			return writeRetryDelay, true
 		}
-		r.registry.confirmWritten(d)
+		r.registry.confirmWritten(pending)
 	}
 	if len(calls) > 0 {
-		// What was written may have changed what is due.
+		// The calls may have made further ones due.
 		return 0, true
 	}
 	if next.IsZero() {
@@ -195,11 +196,11 @@
 }
 
 // call makes one call of the store.
-func (r *Recorder) call(ctx context.Context, d storeCall) error {
+func (r *Recorder) call(ctx context.Context, pending storeCall) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	if d.erase {
-		return r.store.EraseBan(ctx, d.verdict.Identity)
+	if pending.erase {
+		return r.store.EraseBan(ctx, pending.verdict.Identity)
 	}
-	return r.store.RecordBan(ctx, d.verdict)
+	return r.store.RecordBan(ctx, pending.verdict)
 }
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -15,9 +15,9 @@
 	"github.com/matryer/is"
 )
 
-// memoryStore is a store that keeps bans.
+// memoryStore is a Store in memory.
 type memoryStore struct {
-	// writeDelay is how long a ban takes to be written.
+	// writeDelay is how long writing a ban takes.
 	writeDelay time.Duration
 
 	mu          sync.Mutex
@@ -26,10 +26,10 @@
 	unavailable bool
 }
 
-// errUnavailable is the error of a store that is away.
-var errUnavailable = errors.New("away")
+// errUnavailable is the error of an unavailable store.
+var errUnavailable = errors.New("store is unavailable")
 
-// call makes a call, unless the store is away.
+// call applies a change, unless the store is unavailable.
 func (m *memoryStore) call(change func()) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,34 +52,34 @@
 	return m.call(func() { delete(m.bans, id) })
 }
 
-// setUnavailable takes the store away, or back.
-func (m *memoryStore) setUnavailable(away bool) {
+// setUnavailable makes the store unavailable or available.
+func (m *memoryStore) setUnavailable(unavailable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.unavailable = away
+	m.unavailable = unavailable
 }
 
-// callCount returns how many calls were callCount.
+// callCount returns the number of calls so far.
 func (m *memoryStore) callCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// all returns what the store has.
+// all returns a copy of the stored bans.
 func (m *memoryStore) all() map[Identity]Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return maps.Clone(m.bans)
 }
 
-// recordingInstance is a book with what keeps its bans in a store, and what it was told of the store.
+// recordingInstance is a registry with a recorder, and what it last read from the store.
 type recordingInstance struct {
 	registry *Registry
 	lastRead map[Identity]Verdict
 }
 
-// newRecordingInstance runs a recorder until the test ends.
+// newRecordingInstance starts a recorder that runs until the test ends.
 func newRecordingInstance(t *testing.T, m *memoryStore, owner bool) *recordingInstance {
 	k := &recordingInstance{
 		registry: New(time.Now, nil, logr.Discard()),
@@ -88,14 +88,14 @@
 	return k
 }
 
-// syncStored tells the book what the store has.
+// syncStored passes the content of the store to the registry.
 func (k *recordingInstance) syncStored(m *memoryStore) {
 	now := m.all()
 	k.registry.SyncStored(k.lastRead, now)
 	k.lastRead = now
 }
 
-// crashThrice has the request 1 crash three endpoints.
+// crashThrice reports crashes of three endpoints by request 1.
 func (k *recordingInstance) crashThrice() {
 	for _, attempt := range []string{"a", "b", "c"} {
 		began := time.Now()
@@ -111,7 +111,8 @@
 	time.Sleep(SettleDelay)
 }
 
-// TestRecorder keeps bans in the store, over what may go wrong with instances and the store.
+// TestRecorder guards against bans that are not written, not erased or written too often when
+// instances or the store fail.
 func TestRecorder(t *testing.T) {
 	for _, row := range []struct {
 		name string
@@ -125,11 +126,11 @@
 			is.Equal(m.all()[1].Remaining, firstBanDuration)
 			is.Equal(m.callCount(), 1)
 		}},
-		{"another instance leaves it to the owner", func(t *testing.T, m *memoryStore) {
+		{"another instance waits for the owner", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
 			k := newRecordingInstance(t, m, false)
 			k.crashThrice()
-			m.bans[1] = Verdict{ // no other goroutine has the store
+			m.bans[1] = Verdict{ // no other goroutine uses the store
 				Identity:  1,
 				State:     Banned,
 				Remaining: firstBanDuration,
@@ -145,7 +146,7 @@
 			time.Sleep(standbyDelay + 10*time.Millisecond)
 			is.Equal(len(m.all()), 1)
 		}},
-		{"the store is away", func(t *testing.T, m *memoryStore) {
+		{"the store is unavailable", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
 			m.setUnavailable(true)
 			newRecordingInstance(t, m, true).crashThrice()
@@ -155,14 +156,14 @@
 			time.Sleep(writeRetryDelay + 10*time.Millisecond)
 			is.Equal(len(m.all()), 1)
 		}},
-		{"an instance that starts later", func(t *testing.T, m *memoryStore) {
+		{"an instance that starts later reads the ban", func(t *testing.T, m *memoryStore) {
 			newRecordingInstance(t, m, true).crashThrice()
 			time.Sleep(10 * time.Millisecond)
 			late := newRecordingInstance(t, m, false)
 			late.syncStored(m)
 			assertBanned(t, late.registry, true)
 		}},
-		{"erased when it is over and remembered no longer", func(t *testing.T, m *memoryStore) {
+		{"erased after the retention time", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
 			k := newRecordingInstance(t, m, true)
 			k.crashThrice()
@@ -183,7 +184,7 @@
 			time.Sleep(10 * time.Millisecond)
 			is.Equal(len(m.all()), 0)
 		}},
-		{"cleared while it is written", func(t *testing.T, m *memoryStore) {
+		{"cleared while being written", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
 			k := newRecordingInstance(t, m, true)
 			m.writeDelay = time.Second / 2
@@ -204,7 +205,7 @@
 			time.Sleep(10 * time.Second)
 			assertBanned(t, k.registry, false)
 			is.Equal(len(m.all()), 0)
-			is.Equal(m.callCount(), 2) // the operator's is one
+			is.Equal(m.callCount(), 2) // one of them is the operator's
 		}},
 		{"banned again", func(t *testing.T, m *memoryStore) {
 			is := is.New(t)
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -9,67 +9,65 @@
 	"github.com/go-logr/logr"
 )
 
-// The measures of a ban.
+// The conditions and durations of bans.
 const (
-	// crashLimit is how many endpoints a request crashes, one after the other, until it
-	// is banned. One crash or two are often another's fault: up to fifteen answers broke off
-	// with each engine of the incident that this guards against, in which one request went on
-	// to crash 49.
+	// crashLimit is how many consecutive crashes ban an identity. One or two can happen to a
+	// harmless request that runs beside the one that crashes its endpoints.
 	crashLimit = 3
-	// firstBanDuration is how long a first ban lasts. Callers of a request that crashes endpoints have
-	// given up by then as a rule, and one that is banned wrongly waits no longer.
+	// firstBanDuration is the length of a first ban: callers have usually given up by then, and a
+	// wrong ban ends soon.
 	firstBanDuration = 2 * time.Minute
-	// banGrowthFactor is how many times as long each further ban lasts, and banLongest the longest:
-	// a request that comes for days costs an endpoint on each.
+	// banGrowthFactor is the ratio of the lengths of successive bans, up to maxBanDuration, so that
+	// a request that returns for days rarely crashes an endpoint.
 	banGrowthFactor = 10
 	maxBanDuration  = 24 * time.Hour
-	// minBanRetention is how long a ban is remembered at least once it is over: a request whose
-	// caller comes back each few minutes costs one endpoint then, and not three again.
+	// minBanRetention is the least time for which an expired ban is kept, so that a request that
+	// returns within it is banned again after one crash.
 	minBanRetention = time.Hour
-	// suspectRetention is how long a suspect is remembered after its last crash: much longer than
-	// callers take to come back.
+	// suspectRetention is how long a suspect is kept after its last crash: much longer than callers
+	// take to retry.
 	suspectRetention = 10 * time.Minute
 )
 
-// The bounds of what is remembered. With both reached a book takes 1.6 MB.
+// The capacity of a registry.
 const (
-	// maxSuspects are those of the loss of a failure domain with some hundred engines.
+	// maxSuspects is enough for the requests that were running in a failure domain that is lost.
 	maxSuspects = 4096
-	// maxBans is far above what callers were seen to send, and what is told to an instance
-	// that starts stays below 20 KB.
+	// maxBans limits the size of the messages that inform a starting instance of the bans.
 	maxBans = 512
 )
 
-// ban is a ban, and for some time after it the memory of it.
+// ban is a ban of an identity. It is kept for some time after it has expired, so that the next one
+// lasts longer.
 type ban struct {
 	until time.Time
-	// duration is how long it was as a whole.
+	// duration is the full length of the ban.
 	duration time.Duration
 	count    int
-	// retestRunning states that this instance has a request of the identity under way after the
-	// ban.
+	// retestRunning reports whether this instance runs a request of the identity after the ban.
 	retestRunning bool
-	// retestFrom is from when the next such one may run; zero until that was asked for.
+	// retestFrom is when this instance may next admit a request of the identity; zero until a
+	// request first asks for it after the ban.
 	retestFrom time.Time
-	// decidedAt is when this instance decidedAt on it by what it counted; zero when another one
-	// did.
+	// decidedAt is when this instance decided on the ban; zero if it learned of it from another
+	// instance or the store.
 	decidedAt time.Time
-	// recorded states that the platform's store has it.
+	// recorded reports whether the platform's store has the ban.
 	recorded bool
 }
 
-// active states whether the ban is in force.
+// active reports whether the ban is in force.
 func (b *ban) active(now time.Time) bool {
 	return now.Before(b.until)
 }
 
-// retainUntil is until when the ban is remembered.
+// retainUntil returns the time until which the ban is kept.
 func (b *ban) retainUntil() time.Time {
 	return b.until.Add(max(b.duration, minBanRetention))
 }
 
-// Registry is what one instance knows of requests that crash endpoints. It is safe for use by
-// several goroutines.
+// Registry holds what one instance knows of requests that crash endpoints. It is safe for
+// concurrent use.
 type Registry struct {
 	now  func() time.Time
 	turn func(Identity) RetestTurn
@@ -80,35 +78,35 @@
 	bans     map[Identity]*ban
 	// ends are the latest ends of endpoints, by address.
 	ends map[string]*endpointEnd
-	// pendingErasures are the identities whose record in the store is to go, as they were cleared.
+	// pendingErasures are the identities whose bans must be erased from the store, with the time
+	// when each was cleared or evicted.
 	pendingErasures map[Identity]time.Time
-	// listeners are those who hear of verdicts.
+	// listeners are called with each new verdict.
 	listeners map[*func(Verdict)]struct{}
-	// changed gets a value when the store may have to be written to.
+	// changed receives a value when the store may need to be written to.
 	changed chan struct{}
-	// stats count what happened.
-	stats Stats
+	stats   Stats
 }
 
-// Stats are what a book counts.
+// Stats are the counters of a registry.
 type Stats struct {
-	// Crashes counts the crashes that were reported, Counted those that followed the one
-	// before, and Common those that would have but for another cause.
+	// Crashes counts the reported crashes, Counted those that extended a series of consecutive
+	// crashes, and Common those that were attributed to another cause.
 	Crashes int `json:"crashes"`
 	Counted int `json:"counted"`
 	Common  int `json:"common"`
-	// Suspects and Bans are what is known now, and Refused counts the tries that were
-	// refused.
+	// Suspects and Bans are the present numbers of suspects and of bans in force; Refused counts
+	// the requests that were not admitted.
 	Suspects int `json:"suspects"`
 	Bans     int `json:"bans"`
 	Refused  int `json:"refused"`
-	// Cleared counts the identities that an answer cleared.
+	// Cleared counts the identities that were suspected or banned and then cleared.
 	Cleared int `json:"cleared"`
 }
 
-// New returns an empty book. Now returns the time, and turn the place of this instance in showing
-// whether requests of an identity still crash endpoints once their ban is over; nil stands for
-// that of the only one.
+// New returns an empty registry. The function now returns the time, and turn the position of this
+// instance in the order in which instances admit requests of an identity after its ban; nil means
+// that there are no other instances.
 func New(now func() time.Time, turn func(Identity) RetestTurn, log logr.Logger) *Registry {
 	if turn == nil {
 		turn = func(Identity) RetestTurn { return RetestTurn{} }
@@ -126,37 +124,38 @@
 	}
 }
 
-// OnVerdict has a function called with each verdict that is new to this instance, until stop
-// is called. It must not call the book.
-func (r *Registry) OnVerdict(tell func(Verdict)) (stop func()) {
+// OnVerdict calls the listener with each verdict that is new to this instance, until stop is
+// called. The listener must not call the registry, whose lock is held meanwhile.
+func (r *Registry) OnVerdict(listener func(Verdict)) (stop func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.listeners[&tell] = struct{}{}
+	r.listeners[&listener] = struct{}{}
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.listeners, &tell)
+		delete(r.listeners, &listener)
 	}
 }
 
-// ReportCrash takes over a crash. It counts a moment later, once it is known what else ended then.
+// ReportCrash records a crash. Whether it counts is decided after SettleDelay, when the other
+// endpoints that ended at the same moment are known.
 func (r *Registry) ReportCrash(c Crash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
 	r.stats.Crashes++
-	e := r.recordEnd(c, now)
+	end := r.recordEnd(c, now)
 	if old := r.retainedBan(c.Identity, now); old != nil && c.StartedAt.Before(old.until) {
-		// Its attempt began before the ban was known everywhere.
+		// An attempt that started before the end of the ban doesn't prolong it.
 		return
 	}
-	if r.suspectFor(c.Identity, now).extend(c, e) {
+	if r.suspectFor(c.Identity, now).extend(c, end) {
 		time.AfterFunc(SettleDelay, func() { r.settle(c.Identity, c.Attempt) })
 	}
 }
 
-// retainedBan returns the ban of an identity, in force or over, while it is retainedBan. The
-// caller holds the lock, as for the functions below.
+// retainedBan returns the ban of an identity, in force or expired, unless its retention time is
+// over. The caller must hold the lock.
 func (r *Registry) retainedBan(id Identity, now time.Time) *ban {
 	b := r.bans[id]
 	if b == nil || now.After(b.retainUntil()) {
@@ -165,7 +164,8 @@
 	return b
 }
 
-// suspectFor returns the suspectFor of an identity, a new one if none is remembered.
+// suspectFor returns the suspect of an identity, which it creates if there is none or the old one
+// has expired. The caller must hold the lock.
 func (r *Registry) suspectFor(id Identity, now time.Time) *suspect {
 	s := r.suspects[id]
 	if s == nil || now.Sub(s.lastSeen) > suspectRetention {
@@ -179,7 +179,8 @@
 	return s
 }
 
-// ban bans an identity, for longer than the time before.
+// ban bans an identity, for longer than its previous ban if that is still kept. The caller must
+// hold the lock.
 func (r *Registry) ban(id Identity, now time.Time) {
 	r.dropExplained(r.suspects[id])
 	length, times := firstBanDuration, 1
@@ -202,7 +203,7 @@
 	r.signalChange()
 }
 
-// storeBan keeps a ban.
+// storeBan keeps a ban in place of the identity's suspect. The caller must hold the lock.
 func (r *Registry) storeBan(id Identity, b *ban, now time.Time) {
 	if len(r.bans) >= maxBans {
 		r.evictBans(now)
@@ -212,14 +213,14 @@
 	delete(r.pendingErasures, id)
 }
 
-// notifyListeners tells all who want to hear of a verdict.
+// notifyListeners calls all listeners with a verdict. The caller must hold the lock.
 func (r *Registry) notifyListeners(v Verdict) {
-	for tell := range r.listeners {
-		(*tell)(v)
+	for listener := range r.listeners {
+		(*listener)(v)
 	}
 }
 
-// signalChange notes that the store may have to be written to.
+// signalChange wakes the recorder, as the store may need to be written to.
 func (r *Registry) signalChange() {
 	select {
 	case r.changed <- struct{}{}:
@@ -227,15 +228,16 @@
 	}
 }
 
-// ReportAnswered notes a whole answer: requests of the identity don't crash each endpoint that runs
-// them. It returns whether anything was thought of them.
+// ReportAnswered records a complete answer, which proves that requests of the identity don't always
+// crash their endpoints, and clears the identity. It reports whether it was suspected or banned.
 func (r *Registry) ReportAnswered(id Identity) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.clear(id)
 }
 
-// clear ends what is thought of an identity, and returns whether there was anything.
+// clear removes the suspect and the ban of an identity, and reports whether there was either. The
+// caller must hold the lock.
 func (r *Registry) clear(id Identity) bool {
 	s, b := r.suspects[id], r.bans[id]
 	if s == nil && b == nil {
@@ -256,7 +258,7 @@
 	return true
 }
 
-// ApplyVerdict takes over a verdict of another instance.
+// ApplyVerdict applies a verdict of another instance.
 func (r *Registry) ApplyVerdict(v Verdict) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -273,12 +275,12 @@
 	}
 }
 
-// sameBanTolerance is the difference up to which two instances mean the same ban: the way of a
-// verdict, and that each counts from when it heard.
+// sameBanTolerance is by how much the end of a ban may differ between instances, as each counts the
+// remaining time from when it received the verdict.
 const sameBanTolerance = 10 * time.Second
 
-// applyBan takes over a ban that is new or longer than what is known, and returns whether it
-// did.
+// applyBan applies a ban that is new or ends later than the known one, and reports whether it did.
+// The caller must hold the lock.
 func (r *Registry) applyBan(v Verdict, now time.Time) bool {
 	length := min(v.Remaining, maxBanDuration)
 	until := now.Add(length)
@@ -298,21 +300,21 @@
 	return true
 }
 
-// Suspected states whether anything is thought of an identity.
+// Suspected reports whether a suspect or a ban, in force or expired, is known for an identity.
 func (r *Registry) Suspected(id Identity) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.suspects[id] != nil || r.bans[id] != nil
 }
 
-// HasSuspect states whether crashes of an identity are being counted.
+// HasSuspect reports whether crashes of an identity are being counted.
 func (r *Registry) HasSuspect(id Identity) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.suspects[id] != nil
 }
 
-// BanRemaining states whether requests of an identity must not run, and for how much longer.
+// BanRemaining returns how much longer an identity is banned, and whether it is banned.
 func (r *Registry) BanRemaining(id Identity) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -324,8 +326,8 @@
 	return left, left > 0
 }
 
-// Verdicts returns what another instance should know that has just come: bans, and who is
-// suspected.
+// Verdicts returns what another instance that starts needs to know: the bans in force, and the
+// identities that the next crash would ban.
 func (r *Registry) Verdicts() []Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -352,7 +354,7 @@
 	return out
 }
 
-// Stats returns what was counted.
+// Stats returns the counters and the present numbers of suspects and bans.
 func (r *Registry) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -14,33 +14,34 @@
 	"github.com/matryer/is"
 )
 
-// newTestRegistry returns an empty book. Its tests run in virtual time.
+// newTestRegistry returns an empty registry for tests in virtual time.
 func newTestRegistry() *Registry {
 	return New(time.Now, nil, logr.Discard())
 }
 
-// inVirtualTime runs a test in inVirtualTime time.
+// inVirtualTime runs a test in virtual time.
 func inVirtualTime(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, f)
 }
 
-// crashedAttempt is an attempt of a request that crashed its endpoint, in ms from the test's start.
+// crashedAttempt is an attempt that crashed its endpoint. Times are in ms from the start of the
+// test.
 type crashedAttempt struct {
 	attempt  string
 	endpoint string
 	startMs  int
 	endMs    int
-	// identity is that of the request; zero stands for the request 1.
+	// identity is the identity of the request; zero stands for request 1.
 	identity Identity
 }
 
-// reportCrashes reports runs as they end.
-func reportCrashes(b *Registry, runs ...crashedAttempt) {
+// reportCrashes reports the crashes in the order and at the times of their ends.
+func reportCrashes(b *Registry, crashes ...crashedAttempt) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	slices.SortStableFunc(runs, func(x, y crashedAttempt) int { return cmp.Compare(x.endMs, y.endMs) })
-	for _, r := range runs {
+	slices.SortStableFunc(crashes, func(x, y crashedAttempt) int { return cmp.Compare(x.endMs, y.endMs) })
+	for _, r := range crashes {
 		time.Sleep(time.Until(at(r.endMs)))
 		b.ReportCrash(Crash{
 			Attempt:   r.attempt,
@@ -54,42 +55,42 @@
 	synctest.Wait()
 }
 
-// assertBanned checks whether the request 1 is banned.
+// assertBanned checks whether request 1 is banned.
 func assertBanned(t *testing.T, b *Registry, want bool) {
 	t.Helper()
 	_, banned := b.BanRemaining(1)
 	is.New(t).Equal(banned, want)
 }
 
-// TestConsecutiveCrashes reports crashes of attempts that follow each other, or don't, and of endpoints
-// that end for another cause.
+// TestConsecutiveCrashes guards against bans by crashes that overlap or have another cause, and
+// against crashes in a row that ban nothing.
 func TestConsecutiveCrashes(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		runs   []crashedAttempt
 		banned bool
 	}{
-		{"two", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 110, 200, 0}}, false},
-		{"three", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 110, 200, 0}, {"c", "e3", 205, 300, 0}}, true},
-		{"three at once", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 10, 100, 0}, {"c", "e3", 90, 101, 0}}, false},
-		{"short ones at once", []crashedAttempt{{"a", "e1", 70, 100, 0}, {"b", "e2", 80, 101, 0}, {"c", "e3", 90, 102, 0}, {"d", "e4", 95, 103, 0}}, false},
-		{"some on the same endpoint", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e1", 60, 110, 0}, {"c", "e1", 70, 160, 0}}, false},
-		{"two waves of many", []crashedAttempt{{"a", "e1", 0, 1000, 0}, {"b", "e2", 10, 1000, 0}, {"c", "e3", 1100, 2000, 0}, {"d", "e4", 1200, 2000, 0}, {"e", "e5", 1300, 2001, 0}}, false},
-		{"three with others beside them", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"x", "e4", 10, 90, 0}, {"b", "e2", 110, 200, 0}, {"y", "e5", 120, 210, 0}, {"c", "e3", 205, 300, 0}}, true},
-		{"each by two copies at once", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 0, 100, 0}, {"c", "e3", 110, 200, 0}, {"d", "e4", 110, 200, 0}, {"e", "e5", 210, 300, 0}, {"f", "e6", 210, 300, 0}}, true},
-		{"the same attempt again", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"a", "e2", 200, 300, 0}, {"a", "e3", 400, 500, 0}}, false},
-		{"clocks of two instances differ by the way", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 70, 200, 0}, {"c", "e3", 170, 300, 0}}, true},
-		{"endpoints end together that ran others", []crashedAttempt{
+		{"two crashes", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 110, 200, 0}}, false},
+		{"three crashes", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 110, 200, 0}, {"c", "e3", 205, 300, 0}}, true},
+		{"three concurrent crashes", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 10, 100, 0}, {"c", "e3", 90, 101, 0}}, false},
+		{"short concurrent attempts", []crashedAttempt{{"a", "e1", 70, 100, 0}, {"b", "e2", 80, 101, 0}, {"c", "e3", 90, 102, 0}, {"d", "e4", 95, 103, 0}}, false},
+		{"all on one endpoint", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e1", 60, 110, 0}, {"c", "e1", 70, 160, 0}}, false},
+		{"two waves of concurrent crashes", []crashedAttempt{{"a", "e1", 0, 1000, 0}, {"b", "e2", 10, 1000, 0}, {"c", "e3", 1100, 2000, 0}, {"d", "e4", 1200, 2000, 0}, {"e", "e5", 1300, 2001, 0}}, false},
+		{"three with concurrent copies", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"x", "e4", 10, 90, 0}, {"b", "e2", 110, 200, 0}, {"y", "e5", 120, 210, 0}, {"c", "e3", 205, 300, 0}}, true},
+		{"three by two concurrent copies each", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 0, 100, 0}, {"c", "e3", 110, 200, 0}, {"d", "e4", 110, 200, 0}, {"e", "e5", 210, 300, 0}, {"f", "e6", 210, 300, 0}}, true},
+		{"one attempt reported at several endpoints", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"a", "e2", 200, 300, 0}, {"a", "e3", 400, 500, 0}}, false},
+		{"reports with different delays", []crashedAttempt{{"a", "e1", 0, 100, 0}, {"b", "e2", 70, 200, 0}, {"c", "e3", 170, 300, 0}}, true},
+		{"endpoints of other requests end at the same times", []crashedAttempt{
 			{"a", "e1", 0, 100, 0}, {"x", "e4", 0, 110, 2},
 			{"b", "e2", 110, 200, 0}, {"y", "e5", 0, 190, 3},
 			{"c", "e3", 205, 300, 0}, {"z", "e6", 0, 340, 4},
 		}, false},
-		{"endpoints that ran others end at other times", []crashedAttempt{
+		{"endpoints of other requests end at other times", []crashedAttempt{
 			{"a", "e1", 0, 100, 0}, {"x", "e4", 0, 160, 2},
 			{"b", "e2", 110, 250, 0}, {"y", "e5", 0, 320, 3},
 			{"c", "e3", 260, 400, 0}, {"z", "e6", 0, 460, 4},
 		}, true},
-		{"others on the same endpoint", []crashedAttempt{
+		{"other requests on the same endpoints", []crashedAttempt{
 			{"a", "e1", 0, 100, 0}, {"x", "e1", 0, 101, 2},
 			{"b", "e2", 110, 200, 0}, {"y", "e2", 0, 201, 3},
 			{"c", "e3", 205, 300, 0}, {"z", "e3", 0, 301, 4},
@@ -105,22 +106,22 @@
 	}
 }
 
-// TestConsecutiveCrashesOfOneRequest counts attempts of one try that crash their endpoints within milliseconds
-// of each other; those of different tries are taken for one moment.
+// TestConsecutiveCrashesOfOneRequest guards against attempts of one request, known to follow each
+// other, that don't count because they crash their endpoints within milliseconds.
 func TestConsecutiveCrashesOfOneRequest(t *testing.T) {
 	for _, row := range []struct {
-		name   string
-		before [3]string
-		banned bool
+		name     string
+		previous [3]string
+		banned   bool
 	}{
-		{"one try", [3]string{"", "a0", "a1"}, true},
-		{"tries of their own", [3]string{"", "", ""}, false},
-		{"another try", [3]string{"", "b0", "b1"}, false},
+		{"one request", [3]string{"", "a0", "a1"}, true},
+		{"separate requests", [3]string{"", "", ""}, false},
+		{"attempts of a different request", [3]string{"", "b0", "b1"}, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				b := newTestRegistry()
-				for i, before := range row.before {
+				for i, before := range row.previous {
 					began := time.Now()
 					time.Sleep(2 * time.Millisecond)
 					b.ReportCrash(Crash{
@@ -140,17 +141,17 @@
 	}
 }
 
-// TestJointPrefillCrashes has a request crash both endpoints that work on each attempt. The end of the
-// second is told by another request that it answered, which knows nothing of the first.
+// TestJointPrefillCrashes guards against a request that escapes a ban because each attempt crashes
+// both endpoints of a joint prefill, one of which only another request reports.
 func TestJointPrefillCrashes(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		others func(i int) []string
 		banned bool
 	}{
-		{"known to read together", func(i int) []string { return []string{"r" + strconv.Itoa(i)} }, true},
-		{"alone", func(int) []string { return nil }, false},
-		{"another reader", func(int) []string { return []string{"r9"} }, false},
+		{"known joint prefill", func(i int) []string { return []string{"r" + strconv.Itoa(i)} }, true},
+		{"no other endpoint known", func(int) []string { return nil }, false},
+		{"a different endpoint known", func(int) []string { return []string{"r9"} }, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -179,9 +180,8 @@
 	}
 }
 
-// TestOthersOnTheSameEndpoints has another request on each endpoint that one crashes, whose
-// attempts were under way before: it is moved to where the next one is sent. Only the request
-// that began last each time is banned, whichever is reported first.
+// TestOthersOnTheSameEndpoints guards against a ban of a harmless request that was already running
+// at each endpoint before the request that crashes it arrived.
 func TestOthersOnTheSameEndpoints(t *testing.T) {
 	crashes := []crashedAttempt{{"a", "e1", 50, 100, 0}, {"b", "e2", 180, 250, 0}, {"c", "e3", 320, 400, 0}}
 	beside := []crashedAttempt{{"x", "e1", 0, 100, 2}, {"y", "e2", 110, 250, 2}, {"z", "e3", 260, 400, 2}}
@@ -189,8 +189,8 @@
 		name string
 		runs []crashedAttempt
 	}{
-		{"reported after it", slices.Concat(crashes, beside)},
-		{"reported before it", slices.Concat(beside, crashes)},
+		{"harmless request reported last", slices.Concat(crashes, beside)},
+		{"harmless request reported first", slices.Concat(beside, crashes)},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestReportedOutOfOrder tells a book of crashes long after they were, the last one first, as
-// an owner hears of them that is new.
+// TestReportedOutOfOrder guards against crashes that don't count because they are reported late and
+// in reverse order, as happens to a new owner.
 func TestReportedOutOfOrder(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		b := newTestRegistry()
@@ -230,18 +230,19 @@
 	})
 }
 
-// crashThrice has the request 1 crash three endpoints.
+// crashThrice reports crashes of three endpoints by request 1.
 func crashThrice(b *Registry) {
 	at := time.Now().String()
 	reportCrashes(b, crashedAttempt{at + "a", "e1", 0, 90, 0}, crashedAttempt{at + "b", "e2", 100, 190, 0}, crashedAttempt{at + "c", "e3", 200, 290, 0})
 }
 
-// TestAnswerClears has an attempt answered whole at some moment.
+// TestAnswerClears guards against a ban that outlasts a complete answer, before or after it was
+// decided.
 func TestAnswerClears(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		run  func(is *is.I, b *Registry)
-		// banned states whether the request 1 is banned at the end.
+		// banned reports whether request 1 is banned at the end.
 		banned bool
 	}{
 		{"between crashes", func(is *is.I, b *Registry) {
@@ -249,7 +250,7 @@
 			is.True(b.ReportAnswered(1))
 			reportCrashes(b, crashedAttempt{"c", "e3", 0, 100, 0}, crashedAttempt{"d", "e4", 110, 200, 0})
 		}, false},
-		{"before the third crash counts", func(is *is.I, b *Registry) {
+		{"before the third crash is settled", func(is *is.I, b *Registry) {
 			reportCrashes(b, crashedAttempt{"a", "e1", 0, 100, 0}, crashedAttempt{"b", "e2", 110, 200, 0})
 			b.ReportCrash(Crash{
 				Attempt:   "c",
@@ -261,11 +262,11 @@
 			is.True(b.ReportAnswered(1))
 			time.Sleep(SettleDelay)
 		}, false},
-		{"after the ban, by an attempt that was under way", func(is *is.I, b *Registry) {
+		{"after the ban, by an attempt that was running", func(is *is.I, b *Registry) {
 			crashThrice(b)
 			is.True(b.ReportAnswered(1))
 		}, false},
-		{"another request", func(is *is.I, b *Registry) {
+		{"another request answered", func(is *is.I, b *Registry) {
 			crashThrice(b)
 			is.True(!b.ReportAnswered(2))
 		}, true},
@@ -280,24 +281,25 @@
 	}
 }
 
-// TestBanExpires lets bans end.
+// TestBanExpires guards against wrong durations of bans, of successive bans, and of their
+// retention.
 func TestBanExpires(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		run  func(t *testing.T, is *is.I, b *Registry)
 	}{
-		{"one more crash bans for longer", func(t *testing.T, _ *is.I, b *Registry) {
+		{"the next crash bans for longer", func(t *testing.T, _ *is.I, b *Registry) {
 			crashThrice(b)
 			time.Sleep(firstBanDuration)
 			assertBanned(t, b, false)
-			reportCrashes(b, crashedAttempt{"late", "e4", -1000, 10, 0}) // it began before the end of the ban
+			reportCrashes(b, crashedAttempt{"late", "e4", -1000, 10, 0}) // it started before the end of the ban
 			assertBanned(t, b, false)
 			reportCrashes(b, crashedAttempt{"again", "e5", 0, 100, 0})
 			assertBanned(t, b, true)
 			time.Sleep(firstBanDuration*banGrowthFactor - time.Second)
 			assertBanned(t, b, true)
 		}},
-		{"no ban lasts for longer than the longest", func(_ *testing.T, is *is.I, b *Registry) {
+		{"bans are limited to the maximum", func(_ *testing.T, is *is.I, b *Registry) {
 			crashThrice(b)
 			left := time.Duration(0)
 			for i := range 6 {
@@ -308,19 +310,19 @@
 			}
 			is.True(left > firstBanDuration*banGrowthFactor)
 		}},
-		{"remembered for callers that come back after minutes", func(t *testing.T, _ *is.I, b *Registry) {
+		{"kept during the retention time", func(t *testing.T, _ *is.I, b *Registry) {
 			crashThrice(b)
 			time.Sleep(minBanRetention)
 			reportCrashes(b, crashedAttempt{"again", "e4", 0, 100, 0})
 			assertBanned(t, b, true)
 		}},
-		{"remembered no longer", func(t *testing.T, _ *is.I, b *Registry) {
+		{"not kept after the retention time", func(t *testing.T, _ *is.I, b *Registry) {
 			crashThrice(b)
 			time.Sleep(firstBanDuration + minBanRetention + time.Second)
 			reportCrashes(b, crashedAttempt{"again", "e4", 0, 100, 0})
 			assertBanned(t, b, false)
 		}},
-		{"crashes that lie far apart", func(t *testing.T, _ *is.I, b *Registry) {
+		{"crashes far apart don't count together", func(t *testing.T, _ *is.I, b *Registry) {
 			for i := range crashLimit {
 				reportCrashes(b, crashedAttempt{strconv.Itoa(i), "e" + strconv.Itoa(i), 0, 100, 0})
 				time.Sleep(suspectRetention)
@@ -334,37 +336,38 @@
 	}
 }
 
-// TestVerdictsPropagate tells one book what another one decides.
+// TestVerdictsPropagate guards against verdicts that a registry doesn't notify or another doesn't
+// apply.
 func TestVerdictsPropagate(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		is := is.New(t)
 		one, other := newTestRegistry(), newTestRegistry()
-		var heard []State
+		var states []State
 		one.OnVerdict(func(v Verdict) {
-			heard = append(heard, v.State)
+			states = append(states, v.State)
 			other.ApplyVerdict(v)
 		})
 		crashThrice(one)
 		assertBanned(t, other, true)
 		one.ReportAnswered(1)
 		assertBanned(t, other, false)
-		is.Equal(heard, []State{Suspected, Banned, Cleared})
+		is.Equal(states, []State{Suspected, Banned, Cleared})
 		other.ApplyVerdict(Verdict{
 			Identity: 3,
 			State:    Suspected,
 		})
 		is.True(other.Suspected(3))
-		is.True(other.ReportAnswered(3)) // who serves it has something to say
+		is.True(other.ReportAnswered(3)) // the answer cleared a suspect
 		is.True(!other.Suspected(3))
 	})
 }
 
-// TestKnownBanNotifiedOnce tells a book of a ban that it knows.
+// TestKnownBanNotifiedOnce guards against repeated notifications of a known ban.
 func TestKnownBanNotifiedOnce(t *testing.T) {
 	is := is.New(t)
 	b := newTestRegistry()
-	told := 0
-	b.OnVerdict(func(Verdict) { told++ })
+	notified := 0
+	b.OnVerdict(func(Verdict) { notified++ })
 	for range 3 {
 		b.ApplyVerdict(Verdict{
 			Identity:  4,
@@ -373,12 +376,13 @@
 			BanCount:  1,
 		})
 	}
-	is.Equal(told, 1)
+	is.Equal(notified, 1)
 }
 
-// TestBounds fills a book with what callers or a large failure bring.
+// TestBounds guards against registries that grow without bound, and against the eviction of the
+// most important entries.
 func TestBounds(t *testing.T) {
-	t.Run("suspects, those of most crashes kept", func(t *testing.T) {
+	t.Run("suspects with the most crashes are kept", func(t *testing.T) {
 		inVirtualTime(t, func(t *testing.T) {
 			is := is.New(t)
 			b := newTestRegistry()
@@ -398,7 +402,7 @@
 			assertBanned(t, b, true)
 		})
 	})
-	t.Run("bans, those that end last kept", func(t *testing.T) {
+	t.Run("bans that end last are kept", func(t *testing.T) {
 		inVirtualTime(t, func(t *testing.T) {
 			is := is.New(t)
 			b := newTestRegistry()
@@ -424,8 +428,8 @@
 	})
 }
 
-// BenchmarkReportCrash reports crashes of requests of their own to a full book, as the loss of a
-// failure domain does.
+// BenchmarkReportCrash reports crashes of many different requests to a full registry, as when a
+// failure domain is lost.
 func BenchmarkReportCrash(b *testing.B) {
 	book := newTestRegistry()
 	for i := 0; b.Loop(); i++ {
@@ -439,7 +443,7 @@
 	}
 }
 
-// BenchmarkAdmit gives requests leave to run while many others are banned.
+// BenchmarkAdmit admits requests while many others are banned.
 func BenchmarkAdmit(b *testing.B) {
 	book := newTestRegistry()
 	for i := range maxBans {
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -7,31 +7,29 @@
 	"time"
 )
 
-// overlapSlack is how long before the end of one attempt the next may have begun to count as
-// one that follows it: reports of two instances reach the one that counts by ways that
-// differ by some milliseconds, and by tens on a busy instance.
+// overlapSlack is how long before the end of one attempt the next may seem to have started, as the
+// crashes reach the counting instance with different delays.
 const overlapSlack = 50 * time.Millisecond
 
-// suspect is what is known of an identity whose attempts ended with a crash.
+// suspect is an identity whose attempts have ended in crashes.
 type suspect struct {
-	// chain are crashes of which each attempt began after the one before had ended, in
-	// order.
+	// chain holds consecutive crashes in order: each attempt started after the previous crash.
 	chain []chainLink
-	// lastSeen is when this was last heard of.
+	// lastSeen is when a crash or a suspicion of the identity was last reported.
 	lastSeen time.Time
 }
 
 // chainLink is one crash of a chain.
 type chainLink struct {
 	crash Crash
-	// end is that of the endpoint.
+	// end is the end of the endpoint that crashed.
 	end *endpointEnd
-	// settled states that nothing else was found to have ended the endpoint.
+	// settled reports that the crash counts: no other cause was found.
 	settled bool
 }
 
-// extend adds a crash to the chain if it fits before, between or after those that are there.
-// It returns whether it did.
+// extend inserts a crash into the chain in the order of time, unless it overlaps a neighbour or its
+// attempt or endpoint end is already there. It reports whether it did.
 func (s *suspect) extend(c Crash, e *endpointEnd) bool {
 	if slices.ContainsFunc(s.chain, func(l chainLink) bool { return l.end == e || l.crash.Attempt == c.Attempt }) {
 		return false
@@ -53,9 +51,8 @@
 	return true
 }
 
-// follows states whether an attempt began after another one had ended. Of two attempts of one
-// try that is known, however close they are: counting them made it five endpoints in place of
-// seven that a request crashed which ends them within milliseconds (test with six endpoints).
+// follows reports whether an attempt started after another one had ended. Successive attempts of
+// one request always follow each other, even if they are only milliseconds apart.
 func follows(before, after Crash) bool {
 	if after.PreviousAttempt != "" && after.PreviousAttempt == before.Attempt {
 		return true
@@ -63,17 +60,17 @@
 	return !after.StartedAt.Add(overlapSlack).Before(before.EndedAt) && after.EndedAt.Sub(before.EndedAt) > overlapSlack
 }
 
-// indexOfAttempt returns the link of an attempt, or -1.
+// indexOfAttempt returns the index of the attempt's link in the chain, or -1.
 func (s *suspect) indexOfAttempt(attempt string) int {
 	return slices.IndexFunc(s.chain, func(l chainLink) bool { return l.crash.Attempt == attempt })
 }
 
-// ranOnHelper states whether an endpoint worked on one of the attempts, in a joint reading.
+// ranOnHelper reports whether an endpoint took part in the joint prefill of one of the attempts.
 func (s *suspect) ranOnHelper(address string) bool {
 	return slices.ContainsFunc(s.chain, func(l chainLink) bool { return slices.Contains(l.crash.OtherEndpoints, address) })
 }
 
-// settledCount counts the links that are settledCount.
+// settledCount returns the number of settled links.
 func (s *suspect) settledCount() int {
 	n := 0
 	for _, l := range s.chain {
--- a/quarantine/types.go
+++ b/quarantine/types.go
@@ -4,39 +4,41 @@
 
 import "time"
 
-// Crash is the end of an endpoint while it ran an attempt of a request.
+// Crash describes an endpoint that ended while it ran an attempt of a request.
 type Crash struct {
-	// Attempt names the attempt. No other one has its name.
+	// Attempt is the id of the attempt, unique among all instances.
 	Attempt string
-	// PreviousAttempt names the last attempt before this one, of the same try of the request, that broke
-	// off as well; empty for the first one.
+	// PreviousAttempt is the id of the last failed attempt before this one for the same caller
+	// request; empty if there is none.
 	PreviousAttempt string
-	// Identity is that of the request.
+	// Identity is the identity of the request.
 	Identity Identity
 	// Endpoint is the address of the endpoint that ended.
 	Endpoint string
-	// OtherEndpoints are the addresses of the other endpoints that worked on the attempt, in a joint
-	// reading. They may end at the same moment, which others alone tell of.
+	// OtherEndpoints are the addresses of the other endpoints of the attempt's joint prefill. They
+	// may end at the same moment, which may be known only from crashes of other requests.
 	OtherEndpoints []string
-	// StartedAt is when the request was sent to the endpoint, and EndedAt when that broke off.
+	// StartedAt is when the request was sent to the endpoint, and EndedAt when the attempt broke
+	// off.
 	StartedAt time.Time
 	EndedAt   time.Time
 }
 
-// State is what is thought of the requests of an identity.
+// State says whether the requests of an identity may run.
 type State int
 
-// The states.
+// The states of an identity.
 const (
 	// Cleared requests may run.
 	Cleared State = iota
-	// Suspected requests may run; the next crash bans them. Who serves one says so.
+	// Suspected requests may run, but the next crash bans them. An instance that answers one
+	// completely reports it, which clears the identity.
 	Suspected
-	// Banned requests run nowhere.
+	// Banned requests must not be sent to any endpoint.
 	Banned
 )
 
-// String returns the name of the state.
+// String returns the name of the state in lower case.
 func (s State) String() string {
 	switch s {
 	case Cleared:
@@ -49,14 +51,15 @@
 	return "unknown"
 }
 
-// Verdict is what an instance tells others of an identity.
+// Verdict is a decision about an identity that one instance sends to others.
 type Verdict struct {
-	// Identity is that of the requests.
+	// Identity is the identity that the verdict applies to.
 	Identity Identity
-	// State is what is thought of them.
+	// State is the new state of the identity.
 	State State
-	// Remaining is how much longer a ban lasts; clocks need not agree.
+	// Remaining is how much longer a ban lasts. It is relative because the clocks of instances may
+	// differ.
 	Remaining time.Duration
-	// BanCount is how often the identity was banned without being cleared in between.
+	// BanCount is how often the identity has been banned since it was last cleared.
 	BanCount int
 }
