--- a/notice/doc.go
+++ b/notice/doc.go
@@ -1,12 +1,13 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package notice keeps what endpoints say of themselves in their answers.
+// Package notice keeps what endpoints say about themselves in their answers: a rate limit, that
+// they are leaving, or that they want a back-off.
 //
-// An endpoint in need names a rate limit in each of its answers: how many requests a second
-// it takes from all instances together. The limit holds until an answer comes without it. An
-// answer to a request that was sent before the limit was last named proves nothing.
+// An overloaded endpoint states a rate limit in each of its answers, in requests per second from
+// all instances together. The limit holds until an answer doesn't state it. Such an answer counts
+// only if its request was sent after the limit was last stated.
 //
-// A Registry belongs to one instance. What one instance hears it tells others as a Notice. Notices
-// of one start of an endpoint have revisions, so that all instances end up with the same one in
-// whatever order they arrive.
+// Each instance has a Registry, and sends what it learns to other instances as a Notice. The
+// notices of one incarnation of an endpoint have revisions, so that all instances end up with the
+// same notice in whatever order the notices arrive.
 package notice
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -4,25 +4,26 @@
 
 import "time"
 
-// Notice is what is known of one start of an endpoint.
+// Notice is what the instances know of one incarnation of an endpoint from its answers.
 type Notice struct {
-	// Instance names the endpoint.
+	// Instance is the name of the endpoint's instance.
 	Instance string
-	// StartedAt is when this start of the endpoint began; zero when it does not say.
+	// StartedAt is when the incarnation started; zero if the endpoint doesn't report it.
 	StartedAt time.Time
-	// Limited states that the endpoint names a rate limit.
+	// Limited reports that the endpoint states a rate limit.
 	Limited bool
-	// Rate is the limit, in requests a second from all instances together. Zero without
-	// Limited.
+	// Rate is the limit in requests per second from all instances together; zero if Limited is
+	// false.
 	Rate float64
-	// Leaving states that the endpoint leaves. A start that leaves does not come back.
+	// Leaving reports that the endpoint has said that it is leaving. An incarnation that leaves
+	// does not return.
 	Leaving bool
-	// Revision orders the notices of one start; a higher one replaces a lower one.
+	// Revision orders the notices of one incarnation; a higher one replaces a lower one.
 	Revision uint64
 }
 
-// replaces states whether the limit of a notice takes the place of that of another one of the same
-// start. Of two with the same revision the stricter one does.
+// replaces reports whether the rate limit of n replaces that of another notice of the same
+// incarnation. With equal revisions the stricter limit wins.
 func (n *Notice) replaces(old *Notice) bool {
 	switch {
 	case n.Revision != old.Revision:
@@ -33,40 +34,40 @@
 	return n.Rate < old.Rate
 }
 
-// Answer identifies an endpoint's answer.
+// Answer identifies an answer of an endpoint.
 type Answer struct {
-	// Instance names the endpoint that gave it, and StartedAt is when that start of it began; zero
-	// when it does not say.
+	// Instance is the name of the endpoint's instance, and StartedAt is when its incarnation
+	// started; zero if the endpoint doesn't report it.
 	Instance  string
 	StartedAt time.Time
-	// Request names the request.
+	// Request is the id of the request.
 	Request string
-	// SentAt is when the request was sent, or earlier; zero when that is not known.
+	// SentAt is when the request was sent, or some time before that; zero if unknown.
 	SentAt time.Time
 }
 
-// Statements is what one answer says of its endpoint.
+// Statements is what one answer says about its endpoint.
 type Statements struct {
-	// Limited states that the answer names a rate limit, and Rate is that limit, in requests
-	// a second.
+	// Limited reports that the answer states a rate limit, and Rate is that limit in requests per
+	// second.
 	Limited bool
 	Rate    float64
-	// RateMalformed states that the answer names a rate limit that can't be read.
+	// RateMalformed reports that the answer states a rate limit that can't be parsed.
 	RateMalformed bool
-	// Leaving states that the endpoint leaves.
+	// Leaving reports that the endpoint is leaving.
 	Leaving bool
-	// Backoff is for how long the endpoint wants nothing from the instance that it answers; zero
-	// when it does not say.
+	// Backoff is for how long the endpoint asks the instance that it answers to send it no
+	// requests; zero if it doesn't ask.
 	Backoff time.Duration
-	// Malformed is a statement that can't be read, cut short; empty when there is none.
+	// Malformed is a statement that can't be parsed, truncated; empty if there is none.
 	Malformed string
 }
 
-// Guard keeps requests from endpoints that want none.
+// Guard decides whether requests may be sent to an endpoint, depending on what its answers said.
 type Guard interface {
-	// RecordAnswer takes over what an answer says.
+	// RecordAnswer records the statements of an answer.
 	RecordAnswer(a Answer, s Statements)
-	// ExclusionReason returns why an endpoint, whose start began at born or does not say when, must
-	// get no request of this instance now; empty when it may.
-	ExclusionReason(instance string, born time.Time) string
+	// ExclusionReason returns why this instance must not send requests to an incarnation of an
+	// endpoint now; empty if it may. The start time is zero if the endpoint doesn't report it.
+	ExclusionReason(instance string, startedAt time.Time) string
 }
--- a/notice/registry.go
+++ b/notice/registry.go
@@ -11,183 +11,186 @@
 	"github.com/go-logr/logr"
 )
 
-// minRateHold is how long a rate limit stands before another value replaces it, so that an
-// endpoint whose limit differs in each answer costs one notice in that time.
+// minRateHold is the least time between two changes of a rate limit's value, so that an endpoint
+// that states another limit in each answer causes at most one notice in that time.
 const minRateHold = time.Second
 
-// The measures of a back-off.
+// The limits of back-offs.
 const (
-	// maxBackoff bounds it: then the endpoint is tried again.
+	// maxBackoff bounds a back-off. After it requests are sent to the endpoint again.
 	maxBackoff = time.Minute
-	// backoffJitter is the part by which a back-off is longer at random, so that the instances that
-	// were asked at one moment don't all return at one.
+	// backoffJitter is the largest random extension of a back-off, relative to its length, so that
+	// instances that were asked at the same moment don't all return together.
 	backoffJitter = 0.1
 )
 
-// endpointState is what a Registry has of one endpoint.
+// endpointState is what a Registry knows of one endpoint.
 type endpointState struct {
 	Notice
-	// limitNamedAt is when an answer last limitNamedAt the limit, or another instance told of it, and
-	// changed when the notice last changed.
+	// limitNamedAt is when an answer last stated the limit, or another instance reported it, and
+	// changedAt is when the notice last changed.
 	limitNamedAt time.Time
 	changedAt    time.Time
-	// backoffUntil is until when it wants nothing from this instance.
+	// backoffUntil is the end of the back-off that the endpoint asked of this instance.
 	backoffUntil time.Time
-	// malformedLogged states that a statement could not be read.
+	// malformedLogged reports that a malformed statement of the incarnation has been logged.
 	malformedLogged bool
 }
 
-// Registry is what one instance knows from answers of endpoints. It is safe for use by several
-// goroutines.
+// Registry holds what one instance knows of endpoints from their answers. It is safe for concurrent
+// use.
 type Registry struct {
 	now func() time.Time
 	log logr.Logger
 
 	mu        sync.Mutex
 	endpoints map[string]*endpointState
-	// listeners are those who hear of changes.
+	// listeners are called with each new notice.
 	listeners map[*func(Notice)]struct{}
-	// view is what is known now.
+	// view is the present state, replaced at each change.
 	view atomic.Pointer[View]
 }
 
-// New returns an empty book. Now returns the time.
+// New returns an empty registry that takes the time from now.
 func New(now func() time.Time, log logr.Logger) *Registry {
-	b := &Registry{
+	r := &Registry{
 		now:       now,
 		log:       log,
 		endpoints: make(map[string]*endpointState),
 		listeners: make(map[*func(Notice)]struct{}),
 	}
-	b.view.Store(&View{})
-	return b
+	r.view.Store(&View{})
+	return r
 }
 
-// OnChange has a function called with each notice that is new to this instance, in order,
-// until stop is called. It must not call the book.
-func (r *Registry) OnChange(tell func(Notice)) (stop func()) {
+// OnChange calls the listener with each notice that is new to this instance, in order, until stop
+// is called. The listener must not call the registry, whose lock is held meanwhile.
+func (r *Registry) OnChange(listener func(Notice)) (stop func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.listeners[&tell] = struct{}{}
+	r.listeners[&listener] = struct{}{}
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.listeners, &tell)
+		delete(r.listeners, &listener)
 	}
 }
 
-// View returns what is known now.
+// View returns the present state of all endpoints.
 func (r *Registry) View() *View {
 	return r.view.Load()
 }
 
-// ExclusionReason returns why an endpoint, whose start began at a moment or does not say when, must get no
-// request of this instance now; empty when it may.
-func (r *Registry) ExclusionReason(instance string, born time.Time) string {
+// ExclusionReason returns why this instance must not send requests to an incarnation of an endpoint
+// now; empty if it may. The start time is zero if the endpoint doesn't report it.
+func (r *Registry) ExclusionReason(instance string, startedAt time.Time) string {
 	v := r.View()
 	switch {
-	case v.IsLeaving(instance, born):
+	case v.IsLeaving(instance, startedAt):
 		return "it says that it leaves"
-	case v.BackoffUntil(instance, born).After(r.now()):
+	case v.BackoffUntil(instance, startedAt).After(r.now()):
 		return "it asked for a back-off"
 	}
 	return ""
 }
 
-// Notices returns all that is known, in any order.
+// Notices returns all notices, in any order.
 func (r *Registry) Notices() []Notice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]Notice, 0, len(r.endpoints))
-	for _, k := range r.endpoints {
-		if k.Revision > 0 {
-			out = append(out, k.Notice)
+	for _, e := range r.endpoints {
+		if e.Revision > 0 {
+			out = append(out, e.Notice)
 		}
 	}
 	return out
 }
 
-// RecordAnswer takes over what an answer says. It returns the notice and whether it is new.
+// RecordAnswer records the statements of an answer. It returns the new notice and true if the
+// endpoint's notice has changed, otherwise a zero Notice and false. Statements of an incarnation
+// older than the known one are ignored.
 func (r *Registry) RecordAnswer(a Answer, s Statements) (Notice, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	k := r.endpoints[a.Instance]
-	if k == nil {
+	e := r.endpoints[a.Instance]
+	if e == nil {
 		if s == (Statements{}) {
 			return Notice{}, false
 		}
-		k = &endpointState{}
-		k.Instance = a.Instance
-		r.endpoints[a.Instance] = k
+		e = &endpointState{}
+		e.Instance = a.Instance
+		r.endpoints[a.Instance] = e
 	}
-	if !k.adoptStart(a.StartedAt) {
+	if !e.adoptStart(a.StartedAt) {
 		return Notice{}, false
 	}
-	r.logMalformed(k, a, s)
-	r.applyBackoff(k, a, s, now)
-	left := r.applyLeaving(k, a, s)
-	limited := r.applyRate(k, a, s, now)
+	r.logMalformed(e, a, s)
+	r.applyBackoff(e, a, s, now)
+	left := r.applyLeaving(e, a, s)
+	limited := r.applyRate(e, a, s, now)
 	if !left && !limited {
 		return Notice{}, false
 	}
-	k.changedAt = now
-	k.Revision++
-	r.publish(k)
-	return k.Notice, true
+	e.changedAt = now
+	e.Revision++
+	r.publish(e)
+	return e.Notice, true
 }
 
-// ApplyNotice takes over what another instance tells.
+// ApplyNotice merges a notice of another instance. A notice of an older incarnation is ignored.
 func (r *Registry) ApplyNotice(n Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := r.endpoints[n.Instance]
-	if k == nil {
-		k = &endpointState{
+	e := r.endpoints[n.Instance]
+	if e == nil {
+		e = &endpointState{
 			Notice: Notice{
 				Instance: n.Instance,
 			},
 		}
-		r.endpoints[n.Instance] = k
+		r.endpoints[n.Instance] = e
 	}
-	if !k.adoptStart(n.StartedAt) {
+	if !e.adoptStart(n.StartedAt) {
 		return
 	}
-	if !k.merge(n) {
+	if !e.merge(n) {
 		return
 	}
 	now := r.now()
-	k.changedAt = now
-	if k.Limited {
-		k.limitNamedAt = now
+	e.changedAt = now
+	if e.Limited {
+		e.limitNamedAt = now
 	}
-	r.log.V(1).Info("told of an endpoint", "endpoint", n.Instance, "limited", n.Limited, "rate", n.Rate, "leaving", n.Leaving,
+	r.log.V(1).Info("received a notice of an endpoint", "endpoint", n.Instance, "limited", n.Limited, "rate", n.Rate, "leaving", n.Leaving,
 		"revision", n.Revision)
-	r.publish(k)
+	r.publish(e)
 }
 
-// merge takes over a notice of the same start, and returns whether anything changes. The limit is
-// that of the notice which replaces the other; an endpoint that leaves does not come back.
-func (k *endpointState) merge(n Notice) bool {
-	before := k.Notice
-	if n.replaces(&k.Notice) {
-		k.Limited, k.Rate, k.Revision = n.Limited, n.Rate, n.Revision
+// merge merges a notice of the same incarnation, and reports whether anything changed. The rate
+// limit is taken from the notice that replaces the other; an incarnation that is leaving remains
+// so.
+func (e *endpointState) merge(n Notice) bool {
+	before := e.Notice
+	if n.replaces(&e.Notice) {
+		e.Limited, e.Rate, e.Revision = n.Limited, n.Rate, n.Revision
 	}
-	k.Leaving = before.Leaving || n.Leaving
-	return k.Notice != before
+	e.Leaving = before.Leaving || n.Leaving
+	return e.Notice != before
 }
 
-// unlistedRetention is how long a notice is kept of an endpoint that is not in the list of endpoints:
-// that list may lag.
+// unlistedRetention is how long after its last change a notice is kept for an endpoint that is not
+// listed, as the list may lag.
 const unlistedRetention = 2 * time.Minute
 
-// RemoveUnlisted forgets the endpoints that are not listed any more.
+// RemoveUnlisted removes the endpoints that are no longer listed.
 func (r *Registry) RemoveUnlisted(listed func(instance string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	for instance, k := range r.endpoints {
-		if listed(instance) || now.Sub(k.changedAt) < unlistedRetention {
+	for instance, e := range r.endpoints {
+		if listed(instance) || now.Sub(e.changedAt) < unlistedRetention {
 			continue
 		}
 		delete(r.endpoints, instance)
@@ -199,91 +202,93 @@
 	}
 }
 
-// adoptStart takes over that a start of the endpoint began at a moment; zero means that it does not
-// say. It returns false when a later one is known.
-func (k *endpointState) adoptStart(born time.Time) bool {
+// adoptStart resets the state if the start time belongs to a newer incarnation. A zero time means
+// that the endpoint doesn't report it, and changes nothing. It returns false if a newer incarnation
+// is known.
+func (e *endpointState) adoptStart(startedAt time.Time) bool {
 	switch {
-	case born.IsZero() || born.Equal(k.StartedAt):
+	case startedAt.IsZero() || startedAt.Equal(e.StartedAt):
 		return true
-	case born.Before(k.StartedAt):
+	case startedAt.Before(e.StartedAt):
 		return false
-	case !k.StartedAt.IsZero():
-		*k = endpointState{
+	case !e.StartedAt.IsZero():
+		*e = endpointState{
 			Notice: Notice{
-				Instance: k.Instance,
+				Instance: e.Instance,
 			},
 		}
 	}
-	k.StartedAt = born
+	e.StartedAt = startedAt
 	return true
 }
 
-// applyRate takes over what an answer says of a rate limit, and returns whether the notice
-// changes. The caller holds the lock.
-func (r *Registry) applyRate(k *endpointState, a Answer, s Statements, now time.Time) bool {
-	before := k.Notice
+// applyRate applies what an answer states about the rate limit, and reports whether the notice
+// changed. A missing limit ends the known one only if the request was sent after the limit was last
+// stated. The caller must hold the lock.
+func (r *Registry) applyRate(e *endpointState, a Answer, s Statements, now time.Time) bool {
+	before := e.Notice
 	switch {
 	case s.RateMalformed:
 		return false
 	case s.Limited:
-		k.limitNamedAt = now
-		if k.Limited && (k.Rate == s.Rate || now.Sub(k.changedAt) < minRateHold) {
+		e.limitNamedAt = now
+		if e.Limited && (e.Rate == s.Rate || now.Sub(e.changedAt) < minRateHold) {
 			return false
 		}
-		k.Limited, k.Rate = true, s.Rate
-	case !k.Limited || !a.SentAt.After(k.limitNamedAt):
+		e.Limited, e.Rate = true, s.Rate
+	case !e.Limited || !a.SentAt.After(e.limitNamedAt):
 		return false
 	default:
-		k.Limited, k.Rate = false, 0
+		e.Limited, e.Rate = false, 0
 	}
-	r.log.Info("rate limit of an endpoint", "endpoint", a.Instance, "limited", k.Limited, "rate", k.Rate,
+	r.log.Info("rate limit of an endpoint changed", "endpoint", a.Instance, "limited", e.Limited, "rate", e.Rate,
 		"was_limited", before.Limited, "before", before.Rate, "request", a.Request)
 	return true
 }
 
-// applyLeaving takes over whether an answer says that its endpoint leaves, and returns whether
-// the notice changes. The caller holds the lock.
-func (r *Registry) applyLeaving(k *endpointState, a Answer, s Statements) bool {
-	if !s.Leaving || k.Leaving {
+// applyLeaving records that the endpoint is leaving if the answer says so, and reports whether the
+// notice changed. The caller must hold the lock.
+func (r *Registry) applyLeaving(e *endpointState, a Answer, s Statements) bool {
+	if !s.Leaving || e.Leaving {
 		return false
 	}
-	k.Leaving = true
+	e.Leaving = true
 	r.log.Info("endpoint says that it leaves", "endpoint", a.Instance, "request", a.Request)
 	return true
 }
 
-// applyBackoff takes over for how long an endpoint wants nothing from this instance. The caller
-// holds the lock.
-func (r *Registry) applyBackoff(k *endpointState, a Answer, s Statements, now time.Time) {
+// applyBackoff starts or extends the back-off that an answer asks for. The caller must hold the
+// lock.
+func (r *Registry) applyBackoff(e *endpointState, a Answer, s Statements, now time.Time) {
 	if s.Backoff <= 0 {
 		return
 	}
 	length := min(s.Backoff, maxBackoff)
 	until := now.Add(length + rand.N(max(time.Duration(backoffJitter*float64(length)), 1)))
-	if !until.After(k.backoffUntil) {
+	if !until.After(e.backoffUntil) {
 		return
 	}
-	if !k.backoffUntil.After(now) {
+	if !e.backoffUntil.After(now) {
 		r.log.Info("endpoint asks for a back-off", "endpoint", a.Instance, "for_ms", s.Backoff.Milliseconds(),
 			"kept_ms", until.Sub(now).Milliseconds(), "request", a.Request)
 	}
-	k.backoffUntil = until
-	r.view.Store(r.View().withEndpoint(k, now))
+	e.backoffUntil = until
+	r.view.Store(r.View().withEndpoint(e, now))
 }
 
-// logMalformed writes one line for the first statement of a start that can't be read.
-func (r *Registry) logMalformed(k *endpointState, a Answer, s Statements) {
-	if s.Malformed == "" || k.malformedLogged {
+// logMalformed logs the first malformed statement of an incarnation.
+func (r *Registry) logMalformed(e *endpointState, a Answer, s Statements) {
+	if s.Malformed == "" || e.malformedLogged {
 		return
 	}
-	k.malformedLogged = true
+	e.malformedLogged = true
 	r.log.Info("statement of an endpoint can't be read", "endpoint", a.Instance, "statement", s.Malformed, "request", a.Request)
 }
 
-// publish makes a notice visible. The caller holds the lock.
-func (r *Registry) publish(k *endpointState) {
-	r.view.Store(r.View().withEndpoint(k, r.now()))
-	for tell := range r.listeners {
-		(*tell)(k.Notice)
+// publish updates the view and calls the listeners. The caller must hold the lock.
+func (r *Registry) publish(e *endpointState) {
+	r.view.Store(r.View().withEndpoint(e, r.now()))
+	for listener := range r.listeners {
+		(*listener)(e.Notice)
 	}
 }
--- a/notice/registry_test.go
+++ b/notice/registry_test.go
@@ -13,7 +13,7 @@
 	"github.com/linkmast/linkmast/notice"
 )
 
-// fakeClock is a time that tests set.
+// fakeClock is a clock that tests set.
 type fakeClock struct {
 	time time.Time
 }
@@ -28,7 +28,7 @@
 
 func (c *fakeClock) advance(d time.Duration) { c.time = c.time.Add(d) }
 
-// answer is one of endpoint e to a request that was sent so long ago.
+// answer returns an answer of endpoint e to a request that was sent the given time ago.
 func (c *fakeClock) answer(ago time.Duration) notice.Answer {
 	return notice.Answer{
 		Instance: "e",
@@ -37,7 +37,7 @@
 	}
 }
 
-// rateLimit is what an answer says that names a rate rateLimit.
+// rateLimit returns statements with a rate limit.
 func rateLimit(rate float64) notice.Statements {
 	return notice.Statements{
 		Limited: true,
@@ -45,7 +45,7 @@
 	}
 }
 
-// assertLimit checks the rate limit of endpoint e; less than zero means none.
+// assertLimit checks the rate limit of endpoint e; a negative rate means that there must be none.
 func assertLimit(t *testing.T, b *notice.Registry, rate float64) {
 	t.Helper()
 	l, limited := b.View().Limit("e", time.Time{})
@@ -84,20 +84,21 @@
 	})
 }
 
-// TestRateLimitChangesAreThrottled lets each answer name another value.
+// TestRateLimitChangesAreThrottled guards against a notice for each answer of an endpoint that
+// keeps changing its rate limit.
 func TestRateLimitChangesAreThrottled(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
-	told := 0
-	b.OnChange(func(notice.Notice) { told++ })
+	notified := 0
+	b.OnChange(func(notice.Notice) { notified++ })
 	for i := range 1000 {
 		b.RecordAnswer(c.answer(0), rateLimit(float64(i)))
 		c.advance(10 * time.Millisecond)
 	}
-	is.New(t).Equal(told, 10)
+	is.New(t).Equal(notified, 10)
 }
 
-// TestMalformedLoggedOnce counts the lines of an endpoint that never says what can be read.
+// TestMalformedLoggedOnce guards against a log line for each malformed statement of an endpoint.
 func TestMalformedLoggedOnce(t *testing.T) {
 	lines := 0
 	c := newClock()
@@ -109,7 +110,8 @@
 	assertLimit(t, b, -1)
 }
 
-// TestLimitOfRestartedEndpoint lets an endpoint start again under its name.
+// TestLimitOfRestartedEndpoint guards against late answers of an old incarnation that change the
+// limit of the present one.
 func TestLimitOfRestartedEndpoint(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
@@ -124,7 +126,8 @@
 	assertLimit(t, b, 5)
 }
 
-// TestNoticesConverge tells two books the notices of each other in either order.
+// TestNoticesConverge guards against registries that differ after exchanging notices in different
+// orders.
 func TestNoticesConverge(t *testing.T) {
 	c := newClock()
 	one, other := notice.New(c.now, logr.Discard()), notice.New(c.now, logr.Discard())
@@ -142,7 +145,8 @@
 	assertLimit(t, other, -1)
 }
 
-// TestRemoveUnlisted drops endpoints that are not listed any more.
+// TestRemoveUnlisted checks that endpoints are removed once they are unlisted, but not before their
+// retention time is over.
 func TestRemoveUnlisted(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
@@ -157,8 +161,8 @@
 	assertLimit(t, b, -1)
 }
 
-// TestLeavingRecorded looks that a start of an endpoint which leaves does not come back, whatever
-// later answers and other instances say.
+// TestLeavingRecorded guards against an incarnation that has said that it is leaving and is used
+// again after later answers or notices.
 func TestLeavingRecorded(t *testing.T) {
 	c := newClock()
 	b, other := notice.New(c.now, logr.Discard()), notice.New(c.now, logr.Discard())
@@ -174,7 +178,7 @@
 	again, changed := other.RecordAnswer(first, rateLimit(2))
 	is.New(t).True(changed && again.Leaving && again.Limited)
 
-	t.Run("the next start", func(t *testing.T) {
+	t.Run("next incarnation", func(t *testing.T) {
 		next := c.answer(0)
 		next.StartedAt = c.time
 		n, changed := b.RecordAnswer(next, rateLimit(2))
@@ -200,19 +204,19 @@
 			is.New(t).True(!changed)
 			for _, at := range []struct {
 				pass     time.Duration
-				declines bool
+				excluded bool
 			}{
 				{row.least - 1, row.backoff > 0},
 				{row.most + 1 - row.least + 1, false},
 			} {
 				c.advance(at.pass)
-				is.New(t).Equal(b.ExclusionReason("e", time.Time{}) != "", at.declines)
+				is.New(t).Equal(b.ExclusionReason("e", time.Time{}) != "", at.excluded)
 			}
 		})
 	}
 }
 
-// TestExpiredBackoffsRemoved looks that back-offs that have ended are not kept.
+// TestExpiredBackoffsRemoved guards against a view that grows with expired back-offs.
 func TestExpiredBackoffsRemoved(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
@@ -225,16 +229,16 @@
 	is.New(t).Equal(len(b.View().BackedOff()), 1)
 }
 
-// TestLeavingSurvivesNewerLimits tells a book that an endpoint leaves, and of newer limits by one that has
-// not heard of it, in either order.
+// TestLeavingSurvivesNewerLimits guards against a newer rate limit, from an instance that doesn't
+// know that the endpoint is leaving, that undoes the leaving.
 func TestLeavingSurvivesNewerLimits(t *testing.T) {
 	c := newClock()
-	leaves, _ := notice.New(c.now, logr.Discard()).RecordAnswer(c.answer(0), notice.Statements{Leaving: true})
-	ignorant := notice.New(c.now, logr.Discard())
-	ignorant.RecordAnswer(c.answer(0), rateLimit(2))
+	leaving, _ := notice.New(c.now, logr.Discard()).RecordAnswer(c.answer(0), notice.Statements{Leaving: true})
+	unaware := notice.New(c.now, logr.Discard())
+	unaware.RecordAnswer(c.answer(0), rateLimit(2))
 	c.advance(time.Minute)
-	limited, _ := ignorant.RecordAnswer(c.answer(0), rateLimit(3))
-	for _, order := range [][]notice.Notice{{leaves, limited}, {limited, leaves}} {
+	limited, _ := unaware.RecordAnswer(c.answer(0), rateLimit(3))
+	for _, order := range [][]notice.Notice{{leaving, limited}, {limited, leaving}} {
 		b := notice.New(c.now, logr.Discard())
 		changes := 0
 		b.OnChange(func(notice.Notice) { changes++ })
@@ -247,7 +251,8 @@
 	}
 }
 
-// TestBackoffEndsWithRestart tells a book of the next start of an endpoint that asked for a back-off.
+// TestBackoffEndsWithRestart guards against a back-off that is applied to the next incarnation of
+// an endpoint.
 func TestBackoffEndsWithRestart(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
--- a/notice/view.go
+++ b/notice/view.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Limit is a rate limit that an endpoint names.
+// Limit is a rate limit that an endpoint states.
 type Limit struct {
-	// Rate is in requests a second from all instances together.
+	// Rate is in requests per second from all instances together.
 	Rate float64
-	// Since is when this instance learned of it.
+	// Since is when the endpoint's notice last changed at this instance.
 	Since time.Time
-	// startedAt is when the start of the endpoint began that names it; zero when it does not say.
+	// startedAt is when the incarnation that states the limit started; zero if unknown.
 	startedAt time.Time
 }
 
-// Age returns for how long this instance has known of it at a moment; zero for the zero value.
+// Age returns how long before now the limit became known to this instance; zero for the zero value.
 func (l Limit) Age(now time.Time) time.Duration {
 	if l.Since.IsZero() {
 		return 0
@@ -25,74 +25,73 @@
 	return now.Sub(l.Since)
 }
 
-// View is what a Registry knew of all endpoints at one moment. It never changes. The zero value
-// knows nothing.
+// View is an immutable snapshot of a Registry. The zero value contains no endpoints.
 type View struct {
 	// limits are the limits in force, by endpoint.
 	limits map[string]Limit
-	// leaving has when the start began of each endpoint that leaves; zero when it does not say.
+	// leaving holds the start time of each endpoint that is leaving; zero if unknown.
 	leaving map[string]time.Time
-	// backoffs are the endpoints that want nothing from this instance.
+	// backoffs are the back-offs that endpoints asked of this instance, by endpoint.
 	backoffs map[string]backoff
 }
 
-// backoff is until when an endpoint wants nothing from this instance.
+// backoff is the end of an endpoint's back-off.
 type backoff struct {
 	until time.Time
-	// startedAt is when the start of the endpoint began that asked; zero when it does not say.
+	// startedAt is when the incarnation that asked for the back-off started; zero if unknown.
 	startedAt time.Time
 }
 
-// Limit returns the rate limit that an endpoint names. Born is when its start began; zero when it
-// does not say.
-func (v *View) Limit(instance string, born time.Time) (Limit, bool) {
+// Limit returns the rate limit that an incarnation of an endpoint states. The start time is zero if
+// unknown.
+func (v *View) Limit(instance string, startedAt time.Time) (Limit, bool) {
 	l, limited := v.limits[instance]
-	if !limited || restartedSince(l.startedAt, born) {
+	if !limited || restartedSince(l.startedAt, startedAt) {
 		return Limit{}, false
 	}
 	return l, true
 }
 
-// IsLeaving states whether an endpoint says that it leaves. Born is when its start began; zero when it
-// does not say.
-func (v *View) IsLeaving(instance string, born time.Time) bool {
-	of, leaves := v.leaving[instance]
-	return leaves && !restartedSince(of, born)
+// IsLeaving reports whether an incarnation of an endpoint is leaving. The start time is zero if
+// unknown.
+func (v *View) IsLeaving(instance string, startedAt time.Time) bool {
+	leavingStart, leaves := v.leaving[instance]
+	return leaves && !restartedSince(leavingStart, startedAt)
 }
 
-// BackoffUntil returns until when an endpoint wants nothing from this instance; the zero time for
-// one that has not asked for that. Born is when its start began; zero when it does not say.
-func (v *View) BackoffUntil(instance string, born time.Time) time.Time {
-	r, known := v.backoffs[instance]
-	if !known || restartedSince(r.startedAt, born) {
+// BackoffUntil returns the end of the back-off that an incarnation of an endpoint asked of this
+// instance, or the zero time if it didn't ask. The start time is zero if unknown.
+func (v *View) BackoffUntil(instance string, startedAt time.Time) time.Time {
+	b, known := v.backoffs[instance]
+	if !known || restartedSince(b.startedAt, startedAt) {
 		return time.Time{}
 	}
-	return r.until
+	return b.until
 }
 
-// BackedOff returns the endpoints that have asked this instance for a back-off, in any order. Those
-// of some may have ended.
+// BackedOff returns the endpoints that have asked this instance for a back-off, in any order. Some
+// of the back-offs may be over.
 func (v *View) BackedOff() []string {
 	return keys(v.backoffs)
 }
 
-// AnyLimited states whether any endpoint names a rate limit.
+// AnyLimited reports whether any endpoint states a rate limit.
 func (v *View) AnyLimited() bool { return len(v.limits) > 0 }
 
-// AnyLeaving states whether any endpoint leaves.
+// AnyLeaving reports whether any endpoint is leaving.
 func (v *View) AnyLeaving() bool { return len(v.leaving) > 0 }
 
-// Limited returns the endpoints that name a rate limit, in any order.
+// Limited returns the endpoints that state a rate limit, in any order.
 func (v *View) Limited() []string {
 	return keys(v.limits)
 }
 
-// Leaving returns the endpoints that leave, in any order.
+// Leaving returns the endpoints that are leaving, in any order.
 func (v *View) Leaving() []string {
 	return keys(v.leaving)
 }
 
-// keys returns the keys of a map.
+// keys returns the keys of a map in any order.
 func keys[V any](m map[string]V) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
@@ -101,41 +100,41 @@
 	return out
 }
 
-// restartedSince states whether an endpoint has started again since the start that a notice is
-// of.
-func restartedSince(notice, born time.Time) bool {
-	return !notice.IsZero() && notice.Before(born)
+// restartedSince reports whether an endpoint that started at startedAt is a newer incarnation than
+// the one that a notice is about. It returns false if either time is unknown.
+func restartedSince(noticeStart, startedAt time.Time) bool {
+	return !noticeStart.IsZero() && noticeStart.Before(startedAt)
 }
 
-// withEndpoint returns the view withEndpoint what is known of an endpoint at a moment. Back-offs that have ended
-// are left out.
-func (v *View) withEndpoint(k *endpointState, now time.Time) *View {
+// withEndpoint returns a copy of the view with the state of one endpoint replaced. Back-offs that
+// are over are dropped.
+func (v *View) withEndpoint(e *endpointState, now time.Time) *View {
 	next := &View{
-		limits:   without(v.limits, k.Instance),
-		leaving:  without(v.leaving, k.Instance),
-		backoffs: without(v.backoffs, k.Instance),
+		limits:   without(v.limits, e.Instance),
+		leaving:  without(v.leaving, e.Instance),
+		backoffs: without(v.backoffs, e.Instance),
 	}
-	maps.DeleteFunc(next.backoffs, func(_ string, r backoff) bool { return !r.until.After(now) })
-	if k.Limited {
-		next.limits[k.Instance] = Limit{
-			Rate:      k.Rate,
-			Since:     k.changedAt,
-			startedAt: k.StartedAt,
+	maps.DeleteFunc(next.backoffs, func(_ string, b backoff) bool { return !b.until.After(now) })
+	if e.Limited {
+		next.limits[e.Instance] = Limit{
+			Rate:      e.Rate,
+			Since:     e.changedAt,
+			startedAt: e.StartedAt,
 		}
 	}
-	if k.Leaving {
-		next.leaving[k.Instance] = k.StartedAt
+	if e.Leaving {
+		next.leaving[e.Instance] = e.StartedAt
 	}
-	if k.backoffUntil.After(now) {
-		next.backoffs[k.Instance] = backoff{
-			until:     k.backoffUntil,
-			startedAt: k.StartedAt,
+	if e.backoffUntil.After(now) {
+		next.backoffs[e.Instance] = backoff{
+			until:     e.backoffUntil,
+			startedAt: e.StartedAt,
 		}
 	}
 	return next
 }
 
-// without returns a copy of a map that lacks a key.
+// without returns a copy of a map without one key.
 func without[V any](m map[string]V, key string) map[string]V {
 	out := make(map[string]V, len(m)+1)
 	for k, v := range m {
