--- a/limit/borrower.go
+++ b/limit/borrower.go
@@ -12,35 +12,37 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// QuotaOwners asks the keeper of a customer.
+// QuotaOwners gives access to the quota owners of customers.
 type QuotaOwners interface {
-	// Borrow asks the customer's keeper, wherever it is.
-	Borrow(ctx context.Context, a LoanRequest, b Quota) (Loan, error)
-	// InstanceCount returns how many instances there are.
+	// Borrow asks the quota owner of the request's customer for a loan. The owner may be this
+	// instance.
+	Borrow(ctx context.Context, req LoanRequest, quota Quota) (Loan, error)
+	// InstanceCount returns the number of instances.
 	InstanceCount() int
 }
 
-// The measures of a Borrower.
+// The times of a Borrower.
 const (
-	// borrowTimeout bounds the wait for a keeper.
+	// borrowTimeout bounds a call to a quota owner.
 	borrowTimeout = 250 * time.Millisecond
-	// batchTime is how much of the recent rate is borrowed at once.
+	// batchTime is how much time's worth of recent starts is borrowed at once.
 	batchTime = 200 * time.Millisecond
-	// startsValid is how long borrowed starts may be spent.
+	// startsValid is how long borrowed starts may be used.
 	startsValid = time.Second
-	// renewInterval is how often running allowance in use is asked for again.
+	// renewInterval is how often concurrency in use is borrowed again.
 	renewInterval = DefaultValid / 3
 )
 
-// Refusal says which limit was reached.
+// Refusal says which limit a request exceeded.
 type Refusal struct {
-	// Concurrency is true when it was the limit on concurrency.
+	// Concurrency is true if the request exceeded the concurrency limit, and false if it exceeded
+	// the rate limit.
 	Concurrency bool
-	// RetryAfter is when to come back.
+	// RetryAfter is when to retry.
 	RetryAfter time.Duration
 }
 
-// Borrower spends the allowance of all customers on one instance. Close ends
+// Borrower borrows from the quotas of all customers for one instance. Close must be called to stop
 // it.
 type Borrower struct {
 	// Done is closed when the borrower has stopped.
@@ -51,35 +53,35 @@
 	cancel context.CancelFunc
 
 	mu        sync.Mutex
-	customers map[string]*borrowed
+	customers map[string]*holdings
 }
 
-// borrowed is what an instance holds of one customer's allowance.
-type borrowed struct {
-	// lock is held while the keeper is asked, so that one ask goes out at a
-	// time.
+// holdings is what an instance has borrowed of one customer's quota.
+type holdings struct {
+	// lock protects all fields. It is held during calls to the quota owner, so that there is only
+	// one at a time.
 	lock         sync.Mutex
-	bounds       Quota
+	quota        Quota
 	starts       int
 	startsUntil  time.Time
 	running      int
 	runningUntil time.Time
 	inUse        int
-	// recent counts starts since since, to size the next batch.
+	// recent is the number of starts after since, from which the next batch is sized.
 	recent     int
 	since      time.Time
 	localShare *rate.Limiter
 }
 
-// NewBorrower starts a borrower for the instance self.
-func NewBorrower(self string, keepers QuotaOwners) *Borrower {
+// NewBorrower starts a borrower for the instance with the given id.
+func NewBorrower(self string, owners QuotaOwners) *Borrower {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Borrower{
 		Done:      make(chan struct{}),
 		self:      self,
-		owners:    keepers,
+		owners:    owners,
 		cancel:    cancel,
-		customers: make(map[string]*borrowed),
+		customers: make(map[string]*holdings),
 	}
 	go b.loop(ctx)
 	return b
@@ -91,76 +93,77 @@
 	<-b.Done
 }
 
-// Acquire spends the allowance for one request. It returns what gives it back, or
-// a refusal.
-func (b *Borrower) Acquire(ctx context.Context, customer string, bounds Quota) (func(), *Refusal) {
-	if bounds == (Quota{}) {
+// Acquire admits one request under a customer's quota. It returns a function that must be called
+// when the request ends, or a refusal.
+func (b *Borrower) Acquire(ctx context.Context, customer string, quota Quota) (func(), *Refusal) {
+	if quota == (Quota{}) {
 		return func() {}, nil
 	}
-	w := b.borrowedFor(customer)
-	w.lock.Lock()
-	defer w.lock.Unlock()
+	h := b.holdingsOf(customer)
+	h.lock.Lock()
+	defer h.lock.Unlock()
 	now := steady.Now()
-	if w.bounds != bounds {
-		w.bounds = bounds
-		w.starts = 0
-		w.runningUntil = time.Time{}
-		w.localShare = nil
+	if h.quota != quota {
+		h.quota = quota
+		h.starts = 0
+		h.runningUntil = time.Time{}
+		h.localShare = nil
 	}
-	if !w.allowsOneMore(now) {
-		if refusal := b.borrow(ctx, customer, w, now); refusal != nil {
+	if !h.allowsOneMore(now) {
+		if refusal := b.borrow(ctx, customer, h, now); refusal != nil {
 			return nil, refusal
 		}
 	}
-	w.starts--
-	w.inUse++
-	w.recent++
+	h.starts--
+	h.inUse++
+	h.recent++
 	return func() {
-		w.lock.Lock()
-		defer w.lock.Unlock()
-		w.inUse--
+		h.lock.Lock()
+		defer h.lock.Unlock()
+		h.inUse--
 	}, nil
 }
 
-func (b *Borrower) borrowedFor(customer string) *borrowed {
+func (b *Borrower) holdingsOf(customer string) *holdings {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.customers[customer]
-	if w == nil {
-		w = &borrowed{
+	h := b.customers[customer]
+	if h == nil {
+		h = &holdings{
 			since: steady.Now(),
 		}
-		b.customers[customer] = w
+		b.customers[customer] = h
 	}
-	return w
+	return h
 }
 
-// allowsOneMore states whether one more request is allowed by what was borrowed.
-func (w *borrowed) allowsOneMore(now time.Time) bool {
-	starts := w.starts > 0 && now.Before(w.startsUntil)
-	running := w.bounds.Concurrency <= 0 || w.inUse < w.running && now.Before(w.runningUntil)
+// allowsOneMore reports whether what was borrowed admits one more request.
+func (h *holdings) allowsOneMore(now time.Time) bool {
+	starts := h.starts > 0 && now.Before(h.startsUntil)
+	running := h.quota.Concurrency <= 0 || h.inUse < h.running && now.Before(h.runningUntil)
 	return starts && running
 }
 
-// borrow asks the keeper for what the next requests need.
-func (b *Borrower) borrow(ctx context.Context, customer string, w *borrowed, now time.Time) *Refusal {
-	want := w.batchSize(now)
+// borrow asks the quota owner for what the next requests need, and falls back to the local share if
+// it can't be reached.
+func (b *Borrower) borrow(ctx context.Context, customer string, h *holdings, now time.Time) *Refusal {
+	want := h.batchSize(now)
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	loan, err := b.owners.Borrow(ctx, LoanRequest{
 		Customer: customer,
 		Borrower: b.self,
 		Starts:   want,
-		Running:  w.inUse + want,
-	}, w.bounds)
+		Running:  h.inUse + want,
+	}, h.quota)
 	if err != nil {
-		return b.spendLocal(w, now)
+		return b.spendLocal(h, now)
 	}
-	w.starts = loan.Starts
-	w.startsUntil = now.Add(startsValid)
-	w.running = loan.Running
-	w.runningUntil = now.Add(loan.RunningValidFor)
-	if w.allowsOneMore(now) {
+	h.starts = loan.Starts
+	h.startsUntil = now.Add(startsValid)
+	h.running = loan.Running
+	h.runningUntil = now.Add(loan.RunningValidFor)
+	if h.allowsOneMore(now) {
 		return nil
 	}
 	return &Refusal{
@@ -169,45 +172,47 @@
 	}
 }
 
-// batchSize returns how many starts to borrow: one, or the recent rate's worth.
-func (w *borrowed) batchSize(now time.Time) int {
-	age := now.Sub(w.since)
+// batchSize returns how many starts to borrow: what the recent rate uses in batchTime, but at least
+// one. It restarts the measurement of the rate after startsValid.
+func (h *holdings) batchSize(now time.Time) int {
+	age := now.Sub(h.since)
 	n := 1
 	if age > 0 {
-		n = max(n, int(float64(w.recent)*batchTime.Seconds()/max(age.Seconds(), batchTime.Seconds())))
+		n = max(n, int(float64(h.recent)*batchTime.Seconds()/max(age.Seconds(), batchTime.Seconds())))
 	}
 	if age > startsValid {
-		w.recent = 0
-		w.since = now
+		h.recent = 0
+		h.since = now
 	}
 	return n
 }
 
-// spendLocal spends the local share while the keeper can't be reached.
-func (b *Borrower) spendLocal(w *borrowed, now time.Time) *Refusal {
-	nodes := max(b.owners.InstanceCount(), 1)
-	share := max(w.bounds.Concurrency/nodes, 1)
-	if w.bounds.Concurrency > 0 && w.inUse >= share {
+// spendLocal admits one request under the local share, an equal part of the quota for each
+// instance, while the quota owner can't be reached.
+func (b *Borrower) spendLocal(h *holdings, now time.Time) *Refusal {
+	instances := max(b.owners.InstanceCount(), 1)
+	share := max(h.quota.Concurrency/instances, 1)
+	if h.quota.Concurrency > 0 && h.inUse >= share {
 		return &Refusal{
 			Concurrency: true,
 			RetryAfter:  concurrencyRetry,
 		}
 	}
-	if w.bounds.Rate > 0 {
-		if w.localShare == nil {
-			w.localShare = rate.NewLimiter(rate.Limit(w.bounds.Rate/float64(nodes)), 1)
+	if h.quota.Rate > 0 {
+		if h.localShare == nil {
+			h.localShare = rate.NewLimiter(rate.Limit(h.quota.Rate/float64(instances)), 1)
 		}
-		if !w.localShare.AllowN(now, 1) {
+		if !h.localShare.AllowN(now, 1) {
 			return &Refusal{
-				RetryAfter: time.Duration(float64(nodes) / w.bounds.Rate * float64(time.Second)),
+				RetryAfter: time.Duration(float64(instances) / h.quota.Rate * float64(time.Second)),
 			}
 		}
 	}
-	w.starts = 1
+	h.starts = 1
 	return nil
 }
 
-// loop asks again for the running allowance that is in use.
+// loop renews the concurrency in use until ctx ends.
 func (b *Borrower) loop(ctx context.Context) {
 	defer close(b.Done)
 	for {
@@ -217,21 +222,21 @@
 		case <-time.After(renewInterval):
 		}
 		b.mu.Lock()
-		names := make(map[string]*borrowed, len(b.customers))
-		for name, w := range b.customers {
-			names[name] = w
+		held := make(map[string]*holdings, len(b.customers))
+		for name, h := range b.customers {
+			held[name] = h
 		}
 		b.mu.Unlock()
-		for name, w := range names {
-			b.renew(ctx, name, w)
+		for name, h := range held {
+			b.renew(ctx, name, h)
 		}
 	}
 }
 
-func (b *Borrower) renew(ctx context.Context, customer string, w *borrowed) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	if w.inUse == 0 || w.bounds.Concurrency <= 0 {
+func (b *Borrower) renew(ctx context.Context, customer string, h *holdings) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	if h.inUse == 0 || h.quota.Concurrency <= 0 {
 		return
 	}
 	now := steady.Now()
@@ -240,11 +245,11 @@
 	loan, err := b.owners.Borrow(ctx, LoanRequest{
 		Customer: customer,
 		Borrower: b.self,
-		Running:  w.inUse,
-	}, w.bounds)
+		Running:  h.inUse,
+	}, h.quota)
 	if err != nil {
 		return
 	}
-	w.running = loan.Running
-	w.runningUntil = now.Add(loan.RunningValidFor)
+	h.running = loan.Running
+	h.runningUntil = now.Add(loan.RunningValidFor)
 }
--- a/limit/doc.go
+++ b/limit/doc.go
@@ -1,18 +1,19 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package limit holds customers' limits on rate and concurrency across all
+// Package limit enforces customers' quotas on rate and concurrency across all
 // instances.
 //
-// Each customer has a keeper among the instances, by rendezvous hashing. The
-// keeper lends allowance in small batches (Lender), and each instance spends
-// what it borrowed (Borrower). The rate is a token bucket at the keeper:
+// Rendezvous hashing selects one instance as the quota owner of each customer.
+// The quota owner lends parts of the quota in small batches (Lender), and the
+// instances admit requests with what they have borrowed (Borrower). The quota
+// owner limits the rate by a token bucket:
 //
 //	starts lent in t seconds <= burst + rate·t
 //
-// Running allowance is lent for a limited time and asked for again while it is
-// in use, so what a dead instance borrowed comes back.
+// Concurrency is lent for a limited time and renewed while it is in use, so that
+// the loans of an instance that dies expire.
 //
-// When the keeper can't be reached, an instance spends a bounded local share,
-// rate/n with n instances, so that n cut-off instances together exceed the
-// limit by at most their n bursts of one.
+// While the quota owner can't be reached, an instance uses a local share: rate/n
+// with a burst of one, where n is the number of instances. If all n instances do
+// so, they exceed the rate limit by at most n requests.
 package limit
--- a/limit/grpc.go
+++ b/limit/grpc.go
@@ -13,23 +13,23 @@
 	"github.com/linkmast/linkmast/limit/limitpb"
 )
 
-// QuotaOf returns the bounds of a customer in the configuration in force. It
-// is false when there is no such customer.
+// QuotaOf returns the quota of a customer in the configuration in force. It returns false if there
+// is no such customer.
 type QuotaOf func(customer string) (Quota, bool)
 
 // Server serves a Lender to other instances.
 type Server struct {
 	limitpb.UnimplementedLenderServer
 
-	lender *Lender
-	bounds QuotaOf
+	lender  *Lender
+	quotaOf QuotaOf
 }
 
-// NewServer returns a server.
-func NewServer(l *Lender, bounds QuotaOf) *Server {
+// NewServer returns a server that looks up quotas with quotaOf.
+func NewServer(l *Lender, quotaOf QuotaOf) *Server {
 	return &Server{
-		lender: l,
-		bounds: bounds,
+		lender:  l,
+		quotaOf: quotaOf,
 	}
 }
 
@@ -37,7 +37,7 @@
 
 // Borrow implements limitpb.LenderServer.
 func (s *Server) Borrow(_ context.Context, in *limitpb.BorrowRequest) (*limitpb.BorrowReply, error) {
-	b, ok := s.bounds(in.Customer)
+	quota, ok := s.quotaOf(in.Customer)
 	if !ok {
 		return nil, errCustomer
 	}
@@ -46,7 +46,7 @@
 		Borrower: in.Borrower,
 		Starts:   int(in.Starts),
 		Running:  int(in.Running),
-	}, b, steady.Now())
+	}, quota, steady.Now())
 	return &limitpb.BorrowReply{
 		Starts:       int32(loan.Starts),
 		Running:      int32(loan.Running),
@@ -55,13 +55,13 @@
 	}, nil
 }
 
-// Borrow asks the lender at the other end of a connection.
-func Borrow(ctx context.Context, conn grpc.ClientConnInterface, a LoanRequest) (Loan, error) {
+// Borrow asks the lender at the other end of a connection for a loan.
+func Borrow(ctx context.Context, conn grpc.ClientConnInterface, req LoanRequest) (Loan, error) {
 	reply, err := limitpb.NewLenderClient(conn).Borrow(ctx, &limitpb.BorrowRequest{
-		Customer: a.Customer,
-		Borrower: a.Borrower,
-		Starts:   int32(a.Starts),
-		Running:  int32(a.Running),
+		Customer: req.Customer,
+		Borrower: req.Borrower,
+		Starts:   int32(req.Starts),
+		Running:  int32(req.Running),
 	})
 	if err != nil {
 		return Loan{}, err
--- a/limit/lender.go
+++ b/limit/lender.go
@@ -10,46 +10,46 @@
 	"golang.org/x/time/rate"
 )
 
-// Quota are a customer's limits. Zero means no limit.
+// Quota holds the limits of a customer. Zero means no limit.
 type Quota struct {
-	// Rate bounds the starts, in requests a second.
+	// Rate is the limit on request starts per second.
 	Rate float64
-	// Concurrency bounds the requests that run at once.
+	// Concurrency is the limit on concurrently running requests.
 	Concurrency int
 }
 
-// LoanRequest is what a borrower wants.
+// LoanRequest asks the quota owner of a customer for a loan.
 type LoanRequest struct {
-	// Customer names the customer.
+	// Customer is the id of the customer.
 	Customer string
-	// Borrower names the instance.
+	// Borrower is the id of the borrowing instance.
 	Borrower string
-	// Starts is how many requests it wants to start.
+	// Starts is how many requests the borrower wants to start.
 	Starts int
-	// Running is how many it wants to have running in all.
+	// Running is how many requests the borrower wants to have running in total.
 	Running int
 }
 
-// Loan is what a borrower gets.
+// Loan is the part of a quota that is lent to a borrower.
 type Loan struct {
-	// Starts is how many requests may start.
+	// Starts is how many requests the borrower may start.
 	Starts int
-	// Running is how many may run in all.
+	// Running is how many requests the borrower may have running in total.
 	Running int
-	// RunningValidFor is how long Running holds.
+	// RunningValidFor is how long Running is valid.
 	RunningValidFor time.Duration
-	// RetryAfter is when to ask again when Starts or Running is short.
+	// RetryAfter is when to ask again if the loan is smaller than requested.
 	RetryAfter time.Duration
 }
 
-// DefaultValid is how long running allowance holds by default.
+// DefaultValid is how long lent concurrency is valid by default.
 const DefaultValid = 15 * time.Second
 
-// concurrencyRetry is when to ask again for running allowance.
+// concurrencyRetry is when to ask again if the concurrency limit is reached.
 const concurrencyRetry = time.Second
 
-// Lender lends the allowance of the customers that the instance keeps. The
-// zero value is not usable; use NewLender.
+// Lender lends the quotas of the customers whose quota owner is this instance. The zero value is
+// not usable; use NewLender.
 type Lender struct {
 	valid time.Duration
 
@@ -57,21 +57,21 @@
 	customers map[string]*quotaState
 }
 
-// quotaState is what was lent of one customer's allowance.
+// quotaState tracks what has been lent of one customer's quota.
 type quotaState struct {
-	bounds  Quota
+	quota   Quota
 	bucket  *rate.Limiter
 	running map[string]runningLoan
 }
 
-// runningLoan is the running allowance of one borrower.
+// runningLoan is the concurrency that is lent to one borrower.
 type runningLoan struct {
 	n     int
 	until time.Time
 }
 
-// NewLender returns a lender whose running allowance holds for valid; zero
-// means DefaultValid.
+// NewLender returns a lender whose loans of concurrency are valid for the given time; zero means
+// DefaultValid.
 func NewLender(valid time.Duration) *Lender {
 	if valid == 0 {
 		valid = DefaultValid
@@ -82,76 +82,80 @@
 	}
 }
 
-// Lend answers an ask under the customer's bounds.
-func (l *Lender) Lend(a LoanRequest, b Quota, now time.Time) Loan {
+// Lend grants as much of a loan request as the customer's quota allows. A quota that differs from
+// the last one starts with a full token bucket.
+func (l *Lender) Lend(req LoanRequest, quota Quota, now time.Time) Loan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.customers[a.Customer]
-	if c == nil || c.bounds != b {
-		c = newQuotaState(b, c)
-		l.customers[a.Customer] = c
+	state := l.customers[req.Customer]
+	if state == nil || state.quota != quota {
+		state = newQuotaState(quota, state)
+		l.customers[req.Customer] = state
 	}
 	loan := Loan{
 		RunningValidFor: l.valid,
 	}
-	loan.Starts, loan.RetryAfter = c.takeStarts(a.Starts, now)
-	loan.Running = c.lendRunning(a, l.valid, now)
-	if loan.Running < a.Running {
+	loan.Starts, loan.RetryAfter = state.takeStarts(req.Starts, now)
+	loan.Running = state.lendRunning(req, l.valid, now)
+	if loan.Running < req.Running {
 		loan.RetryAfter = max(loan.RetryAfter, concurrencyRetry)
 	}
 	return loan
 }
 
-// newQuotaState returns an account under new bounds that keeps what runs.
-func newQuotaState(b Quota, old *quotaState) *quotaState {
-	c := &quotaState{
-		bounds:  b,
-		bucket:  rate.NewLimiter(rate.Limit(b.Rate), burst(b.Rate)),
+// newQuotaState returns the state of a new quota, which keeps the concurrency that was lent under
+// the old one.
+func newQuotaState(quota Quota, old *quotaState) *quotaState {
+	state := &quotaState{
+		quota:   quota,
+		bucket:  rate.NewLimiter(rate.Limit(quota.Rate), burst(quota.Rate)),
 		running: make(map[string]runningLoan),
 	}
 	if old != nil {
-		c.running = old.running
+		state.running = old.running
 	}
-	return c
+	return state
 }
 
-// burst is one second's worth of a rate, at least one.
+// burst returns the capacity of a token bucket: the tokens of one second, but at least one.
 func burst(r float64) int {
 	return max(int(math.Ceil(r)), 1)
 }
 
-// takeStarts takes up to n from the bucket.
+// takeStarts takes up to n tokens from the bucket. It returns the number taken and, if that is less
+// than n, the time until the next token.
 func (q *quotaState) takeStarts(n int, now time.Time) (int, time.Duration) {
-	if q.bounds.Rate <= 0 {
+	if q.quota.Rate <= 0 {
 		return n, 0
 	}
-	got := 0
-	for got < n && q.bucket.AllowN(now, 1) {
-		got++
+	taken := 0
+	for taken < n && q.bucket.AllowN(now, 1) {
+		taken++
 	}
-	if got == n {
-		return got, 0
+	if taken == n {
+		return taken, 0
 	}
 	missing := 1 - q.bucket.TokensAt(now)
-	return got, time.Duration(missing / q.bounds.Rate * float64(time.Second))
+	return taken, time.Duration(missing / q.quota.Rate * float64(time.Second))
 }
 
-// lendRunning lends running allowance beside what others hold.
-func (q *quotaState) lendRunning(a LoanRequest, valid time.Duration, now time.Time) int {
-	if q.bounds.Concurrency <= 0 {
-		return a.Running
+// lendRunning returns the concurrency lent to the borrower: what it asks for, as far as the limit
+// minus the valid loans of other borrowers allows. It replaces the borrower's previous loan.
+func (q *quotaState) lendRunning(req LoanRequest, valid time.Duration, now time.Time) int {
+	if q.quota.Concurrency <= 0 {
+		return req.Running
 	}
 	others := 0
-	for who, t := range q.running {
+	for borrower, loan := range q.running {
 		switch {
-		case t.until.Before(now):
-			delete(q.running, who)
-		case who != a.Borrower:
-			others += t.n
+		case loan.until.Before(now):
+			delete(q.running, borrower)
+		case borrower != req.Borrower:
+			others += loan.n
 		}
 	}
-	n := max(min(a.Running, q.bounds.Concurrency-others), 0)
-	q.running[a.Borrower] = runningLoan{
+	n := max(min(req.Running, q.quota.Concurrency-others), 0)
+	q.running[req.Borrower] = runningLoan{
 		n:     n,
 		until: now.Add(valid),
 	}
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -18,8 +18,7 @@
 	"github.com/linkmast/linkmast/internal/steady/steadytest"
 )
 
-// The seed of the drawn cases is fixed, so that every run has the same verdict;
-// -rapid.seed=0 draws others.
+// The seed is fixed, so that every run tests the same cases; -rapid.seed=0 draws others.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -28,8 +27,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestLenderStaysWithinQuota checks, for any sequence of asks, that starts stay
-// within burst + rate·t and that what runs stays within the concurrency.
+// TestLenderStaysWithinQuota guards against loans above a quota: for any sequence of loan requests
+// the starts stay within burst + rate·t and the running requests within the concurrency.
 func TestLenderStaysWithinQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Quota{
@@ -65,7 +64,7 @@
 	})
 }
 
-// fakeOwners joins borrowers with one lender, which can be out of reach.
+// fakeOwners connects borrowers with one lender, which may be made unreachable.
 type fakeOwners struct {
 	lender    *Lender
 	instances int
@@ -87,39 +86,39 @@
 
 func (k *fakeOwners) InstanceCount() int { return k.instances }
 
-func (k *fakeOwners) setUnreachable(cut bool) {
+func (k *fakeOwners) setUnreachable(unreachable bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.unreachable = cut
+	k.unreachable = unreachable
 }
 
-// requestContinuously asks for a start on each of n nodes every millisecond for a while, and
-// returns how many were allowed.
-func requestContinuously(t *testing.T, k *fakeOwners, b Quota, within time.Duration) int {
+// requestContinuously sends requests at all instances every 10 ms for a while, and returns how many
+// were admitted.
+func requestContinuously(t *testing.T, owners *fakeOwners, quota Quota, within time.Duration) int {
 	t.Helper()
 	var borrowers []*Borrower
-	for i := range k.instances {
-		w := NewBorrower(fmt.Sprintf("n%d", i), k)
-		defer w.Close()
-		borrowers = append(borrowers, w)
+	for i := range owners.instances {
+		borrower := NewBorrower(fmt.Sprintf("n%d", i), owners)
+		defer borrower.Close()
+		borrowers = append(borrowers, borrower)
 	}
-	allowed := 0
+	admitted := 0
 	for range int(within / (10 * time.Millisecond)) {
 		for _, w := range borrowers {
-			if back, refusal := w.Acquire(t.Context(), "club", b); refusal == nil {
-				allowed++
-				back()
+			if release, refusal := w.Acquire(t.Context(), "club", quota); refusal == nil {
+				admitted++
+				release()
 			} else if refusal.RetryAfter <= 0 {
-				t.Fatal("a refusal must say when to come back")
+				t.Fatal("refusal without RetryAfter")
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return allowed
+	return admitted
 }
 
-// TestRateHoldsAcrossInstances proves that a customer's rate holds however many
-// nodes its requests come in at, and that it can be used up.
+// TestRateHoldsAcrossInstances guards against a rate that depends on the number of instances that a
+// customer's requests arrive at, or can't be used fully.
 func TestRateHoldsAcrossInstances(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -128,10 +127,10 @@
 		least int
 		most  int
 	}{
-		{"one node", 1, false, 45, 60},
-		{"eight nodes", 8, false, 45, 60},
-		// Cut off, each node has a burst of one and its share of the rate.
-		{"eight nodes cut off", 8, true, 40, 60},
+		{"one instance", 1, false, 45, 60},
+		{"eight instances", 8, false, 45, 60},
+		// Without its quota owner, each instance has a burst of one and its share of the rate.
+		{"eight instances without the quota owner", 8, true, 40, 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -140,7 +139,7 @@
 					instances: c.nodes,
 				}
 				k.setUnreachable(c.cut)
-				// 5 a second for 10 s, and a burst of 5.
+				// The quota allows 5 requests per second for 10 s, and a burst of 5.
 				got := requestContinuously(t, k, Quota{Rate: 5}, 10*time.Second)
 				if got < c.least || got > c.most {
 					t.Errorf("%d requests were allowed, want %d to %d", got, c.least, c.most)
@@ -150,9 +149,8 @@
 	}
 }
 
-// TestLoanExpiresDuringSuspension has an instance spend what it borrowed while it can't reach the lender,
-// with the machine suspended before that or not. What was lent has lapsed in a suspension, as
-// it has for the lender: what is in use already is all of the instance's share.
+// TestLoanExpiresDuringSuspension guards against the use of a loan that expired while the instance
+// was suspended. The instance then has only its local share, which the running request uses up.
 func TestLoanExpiresDuringSuspension(t *testing.T) {
 	for _, row := range []struct {
 		name      string
@@ -166,78 +164,78 @@
 			m := steadytest.New(t)
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				k := &fakeOwners{
+				owners := &fakeOwners{
 					lender:    NewLender(time.Minute),
 					instances: 100,
 				}
-				w := NewBorrower("n0", k)
+				w := NewBorrower("n0", owners)
 				defer w.Close()
-				take := func() (func(), *Refusal) {
+				acquire := func() (func(), *Refusal) {
 					return w.Acquire(t.Context(), "club", Quota{
 						Concurrency: 10,
 					})
 				}
-				held, refusal := take()
+				release, refusal := acquire()
 				is.True(refusal == nil)
-				defer held()
-				for range 11 { // often enough that several starts are borrowed at once
+				defer release()
+				for range 11 { // enough for several starts to be borrowed at once
 					time.Sleep(5 * time.Millisecond)
-					back, lacks := take()
+					back, lacks := acquire()
 					is.True(lacks == nil)
 					back()
 				}
-				k.setUnreachable(true)
+				owners.setUnreachable(true)
 				m.Suspend(row.suspended)
-				_, refusal = take()
+				_, refusal = acquire()
 				is.Equal(refusal != nil, row.refused)
 			})
 		})
 	}
 }
 
-// TestConcurrencyHoldsAcrossInstances proves that requests in flight stay within
-// the limit over all nodes, that what a lost node borrowed comes back, and that
-// a node that is cut off goes on with a share.
+// TestConcurrencyHoldsAcrossInstances guards against more running requests than the quota allows
+// over all instances, against lost loans of an instance that died, and against an instance that
+// admits nothing without the quota owner.
 func TestConcurrencyHoldsAcrossInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		k := &fakeOwners{
+		owners := &fakeOwners{
 			lender:    NewLender(0),
 			instances: 3,
 		}
-		a, b := NewBorrower("a", k), NewBorrower("b", k)
+		a, b := NewBorrower("a", owners), NewBorrower("b", owners)
 		defer b.Close()
-		bounds := Quota{
+		quota := Quota{
 			Concurrency: 6,
 		}
-		take := func(w *Borrower) (int, []func()) {
-			var back []func()
+		acquireAll := func(w *Borrower) (int, []func()) {
+			var releases []func()
 			for {
-				f, refusal := w.Acquire(t.Context(), "club", bounds)
+				f, refusal := w.Acquire(t.Context(), "club", quota)
 				if refusal != nil {
 					is.True(refusal.Concurrency)
-					return len(back), back
+					return len(releases), releases
 				}
-				back = append(back, f)
+				releases = append(releases, f)
 			}
 		}
-		n, _ := take(a)
+		n, _ := acquireAll(a)
 		is.Equal(n, 6)
-		n, _ = take(b)
+		n, _ = acquireAll(b)
 		is.Equal(n, 0)
-		time.Sleep(time.Minute) // a renews what it uses
-		n, _ = take(b)
+		time.Sleep(time.Minute) // a renews its loan
+		n, _ = acquireAll(b)
 		is.Equal(n, 0)
-		a.Close() // a dies with its six
+		a.Close() // a dies while it holds all six
 		time.Sleep(DefaultValid + time.Second)
-		n, backs := take(b)
+		n, backs := acquireAll(b)
 		is.Equal(n, 6)
 		for _, f := range backs {
 			f()
 		}
-		k.setUnreachable(true)
+		owners.setUnreachable(true)
 		time.Sleep(DefaultValid + time.Second)
-		n, _ = take(b)
+		n, _ = acquireAll(b)
 		is.Equal(n, 2) // a third of six
 	})
 }
