--- a/member/bench_test.go
+++ b/member/bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/linkmast/linkmast/member/memberpb"
 )
 
-// listOf returns a list of n nodes in four regions.
+// listOf returns a list of n instances in four regions.
 func listOf(n int) instances.List {
 	l := instances.List{
 		Version: 1,
@@ -35,7 +35,7 @@
 	return l
 }
 
-// unresponsive is a platform and a network on which nothing ever happens.
+// unresponsive is a platform and a network that never answer.
 type unresponsive struct{}
 
 var errNoResponse = errors.New("nothing answers")
--- a/member/doc.go
+++ b/member/doc.go
@@ -1,18 +1,15 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package member knows which of the system's instances are there, and who owns
-// what.
+// Package member tracks which instances are available, and determines which instance owns what.
 //
-// The platform's list says who should be there; it lags. Each instance probes
-// a few random peers in each interval. A probe that fails twice becomes a
-// report, and reports travel with probes. An instance is taken as down when at
-// least Quorum instances report it, so that one instance that is cut off
-// declares nobody gone for others. For itself, an instance does not count on a
-// peer that it has not reached for long. A report ends when its reporter reaches the
-// instance again, or by its age.
+// The platform's list of instances lags behind. Each instance therefore probes a few random peers
+// at regular intervals. Two failed probes in a row create a report, and probes and their answers
+// carry the reports. An instance is considered down if at least Quorum instances report it, so that
+// a single partitioned instance can't mark others as down for everyone. An instance also considers
+// a peer as down for itself after more failures in a row. A report ends when its reporter reaches
+// the peer again, or by age.
 //
-// An endpoint's owner is the instance of the endpoint's region that wins
-// rendezvous hashing (Thaler and Ravishankar, 1998) among those that are
-// listed as live, not down and not stopping. Views differ for a while; nothing
-// that must hold rests on them.
+// The owner of an endpoint is the instance of the endpoint's region that wins rendezvous hashing
+// (Thaler and Ravishankar, 1998) among the listed instances that are not leaving, down or stopping.
+// Views of instances may differ temporarily; correctness doesn't depend on them.
 package member
--- a/member/grpc.go
+++ b/member/grpc.go
@@ -12,14 +12,14 @@
 	"github.com/linkmast/linkmast/member/memberpb"
 )
 
-// Server answers probes for a Member.
+// Server answers the probes of other instances.
 type Server struct {
 	memberpb.UnimplementedMemberServer
 
 	member *Member
 }
 
-// NewServer returns a server.
+// NewServer returns a server for a member.
 func NewServer(m *Member) *Server {
 	return &Server{
 		member: m,
@@ -31,7 +31,7 @@
 	return s.member.Answer(in), nil
 }
 
-// Answer answers a probe.
+// Answer merges the reports of a probe and returns the reply.
 func (m *Member) Answer(in *memberpb.ProbeRequest) *memberpb.ProbeReply {
 	m.mu.Lock()
 	m.lastHeard[in.From] = steady.Now()
@@ -62,7 +62,7 @@
 	}
 }
 
-// decodeList returns a list that any answer of the platform replaces.
+// decodeList returns a list with version 0, which any list of the platform replaces.
 func decodeList(in []*memberpb.Instance) instances.List {
 	l := instances.List{
 		Instances: make([]instances.Instance, 0, len(in)),
@@ -80,18 +80,18 @@
 	return l
 }
 
-// Conns gives connections to addresses.
+// Conns provides connections to addresses.
 type Conns interface {
 	// Conn returns the connection to an address.
 	Conn(address string) (*grpc.ClientConn, error)
 }
 
-// RPC sends probes over connections. It implements Prober.
+// RPC sends probes by gRPC. It implements Prober.
 type RPC struct {
 	conns Conns
 }
 
-// NewRPC returns a prober over connections.
+// NewRPC returns a prober that uses the given connections.
 func NewRPC(conns Conns) *RPC {
 	return &RPC{
 		conns: conns,
--- a/member/member.go
+++ b/member/member.go
@@ -15,25 +15,25 @@
 	"github.com/linkmast/linkmast/member/memberpb"
 )
 
-// Settings are the measures of a Member. A zero value means the default.
+// Settings configures a Member. A zero value selects the default.
 type Settings struct {
-	// Self is the instance's own entry.
+	// Self is the instance's own entry in the list.
 	Self instances.Instance
-	// Seeds are addresses of peers to ask for the list of instances while the
-	// platform does not give it.
+	// Seeds are the addresses of peers that are asked for the list of instances while the platform
+	// doesn't provide it.
 	Seeds []string
-	// ProbeInterval is how often peers are probed; the default is 500ms.
+	// ProbeInterval is the interval of probes; the default is 500ms.
 	ProbeInterval time.Duration
-	// ProbeTimeout bounds a probe; the default is 300ms.
+	// ProbeTimeout bounds a probe and a request for the list; the default is 300ms.
 	ProbeTimeout time.Duration
-	// ListInterval is how often the list is read; the default is 1s.
+	// ListInterval is the interval of reading the list; the default is 1s.
 	ListInterval time.Duration
-	// Fanout is how many peers are probed each time; the default is 2.
+	// Fanout is the number of random peers per probe interval; the default is 2.
 	Fanout int
-	// ReportAge is how long a report counts; the default is 10s.
+	// ReportAge is how long a report is valid; the default is 10s.
 	ReportAge time.Duration
-	// Quorum is how many reports make an instance down; the default is 2. It
-	// is one where there are only two instances.
+	// Quorum is the number of reports by which an instance is considered down; the default is 2.
+	// With two listed instances one report suffices.
 	Quorum int
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// Member follows the system's instances.
+// Member tracks the instances.
 type Member struct {
 	// Done is closed when the member has stopped.
 	Done chan struct{}
@@ -83,7 +83,7 @@
 	mu       sync.Mutex
 	list     instances.List
 	complete bool
-	// lowerVersions counts whole lists in a row that have a lowerVersions version.
+	// lowerVersions counts complete lists in a row with a lower version.
 	lowerVersions int
 	fails         map[string]int
 	reports       map[string]map[string]time.Time
@@ -92,13 +92,13 @@
 	stopping      bool
 	generation    func() int64
 	changed       chan struct{}
-	// viewInputs is what the view was made from, and peers how many nodes it lists.
+	// viewInputs is what the view was built from, and peers is the number of listed instances.
 	viewInputs viewInputs
 	peers      int
 }
 
-// New starts a member. Close ends it. Generation returns the generation of the
-// configuration in force, which probes carry.
+// New starts a member, which Close stops. The function generation returns the generation of the
+// configuration in force, which answers to probes carry.
 func New(s Settings, lister instances.Lister, prober Prober, generation func() int64, log logr.Logger) *Member {
 	s.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -127,7 +127,7 @@
 	<-m.Done
 }
 
-// View returns what the instance believes now.
+// View returns the present view.
 func (m *Member) View() *View {
 	return m.view.Load()
 }
@@ -139,8 +139,8 @@
 	return m.changed
 }
 
-// Stop tells peers, by the answers to their probes, that the instance takes no
-// new work.
+// Stop marks the instance as stopping. Peers learn from the answers to their probes that it takes
+// no new work.
 func (m *Member) Stop() {
 	m.mu.Lock()
 	m.stopping = true
@@ -148,7 +148,7 @@
 	m.rebuild()
 }
 
-// loop reads the list and probes until ctx ends.
+// loop reads the list and probes peers until ctx ends.
 func (m *Member) loop(ctx context.Context) {
 	defer close(m.Done)
 	probe := time.NewTicker(m.settings.ProbeInterval)
@@ -168,8 +168,8 @@
 	}
 }
 
-// readList takes over the platform's list. While the platform gives none, the
-// last one holds; an instance that has none asks a seed.
+// readList reads the platform's list. If that fails, the last list remains valid; an instance
+// without a list asks a seed.
 func (m *Member) readList(ctx context.Context) {
 	m.mu.Lock()
 	complete, since := m.complete, m.list.Version
@@ -186,11 +186,11 @@
 	m.applyList(l)
 }
 
-// maxLowerVersions is how many whole lists in a row may have a lower version before
-// they are taken for those of a platform that was set up anew.
+// maxLowerVersions is the number of complete lists in a row with a lower version after which such a
+// list is accepted, because the platform was set up anew.
 const maxLowerVersions = 5
 
-// applyList takes over a list, unless it is older than the one known.
+// applyList applies a list, or the changes since the known version, unless it is outdated.
 func (m *Member) applyList(l instances.List) {
 	m.mu.Lock()
 	newer := !m.complete || l.Version > m.list.Version
@@ -213,7 +213,7 @@
 	}
 }
 
-// askSeeds asks one seed for the list.
+// askSeeds asks a random seed for the list.
 func (m *Member) askSeeds(ctx context.Context) {
 	if len(m.settings.Seeds) == 0 {
 		return
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -18,7 +18,7 @@
 	"github.com/linkmast/linkmast/member/memberpb"
 )
 
-// network joins members in one process.
+// network connects members in one process.
 type network struct {
 	mu           sync.Mutex
 	list         instances.List
@@ -28,7 +28,7 @@
 	platformDown bool
 }
 
-// networkPort is one member's way into the network.
+// networkPort is one member's access to the network and to the platform's list.
 type networkPort struct {
 	net *network
 	id  string
@@ -55,7 +55,7 @@
 	return m.Answer(in), nil
 }
 
-// startNetwork starts n members that know of each other.
+// startNetwork starts n members and waits until they know each other.
 func startNetwork(n int) *network {
 	net := &network{
 		list:    listOf(n),
@@ -93,7 +93,7 @@
 	}
 }
 
-// viewsIncluding returns how many members, other than id, believe id to be usable.
+// viewsIncluding returns how many members, other than id, have id as available in their view.
 func (n *network) viewsIncluding(id string) int {
 	count := 0
 	for other, m := range n.members {
@@ -104,8 +104,9 @@
 	return count
 }
 
-// TestFailureDetectionTime measures, in virtual time, how long until every member
-// takes a dead one as down, and holds it against a bound.
+// TestFailureDetectionTime guards against a failed instance that some members still consider
+// available after 8 s, for several fleet sizes, and against one that isn't accepted again after it
+// returns.
 func TestFailureDetectionTime(t *testing.T) {
 	for _, n := range []int{3, 8, 30, 100, 300} {
 		t.Run(fmt.Sprintf("n=%d", n), func(t *testing.T) {
@@ -119,24 +120,24 @@
 				for net.viewsIncluding("node-1") > 0 {
 					time.Sleep(100 * time.Millisecond)
 					if time.Since(start) > 8*time.Second {
-						t.Fatalf("%d of %d still believe in it after 8s", net.viewsIncluding("node-1"), n)
+						t.Fatalf("%d of %d still consider it available after 8s", net.viewsIncluding("node-1"), n)
 					}
 				}
-				t.Logf("noticed by all after %s", time.Since(start))
+				t.Logf("considered down by all after %s", time.Since(start))
 				net.mu.Lock()
 				net.down["node-1"] = false
 				net.mu.Unlock()
 				time.Sleep(20 * time.Second)
 				if b := net.viewsIncluding("node-1"); b != n-1 {
-					t.Errorf("%d of %d believe in it after it came back", b, n-1)
+					t.Errorf("%d of %d consider it available after it came back", b, n-1)
 				}
 			})
 		})
 	}
 }
 
-// TestPartitionedInstanceMarksNoneDown proves that a member that reaches nobody makes
-// no other member take anybody as down.
+// TestPartitionedInstanceMarksNoneDown guards against a member that reaches nobody and makes others
+// consider reachable instances as down.
 func TestPartitionedInstanceMarksNoneDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -154,7 +155,7 @@
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			for i := range 5 {
-				is.True(net.viewsIncluding(fmt.Sprintf("node-%d", i)) >= 4) // all but the one that was cut off
+				is.True(net.viewsIncluding(fmt.Sprintf("node-%d", i)) >= 4) // all but the partitioned one
 			}
 		}
 		time.Sleep(20 * time.Second)
@@ -162,8 +163,8 @@
 	})
 }
 
-// TestStartDuringPlatformOutage proves that an instance that starts while the platform
-// gives no list gets it from a peer.
+// TestStartDuringPlatformOutage guards against an instance that starts while the platform provides
+// no list and doesn't get it from a peer.
 func TestStartDuringPlatformOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -180,8 +181,8 @@
 	})
 }
 
-// TestOwnersAgreeAndSpread checks that views that agree give each endpoint one
-// owner, about as many to each, and move few when one goes.
+// TestOwnersAgreeAndSpread guards against uneven ownership of endpoints, and against more endpoints
+// that change owner than those of an instance that left.
 func TestOwnersAgreeAndSpread(t *testing.T) {
 	is := is.New(t)
 	nodes := make(map[string]instances.Instance)
@@ -189,7 +190,7 @@
 		nodes[i.ID] = i
 	}
 	before := newView(nodes, maps.Clone(nodes), nil, true)
-	delete(nodes, "node-4") // of region r0
+	delete(nodes, "node-4") // in region r0
 	after := newView(nodes, nodes, nil, true)
 	count := make(map[string]int)
 	moved := 0
@@ -212,9 +213,8 @@
 	is.Equal(moved, count["node-4"])
 }
 
-// TestListVersionsStartOver proves that a list whose versions start over, as of a
-// platform that was set up anew, is taken over after a while, and that a single
-// older answer is not.
+// TestListVersionsStartOver guards against lists that are ignored forever because the platform's
+// versions start over, and against a single outdated list that is accepted.
 func TestListVersionsStartOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -233,7 +233,7 @@
 		set(100, 4)
 		time.Sleep(3 * time.Second)
 		set(7, 3)
-		time.Sleep(1500 * time.Millisecond) // a replica that lags answers once or twice
+		time.Sleep(1500 * time.Millisecond) // an outdated replica answers a few times
 		is.Equal(len(net.members["node-0"].View().Listed), 4)
 		set(100, 4)
 		time.Sleep(3 * time.Second)
--- a/member/probe.go
+++ b/member/probe.go
@@ -14,11 +14,11 @@
 
 // Prober sends probes to other instances.
 type Prober interface {
-	// Probe asks the instance at an address for a sign of life.
+	// Probe sends a probe to the instance at an address and returns its reply.
 	Probe(ctx context.Context, address string, in *memberpb.ProbeRequest) (*memberpb.ProbeReply, error)
 }
 
-// probeSome probes a few random peers together.
+// probeSome probes a few peers concurrently and rebuilds the view.
 func (m *Member) probeSome(ctx context.Context) {
 	targets := m.targets()
 	var wait sync.WaitGroup
@@ -29,12 +29,12 @@
 	m.rebuild()
 }
 
-// maxDoubtfulTargets bounds the peers in doubt that are probed beside random ones.
+// maxDoubtfulTargets bounds the doubtful peers that are probed in addition to the random ones.
 const maxDoubtfulTargets = 4
 
-// targets picks peers to probe among all that are listed: random ones, and a
-// few that are in doubt, because of a failed probe or a report of another, so
-// that doubt ends soon however many peers there are.
+// targets picks the peers to probe: random ones among all that are listed, and a few doubtful ones,
+// which failed this instance's last probe or were reported by others but haven't been reported by
+// this instance. Probing these resolves the doubt soon in a fleet of any size.
 func (m *Member) targets() []instances.Instance {
 	v := m.View()
 	m.mu.Lock()
@@ -56,7 +56,7 @@
 	return append(peers, suspects[:min(len(suspects), maxDoubtfulTargets)]...)
 }
 
-// probe asks one peer, and notes the outcome.
+// probe probes one peer and records the result.
 func (m *Member) probe(ctx context.Context, t instances.Instance) {
 	call, cancel := context.WithTimeout(ctx, m.settings.ProbeTimeout)
 	defer cancel()
@@ -78,7 +78,7 @@
 	m.mergeReports(reply.Reports)
 }
 
-// ReportFailure notes a failed exchange with a peer, as a failed probe.
+// ReportFailure records a failed call to a peer as if a probe had failed.
 func (m *Member) ReportFailure(id string) {
 	m.recordFailure(id)
 	m.rebuild()
@@ -93,7 +93,8 @@
 	}
 }
 
-// recordSuccess ends the instance's own report of a peer. The caller holds the lock.
+// recordSuccess resets the failures of a peer and removes the instance's own report of it. The
+// caller must hold the lock.
 func (m *Member) recordSuccess(id string) {
 	m.fails[id] = 0
 	m.lastHeard[id] = steady.Now()
--- a/member/rebuild.go
+++ b/member/rebuild.go
@@ -11,7 +11,7 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// viewInputs is what a view was made from.
+// viewInputs is what a view is built from, in a form that is cheap to compare.
 type viewInputs struct {
 	list         int64
 	complete     bool
@@ -19,8 +19,7 @@
 	excludedHash uint64
 }
 
-// currentInputs returns what a view made now would be made from. The caller holds the
-// lock.
+// currentInputs returns what a view built now would be built from. The caller must hold the lock.
 func (m *Member) currentInputs(now time.Time) viewInputs {
 	b := viewInputs{
 		list:     m.list.Version,
@@ -45,7 +44,8 @@
 	return b
 }
 
-// rebuild makes the view anew when something has changed, and announces it.
+// rebuild builds a new view if its inputs have changed, and closes the channel of Changed if the
+// view differs.
 func (m *Member) rebuild() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,11 +72,11 @@
 		listed[self.ID] = self
 	}
 	for id, n := range listed {
-		out := n.State == instances.Leaving || m.stoppingPeers[id] || m.isDown(id, len(listed), now)
+		excluded := n.State == instances.Leaving || m.stoppingPeers[id] || m.isDown(id, len(listed), now)
 		if id == self.ID {
-			out = m.stopping
+			excluded = m.stopping
 		}
-		if !out {
+		if !excluded {
 			usable[id] = n
 		}
 	}
@@ -85,7 +85,7 @@
 	v := newView(listed, usable, endpoints, m.complete)
 	m.view.Store(v)
 	if old == nil || !sameInstances(old.Nodes, usable) || !sameInstances(old.Endpoints, endpoints) || old.Complete != v.Complete {
-		m.log.Info("members", "usable", len(usable), "listed", len(listed), "endpoints", len(endpoints))
+		m.log.Info("membership changed", "usable", len(usable), "listed", len(listed), "endpoints", len(endpoints))
 		close(m.changed)
 		m.changed = make(chan struct{})
 	}
--- a/member/report.go
+++ b/member/report.go
@@ -9,18 +9,17 @@
 	"github.com/linkmast/linkmast/member/memberpb"
 )
 
-// failuresToReport is how many probes in a row must fail before they are reported.
+// failuresToReport is the number of failures in a row after which a peer is reported.
 const failuresToReport = 2
 
-// failuresForDown is how many probes in a row must fail before an instance takes a
-// peer as down for itself, without a report of another. Others hear of it only
-// as one report.
+// failuresForDown is the number of failures in a row after which an instance considers a peer as
+// down by itself. For other instances this remains a single report.
 const failuresForDown = 6
 
 // maxReports bounds the reports in one message.
 const maxReports = 64
 
-// addReport notes that reporter could not reach id. The caller holds the lock.
+// addReport records that reporter could not reach the instance id. The caller must hold the lock.
 func (m *Member) addReport(id, reporter string, at time.Time) {
 	if id == m.settings.Self.ID {
 		return
@@ -35,7 +34,7 @@
 	}
 }
 
-// outgoingReports returns the reports to pass on, with their ages.
+// outgoingReports returns the valid reports with their ages, and removes the others.
 func (m *Member) outgoingReports() []*memberpb.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,8 +62,8 @@
 	return out
 }
 
-// mergeReports takes over the reports of others. A report about a peer that the
-// instance has heard from since is not taken over.
+// mergeReports merges the reports of others. It ignores reports about a peer that the instance has
+// heard from since.
 func (m *Member) mergeReports(reports []*memberpb.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,7 +77,8 @@
 	}
 }
 
-// isDown states whether enough instances report id. The caller holds the lock.
+// isDown reports whether an instance is considered down, by reports or by failures of this
+// instance's own calls. The caller must hold the lock.
 func (m *Member) isDown(id string, peers int, now time.Time) bool {
 	if m.fails[id] >= failuresForDown {
 		return true
--- a/member/view.go
+++ b/member/view.go
@@ -12,29 +12,29 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// View is what an instance believes at a moment. It never changes.
+// View is an immutable snapshot of the instances and endpoints that an instance knows.
 type View struct {
-	// Nodes are the usable instances of the system, by id. The instance itself
-	// is among them unless it is stopping.
+	// Nodes are the available instances, by id: those that are not leaving, down or stopping. They
+	// include the instance itself unless it is stopping.
 	Nodes map[string]instances.Instance
-	// Listed are all instances of the system on the list, by id.
+	// Listed are all listed instances, by id.
 	Listed map[string]instances.Instance
-	// Endpoints are the endpoint instances on the list, by address.
+	// Endpoints are the listed endpoint instances, by address.
 	Endpoints map[string]instances.Instance
-	// Complete is true when the list has been read at least once.
+	// Complete is true once the list has been read.
 	Complete bool
 
 	byRegion map[string][]hashed
 	all      []hashed
 }
 
-// hashed is an instance with the hash of its id.
+// hashed is an instance id with its hash.
 type hashed struct {
 	id   string
 	hash uint64
 }
 
-// newView indexes the usable nodes.
+// newView returns a view with an index of the available instances by region.
 func newView(listed, usable, endpoints map[string]instances.Instance, complete bool) *View {
 	v := &View{
 		Nodes:     usable,
@@ -54,9 +54,9 @@
 	return v
 }
 
-// RegionalOwner returns the instance that should own a thing of a region, such as an
-// endpoint: one of the region's instances, or of any region's when that region
-// has none. It is false when there is no instance at all.
+// RegionalOwner returns the instance that owns a key in a region, such as an endpoint: one of the
+// region's available instances, or one of all if the region has none. It returns false if no
+// instance is available.
 func (v *View) RegionalOwner(key, region string) (instances.Instance, bool) {
 	among := v.byRegion[region]
 	if len(among) == 0 {
@@ -65,15 +65,15 @@
 	return v.pick(key, among)
 }
 
-// GlobalOwner returns the instance that should keep a thing of all regions, such as
-// a customer's limits.
+// GlobalOwner returns the instance that owns a key across all regions, such as a customer's quota.
+// It returns false if no instance is available.
 func (v *View) GlobalOwner(key string) (instances.Instance, bool) {
 	return v.pick(key, v.all)
 }
 
-// WatchTargets returns up to n instances of a region for one instance to watch,
-// other than itself: all of them when they are few, else those that rendezvous
-// hashing gives it, so that each is watched by about as many.
+// WatchTargets returns up to n available instances of a region that the instance self should watch,
+// without itself. If there are more, rendezvous hashing selects them, so that each instance is
+// watched by about the same number.
 func (v *View) WatchTargets(self, region string, n int) []instances.Instance {
 	h := xxhash.Sum64String(self)
 	order := slices.Clone(v.byRegion[region])
@@ -91,8 +91,8 @@
 	return out
 }
 
-// Ranked returns up to n instances for a key, the keeper first, and each next
-// one the keeper if those before it were gone.
+// Ranked returns up to n available instances in the order of rendezvous hashing for a key: the
+// global owner first, then the instances that would own the key if those before were unavailable.
 func (v *View) Ranked(key string, n int) []instances.Instance {
 	h := xxhash.Sum64String(key)
 	order := slices.Clone(v.all)
@@ -106,7 +106,7 @@
 	return out
 }
 
-// pick returns the winner of rendezvous hashing.
+// pick returns the instance that wins rendezvous hashing for a key.
 func (v *View) pick(key string, among []hashed) (instances.Instance, bool) {
 	h := xxhash.Sum64String(key)
 	best := -1
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package peer holds the connections between the system's own instances.
+// Package peer pools the gRPC connections between instances.
 //
-// A connection is opened on its first use and closed when it has been idle, so
-// that an instance keeps connections only to the peers that it talks to.
+// A connection is opened at its first use and closed when idle, so that an instance keeps
+// connections only to the peers that it communicates with.
 package peer
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/linkmast/linkmast/internal/tcp"
 )
 
-// The times of connections.
+// The timeouts of connections, and the bounds of the delay before reconnecting.
 const (
 	idleTimeout    = 2 * time.Minute
 	connectTimeout = 500 * time.Millisecond
@@ -29,17 +29,17 @@
 	lastBackoff    = time.Second
 )
 
-// The growth and spread of the waits between tries to connect.
+// The growth factor and the relative jitter of the delay before reconnecting.
 const (
 	backoffFactor = 1.6
 	backoffJitter = 0.2
 )
 
-// bufferBytes is the buffer of each direction of a connection. Messages
-// between instances are small.
+// bufferBytes is the size of each connection's read and write buffers. Messages between instances
+// are small.
 const bufferBytes = 16 << 10
 
-// Pool holds connections by address.
+// Pool holds connections by address. It is safe for concurrent use.
 type Pool struct {
 	creds credentials.TransportCredentials
 
@@ -47,7 +47,7 @@
 	conns map[string]*grpc.ClientConn
 }
 
-// New returns a pool. Nil credentials mean connections without TLS.
+// New returns an empty pool. Nil credentials mean connections without TLS.
 func New(creds credentials.TransportCredentials) *Pool {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -58,8 +58,7 @@
 	}
 }
 
-// Conn returns the connection to an address. It does not wait for it to come
-// about.
+// Conn returns the connection to an address without waiting for it to be established.
 func (p *Pool) Conn(address string) (*grpc.ClientConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,14 +89,12 @@
 	return c, nil
 }
 
-// dial opens a connection that is given up when the instance at the other end no longer
-// answers.
+// dial opens a TCP connection that is closed when the peer stops responding.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	return tcp.Dialer(connectTimeout).DialContext(ctx, "tcp", address)
 }
 
-// CloseUnless closes the connections to all addresses but those for which keep is
-// true.
+// CloseUnless closes the connections to all addresses for which keep returns false.
 func (p *Pool) CloseUnless(keep func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,14 +102,14 @@
 		if keep(a) {
 			continue
 		}
-		// A connection that fails to close is forgotten all the same.
+		// The connection is removed even if closing it fails.
 		_ = c.Close()
 		delete(p.conns, a)
 	}
 }
 
-// Forsake closes the connection to an address: it may have gone silent for good. The
-// next use opens a new one.
+// Forsake closes the connection to an address, which may have stopped responding. The next use
+// opens a new one.
 func (p *Pool) Forsake(address string) {
 	p.CloseUnless(func(a string) bool { return a != address })
 }
