--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -16,7 +16,7 @@
 
 var validUntil = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// encodedRecord returns a record of n claims that begin with a number.
+// encodedRecord returns an encoded record with n claims, numbered from the given number.
 func encodedRecord(b *testing.B, from, n int) []byte {
 	b.Helper()
 	rec := &claimpb.Record{}
@@ -62,10 +62,10 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			book := NewRegistry()
+			registry := NewRegistry()
 			const step = 500
 			for i := range n / step {
-				book.Apply(logsvc.Batch{
+				registry.Apply(logsvc.Batch{
 					Earliest: 1,
 					Next:     int64(i + 2),
 					Records: []logsvc.Record{
@@ -79,10 +79,10 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
-				book.Holder(Key{})
+				registry.Holder(Key{})
 			}
 			b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "held-bytes")
-			runtime.KeepAlive(book)
+			runtime.KeepAlive(registry)
 		})
 	}
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestOneWinner proves that of claims on one key through writers that all take
-// themselves for the usual one, one wins and all hear of the same.
+// TestOneWinner guards against two claims that hold the same key when several writers write to a
+// partition, also if answers of the log are lost.
 func TestOneWinner(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -67,9 +67,8 @@
 	}
 }
 
-// TestLogOutage proves that a claim fails soon while the log is down, and that a
-// claim that was given up holds nothing once it is back, also when its append
-// lands late.
+// TestLogOutage guards against claims that hang while the log is down, and against a claim
+// abandoned in the outage that holds its key afterwards, even if it is appended late.
 func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -87,16 +86,16 @@
 		log.SetFaults(standin.Faults{})
 		time.Sleep(5 * time.Second)
 		is.Equal(claimer.Pending(), 0)
-		// The first claim's append lands only now.
+		// Writes the first claim again, as an append that takes effect late would.
 		late, err := writer.Claim(t.Context(), first)
-		is.True(err != nil || late.Request != "r1") // it was given up
+		is.True(err != nil || late.Request != "r1") // it was freed
 		won, err := claimer.Claim(t.Context(), claimOf("k", "r2"))
 		is.NoErr(err)
 		is.Equal(won.Request, "r2")
 	})
 }
 
-// TestClaimsAreBatched proves that many claims at one moment take few appends.
+// TestClaimsAreBatched guards against an append for each of many concurrent claims.
 func TestClaimsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -119,15 +118,14 @@
 	})
 }
 
-// historyEntry is one entry of a history.
+// historyEntry is one entry of a stream.
 type historyEntry struct {
 	claim Claim
 	freed bool
 }
 
-// replayHolder is the rule of Registry in its simplest form: it replays the whole
-// history of a key for each question. A claim that found the key held, or was
-// given up before, is lost for good.
+// replayHolder determines the holder of a key by replaying the whole history. A claim has no effect
+// if the key was held or the claim had been freed before.
 func replayHolder(history []historyEntry, k Key) string {
 	holder := ""
 	for i, e := range history {
@@ -152,11 +150,11 @@
 	return false
 }
 
-// TestRegistryMatchesReplay compares Registry with the naive rule on histories in which
-// claims of one request stand twice, and are given up before and after.
+// TestRegistryMatchesReplay guards against a Registry that differs from a replay of the history
+// when requests claim several times and are freed before or after.
 func TestRegistryMatchesReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book := NewRegistry()
+		registry := NewRegistry()
 		var history []historyEntry
 		for range rapid.IntRange(1, 14).Draw(t, "entries") {
 			key := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
@@ -165,17 +163,16 @@
 				freed: rapid.Bool().Draw(t, "freed"),
 			}
 			history = append(history, e)
-			book.applyEntry(encode(e.claim, e.freed))
-			got, _ := book.Holder(e.claim.Key)
+			registry.applyEntry(encode(e.claim, e.freed))
+			got, _ := registry.Holder(e.claim.Key)
 			if want := replayHolder(history, e.claim.Key); got.Request != want {
-				t.Fatalf("book says that %q holds the key, the naive rule %q", got.Request, want)
+				t.Fatalf("registry: %q holds the key, replay: %q", got.Request, want)
 			}
 		}
 	})
 }
 
-// TestReadAfterTrim proves that a reader that starts after records were trimmed
-// goes on with what is kept.
+// TestReadAfterTrim guards against a reader that waits for trimmed records.
 func TestReadAfterTrim(t *testing.T) {
 	is := is.New(t)
 	b := NewRegistry()
@@ -186,7 +183,7 @@
 	is.Equal(b.Next(), int64(50))
 }
 
-// TestClaimAfterClose proves that a closed writer fails claims at once.
+// TestClaimAfterClose guards against a claim that blocks on a closed writer.
 func TestClaimAfterClose(t *testing.T) {
 	is := is.New(t)
 	w := NewWriter(Settings{}, standin.NewLog(standin.LogSettings{}))
@@ -195,8 +192,7 @@
 	is.True(err != nil)
 }
 
-// The seed of the drawn cases is fixed, so that every run has the same verdict;
-// -rapid.seed=0 draws others.
+// The seed is fixed, so that every run tests the same cases; -rapid.seed=0 draws others.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -13,28 +13,28 @@
 	"github.com/linkmast/linkmast/claim/claimpb"
 )
 
-// Service asks for claims: a Writer of this process or a Client of another.
+// Service writes claims: a Writer of this instance, or a Client of another instance's writer.
 type Service interface {
-	// Claim returns the claim that holds the key.
+	// Claim writes a claim and returns the claim that holds its key.
 	Claim(ctx context.Context, c Claim) (Claim, error)
-	// Free gives up a claim that was not dispatched and never will be.
+	// Free frees a claim whose request has not been dispatched and never will be.
 	Free(ctx context.Context, c Claim) error
 }
 
-// Route returns the instances that may write a partition, the usual one first.
+// Route returns the services that may write to a partition, the preferred one first.
 type Route func(partition int) []Service
 
-// freeRetryInterval is how often a claim that was given up is tried to be freed.
+// freeRetryInterval is the interval of attempts to free abandoned claims.
 const freeRetryInterval = time.Second
 
-// writerTimeout bounds the wait for one writer, so that there is time for another.
+// writerTimeout bounds a call to one writer, which leaves time for another one.
 const writerTimeout = 1200 * time.Millisecond
 
-// freeTimeout bounds one such try.
+// freeTimeout bounds one attempt to free a claim over all writers.
 const freeTimeout = 3 * time.Second
 
-// Claimer claims keys for the requests of an instance, and frees what was
-// given up. Close ends it.
+// Claimer claims keys for the requests of an instance, and frees abandoned claims. Close must be
+// called to stop it.
 type Claimer struct {
 	// Done is closed when the claimer has stopped.
 	Done chan struct{}
@@ -46,7 +46,7 @@
 	toFree map[string]Claim
 }
 
-// NewClaimer starts a claimer.
+// NewClaimer starts a claimer, which Close stops.
 func NewClaimer(route Route) *Claimer {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Claimer{
@@ -65,8 +65,8 @@
 	<-c.Done
 }
 
-// Claim returns the claim that holds the key. On an error the request was not
-// dispatched, and its claim, if there is one, will be freed.
+// Claim writes a claim and returns the claim that holds its key. After an error the caller must not
+// dispatch the request; its claim, which may have been written, will be freed.
 func (c *Claimer) Claim(ctx context.Context, claim Claim) (Claim, error) {
 	var last error
 	for _, w := range c.route(claim.Key.Partition(Partitions)) {
@@ -88,15 +88,15 @@
 	return Claim{}, last
 }
 
-// FreeLater frees a claim that was not dispatched and never will be, as soon as
-// the log allows.
+// FreeLater frees a claim in the background, as soon as the log permits. Its request must not have
+// been dispatched and never be.
 func (c *Claimer) FreeLater(claim Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.toFree[claim.Request] = claim
 }
 
-// Pending returns how many claims wait to be freed.
+// Pending returns the number of claims that are still to be freed.
 func (c *Claimer) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// freeAll tries to free each claim that was given up.
+// freeAll attempts to free each abandoned claim, and drops those whose keys have expired.
 func (c *Claimer) freeAll(ctx context.Context) {
 	c.mu.Lock()
 	waiting := make([]Claim, 0, len(c.toFree))
@@ -147,19 +147,19 @@
 	return false
 }
 
-// Client asks the writer of another instance. It implements Asker.
+// Client calls the writer of another instance. It implements Service.
 type Client struct {
 	rpc claimpb.ClaimsClient
 }
 
-// NewClient returns a client over a connection.
+// NewClient returns a client that uses a connection.
 func NewClient(conn grpc.ClientConnInterface) *Client {
 	return &Client{
 		rpc: claimpb.NewClaimsClient(conn),
 	}
 }
 
-// Claim implements Asker.
+// Claim implements Service.
 func (c *Client) Claim(ctx context.Context, claim Claim) (Claim, error) {
 	reply, err := c.rpc.Claim(ctx, &claimpb.ClaimRequest{
 		Entry: encode(claim, false),
@@ -173,7 +173,7 @@
 	return decode(reply.Winner), nil
 }
 
-// Free implements Asker.
+// Free implements Service.
 func (c *Client) Free(ctx context.Context, claim Claim) error {
 	_, err := c.rpc.Free(ctx, &claimpb.FreeRequest{
 		Entry: encode(claim, true),
@@ -188,7 +188,7 @@
 	writer *Writer
 }
 
-// NewServer returns a server.
+// NewServer returns a server for a writer.
 func NewServer(w *Writer) *Server {
 	return &Server{
 		writer: w,
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -1,24 +1,24 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package claim sees to it that a request with a key from its caller runs at
-// most once.
+// Package claim ensures that a request for which the caller provides a once-only key runs at most
+// once.
 //
-// Before such a request is dispatched, a claim on its key is appended to the
-// platform's log. Keys are spread over partitions, each a stream of the log.
-// The first claim on a key by offset holds it (Registry), and only the instance
-// that wrote it dispatches, once. A claim that was given up before dispatch is
-// freed by its own writer, and then the next one holds.
+// Before such a request is dispatched, a claim on its key is appended to the platform's log. Keys
+// are distributed over partitions, each a stream of the log. The first claim on a key by offset
+// holds it (Registry), and only the instance that wrote this claim dispatches the request, once. A
+// claim that is abandoned before dispatch is freed by the instance that wrote it; then the next
+// claim on the key can hold it.
 //
-// Claims of a partition usually go through one instance, its writer, which
-// batches them. That saves appends; who writes decides nothing, as the order in
-// the log does. Two writers at once do no harm.
+// The claims of a partition usually go through one instance, its writer, which batches them to save
+// appends. Correctness depends only on the order in the log, so that several writers at a time do
+// no harm.
 //
-// A claim whose append went unanswered is settled by reading. When that is not
-// possible in time the request is refused as not run, and the claim is freed as
-// soon as the log answers again.
+// If an append gets no answer, reading the stream shows whether the claim was written. If the log
+// can't be read in time, the request is refused as not run, and the claim is freed as soon as the
+// log answers again.
 //
-// A key is valid until a time that the caller states, at most MaxKeyValidity
-// ahead. Clocks may differ by ClockBound: a request whose key ends within that
-// is refused. Records outlive keys as long as the log's retention is above
-// MaxKeyValidity + 2·ClockBound.
+// A key is valid until a time that the caller states, at most the setting max_key_validity ahead.
+// Clocks may differ by up to clock_bound, so a request whose key expires within that time is
+// refused. Records outlive their keys if the log's retention exceeds max_key_validity +
+// 2·clock_bound.
 package claim
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -12,45 +12,45 @@
 	"github.com/linkmast/linkmast/logsvc"
 )
 
-// Key is the hash of a customer and its key.
+// Key is the hash of a customer and the customer's once-only key.
 type Key [sha256.Size]byte
 
-// KeyOf returns the hash of a customer and its key.
+// KeyOf returns the hash of a customer and the customer's once-only key.
 func KeyOf(customer, key string) Key {
 	h := sha256.New()
-	// A hash's Write never fails.
+	// Write never returns an error for a hash.
 	_, _ = h.Write([]byte(customer))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(key))
 	return Key(h.Sum(nil))
 }
 
-// Partition returns the partition of a key among n.
+// Partition returns the partition of a key, of n.
 func (k Key) Partition(n int) int {
 	return (int(k[0])<<8 | int(k[1])) % n
 }
 
-// Claim is a claim on a key.
+// Claim is the claim of a request on a key.
 type Claim struct {
-	// Key is what is claimed.
+	// Key is the claimed key.
 	Key Key
-	// Request names the request that claims.
+	// Request is the id of the request that claims the key.
 	Request string
-	// Instance names the instance that will dispatch it.
+	// Instance is the id of the instance that will dispatch the request.
 	Instance string
-	// ValidUntil is when the key's validity ends.
+	// ValidUntil is when the key expires.
 	ValidUntil time.Time
 }
 
-// Registry is who holds which key of one partition, as its stream tells. The zero
-// value is not usable; use NewBook.
+// Registry tracks which claim holds each key of one partition, from the records of its stream. The
+// zero value is not usable; use NewRegistry.
 type Registry struct {
 	next  int64
 	keys  map[Key]Claim
 	freed map[string]time.Time
 }
 
-// NewRegistry returns an empty book.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
 	return &Registry{
 		next:  1,
@@ -59,12 +59,12 @@
 	}
 }
 
-// Next returns the offset to read next.
+// Next returns the offset of the next record to apply.
 func (r *Registry) Next() int64 {
 	return r.next
 }
 
-// Len returns the number of keys held.
+// Len returns the number of keys that are held.
 func (r *Registry) Len() int {
 	return len(r.keys)
 }
@@ -75,14 +75,14 @@
 	return c, ok
 }
 
-// Freed states whether the claim of a request was given up.
+// Freed reports whether the claim of a request has been freed.
 func (r *Registry) Freed(request string) bool {
 	_, ok := r.freed[request]
 	return ok
 }
 
-// Apply takes over the records of a batch that are due, in order. Records that
-// are no longer kept were of keys whose validity has ended.
+// Apply applies the records of a batch in the order of their offsets, and skips those that were
+// applied before. Records that the log no longer keeps belong to expired keys.
 func (r *Registry) Apply(batch logsvc.Batch) {
 	r.next = max(r.next, batch.Earliest)
 	for _, record := range batch.Records {
@@ -92,7 +92,7 @@
 		r.next++
 		var decoded claimpb.Record
 		if err := proto.Unmarshal(record.Data, &decoded); err != nil {
-			// Nobody's claim; every reader passes over it alike.
+			// The record is invalid, and every reader skips it.
 			continue
 		}
 		for _, e := range decoded.Entries {
@@ -101,7 +101,7 @@
 	}
 }
 
-// applyEntry takes over one claim, or the end of one.
+// applyEntry applies one claim, or the freeing of one.
 func (r *Registry) applyEntry(e *claimpb.Entry) {
 	if len(e.Key) != sha256.Size {
 		return
@@ -120,7 +120,7 @@
 	r.keys[c.Key] = c
 }
 
-// Expire forgets what ended before a moment.
+// Expire removes the claims and freed requests whose keys expired before a time.
 func (r *Registry) Expire(before time.Time) {
 	for k, c := range r.keys {
 		if c.ValidUntil.Before(before) {
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -16,7 +16,7 @@
 	"github.com/linkmast/linkmast/logsvc"
 )
 
-// Partitions is the number of partitions. It is the same for all instances.
+// Partitions is the number of partitions. All instances must use the same number.
 const Partitions = 8
 
 // StreamName returns the name of a partition's stream.
@@ -24,35 +24,33 @@
 	return fmt.Sprintf("claims-%02d", partition)
 }
 
-// Settings are the measures of a Writer. A zero value means the default.
+// Settings configures a Writer. A zero value selects the default.
 type Settings struct {
-	// AppendsPerSecond bounds the appends of one partition; the default is
-	// 7.5, which is 60 a second for all.
+	// AppendsPerSecond limits the appends to one partition; the default is 7.5, which is 60 per
+	// second over all partitions.
 	AppendsPerSecond float64
 	// CallTimeout bounds one call to the log; the default is 1s.
 	CallTimeout time.Duration
-	// Retention is how long keys are remembered beyond their validity; the default
-	// is 10s.
+	// Retention is how long keys are kept after they have expired; the default is 10s.
 	Retention time.Duration
 }
 
 const (
-	defaultAppends = 7.5
-	defaultTimeout = time.Second
-	defaultKeep    = 10 * time.Second
+	defaultAppends   = 7.5
+	defaultTimeout   = time.Second
+	defaultRetention = 10 * time.Second
 )
 
-// appendBurst is how many appends may follow each other at once.
+// appendBurst is how many appends to a partition may follow each other without delay.
 const appendBurst = 2
 
 // maxBatch bounds the entries of one append.
 const maxBatch = 512
 
-// ErrLog is a claim that the log did not decide. Whether it was written is not
-// known.
+// ErrLog means that the log did not decide a claim. Whether the claim was written is unknown.
 var ErrLog = errors.New("the log does not answer")
 
-// Writer writes claims in batches. Close ends it.
+// Writer writes claims in batches. Close must be called to stop it.
 type Writer struct {
 	// Done is closed when the writer has stopped.
 	Done chan struct{}
@@ -65,29 +63,29 @@
 	wait     sync.WaitGroup
 }
 
-// partition is the writer's part for one stream.
+// partition is the state of one partition.
 type partition struct {
 	stream   string
 	limit    *rate.Limiter
 	requests chan entryRequest
-	// registry is used by the partition's own goroutine alone.
+	// registry is used only by the partition's goroutine.
 	registry *Registry
 }
 
-// entryRequest is an entry on its way into the log.
+// entryRequest is an entry to be written, with the channel for its outcome.
 type entryRequest struct {
 	claim  Claim
 	freed  bool
 	result chan outcome
 }
 
-// outcome is what the log decided.
+// outcome is the holder of the key according to the log, or an error.
 type outcome struct {
 	winner Claim
 	err    error
 }
 
-// NewWriter starts a writer.
+// NewWriter starts a writer, which Close stops.
 func NewWriter(s Settings, log logsvc.Log) *Writer {
 	if s.AppendsPerSecond == 0 {
 		s.AppendsPerSecond = defaultAppends
@@ -96,7 +94,7 @@
 		s.CallTimeout = defaultTimeout
 	}
 	if s.Retention == 0 {
-		s.Retention = defaultKeep
+		s.Retention = defaultRetention
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Writer{
@@ -122,19 +120,19 @@
 	return w
 }
 
-// Close stops the writer and waits for it. Claims that wait fail.
+// Close stops the writer and waits for it. Pending claims fail.
 func (w *Writer) Close() {
 	w.cancel()
 	<-w.Done
 }
 
-// Claim returns the claim that holds the key, which may be c itself. It fails
-// with ErrLog when the log did not decide in time.
+// Claim writes a claim and returns the claim that holds its key, which may be c itself. It returns
+// ErrLog if the log doesn't decide in time.
 func (w *Writer) Claim(ctx context.Context, c Claim) (Claim, error) {
 	return w.submit(ctx, c, false)
 }
 
-// Free gives up a claim that was not dispatched and never will be.
+// Free frees a claim whose request has not been dispatched and never will be.
 func (w *Writer) Free(ctx context.Context, c Claim) error {
 	_, err := w.submit(ctx, c, true)
 	return err
@@ -161,7 +159,7 @@
 	}
 }
 
-// loop writes one partition's batches.
+// loop writes the batches of one partition until the writer is closed.
 func (w *Writer) loop(p *partition) {
 	for {
 		var batch []entryRequest
@@ -177,7 +175,7 @@
 	}
 }
 
-// gather collects more entries until the partition may append again.
+// gather adds requests to a batch until the rate limit permits the next append.
 func (w *Writer) gather(p *partition, batch []entryRequest) []entryRequest {
 	due := time.NewTimer(p.limit.Reserve().Delay())
 	defer due.Stop()
@@ -194,7 +192,7 @@
 	return batch
 }
 
-// drain adds what waits right now.
+// drain adds the requests that are waiting now.
 func (w *Writer) drain(p *partition, batch []entryRequest) []entryRequest {
 	for len(batch) < maxBatch {
 		select {
@@ -207,8 +205,8 @@
 	return batch
 }
 
-// settle appends a batch, reads what the log decided, and answers. Claims on
-// keys that are known to be held are answered without an append.
+// settle appends a batch, reads the stream up to it, and sends the outcomes. Claims on keys that
+// are known to be held need no append.
 func (w *Writer) settle(p *partition, batch []entryRequest) {
 	batch = w.answerHeld(p, batch)
 	if len(batch) == 0 {
@@ -223,7 +221,8 @@
 	}
 }
 
-// answerHeld answers the claims on keys that the book holds already.
+// answerHeld sends the outcomes of claims on keys that are already held, and returns the remaining
+// requests.
 func (w *Writer) answerHeld(p *partition, batch []entryRequest) []entryRequest {
 	rest := batch[:0]
 	for _, a := range batch {
@@ -239,24 +238,24 @@
 	return rest
 }
 
-// outcomeOf returns the answer to one entry. With an error the book is consulted
-// all the same: the claim may have been written and read.
-func outcomeOf(b *Registry, a entryRequest, err error) outcome {
-	if a.freed {
-		if b.Freed(a.claim.Request) {
+// outcomeOf returns the outcome of one request. After an error of the append or the read, freeing a
+// claim still succeeds if the registry shows it as freed; a claim fails with ErrLog.
+func outcomeOf(registry *Registry, request entryRequest, err error) outcome {
+	if request.freed {
+		if registry.Freed(request.claim.Request) {
 			return outcome{}
 		}
 		return outcome{
 			err: errors.Wrap(ErrLog, "not freed"),
 		}
 	}
-	holder, held := b.Holder(a.claim.Key)
+	holder, held := registry.Holder(request.claim.Key)
 	switch {
 	case held && err == nil:
 		return outcome{
 			winner: holder,
 		}
-	case b.Freed(a.claim.Request):
+	case registry.Freed(request.claim.Request):
 		return outcome{
 			err: errors.Wrap(ErrLog, "the claim was given up"),
 		}
@@ -270,8 +269,8 @@
 	}
 }
 
-// append adds a batch as one record. An unknown effect is no error: reading
-// settles it.
+// append appends a batch as one record. If it is unknown whether the append took effect, it returns
+// no error, as reading the stream shows that.
 func (w *Writer) append(p *partition, batch []entryRequest) error {
 	rec := &claimpb.Record{}
 	for _, a := range batch {
