--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -59,7 +59,7 @@
 			}
 			var data []byte
 			for b.Loop() {
-				// A Status always encodes.
+				// A Status can always be encoded.
 				data, _ = json.Marshal(s)
 			}
 			b.ReportMetric(float64(len(data)), "answer-bytes")
@@ -67,7 +67,7 @@
 	}
 }
 
-// unresponsive is a fleet on which nothing answers.
+// unresponsive is a fleet in which nothing answers.
 type unresponsive struct {
 	Endpoints
 }
--- a/owner/doc.go
+++ b/owner/doc.go
@@ -1,23 +1,23 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
 // Package owner schedules endpoints. Each endpoint has one owner among the
-// instances of its region, which keeps its queue and its memory ledger and
-// gives leases on it. A lease allows its holder to run one attempt.
+// instances of its region, which manages the endpoint's queue and memory ledger
+// and grants leases. A lease permits its holder to run one attempt at the
+// endpoint.
 //
-// Ownership is a hint that makes scheduling good; nothing that must hold rests
-// on it. Two instances that both take themselves for an endpoint's owner give
-// too many leases, and the engine refuses those that do not fit.
+// Correctness doesn't depend on ownership. If two instances consider themselves
+// the owner of an endpoint, they grant too many leases, and the engine refuses
+// the attempts that don't fit.
 //
-// An owner returns memory that nobody uses. It compares what runs at the
-// endpoint with its leases. For an attempt that it does not know, and for a
-// lease that it has not heard of for ConfirmAfter, it asks the holder. What the
-// holder does not hold is cancelled at once; what a silent holder may hold is
-// cancelled OrphanAfter later. Cancels repeat until the endpoint no longer
-// lists the attempt, so the memory of an attempt whose holder died is back
-// within
+// An owner frees memory that is no longer used. It compares what runs at the
+// endpoint with its leases, and asks the holders about attempts without a lease
+// and about leases that have not been confirmed for ConfirmAfter. It cancels at
+// once an attempt that its holder no longer has, and after OrphanAfter one whose
+// holder doesn't answer. Cancels are repeated until the endpoint no longer lists
+// the attempt, so that the memory of an attempt whose holder died is free within
 //
 //	ConfirmAfter + OrphanAfter + 2·SweepInterval
 //
-// as long as the endpoint answers. A new owner rebuilds its ledger the same
-// way: it adopts what the holders say they hold.
+// as long as the endpoint answers. A new owner rebuilds its ledger in the same
+// way: it creates leases for the attempts that the holders report.
 package owner
--- a/owner/grpc.go
+++ b/owner/grpc.go
@@ -17,12 +17,12 @@
 
 // The units of summaries on the wire.
 const (
-	backlogUnit = 100 // a hundredth of a second
+	backlogUnit = 100 // hundredths of a second
 	mebibyte    = 1 << 20
 )
 
-// heartbeatInterval is how often a queued request shows a sign of life; a client
-// gives up on an owner that is silent for heartbeatTimeout.
+// heartbeatInterval is the interval of messages to a queued request. A client gives up on an owner
+// after heartbeatTimeout without a message.
 const (
 	heartbeatInterval = 500 * time.Millisecond
 	heartbeatTimeout  = 3 * heartbeatInterval
@@ -33,11 +33,11 @@
 	ownerpb.UnimplementedOwnerServer
 
 	owner *Owner
-	// closing ends the streams of watchers.
+	// closing ends the streams of Watch when it is closed.
 	closing <-chan struct{}
 }
 
-// NewServer returns a server. Watches end when closing is closed.
+// NewServer returns a server for an owner. The streams of Watch end when closing is closed.
 func NewServer(o *Owner, closing <-chan struct{}) *Server {
 	return &Server{
 		owner:   o,
@@ -75,11 +75,11 @@
 	return s.awaitOutcome(out, done, estimates, r)
 }
 
-// awaitOutcome sends signs of life until the outcome is there.
+// awaitOutcome sends heartbeats until the outcome is known, and then the outcome.
 func (s *Server) awaitOutcome(out grpc.ServerStreamingServer[ownerpb.AcquireUpdate], done <-chan *ownerpb.AcquireUpdate, estimates <-chan time.Duration, r Request) error {
 	var estimate time.Duration
-	life := time.NewTicker(heartbeatInterval)
-	defer life.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		select {
 		case u := <-done:
@@ -89,7 +89,7 @@
 			}
 			return nil
 		case estimate = <-estimates:
-		case <-life.C:
+		case <-heartbeat.C:
 		}
 		queued := &ownerpb.AcquireUpdate{
 			Update: &ownerpb.AcquireUpdate_Queued{
@@ -106,7 +106,7 @@
 
 // Withdraw ends a lease whose grant could not be delivered.
 func (o *Owner) Withdraw(endpoint, attempt string) {
-	// Release of an unknown lease is no error.
+	// Releasing an unknown lease is not an error.
 	_ = o.Release(context.Background(), Release{
 		Attempt:  attempt,
 		Endpoint: endpoint,
@@ -161,11 +161,11 @@
 	return out, nil
 }
 
-// maxPiggyback bounds the summaries that go with the answer to a release.
+// maxPiggyback bounds the summaries in the reply to a release. If there are more, none are sent.
 const maxPiggyback = 32
 
-// Watch implements ownerpb.OwnerServer. Summaries that are as they were are sent
-// again only once in watchRepeat, so that the watcher knows that they hold.
+// Watch implements ownerpb.OwnerServer. It sends unchanged summaries only once per
+// unchangedInterval, which tells the watcher that they are still valid.
 func (s *Server) Watch(in *ownerpb.WatchRequest, out grpc.ServerStreamingServer[ownerpb.Summaries]) error {
 	interval := max(time.Duration(in.IntervalMs)*time.Millisecond, minWatchInterval)
 	tick := time.NewTicker(interval)
@@ -191,11 +191,11 @@
 	}
 }
 
-// unchangedInterval is how often summaries are sent that have not changed. It is
-// well below the age at which an entry no longer believes them.
+// unchangedInterval is the interval of sending unchanged summaries. It is well below the age at
+// which entry instances stop using them.
 const unchangedInterval = time.Second
 
-// minWatchInterval bounds how often summaries are sent.
+// minWatchInterval bounds the interval that a watcher may ask for.
 const minWatchInterval = 20 * time.Millisecond
 
 // Encode returns the message for summaries.
@@ -251,29 +251,29 @@
 	return out
 }
 
-// Client asks the owner on another instance. It implements Leaser.
+// Client calls the owner at another instance. It implements Leaser.
 type Client struct {
 	rpc         ownerpb.OwnerClient
 	onSummaries func([]policy.Summary)
 }
 
-// NewClient returns a client over a connection. It calls hear with the
-// summaries that come with answers.
-func NewClient(conn grpc.ClientConnInterface, hear func([]policy.Summary)) *Client {
+// NewClient returns a client that uses a connection. It calls onSummaries with the summaries in
+// replies.
+func NewClient(conn grpc.ClientConnInterface, onSummaries func([]policy.Summary)) *Client {
 	return &Client{
 		rpc:         ownerpb.NewOwnerClient(conn),
-		onSummaries: hear,
+		onSummaries: onSummaries,
 	}
 }
 
-// Acquire implements Leaser. An owner that shows no sign of life is a refusal
-// too; so is a grant that may have lapsed in a suspension of this machine, in
-// which the timer stood still.
+// Acquire implements Leaser. It returns a refusal if the owner sends no message for
+// heartbeatTimeout. The elapsed time includes a suspension of the host, in which timers stop: a
+// grant that arrives afterwards may have expired.
 func (c *Client) Acquire(ctx context.Context, r Request, queued func(time.Duration)) (Grant, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	life := time.AfterFunc(heartbeatTimeout, cancel)
-	defer life.Stop()
+	watchdog := time.AfterFunc(heartbeatTimeout, cancel)
+	defer watchdog.Stop()
 	now := steady.Now()
 	stream, err := c.rpc.Acquire(ctx, &ownerpb.AcquireRequest{
 		Attempt:      r.Attempt,
@@ -290,18 +290,18 @@
 		DeadlineMs:   r.Work.Deadline.Sub(now).Milliseconds(),
 		PatienceMs:   msOf(r.Patience),
 	})
-	heard := now
+	lastMessage := now
 	for err == nil {
 		var u *ownerpb.AcquireUpdate
 		if u, err = stream.Recv(); err != nil {
 			break
 		}
-		if steady.Since(heard) > heartbeatTimeout {
+		if steady.Since(lastMessage) > heartbeatTimeout {
 			err = errSuspended
 			break
 		}
-		heard = steady.Now()
-		life.Reset(heartbeatTimeout)
+		lastMessage = steady.Now()
+		watchdog.Reset(heartbeatTimeout)
 		switch v := u.Update.(type) {
 		case *ownerpb.AcquireUpdate_Granted:
 			return Grant{
@@ -322,7 +322,7 @@
 	return Grant{}, refuse(RefusedSilent, err.Error(), 0)
 }
 
-// errSuspended ends waiting for a lease over a suspension of the machine.
+// errSuspended means that the host was suspended while a request waited for a lease.
 var errSuspended = errors.New("suspended while it waited for a lease")
 
 // Release implements Leaser.
--- a/owner/messages.go
+++ b/owner/messages.go
@@ -9,63 +9,63 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// Request asks for a lease.
+// Request is a request for a lease.
 type Request struct {
 	// Attempt is the id of the attempt, chosen by the holder.
 	Attempt string
-	// Holder names the instance that will dispatch the attempt.
+	// Holder is the id of the instance that will dispatch the attempt.
 	Holder string
-	// Endpoint names the endpoint.
+	// Endpoint is the id of the endpoint.
 	Endpoint string
-	// Work is what the attempt needs.
+	// Work describes the resources and the deadline of the attempt.
 	Work policy.Work
-	// Patience is the estimate above which the owner refuses instead of
-	// queueing; zero means none.
+	// Patience is the estimated wait above which the owner refuses the request instead of queueing
+	// it; zero means no limit.
 	Patience time.Duration
 }
 
-// Grant is a lease.
+// Grant is a granted lease.
 type Grant struct {
 	// Address is the endpoint's host and port.
 	Address string
-	// Instance names the endpoint instance that the lease is for.
+	// Instance is the name of the endpoint instance that the lease is for.
 	Instance string
-	// Priority is what the engine is to be given.
+	// Priority is the priority to pass to the engine.
 	Priority int
-	// StartWithin is how long the lease may go unused.
+	// StartWithin is how long the lease may remain unused.
 	StartWithin time.Duration
 }
 
-// Code says why a lease was refused.
+// Code is the reason of a refusal.
 type Code string
 
-// The codes of refusals.
+// The reasons of refusals.
 const (
 	// RefusedNotOwner means that the instance does not own the endpoint.
 	RefusedNotOwner Code = "not_owner"
-	// RefusedEjected means that the endpoint is set aside.
+	// RefusedEjected means that the endpoint is ejected.
 	RefusedEjected Code = "aside"
 	// RefusedLeaving means that the endpoint is leaving.
 	RefusedLeaving Code = "leaving"
-	// RefusedDeadline means that the deadline can't be met here.
+	// RefusedDeadline means that the deadline can't be met at the endpoint.
 	RefusedDeadline Code = "deadline"
-	// RefusedPatience means that the estimate is above the patience.
+	// RefusedPatience means that the estimated wait exceeds the patience.
 	RefusedPatience Code = "patience"
-	// RefusedSize means that the endpoint never holds the attempt.
+	// RefusedSize means that the attempt needs more memory than the endpoint has.
 	RefusedSize Code = "size"
-	// RefusedStopping means that the instance is stopping.
+	// RefusedStopping means that the owner is stopping.
 	RefusedStopping Code = "stopping"
-	// RefusedSilent means that the owner showed no sign of life.
+	// RefusedSilent means that the owner did not respond.
 	RefusedSilent Code = "silent"
 )
 
-// Refusal is why a lease was not given.
+// Refusal is the error of a refused lease.
 type Refusal struct {
-	// Code names the reason.
+	// Code is the reason.
 	Code Code
-	// Detail explains it.
+	// Detail explains the reason in words.
 	Detail string
-	// RetryAfter is when a try makes sense again.
+	// RetryAfter is when a retry may succeed; zero if unknown.
 	RetryAfter time.Duration
 }
 
@@ -74,45 +74,45 @@
 	return "lease refused: " + string(r.Code) + ": " + r.Detail
 }
 
-// Outcome is what a holder tells of a lease.
+// Outcome is what a holder reports about a lease.
 type Outcome string
 
 // The outcomes of leases.
 const (
-	// FirstToken keeps the lease and notes that the prompt is done.
+	// FirstToken keeps the lease and reports that the prefill is finished.
 	FirstToken Outcome = "first_token"
-	// Done ends the lease after a whole answer or a cancel that arrived.
+	// Done ends the lease after a complete answer or a delivered cancel.
 	Done Outcome = "done"
-	// Failed ends the lease after the endpoint failed.
+	// Failed ends the lease after a failure of the endpoint.
 	Failed Outcome = "failed"
 	// NotStarted ends a lease that was not used.
 	NotStarted Outcome = "not_started"
 )
 
-// Release tells of a lease.
+// Release reports the outcome of a lease.
 type Release struct {
 	// Attempt is the id of the attempt.
 	Attempt string
-	// Endpoint names the endpoint.
+	// Endpoint is the id of the endpoint.
 	Endpoint string
-	// Outcome is what became of it.
+	// Outcome is the outcome of the attempt.
 	Outcome Outcome
-	// Step is the mean time between tokens; zero when unknown.
+	// Step is the mean time between tokens; zero if unknown.
 	Step time.Duration
 }
 
-// Leaser gives leases: an Owner in this process, or a Client of another.
+// Leaser grants leases. It is an Owner in this process, or a Client of another.
 type Leaser interface {
-	// Acquire waits for a lease. It calls queued, if not nil, with the
-	// estimated wait when the request is queued. A refusal is a *Refusal.
+	// Acquire waits for a lease. If the request is queued, it calls queued, unless nil, with the
+	// estimated wait, possibly more than once. The error of a refused request is a *Refusal.
 	Acquire(ctx context.Context, r Request, queued func(time.Duration)) (Grant, error)
-	// Release tells of a lease.
+	// Release reports the outcome of a lease.
 	Release(ctx context.Context, r Release) error
 }
 
-// Holders asks instances about the attempts that they hold.
+// Holders gives access to the instances that hold attempts.
 type Holders interface {
-	// Held returns which of the attempts the holder holds. It fails when the
+	// Held returns those of the attempts that the holder still has. It returns an error if the
 	// holder can't be reached.
 	Held(ctx context.Context, holder string, attempts []string) ([]string, error)
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -19,20 +19,22 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// Settings are the times of an Owner. A zero value means the default.
+// Settings configures an Owner. A zero value selects the default.
 type Settings struct {
-	// SweepInterval is how often each endpoint is compared; the default is 1s.
+	// SweepInterval is the interval at which the status of each endpoint is compared with its
+	// leases; the default is 1s.
 	SweepInterval time.Duration
-	// ConfirmAfter is how long a lease goes unheard of before its holder is
-	// asked; the default is 3s.
+	// ConfirmAfter is how long after its last confirmation the holder of a lease is asked about it;
+	// the default is 3s.
 	ConfirmAfter time.Duration
-	// OrphanAfter is how long a holder may be silent; the default is 4s.
+	// OrphanAfter is how long a holder may be unreachable before its attempts are cancelled; the
+	// default is 4s.
 	OrphanAfter time.Duration
-	// StartWithin is how long a lease may go unused; the default is 2s.
+	// StartWithin is how long a lease may remain unused; the default is 2s.
 	StartWithin time.Duration
-	// CallTimeout bounds one call to an endpoint; the default is 700ms.
+	// CallTimeout bounds one call to an endpoint or a holder; the default is 700ms.
 	CallTimeout time.Duration
-	// Strategy is the order of the queue; the default is policy.Weighed.
+	// Strategy determines the order of the queues; the default is policy.Weighed.
 	Strategy policy.Strategy
 }
 
@@ -44,7 +46,7 @@
 	defaultCall        = 700 * time.Millisecond
 )
 
-// pumpInterval is how often a queue that can't move is looked at again.
+// pumpInterval is the interval at which a queue with waiting requests is checked again.
 const pumpInterval = 5 * time.Millisecond
 
 func (s *Settings) setDefaults() {
@@ -64,22 +66,22 @@
 	}
 }
 
-// Endpoints makes the adapters to endpoints.
+// Endpoints creates clients for endpoints.
 type Endpoints interface {
-	// Engine returns the adapter to the engine at an address.
+	// Engine returns the client for the engine at an address.
 	Engine(address string) engine.Client
-	// Plain returns the adapter to the plain endpoint at an address.
+	// Plain returns the client for the plain endpoint at an address.
 	Plain(address string) plain.Client
 }
 
-// Target is one endpoint that the instance owns.
+// Target describes one endpoint that the instance owns.
 type Target struct {
-	// Endpoint is its entry in the configuration.
+	// Endpoint is the endpoint's entry in the configuration.
 	Endpoint config.Endpoint
-	// Instance names the endpoint instance at the address; empty when the
-	// platform's list names none.
+	// Instance is the name of the endpoint instance at the address; empty if the platform's list
+	// has none.
 	Instance string
-	// Leaving is true when the endpoint may get no new work.
+	// Leaving is true if the endpoint must get no new work.
 	Leaving bool
 	// Desired is what an engine should have loaded.
 	Desired order.State
@@ -96,7 +98,7 @@
 	orders    *order.Reconciler
 	log       logr.Logger
 	cancel    context.CancelFunc
-	// wake asks for a sweep at once.
+	// wake triggers a sweep.
 	wake chan struct{}
 
 	mu       sync.Mutex
@@ -104,35 +106,35 @@
 	stopping bool
 }
 
-// endpoint is the queue and ledger of one endpoint.
+// endpoint is the queue and the ledger of one endpoint.
 type endpoint struct {
 	target Target
 	ledger *policy.Ledger
 	queue  []*waiter
 	leases map[string]*lease
-	// unleased are attempts that run without a lease, by when they were first
-	// seen.
+	// unleased holds the attempts that run without a lease, with the time when each was first seen.
 	unleased map[string]time.Time
-	// instance is the endpoint instance that reported last.
+	// instance is the endpoint instance in the last status.
 	instance string
-	// reported is false until the endpoint has reported once.
+	// reported is true once the endpoint has returned a status.
 	reported bool
 	ejected  bool
 	fails    int
 	pumping  bool
 }
 
-// lease is what a holder may use.
+// lease is the permission of a holder to run one attempt.
 type lease struct {
 	holder    string
 	granted   time.Time
 	confirmed time.Time
-	// silentSince is when the holder was first found silent.
+	// silentSince is when the holder was first found unreachable; zero if it answered the last
+	// time.
 	silentSince time.Time
 }
 
-// New starts an owner that owns nothing yet. Close ends it. Nil orders mean
-// that endpoints are left as they are.
+// New starts an owner without endpoints, which Close stops. With nil orders it doesn't change what
+// engines have loaded.
 func New(s Settings, endpoints Endpoints, holders Holders, orders *order.Reconciler, log logr.Logger) *Owner {
 	s.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -151,14 +153,14 @@
 	return o
 }
 
-// Close stops the owner and waits for it. Requests that wait are refused.
+// Close stops the owner and waits for it. Waiting requests are refused.
 func (o *Owner) Close() {
 	o.Stop()
 	o.cancel()
 	<-o.Done
 }
 
-// Stop refuses whatever waits and takes nothing new. Leases stay.
+// Stop refuses all waiting and future requests. Leases remain.
 func (o *Owner) Stop() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -168,8 +170,8 @@
 	}
 }
 
-// SetOwned sets which endpoints the instance owns. Those that it no longer owns are
-// forgotten, and what waits for them is refused so that it goes elsewhere.
+// SetOwned sets the endpoints that the instance owns. The state of the others is dropped, and their
+// waiting requests are refused so that they can go to another owner.
 func (o *Owner) SetOwned(targets []Target) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -198,7 +200,7 @@
 	}
 }
 
-// wakeSweep asks for a sweep at once.
+// wakeSweep triggers a sweep.
 func (o *Owner) wakeSweep() {
 	select {
 	case o.wake <- struct{}{}:
@@ -213,7 +215,7 @@
 	}
 }
 
-// setTarget takes over what the configuration and the list say of the endpoint.
+// setTarget applies the configuration and the listing of the endpoint.
 func (e *endpoint) setTarget(t Target) {
 	if e.ledger == nil {
 		e.ledger = policy.NewLedger(t.Endpoint.MemoryBytes, t.Endpoint.PrefillTokensPerSecond, t.Endpoint.MaxRunning)
@@ -227,7 +229,7 @@
 	}
 }
 
-// Owned returns the ids of the endpoints that the instance owns.
+// Owned returns the ids of the owned endpoints, in any order.
 func (o *Owner) Owned() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -238,8 +240,7 @@
 	return ids
 }
 
-// Summaries returns a summary of each endpoint that the instance owns, in the
-// order of their ids.
+// Summaries returns a summary of each owned endpoint, ordered by id.
 func (o *Owner) Summaries() []policy.Summary {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -14,18 +14,17 @@
 // waiter is a request in a queue.
 type waiter struct {
 	request Request
-	// answer gets one answer and never blocks.
+	// answer receives one value. It is buffered, so that sending never blocks.
 	answer chan answer
 }
 
-// answer is the outcome of waiting.
+// answer is the grant or the refusal of a waiting request.
 type answer struct {
 	grant   Grant
 	refusal *Refusal
 }
 
-// minRetry is the least time after which a refused caller is told to come
-// back.
+// minRetry is the least RetryAfter of refusals by deadline or patience.
 const minRetry = 100 * time.Millisecond
 
 // Acquire implements Leaser.
@@ -53,7 +52,8 @@
 	}
 }
 
-// enqueue admits a request to its endpoint's queue, or refuses it at once.
+// enqueue adds a request to its endpoint's queue and returns the estimated wait, or refuses it at
+// once.
 func (o *Owner) enqueue(w *waiter) (time.Duration, *Refusal) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -83,9 +83,8 @@
 	return wait, nil
 }
 
-// admit refuses what can't meet its deadline, and what would wait longer than
-// it likes to. The time to come back is the time by which the wait is too
-// long.
+// admit refuses a request that can't meet its deadline, or whose wait exceeds its patience.
+// RetryAfter is the time by which the wait is too long.
 func admit(e *endpoint, r *Request, wait time.Duration, now time.Time) *Refusal {
 	finish := now.Add(wait + e.ledger.MinTime(&r.Work))
 	if late := finish.Sub(r.Work.Deadline); late > 0 {
@@ -105,8 +104,8 @@
 	}
 }
 
-// estimate returns how long work would wait before its own prefill: the
-// prefill ahead of it at the engine and in the queue, and the wait for memory.
+// estimate returns the time until the prefill of a request can start: the prefill ahead of it at
+// the engine and in the queue, or the wait for memory and a slot if that is longer.
 func (e *endpoint) estimate(w *policy.Work, now time.Time) time.Duration {
 	ahead := 0.0
 	own := policy.Priority(w.RankAt(now), w.Class())
@@ -133,8 +132,8 @@
 	return max(wait, memory)
 }
 
-// pump grants whatever can start, and sees to it that it is called again while
-// something waits. The caller holds the lock.
+// pump grants leases to the waiting requests that can start, and schedules itself again while any
+// wait. The caller must hold the lock.
 func (o *Owner) pump(e *endpoint, now time.Time) {
 	o.refuseLate(e, now)
 	for e.reported && !e.ejected && len(e.queue) > 0 {
@@ -161,7 +160,7 @@
 	}
 }
 
-// refuseLate refuses what can no longer finish in time.
+// refuseLate refuses the waiting requests that can no longer meet their deadlines.
 func (o *Owner) refuseLate(e *endpoint, now time.Time) {
 	if _, naive := o.settings.Strategy.(policy.Naive); naive {
 		return
@@ -181,7 +180,7 @@
 	e.queue = kept
 }
 
-// grant gives a lease.
+// grant gives a lease to a waiting request.
 func (o *Owner) grant(e *endpoint, w *waiter, why policy.Reason, now time.Time) {
 	work := &w.request.Work
 	priority := policy.Priority(work.RankAt(now), work.Class())
@@ -206,13 +205,13 @@
 			StartWithin: o.settings.StartWithin,
 		},
 	}
-	o.log.V(1).Info("lease", "request", work.ID, "attempt", w.request.Attempt, "endpoint", w.request.Endpoint,
+	o.log.V(1).Info("lease granted", "request", work.ID, "attempt", w.request.Attempt, "endpoint", w.request.Endpoint,
 		"holder", w.request.Holder, "waited_ms", now.Sub(work.Arrived).Milliseconds(), "priority", priority,
 		"free_bytes", e.ledger.Free(), "queue", len(e.queue), "reason", string(why))
 }
 
-// abandon takes a request out of the queue whose caller has gone. A lease that
-// was given meanwhile ends.
+// abandon removes a request whose caller has gone from the queue, or ends its lease if it got one
+// meanwhile.
 func (o *Owner) abandon(w *waiter) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -229,7 +228,7 @@
 	o.endLease(e, w.request.Attempt)
 }
 
-// endLease returns what a lease held. The caller holds the lock.
+// endLease ends a lease and returns its memory. The caller must hold the lock.
 func (o *Owner) endLease(e *endpoint, attempt string) {
 	now := steady.Now()
 	delete(e.leases, attempt)
@@ -237,7 +236,7 @@
 	o.pump(e, now)
 }
 
-// refuseAll refuses everything that waits.
+// refuseAll refuses all waiting requests.
 func (e *endpoint) refuseAll(code Code, detail string) {
 	for _, w := range e.queue {
 		w.answer <- answer{
@@ -274,7 +273,7 @@
 	return nil
 }
 
-// msOf returns a duration in whole milliseconds, rounded up.
+// msOf returns a duration in milliseconds, rounded up.
 func msOf(d time.Duration) int64 {
 	return int64(math.Ceil(float64(d) / float64(time.Millisecond)))
 }
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -17,7 +17,7 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// delayedGrants is an owner that grants everything after a while.
+// delayedGrants is an owner that grants all requests after a wait.
 type delayedGrants struct {
 	ownerpb.OwnerClient
 	grpc.ServerStreamingClient[ownerpb.AcquireUpdate]
@@ -39,17 +39,17 @@
 	}, nil), nil
 }
 
-// TestGrantLapsesDuringSuspension has the machine suspended while it waits for a lease. The grant may have
-// been made before, and have lapsed.
+// TestGrantLapsesDuringSuspension guards against the use of a grant that may have expired while the
+// host was suspended.
 func TestGrantLapsesDuringSuspension(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		suspended time.Duration
-		believed  bool
+		granted   bool
 	}{
 		{"not suspended", 0, true},
-		{"for less than an owner may be silent", time.Second, true},
-		{"for longer", 2 * time.Second, false},
+		{"suspended for less than the heartbeat timeout", time.Second, true},
+		{"suspended for longer", 2 * time.Second, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			m := steadytest.New(t)
@@ -64,8 +64,8 @@
 					Deadline: steady.Now().Add(time.Minute),
 				},
 			}, nil)
-			is.Equal(err == nil, row.believed)
-			if row.believed {
+			is.Equal(err == nil, row.granted)
+			if row.granted {
 				return
 			}
 			var r *Refusal
--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -15,14 +15,13 @@
 	"github.com/linkmast/linkmast/order"
 )
 
-// failuresToEject is how many reports in a row must fail before an endpoint is set
-// aside.
+// failuresToEject is the number of failed status calls in a row after which an endpoint is ejected.
 const failuresToEject = 2
 
-// maxParallelSweeps bounds the endpoints that are looked at together.
+// maxParallelSweeps bounds the endpoints that are swept concurrently.
 const maxParallelSweeps = 32
 
-// loop sweeps until ctx ends.
+// loop sweeps at regular intervals, and when woken, until ctx ends.
 func (o *Owner) loop(ctx context.Context) {
 	defer close(o.Done)
 	for {
@@ -36,7 +35,7 @@
 	}
 }
 
-// Sweep compares every owned endpoint with its leases once.
+// Sweep compares what each owned endpoint runs with its leases once.
 func (o *Owner) Sweep(ctx context.Context) {
 	o.mu.Lock()
 	owned := make([]*endpoint, 0, len(o.owned))
@@ -52,11 +51,11 @@
 			return nil
 		})
 	}
-	// The parts return no error.
+	// The goroutines return no errors.
 	_ = g.Wait()
 }
 
-// sweep compares one endpoint.
+// sweep compares what one endpoint runs with its leases.
 func (o *Owner) sweep(ctx context.Context, e *endpoint) {
 	o.mu.Lock()
 	target := e.target.Endpoint
@@ -75,8 +74,8 @@
 	}
 	o.recordStatus(e, s, err)
 	if err != nil {
-		// What the holders say is asked all the same: a dead endpoint holds
-		// no memory, but its leases take up the ledger.
+		// Holders are asked about leases even if the endpoint doesn't answer: a dead endpoint holds
+		// no memory, but its leases remain in the ledger.
 		o.resolveDoubt(ctx, e, &target, nil)
 		return
 	}
@@ -88,10 +87,10 @@
 	o.reconcile(ctx, e, &s, client)
 }
 
-// orderTimeout bounds the calls that an order takes.
+// orderTimeout bounds the calls for one order.
 const orderTimeout = 3 * time.Second
 
-// reconcile orders what an engine that reports lacks.
+// reconcile orders an engine to load what it should have and lacks.
 func (o *Owner) reconcile(ctx context.Context, e *endpoint, s *engine.Status, client engine.Client) {
 	if o.orders == nil {
 		return
@@ -117,8 +116,8 @@
 	}, client)
 }
 
-// inDoubt states whether what runs differs from the leases, or a lease needs to
-// be confirmed, so that the list of what runs is needed.
+// inDoubt reports whether the running attempts differ from the leases, or a lease needs
+// confirmation, so that the list of running attempts is needed.
 func (o *Owner) inDoubt(e *endpoint, digest uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -134,7 +133,8 @@
 	return false
 }
 
-// recordStatus takes over a report, or the lack of one.
+// recordStatus records a status of the endpoint, or a failure to get one, which ejects the endpoint
+// after failuresToEject in a row.
 func (o *Owner) recordStatus(e *endpoint, s engine.Status, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -149,7 +149,7 @@
 		return
 	}
 	if e.ejected {
-		o.log.Info("endpoint back", "endpoint", id)
+		o.log.Info("endpoint answers again", "endpoint", id)
 	}
 	e.fails = 0
 	e.ejected = false
@@ -158,13 +158,13 @@
 	o.pump(e, steady.Now())
 }
 
-// attemptsInDoubt returns, by holder, the attempts that the holder must be asked
-// about, and notes the memory that others hold.
+// attemptsInDoubt returns the attempts to ask the holders about, by holder, and updates the ledger
+// with the memory of attempts that have no lease.
 func (o *Owner) attemptsInDoubt(e *endpoint, running map[string]engine.Held) map[string][]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := steady.Now()
-	ask := make(map[string][]string)
+	toAsk := make(map[string][]string)
 	foreign := int64(0)
 	for id, h := range running {
 		if _, ok := e.leases[id]; ok {
@@ -175,7 +175,7 @@
 			e.unleased[id] = now
 		}
 		if h.Age > o.settings.SweepInterval {
-			ask[h.Holder] = append(ask[h.Holder], id)
+			toAsk[h.Holder] = append(toAsk[h.Holder], id)
 		}
 	}
 	e.ledger.HeldByOthers = foreign
@@ -188,13 +188,13 @@
 		_, runs := running[id]
 		unused := !runs && now.Sub(l.granted) > o.settings.StartWithin+o.settings.SweepInterval
 		if unused || now.Sub(l.confirmed) > o.settings.ConfirmAfter {
-			ask[l.holder] = append(ask[l.holder], id)
+			toAsk[l.holder] = append(toAsk[l.holder], id)
 		}
 	}
-	return ask
+	return toAsk
 }
 
-// resolveDoubt asks the holders of what is in doubt, and cancels what nobody holds.
+// resolveDoubt asks the holders about the attempts in doubt, and cancels the orphans.
 func (o *Owner) resolveDoubt(ctx context.Context, e *endpoint, target *config.Endpoint, running map[string]engine.Held) {
 	for holder, ids := range o.attemptsInDoubt(e, running) {
 		call, cancel := context.WithTimeout(ctx, o.settings.CallTimeout)
@@ -215,7 +215,9 @@
 	}
 }
 
-// findOrphans takes over what a holder said, and returns the attempts to cancel.
+// findOrphans evaluates the answer of a holder about attempts. Attempts that the holder doesn't
+// have are orphans, as are all of a holder that hasn't answered for OrphanAfter. It ends their
+// leases, and returns the ones that run at the endpoint and must be cancelled.
 func (o *Owner) findOrphans(e *endpoint, holder string, ids, held []string, err error, running map[string]engine.Held) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -253,8 +255,7 @@
 	return orphans
 }
 
-// confirm notes that a holder holds an attempt, and adopts it when there is no
-// lease for it yet.
+// confirm records that a holder has an attempt, and creates a lease for it if there is none.
 func (o *Owner) confirm(e *endpoint, holder, id string, running map[string]engine.Held, now time.Time) {
 	if l, ok := e.leases[id]; ok {
 		l.confirmed = now
