--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestLogOutage guards against claims that hang while the log is down, and against a claim
-// abandoned in the outage that holds its key afterwards, even if it is appended late.
+// TestLogOutage guards against claims that hang while the log is down, and against a claim that was
+// abandoned in the outage but holds its key afterwards, even if its append takes effect late.
 func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -172,7 +172,7 @@
 	})
 }
 
-// TestReadAfterTrim guards against a reader that waits for trimmed records.
+// TestReadAfterTrim guards against a reader that waits for records that were trimmed from the log.
 func TestReadAfterTrim(t *testing.T) {
 	is := is.New(t)
 	b := NewRegistry()
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -30,7 +30,7 @@
 // writerTimeout bounds a call to one writer, which leaves time for another one.
 const writerTimeout = 1200 * time.Millisecond
 
-// freeTimeout bounds one attempt to free a claim over all writers.
+// freeTimeout bounds one attempt to free a claim, including all writers that it tries.
 const freeTimeout = 3 * time.Second
 
 // Claimer claims keys for the requests of an instance, and frees abandoned claims. Close must be
@@ -88,8 +88,8 @@
 	return Claim{}, last
 }
 
-// FreeLater frees a claim in the background, as soon as the log permits. Its request must not have
-// been dispatched and never be.
+// FreeLater frees a claim in the background, as soon as the log permits. The claim's request must
+// not have been dispatched, and must never be.
 func (c *Claimer) FreeLater(claim Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -5,9 +5,9 @@
 //
 // Before such a request is dispatched, a claim on its key is appended to the platform's log. Keys
 // are distributed over partitions, each a stream of the log. The first claim on a key by offset
-// holds it (Registry), and only the instance that wrote this claim dispatches the request, once. A
-// claim that is abandoned before dispatch is freed by the instance that wrote it; then the next
-// claim on the key can hold it.
+// holds it (Registry), and only the instance that made this claim dispatches the request, once. If
+// it abandons the claim before dispatch, it frees the claim, and the next claim on the key can hold
+// it.
 //
 // The claims of a partition usually go through one instance, its writer, which batches them to save
 // appends. Correctness depends only on the order in the log, so that several writers at a time do
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -25,7 +25,7 @@
 	return Key(h.Sum(nil))
 }
 
-// Partition returns the partition of a key, of n.
+// Partition returns the partition of a key, given the number of partitions.
 func (k Key) Partition(n int) int {
 	return (int(k[0])<<8 | int(k[1])) % n
 }
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -205,7 +205,7 @@
 	return batch
 }
 
-// settle appends a batch, reads the stream up to it, and sends the outcomes. Claims on keys that
+// settle appends a batch, reads the stream to its end, and sends the outcomes. Claims on keys that
 // are known to be held need no append.
 func (w *Writer) settle(p *partition, batch []entryRequest) {
 	batch = w.answerHeld(p, batch)
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -55,7 +55,7 @@
 				total += n
 			}
 			if total > b.Concurrency {
-				t.Fatalf("%d run, the limit is %d", total, b.Concurrency)
+				t.Fatalf("%d requests may run, the limit is %d", total, b.Concurrency)
 			}
 			if most := float64(burst(b.Rate)) + b.Rate*now.Sub(start).Seconds(); float64(lent) > most+1e-6 {
 				t.Fatalf("%d starts lent, at most %.1f are allowed", lent, most)
@@ -73,7 +73,7 @@
 	unreachable bool
 }
 
-var errUnreachable = errors.New("cut off")
+var errUnreachable = errors.New("quota owner is unreachable")
 
 func (k *fakeOwners) Borrow(_ context.Context, a LoanRequest, b Quota) (Loan, error) {
 	k.mu.Lock()
--- a/member/bench_test.go
+++ b/member/bench_test.go
@@ -38,7 +38,7 @@
 // unresponsive is a platform and a network that never answer.
 type unresponsive struct{}
 
-var errNoResponse = errors.New("nothing answers")
+var errNoResponse = errors.New("no response")
 
 func (unresponsive) List(context.Context, int64) (instances.List, error) {
 	return instances.List{}, errNoResponse
--- a/member/member.go
+++ b/member/member.go
@@ -132,7 +132,8 @@
 	return m.view.Load()
 }
 
-// Changed returns a channel that is closed at the next change of the view.
+// Changed returns a channel that is closed when the available instances or the listed endpoints
+// next change, or when the list is first read.
 func (m *Member) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// viewsIncluding returns how many members, other than id, have id as available in their view.
+// viewsIncluding returns how many members other than id consider id available.
 func (n *network) viewsIncluding(id string) int {
 	count := 0
 	for other, m := range n.members {
@@ -104,9 +104,8 @@
 	return count
 }
 
-// TestFailureDetectionTime guards against a failed instance that some members still consider
-// available after 8 s, for several fleet sizes, and against one that isn't accepted again after it
-// returns.
+// TestFailureDetectionTime guards against members that still consider a failed instance available
+// after 8 s, or don't accept it again after it returns, at several fleet sizes.
 func TestFailureDetectionTime(t *testing.T) {
 	for _, n := range []int{3, 8, 30, 100, 300} {
 		t.Run(fmt.Sprintf("n=%d", n), func(t *testing.T) {
@@ -136,7 +135,7 @@
 	}
 }
 
-// TestPartitionedInstanceMarksNoneDown guards against a member that reaches nobody and makes others
+// TestPartitionedInstanceMarksNoneDown guards against a partitioned member that makes others
 // consider reachable instances as down.
 func TestPartitionedInstanceMarksNoneDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -163,8 +162,8 @@
 	})
 }
 
-// TestStartDuringPlatformOutage guards against an instance that starts while the platform provides
-// no list and doesn't get it from a peer.
+// TestStartDuringPlatformOutage guards against an instance that has no list because the platform
+// provided none when it started, although its peers have one.
 func TestStartDuringPlatformOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -181,8 +180,8 @@
 	})
 }
 
-// TestOwnersAgreeAndSpread guards against uneven ownership of endpoints, and against more endpoints
-// that change owner than those of an instance that left.
+// TestOwnersAgreeAndSpread guards against uneven ownership of endpoints, and against endpoints that
+// change owner although their owner remains.
 func TestOwnersAgreeAndSpread(t *testing.T) {
 	is := is.New(t)
 	nodes := make(map[string]instances.Instance)
@@ -213,8 +212,8 @@
 	is.Equal(moved, count["node-4"])
 }
 
-// TestListVersionsStartOver guards against lists that are ignored forever because the platform's
-// versions start over, and against a single outdated list that is accepted.
+// TestListVersionsStartOver guards against ignoring all lists after the platform's versions start
+// over, and against accepting a single outdated list.
 func TestListVersionsStartOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/member/view.go
+++ b/member/view.go
@@ -92,7 +92,8 @@
 }
 
 // Ranked returns up to n available instances in the order of rendezvous hashing for a key: the
-// global owner first, then the instances that would own the key if those before were unavailable.
+// global owner first, then the instances that would own the key if those before them were
+// unavailable.
 func (v *View) Ranked(key string, n int) []instances.Instance {
 	h := xxhash.Sum64String(key)
 	order := slices.Clone(v.all)
--- a/notice/registry_test.go
+++ b/notice/registry_test.go
@@ -55,6 +55,8 @@
 	}
 }
 
+// TestRateLimitRecorded guards against a rate limit that a late or malformed answer ends, or that
+// remains after an answer without it.
 func TestRateLimitRecorded(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
@@ -186,6 +188,8 @@
 	})
 }
 
+// TestBackoffRecorded guards against back-offs that are shorter than asked for, or longer than the
+// maximum.
 func TestBackoffRecorded(t *testing.T) {
 	for _, row := range []struct {
 		name    string
@@ -274,15 +278,15 @@
 
 func BenchmarkRecordAnswer(b *testing.B) {
 	c := newClock()
-	book := notice.New(c.now, logr.Discard())
+	registry := notice.New(c.now, logr.Discard())
 	for i := range 100 {
 		a := c.answer(0)
 		a.Instance = string(rune('A' + i))
-		book.RecordAnswer(a, rateLimit(2))
+		registry.RecordAnswer(a, rateLimit(2))
 	}
 	a := c.answer(0)
 	a.Instance = "other"
 	for b.Loop() {
-		book.RecordAnswer(a, notice.Statements{})
+		registry.RecordAnswer(a, notice.Statements{})
 	}
 }
--- a/owner/grpc.go
+++ b/owner/grpc.go
@@ -195,7 +195,7 @@
 // which entry instances stop using them.
 const unchangedInterval = time.Second
 
-// minWatchInterval bounds the interval that a watcher may ask for.
+// minWatchInterval is the least interval of Watch, also for a watcher that asks for a shorter one.
 const minWatchInterval = 20 * time.Millisecond
 
 // Encode returns the message for summaries.
--- a/owner/messages.go
+++ b/owner/messages.go
@@ -9,7 +9,7 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// Request is a request for a lease.
+// Request asks an owner for a lease on an endpoint.
 type Request struct {
 	// Attempt is the id of the attempt, chosen by the holder.
 	Attempt string
@@ -24,7 +24,7 @@
 	Patience time.Duration
 }
 
-// Grant is a granted lease.
+// Grant describes a granted lease to its holder.
 type Grant struct {
 	// Address is the endpoint's host and port.
 	Address string
@@ -55,7 +55,7 @@
 	RefusedSize Code = "size"
 	// RefusedStopping means that the owner is stopping.
 	RefusedStopping Code = "stopping"
-	// RefusedSilent means that the owner did not respond.
+	// RefusedSilent means that the owner did not respond in time, or that the call to it failed.
 	RefusedSilent Code = "silent"
 )
 
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -128,8 +128,8 @@
 	holder    string
 	granted   time.Time
 	confirmed time.Time
-	// silentSince is when the holder was first found unreachable; zero if it answered the last
-	// time.
+	// silentSince is when the holder was first found unreachable; zero if it has confirmed the
+	// lease since.
 	silentSince time.Time
 }
 
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -84,7 +84,7 @@
 }
 
 // admit refuses a request that can't meet its deadline, or whose wait exceeds its patience.
-// RetryAfter is the time by which the wait is too long.
+// RetryAfter is the time by which the wait is too long, but at least minRetry.
 func admit(e *endpoint, r *Request, wait time.Duration, now time.Time) *Refusal {
 	finish := now.Add(wait + e.ledger.MinTime(&r.Work))
 	if late := finish.Sub(r.Work.Deadline); late > 0 {
@@ -210,8 +210,8 @@
 		"free_bytes", e.ledger.Free(), "queue", len(e.queue), "reason", string(why))
 }
 
-// abandon removes a request whose caller has gone from the queue, or ends its lease if it got one
-// meanwhile.
+// abandon removes a request from the queue after its caller has gone, or ends its lease if it got
+// one meanwhile.
 func (o *Owner) abandon(w *waiter) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Sweep compares what each owned endpoint runs with its leases once.
+// Sweep compares once what each owned endpoint runs with its leases.
 func (o *Owner) Sweep(ctx context.Context) {
 	o.mu.Lock()
 	owned := make([]*endpoint, 0, len(o.owned))
@@ -90,7 +90,8 @@
 // orderTimeout bounds the calls for one order.
 const orderTimeout = 3 * time.Second
 
-// reconcile orders an engine to load what it should have and lacks.
+// reconcile compares the desired state of an engine with its actual state, and orders what the
+// engine lacks.
 func (o *Owner) reconcile(ctx context.Context, e *endpoint, s *engine.Status, client engine.Client) {
 	if o.orders == nil {
 		return
--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -40,8 +40,8 @@
 	Attempt string
 	// StartedAt is when the attempt was sent.
 	StartedAt time.Time
-	// Endpoints are the addresses of the endpoints that worked on the attempt, the one that answers
-	// first.
+	// Endpoints are the addresses of the endpoints that worked on the attempt. The first is the one
+	// that the request was sent to.
 	Endpoints []string
 	// Suspects are the addresses of the endpoints that may have ended.
 	Suspects []string
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -11,8 +11,7 @@
 	Admit(id Identity) (a Admission, after time.Duration, ok bool)
 	// BanRemaining returns how much longer a request is banned, and whether it is banned.
 	BanRemaining(id Identity) (remaining time.Duration, banned bool)
-	// Suspected reports whether the identity has recent crashes or a ban that has not been
-	// forgotten yet.
+	// Suspected reports whether the identity has recent crashes, or a ban that is still kept.
 	Suspected(id Identity) bool
 	// ReportCrash reports an attempt whose endpoint has ended.
 	ReportCrash(c Crash)
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -32,7 +32,7 @@
 func ParseIdentity(text string) (Identity, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return 0, errors.Wrap(err, "identity of a request")
+		return 0, errors.Wrap(err, "parse request identity")
 	}
 	return Identity(n), nil
 }
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -142,7 +142,7 @@
 }
 
 // TestJointPrefillCrashes guards against a request that escapes a ban because each attempt crashes
-// both endpoints of a joint prefill, one of which only another request reports.
+// both endpoints of a joint prefill. Only another request reports the end of the second one.
 func TestJointPrefillCrashes(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -236,8 +236,7 @@
 	reportCrashes(b, crashedAttempt{at + "a", "e1", 0, 90, 0}, crashedAttempt{at + "b", "e2", 100, 190, 0}, crashedAttempt{at + "c", "e3", 200, 290, 0})
 }
 
-// TestAnswerClears guards against a ban that outlasts a complete answer, before or after it was
-// decided.
+// TestAnswerClears guards against crashes and bans that still count after a complete answer.
 func TestAnswerClears(t *testing.T) {
 	for _, row := range []struct {
 		name string
@@ -431,9 +430,9 @@
 // BenchmarkReportCrash reports crashes of many different requests to a full registry, as when a
 // failure domain is lost.
 func BenchmarkReportCrash(b *testing.B) {
-	book := newTestRegistry()
+	registry := newTestRegistry()
 	for i := 0; b.Loop(); i++ {
-		book.ReportCrash(Crash{
+		registry.ReportCrash(Crash{
 			Attempt:   strconv.Itoa(i),
 			Endpoint:  strconv.Itoa(i / 16 % 1000),
 			Identity:  Identity(i),
@@ -445,9 +444,9 @@
 
 // BenchmarkAdmit admits requests while many others are banned.
 func BenchmarkAdmit(b *testing.B) {
-	book := newTestRegistry()
+	registry := newTestRegistry()
 	for i := range maxBans {
-		book.ApplyVerdict(Verdict{
+		registry.ApplyVerdict(Verdict{
 			Identity:  Identity(i),
 			State:     Banned,
 			Remaining: time.Minute,
@@ -455,7 +454,7 @@
 		})
 	}
 	for i := 0; b.Loop(); i++ {
-		if p, _, ok := book.Admit(Identity(maxBans + i)); ok {
+		if p, _, ok := registry.Admit(Identity(maxBans + i)); ok {
 			p.Release()
 		}
 	}
