--- a/owner/owner.go
+++ b/owner/owner.go
@@ -92,12 +92,12 @@
 	// Done is closed when the owner has stopped.
 	Done chan struct{}
 
-	settings  Settings
-	endpoints Endpoints
-	holders   Holders
-	orders    *order.Reconciler
-	log       logr.Logger
-	cancel    context.CancelFunc
+	settings   Settings
+	endpoints  Endpoints
+	holders    Holders
+	reconciler *order.Reconciler
+	log        logr.Logger
+	cancel     context.CancelFunc
 	// wake triggers a sweep.
 	wake chan struct{}
 
@@ -133,21 +133,21 @@
 	silentSince time.Time
 }
 
-// New starts an owner without endpoints, which Close stops. With nil orders it doesn't change what
-// engines have loaded.
-func New(s Settings, endpoints Endpoints, holders Holders, orders *order.Reconciler, log logr.Logger) *Owner {
+// New starts an owner without endpoints, which Close stops. With a nil reconciler it doesn't change
+// what engines have loaded.
+func New(s Settings, endpoints Endpoints, holders Holders, reconciler *order.Reconciler, log logr.Logger) *Owner {
 	s.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	o := &Owner{
-		Done:      make(chan struct{}),
-		settings:  s,
-		endpoints: endpoints,
-		holders:   holders,
-		orders:    orders,
-		log:       log,
-		cancel:    cancel,
-		wake:      make(chan struct{}, 1),
-		owned:     make(map[string]*endpoint),
+		Done:       make(chan struct{}),
+		settings:   s,
+		endpoints:  endpoints,
+		holders:    holders,
+		reconciler: reconciler,
+		log:        log,
+		cancel:     cancel,
+		wake:       make(chan struct{}, 1),
+		owned:      make(map[string]*endpoint),
 	}
 	go o.loop(ctx)
 	return o
@@ -193,8 +193,8 @@
 		if !keep[id] {
 			e.refuseAll(RefusedNotOwner, "the endpoint has another owner")
 			delete(o.owned, id)
-			if o.orders != nil {
-				o.orders.Forget(id)
+			if o.reconciler != nil {
+				o.reconciler.Forget(id)
 			}
 		}
 	}
--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -90,10 +90,10 @@
 // orderTimeout bounds the calls for one order.
 const orderTimeout = 3 * time.Second
 
-// reconcile compares the desired state of an engine with its actual state, and orders what the
-// engine lacks.
+// reconcile lets the reconciler bring an engine to its desired state, unless the endpoint is
+// leaving or no model is desired.
 func (o *Owner) reconcile(ctx context.Context, e *endpoint, s *engine.Status, client engine.Client) {
-	if o.orders == nil {
+	if o.reconciler == nil {
 		return
 	}
 	o.mu.Lock()
@@ -110,7 +110,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	o.orders.Reconcile(call, t, order.State{
+	o.reconciler.Reconcile(call, t, order.State{
 		Model:    s.Model,
 		Version:  s.Version,
 		Adapters: s.Adapters,
--- a/quarantine/admission.go
+++ b/quarantine/admission.go
@@ -17,10 +17,10 @@
 // short answer, and for all instances to learn how it ended.
 const retestDelay = 2 * time.Second
 
-// Admit admits a request, or returns after which time it may come back. After a ban each instance
-// admits one request of the identity at a time, and the instances start to do so one after another.
-// If all started at the end of the ban, a request sent to all of them would crash as many endpoints
-// as there are instances.
+// Admit admits a request, or returns the time after which the caller may retry. After a ban each
+// instance admits one request of the identity at a time, and the instances start to do so one after
+// another. If all started at the end of the ban, a request sent to all of them would crash as many
+// endpoints as there are instances.
 func (r *Registry) Admit(id Identity) (a Admission, after time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -59,7 +59,7 @@
 		if other == e || other.at.Sub(e.at).Abs() > commonCauseWindow {
 			continue
 		}
-		if !slices.Contains(other.identities, id) && !s.ranOnHelper(address) {
+		if !slices.Contains(other.identities, id) && !s.inJointPrefill(address) {
 			return true
 		}
 	}
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -7,7 +7,7 @@
 // Guard decides whether a request may be sent to endpoints, depending on whether requests of its
 // identity crash them.
 type Guard interface {
-	// Admit admits a request, or returns after which time the caller may retry.
+	// Admit admits a request, or returns the time after which the caller may retry.
 	Admit(id Identity) (a Admission, after time.Duration, ok bool)
 	// BanRemaining returns how much longer a request is banned, and whether it is banned.
 	BanRemaining(id Identity) (remaining time.Duration, banned bool)
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -65,8 +65,8 @@
 	return slices.IndexFunc(s.chain, func(l chainLink) bool { return l.crash.Attempt == attempt })
 }
 
-// ranOnHelper reports whether an endpoint took part in the joint prefill of one of the attempts.
-func (s *suspect) ranOnHelper(address string) bool {
+// inJointPrefill reports whether an endpoint took part in the joint prefill of one of the attempts.
+func (s *suspect) inJointPrefill(address string) bool {
 	return slices.ContainsFunc(s.chain, func(l chainLink) bool { return slices.Contains(l.crash.OtherEndpoints, address) })
 }
 
