--- a/pool/budget.go
+++ b/pool/budget.go
@@ -6,47 +6,50 @@
 	"time"
 )
 
-// Budget bounds how many requests are sent again: in any window at most Ratio of
-// the requests plus Extra. The zero value allows none.
+// Budget bounds how many requests are retried: in any Window at most Ratio times the number of
+// first sends, plus Extra. The zero value allows no retries.
 type Budget struct {
-	// Ratio is the part of first sends that may be sent again.
+	// Ratio is the number of retries allowed for each first send.
 	Ratio float64
-	// Extra is how many may be sent again in a window beside that.
+	// Extra is the number of retries allowed in a window in addition.
 	Extra float64
 	// Window is the length of the window.
 	Window time.Duration
 }
 
-// budgetBuckets is the number of parts of a window.
+// budgetBuckets is the number of buckets into which a window is divided.
 const budgetBuckets = 10
 
-// retryCounter counts sends against a budget.
+// retryCounter counts first sends and retries in a sliding window, and checks them against a
+// budget.
 type retryCounter struct {
 	budget  Budget
 	buckets [budgetBuckets]struct {
 		first int
 		again int
 	}
+	// bucket is the number of the latest bucket, counted from startedAt.
 	bucket int64
 	// startedAt is when the first send was counted.
 	startedAt time.Time
 }
 
-// roll forgets what lies before the window. It goes by the time since the first send: a step
-// of the time of day would else give the budget once more, or keep it spent.
+// roll clears the buckets that have left the window and returns the index of the present bucket.
+// Buckets are counted from startedAt, so that a change of the wall clock neither renews the
+// budget nor keeps it exhausted.
 func (s *retryCounter) roll(now time.Time) int {
 	if s.startedAt.IsZero() {
 		s.startedAt = now
 	}
-	slot := max(int64(now.Sub(s.startedAt)), 0) / max(int64(s.budget.Window)/budgetBuckets, 1)
-	if gap := slot - s.bucket; gap > 0 {
+	bucket := max(int64(now.Sub(s.startedAt)), 0) / max(int64(s.budget.Window)/budgetBuckets, 1)
+	if gap := bucket - s.bucket; gap > 0 {
 		for i := range min(gap, budgetBuckets) {
-			s.buckets[(slot-i)%budgetBuckets].first = 0
-			s.buckets[(slot-i)%budgetBuckets].again = 0
+			s.buckets[(bucket-i)%budgetBuckets].first = 0
+			s.buckets[(bucket-i)%budgetBuckets].again = 0
 		}
-		s.bucket = slot
+		s.bucket = bucket
 	}
-	return int(slot % budgetBuckets)
+	return int(bucket % budgetBuckets)
 }
 
 // countFirst counts a request that is sent for the first time.
@@ -54,13 +57,13 @@
 	s.buckets[s.roll(now)].first++
 }
 
-// allowRetry states whether a request may be sent once more, and counts it.
+// allowRetry states whether the budget allows another retry, and counts it if so.
 func (s *retryCounter) allowRetry(now time.Time) bool {
 	i := s.roll(now)
 	first, again := 0, 0
-	for _, one := range s.buckets {
-		first += one.first
-		again += one.again
+	for _, bucket := range s.buckets {
+		first += bucket.first
+		again += bucket.again
 	}
 	if float64(again+1) > s.budget.Ratio*float64(first)+s.budget.Extra {
 		return false
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -12,80 +12,79 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// ColdLimit bounds what an endpoint that is cold gets in any second from all instances
-// together: Overage times the rate that it bears, plus Slack. The zero value sets no
-// bound.
+// ColdLimit bounds the requests that a cold endpoint gets in any second from all instances
+// together: Overage times the rate that the endpoint sustains while it is cold, plus Slack. The
+// zero value sets no limit.
 type ColdLimit struct {
-	// Overage is a factor of the rate.
+	// Overage is a factor of that rate; zero means that there is no limit.
 	Overage float64
 	// Slack is a number of requests.
 	Slack float64
 }
 
-// The measures of sharing the bound of a cold endpoint.
+// Parameters for dividing the limit of a cold endpoint.
 const (
-	// coldWindow is the span in which places are counted, for a bound on each second:
-	// a request reaches its endpoint some milliseconds after its place was given, or a
-	// quarter of a second after where its entry is slow or memory has to be set aside
-	// first.
+	// coldWindow is the window in which placements are counted. It is longer than the second of
+	// the limit, as the time from a placement to the arrival at the endpoint varies by up to a
+	// quarter of a second.
 	coldWindow = 1250 * time.Millisecond
-	// coldOwnerShare is the part of the bound that an owner gives away. Two may act at a
-	// time, while one follows another or where instances see different ones.
+	// coldOwnerShare is the part of the limit that one owner may use. Two owners may act at the
+	// same time, while one takes over from the other or if instances see different ones.
 	coldOwnerShare = 3.0 / 8
-	// coldFallbackShare is the part that all instances share that place alone.
+	// coldFallbackShare is the part of the limit that all instances which reach no owner may
+	// use together.
 	coldFallbackShare = 1 - 2*coldOwnerShare
 )
 
-// decider is who decides on a request.
+// decider is the role in which an instance decides on a request.
 type decider int
 
-// The deciders.
+// The roles.
 const (
 	// byOwner is the owner of a pool.
 	byOwner decider = iota
-	// byFallback is an instance that can't ask the owner of a pool.
+	// byFallback is an instance that reaches no owner of the pool.
 	byFallback
-	// byInstance is each instance, for a pool that has no owner.
+	// byInstance is any instance, in a pool without an owner.
 	byInstance
 )
 
-// coldLedger is the ledger of a service's cold endpoints: how many requests each of them was
-// given of late. The zero value has no bound.
+// coldLedger counts the recent placements on the endpoints of a service, to limit those on cold
+// endpoints. The zero value sets no limit.
 type coldLedger struct {
 	limit ColdLimit
-	// perSecond is the rate that a cold endpoint bears, and start how long one stays
-	// cold that has started.
+	// perSecond is the rate that a cold endpoint sustains, and duration how long an endpoint
+	// stays cold after its start.
 	perSecond float64
 	duration  time.Duration
-	// self names this instance, and instances are all.
+	// self names this instance, and instances lists all instances.
 	self      string
 	instances []string
 	endpoints map[string]*coldEndpoint
-	// passedOver counts how often a decision found an endpoint that had been given
-	// all it may get.
+	// passedOver counts how often a decision skipped a cold endpoint at its limit.
 	passedOver int64
 }
 
-// coldEndpoint is one endpoint's part of the ledger. It is kept while the endpoint is
-// warm, as it may turn cold at any moment.
+// coldEndpoint is the record of one endpoint. It is kept while the endpoint is warm, as the
+// endpoint may become cold at any moment.
 type coldEndpoint struct {
-	// reportedUntil is until when the endpoint is cold by its entry, and assumed until when it
-	// is taken to be for its return.
+	// reportedUntil is when the endpoint becomes warm according to the catalog, and
+	// assumedUntil the same if a restart is only assumed.
 	reportedUntil time.Time
 	assumedUntil  time.Time
-	// placedAt is when requests were given to it within the last window.
+	// placedAt holds the times of the placements within the last window, the oldest first.
 	placedAt []time.Time
-	// rank is the instance's place among all for this endpoint; negative while that is
-	// not known.
+	// rank is the position of this instance among all instances for the endpoint; negative if
+	// it is not known.
 	rank int
 }
 
-// coldUntil returns when the endpoint is warm.
+// coldUntil returns when the endpoint becomes warm.
 func (e *coldEndpoint) coldUntil() time.Time {
 	return later(e.reportedUntil, e.assumedUntil)
 }
 
-// configure takes over the bounds, and the instances that share them.
+// configure applies the limits, and the instances that divide them.
 func (c *coldLedger) configure(l ColdLimit, svc *route.Service, self string, peers map[string]catalog.Peer) {
 	c.limit = l
 	c.perSecond, c.duration = 0, 0
@@ -105,7 +104,7 @@
 	}
 }
 
-// sameInstances states whether the instances are those that are known.
+// sameInstances states whether the peers are the instances known so far.
 func (c *coldLedger) sameInstances(peers map[string]catalog.Peer) bool {
 	if len(peers) != len(c.instances) {
 		return false
@@ -116,12 +115,12 @@
 	})
 }
 
-// enabled states whether cold endpoints of the service have a bound.
+// enabled states whether there is a limit for the service's cold endpoints.
 func (c *coldLedger) enabled() bool {
 	return c.perSecond > 0 && c.limit.Overage > 0
 }
 
-// endpoint returns an endpoint's part of the ledger.
+// endpoint returns the record of an endpoint and creates it if necessary.
 func (c *coldLedger) endpoint(instance string) *coldEndpoint {
 	e := c.endpoints[instance]
 	if e == nil {
@@ -136,22 +135,22 @@
 	return e
 }
 
-// setColdUntil takes over until when an endpoint is cold by its entry.
+// setColdUntil sets when an endpoint becomes warm according to the catalog.
 func (c *coldLedger) setColdUntil(instance string, until time.Time) {
 	if e := c.endpoints[instance]; e != nil || !until.IsZero() {
 		c.endpoint(instance).reportedUntil = until
 	}
 }
 
-// assumeCold notes that an endpoint may have started just now, without its entry saying so:
-// it failed of late, or its failure domain was emptied.
+// assumeCold treats an endpoint as just started, although the catalog doesn't say so: it failed
+// recently, or its failure domain was drained.
 func (c *coldLedger) assumeCold(instance string, now time.Time) {
 	if c.enabled() {
 		c.endpoint(instance).assumedUntil = now.Add(c.duration)
 	}
 }
 
-// undrained notes the return of the endpoints whose failure domain is no longer emptied.
+// undrained treats the endpoints as just started whose failure domain is no longer drained.
 func (c *coldLedger) undrained(list []*placement.Engine, before, after drainedDomains, now time.Time) {
 	for _, e := range list {
 		_, was := before[e.FailureDomain]
@@ -162,12 +161,12 @@
 	}
 }
 
-// remove drops an endpoint.
+// remove deletes the record of an endpoint.
 func (c *coldLedger) remove(instance string) {
 	delete(c.endpoints, instance)
 }
 
-// recordPlacement notes that a request was given to an endpoint, by whomever.
+// recordPlacement records that an instance placed a request on an endpoint.
 func (c *coldLedger) recordPlacement(instance string, now time.Time) {
 	if !c.enabled() {
 		return
@@ -176,7 +175,7 @@
 	e.placedAt = append(e.recent(now), now)
 }
 
-// recent returns when requests were given to the endpoint within the window.
+// recent removes the placements before the window and returns the others.
 func (e *coldEndpoint) recent(now time.Time) []time.Time {
 	from := now.Add(-coldWindow)
 	return slices.DeleteFunc(e.placedAt, func(at time.Time) bool {
@@ -184,8 +183,8 @@
 	})
 }
 
-// availableAt returns when an endpoint may get a request: now, if it is warm or has not been
-// given its part.
+// availableAt returns when a decider may place a request on an endpoint: now, if the endpoint
+// is warm or the decider has not used up its quota.
 func (c *coldLedger) availableAt(instance string, by decider, now time.Time) time.Time {
 	e := c.endpoints[instance]
 	if !c.enabled() || e == nil || !now.Before(e.coldUntil()) {
@@ -206,12 +205,13 @@
 	return at
 }
 
-// full states whether an endpoint must not get a request now.
+// full states whether a decider must not place a request on an endpoint now.
 func (c *coldLedger) full(instance string, by decider, now time.Time) bool {
 	return c.availableAt(instance, by, now).After(now)
 }
 
-// soonest returns when the first of some endpoints may get a request.
+// soonest returns when a decider may place a request on the first of some endpoints; zero if
+// there are none.
 func (c *coldLedger) soonest(list []*placement.Engine, by decider, now time.Time) time.Time {
 	var first time.Time
 	for _, e := range list {
@@ -223,10 +223,10 @@
 	return first
 }
 
-// quota returns how many requests a decider may give a cold endpoint in a window. An owner
-// gives at least one, or nobody would know when the endpoint is of use. Of a part that is
-// shared by all instances each has a whole number of requests, some one more than
-// others: who, is another for each endpoint.
+// quota returns how many requests a decider may place on a cold endpoint within a window. An
+// owner may place at least one, or nobody would notice when the endpoint works. A part of the
+// limit that instances share is divided into whole numbers. Which instances may place one
+// request more than others differs between endpoints.
 func (c *coldLedger) quota(instance string, e *coldEndpoint, by decider) int {
 	bound := c.perSecond*c.limit.Overage + c.limit.Slack
 	switch by {
@@ -239,7 +239,7 @@
 	return max(int(min(c.perSecond, coldOwnerShare*bound)), 1)
 }
 
-// share returns this instance's share of so many requests to an endpoint.
+// share returns this instance's share of the given number of requests to an endpoint.
 func (c *coldLedger) share(requests int, instance string, e *coldEndpoint) int {
 	n := max(len(c.instances), 1)
 	if e.rank < 0 {
@@ -251,7 +251,8 @@
 	return requests / n
 }
 
-// rank returns this instance's place in the order of all for an endpoint.
+// rank returns the position of this instance in the rendezvous order of all instances for an
+// endpoint.
 func (c *coldLedger) rank(instance string) int {
 	own := rendezvous.Score(instance, c.self, 1)
 	n := 0
@@ -263,8 +264,8 @@
 	return n
 }
 
-// markFull tells the engines' models which of them get no request now. They may still help
-// to read: that is no request to them.
+// markFull sets Full for the engines that must not get a request now. They may still help with
+// the prefill of others' requests.
 func (c *coldLedger) markFull(list []*placement.Engine, by decider, now time.Time) {
 	for _, e := range list {
 		e.Full = c.full(e.Instance, by, now)
@@ -299,7 +300,7 @@
 	return n
 }
 
-// decider returns who decides on a request of the pool.
+// decider returns the role in which this instance decides on a request.
 func (p *poolState) decider(w *Waiter) decider {
 	switch {
 	case p.plain:
@@ -310,9 +311,9 @@
 	return byOwner
 }
 
-// refuseCold returns a refusal for a request all of whose endpoints are cold and have been
-// given what they may get, until after it would be refused for having waited; nil for
-// others. It guards against callers that wait in vain.
+// refuseCold returns a refusal if all usable endpoints are cold and at their limits, and remain
+// so until the request would be refused for having waited too long; nil otherwise. It spares
+// callers a wait that ends with a refusal.
 func (s *Scheduler) refuseCold(p *poolState, w *Waiter, list []*placement.Engine, now time.Time) *Refusal {
 	at := p.cold.soonest(list, p.decider(w), now)
 	if !at.After(now) || !at.After(w.arrived.Add(time.Duration(maxWaitShare*float64(w.ask.Deadline)))) {
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -10,25 +10,25 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// The measures of a decision.
+// Parameters of placement decisions.
 const (
-	// toleratedHarm is what a request may cost others without waiting for a better
-	// moment, in units of worth: a fifth of a short one.
+	// toleratedHarm is the loss of other requests, in units of worth, up to which a plan is
+	// neither deferred nor has to cover that loss.
 	toleratedHarm = 0.25
-	// harmFactor is how much of its worth a request must keep for each unit that
-	// others lose.
+	// harmFactor is how much worth a request must keep for each unit of worth that other
+	// requests lose by its plan.
 	harmFactor = 1.7
-	// deferFirstShare is the part of the time until a request would be late that its
-	// first event may take for the request to be put off still.
+	// deferFirstShare is the part of the time left until the target that the predicted first
+	// event may take for a request to be deferred.
 	deferFirstShare = 0.7
-	// deferPrefillShare is the part of the time until a request would be late that
-	// reading its prompt may take for it to be put off when there is no plan in
-	// time: the rest is for engines to become free.
+	// deferPrefillShare is the part of the time left until the target that the prefill may take
+	// for a late request to be deferred. The rest is left for engines to become free.
 	deferPrefillShare = 0.7
 )
 
-// tryPlace places a request if this is the moment for it: its best plan covers what it
-// costs others, and no later moment is likely to be better. The caller holds the lock.
+// tryPlace places a request by its best plan. It returns false if there is no plan, if the
+// first event would come too late for the caller, if the plan costs other requests too much, or
+// if the request should wait for a better moment. The caller must hold s.mu.
 func (s *Scheduler) tryPlace(p *poolState, w *Waiter, now time.Time) (Grant, bool) {
 	list := p.usable(w, now)
 	if len(list) == 0 {
@@ -59,18 +59,18 @@
 	return Grant{}, false
 }
 
-// rotated returns the engines in an order that begins at another one on each instance.
-// Prompts fill the engines from the front, which is right where one instance decides.
-// Many that place alone all filled the same ones: of 300 instances that started
-// together, 420 of the first 500 requests were rejected by full engines.
+// rotated returns the engines in an order that starts at a different engine on each instance.
+// Plans fill engines from the front of the list, so that instances which place independently of
+// each other would otherwise overload the same engines.
 func (s *Scheduler) rotated(list []*placement.Engine) []*placement.Engine {
 	at := rendezvous.Index(s.settings.Self, len(list))
 	return slices.Concat(list[at:], list[:at])
 }
 
-// shouldDefer states whether a request should wait for a better moment: it would be
-// late now and may still be in time, or costs others something now and has time left.
-// With a short target no such moment comes early enough.
+// shouldDefer states whether a request should wait for a better moment: its plan would make it
+// late although it could still be in time on free engines, or the plan harms other requests and
+// there is time left. Short requests are never deferred, as no better moment comes in time for
+// them.
 func (w *Waiter) shouldDefer(plan *placement.Plan, list []*placement.Engine, now time.Time) bool {
 	left := w.request.TargetAt.Sub(now)
 	if w.ask.isShort() || left <= 0 {
@@ -82,14 +82,15 @@
 	return plan.OthersLoss > toleratedHarm && plan.TimeToFirstEvent < time.Duration(deferFirstShare*float64(left))
 }
 
-// lateFromStart states whether a request was late when it came: its caller has come
-// back, or its first endpoint failed.
+// lateFromStart states whether the request was late on arrival, as its caller has come back or
+// its first endpoint failed.
 func (w *Waiter) lateFromStart() bool {
 	return !w.request.TargetAt.After(w.arrived)
 }
 
-// coversCost states whether what a request keeps covers what others lose by its plan, and
-// the price of the engines' time that it takes.
+// coversCost states whether the worth that a request keeps under its plan covers the price of
+// the engine time that it takes and the loss of other requests. Requests that yield don't pay
+// the price.
 func (p *poolState) coversCost(w *Waiter, plan *placement.Plan, now time.Time) bool {
 	keeps := w.request.Worth - plan.OwnLoss
 	if !w.yields() && keeps < p.priceNow(now)*p.engineTime(w).Seconds() {
@@ -101,20 +102,17 @@
 	return keeps > harmFactor*plan.OthersLoss
 }
 
-// yields states whether a request is short and was late when its caller came back. It
-// gets slots while not most of them are in use, and then displaces nobody, whatever the
-// price; one whose endpoint failed has been worked on, and does not yield. It
-// guards against the backlog of an outage keeping the slots from all who come after it:
-// of as many new callers as the slots can take, 0.88 of those that came in the four
-// seconds after an outage of 4 s were in time with it and 62 others served late, 0.49
-// and 169 when callers that have come back counted as new ones (emulated pool of the
-// tests).
+// yields states whether a short request was late on arrival and has not been sent to an
+// endpoint before, as its caller has come back after a refusal. Such a request is placed only
+// while fewer than usedSlotsLimit of the slots are in use, whatever the price. It guards
+// against the backlog of an outage taking the slots from new requests. A request whose endpoint
+// failed doesn't yield, since work was spent on it.
 func (w *Waiter) yields() bool {
 	return w.lateFromStart() && !w.ask.Retry && w.ask.isShort()
 }
 
-// remainingWorth returns what a request keeps still if it is served at once: one that was late when
-// it came keeps what a late answer is worth.
+// remainingWorth returns the worth that a request would still have if it were answered at once:
+// LateWorth if it was late on arrival.
 func (w *Waiter) remainingWorth() float64 {
 	if w.lateFromStart() {
 		return w.request.LateWorth
@@ -122,8 +120,8 @@
 	return w.request.Worth
 }
 
-// worthLost returns what a request loses for want of room by a plan that makes it late. One
-// that was late when it came, like one whose first engine failed, loses nothing more.
+// worthLost returns the worth that a request loses by a plan that makes it late. A request that
+// was late on arrival loses nothing more.
 func (w *Waiter) worthLost(plan *placement.Plan) float64 {
 	if !w.late || w.lateFromStart() {
 		return 0
--- a/pool/ejection.go
+++ b/pool/ejection.go
@@ -6,73 +6,69 @@
 	"time"
 )
 
-// The measures of setting endpoints aside.
+// Parameters of ejections.
 const (
-	// minEjection is how long an endpoint rests after it failed; it doubles
-	// with each further failure.
+	// minEjection is how long an endpoint is ejected after the first failure beyond
+	// toleratedFailures. The time doubles with each further failure.
 	minEjection = 700 * time.Millisecond
-	// maxEjection is the longest rest: restarted engines are back after some
-	// seconds.
+	// maxEjection is the longest ejection. Restarted engines are back after some seconds.
 	maxEjection = 3 * time.Second
-	// maxDoublings keeps the doubling from overflowing; lastAside is reached
-	// before.
+	// maxDoublings prevents an overflow; maxEjection is reached before.
 	maxDoublings = 4
-	// rejectedEjection is how long a full endpoint rests.
+	// rejectedEjection is how long an endpoint is ejected after it rejected a request.
 	rejectedEjection = 60 * time.Millisecond
-	// misplacedEjection is how long an address rests that another endpoint has:
-	// until the list of endpoints has caught up.
+	// misplacedEjection is how long an endpoint is ejected after another endpoint was found at
+	// its address, until the catalog has caught up.
 	misplacedEjection = 5 * time.Second
-	// toleratedFailures is how many failures in a row are put down to requests.
+	// toleratedFailures is how many failures in a row are attributed to the requests rather
+	// than to the endpoint.
 	toleratedFailures = 2
-	// agreementWindow is how close together reports of two instances must be to
-	// count as agreement.
+	// agreementWindow is the time within which failures reported by two instances count as
+	// agreement.
 	agreementWindow = 1500 * time.Millisecond
 )
 
-// ejectionRecord is what the requests of one or several instances showed of an
-// endpoint.
+// ejectionRecord holds the failures of an endpoint's requests and its ejection.
 type ejectionRecord struct {
-	// failures counts those in a row, and until is when the rest ends.
+	// failures counts the failures in a row, and until is when the ejection ends.
 	failures int
 	until    time.Time
-	// probing states that one request tries an endpoint that was set aside.
+	// probing states that a probe request is running on an endpoint that was ejected.
 	probing bool
 }
 
-// endpointHealth is what is known of an endpoint.
+// endpointHealth is the health of one endpoint.
 type endpointHealth struct {
-	// own is what this instance's requests showed. A link of its own may be at
-	// fault, so it counts only for them.
+	// own is the record of this instance's own requests. It applies only to them, as the link
+	// of this instance may be at fault.
 	own ejectionRecord
-	// shared is what two instances or more agree on.
+	// shared is the record that applies to all requests. Failures count only if two instances
+	// report them.
 	shared ejectionRecord
-	// failureRate is the recent part of failed requests.
+	// failureRate is the moving average of the part of requests that failed.
 	failureRate float64
-	// reporter is the instance that reported the last failure, and reported is
-	// when it did.
+	// reporter is the instance that reported the last failure, and reportedAt when it did.
 	reporter   string
 	reportedAt time.Time
-	// absentSince is when the endpoint was found not to be there; zero once it answers.
+	// absentSince is when a check found that the endpoint is not there; zero once it answers.
 	absentSince time.Time
-	// verifiedAt is when it was last looked whether the endpoint is there, as instances agree
-	// that it is silent, and answeredAt when it last was.
+	// verifiedAt is when the endpoint was last checked because instances agreed that it is
+	// silent, and answeredAt when it last answered such a check.
 	verifiedAt time.Time
 	answeredAt time.Time
-	// preference is higher for a plain endpoint that the instance prefers among
-	// equals.
+	// preference decides between plain endpoints of equal load; the highest is preferred.
 	preference float64
-	// placements are the latest requests that it was given.
+	// placements holds the times of the latest placements on the endpoint.
 	placements placementTimes
-	// startedAt is when the endpoint's life started that this is about; zero when it does
-	// not say.
+	// startedAt is when the endpoint's incarnation started; zero if unknown.
 	startedAt time.Time
 }
 
-// rateWeight is the weight of one more outcome in an endpoint's failure rate.
+// rateWeight is the weight of the latest outcome in the failure rate.
 const rateWeight = 0.1
 
-// note takes over an outcome that an instance reports; own states that it is this
-// one. It returns true when the endpoint was set aside for all.
+// note records an outcome that an instance reported. own states that this instance did. It
+// returns true if the outcome ejects the endpoint for all instances.
 func (h *endpointHealth) note(o Outcome, reporter string, own bool, now time.Time) bool {
 	if o == Abandoned {
 		h.own.probing, h.shared.probing = false, false
@@ -87,16 +83,16 @@
 		h.own.note(o, now)
 	}
 	if !h.agreed(o, reporter, now) {
-		// It may have been the one request that tries the endpoint.
+		// The attempt may have been the probe request.
 		h.shared.probing = false
 		return false
 	}
 	return h.shared.note(o, now)
 }
 
-// agreed states whether a report counts for all: good ones do, bad ones when
-// another instance had one just before. What the endpoint itself says needs no
-// second instance.
+// agreed states whether an outcome counts for all instances. Answers, rejections and misplaced
+// attempts do, as the endpoint itself showed them. Failures do if another instance reported one
+// within agreementWindow before.
 func (h *endpointHealth) agreed(o Outcome, reporter string, now time.Time) bool {
 	if o == Served || o == Rejected || o == Misplaced {
 		return true
@@ -106,7 +102,8 @@
 	return other
 }
 
-// markAlive notes a sign of life. Own states that this instance's own request had it.
+// markAlive clears the failures after a sign of life. own states that it came from a request of
+// this instance.
 func (h *endpointHealth) markAlive(own bool) {
 	h.shared = ejectionRecord{}
 	h.absentSince = time.Time{}
@@ -116,8 +113,8 @@
 	}
 }
 
-// note takes over an outcome. It returns true when the endpoint is set aside by
-// it for longer than a moment.
+// note records an outcome. It returns true if the outcome ejects the endpoint, except for the
+// short ejection after a rejection.
 func (r *ejectionRecord) note(o Outcome, now time.Time) bool {
 	r.probing = false
 	switch o {
@@ -139,12 +136,12 @@
 	if r.failures <= toleratedFailures {
 		return false
 	}
-	rest := min(minEjection<<min(r.failures-toleratedFailures-1, maxDoublings), maxEjection)
-	r.until = later(r.until, now.Add(rest))
+	ejection := min(minEjection<<min(r.failures-toleratedFailures-1, maxDoublings), maxEjection)
+	r.until = later(r.until, now.Add(ejection))
 	return true
 }
 
-// later returns the later one of two moments.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
@@ -152,7 +149,8 @@
 	return a
 }
 
-// usable states whether the endpoint may get a request.
+// usable states whether the endpoint may get a request: its ejection is over, and no probe
+// request is running.
 func (r *ejectionRecord) usable(now time.Time) bool {
 	if now.Before(r.until) {
 		return false
--- a/pool/incarnation.go
+++ b/pool/incarnation.go
@@ -10,18 +10,17 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// detectRestart takes over that an endpoint may have started again under its name. What was
-// thought to run, to hold or to be reserved there has ended, and its record of failures
-// is that of another life. It returns how many attempts ended, and whether the endpoint
-// has started again.
-func (p *poolState) detectRestart(c catalog.Endpoint) (ended int, again bool) {
+// detectRestart checks by an endpoint's catalog entry whether it has restarted under its name.
+// If so, it ends the attempts of earlier incarnations and resets the engine model, the health
+// and the slowdown. It returns how many attempts ended, and whether the endpoint has restarted.
+func (p *poolState) detectRestart(c catalog.Endpoint) (ended int, restarted bool) {
 	e, known := p.engines[c.Instance]
 	if !known {
 		return 0, false
 	}
 	h := p.health[c.Instance]
-	again = !h.startedAt.IsZero() && c.StartedAt.After(h.startedAt)
-	if again {
+	restarted = !h.startedAt.IsZero() && c.StartedAt.After(h.startedAt)
+	if restarted {
 		ended = p.endEarlierIncarnations(c.Instance, c.StartedAt)
 		*e = placement.Engine{
 			Instance: e.Instance,
@@ -35,17 +34,18 @@
 	if c.StartedAt.After(h.startedAt) {
 		h.startedAt = c.StartedAt
 	}
-	return ended, again
+	return ended, restarted
 }
 
-// endEarlierIncarnations ends the attempts at the lives of an endpoint before the one that started at a
-// moment, and the parts of prompts that it read for others: their requests fail, as
-// those notice. It returns how many attempts ended.
-func (p *poolState) endEarlierIncarnations(instance string, born time.Time) int {
+// endEarlierIncarnations ends the attempts that an endpoint answers and that were placed on an
+// incarnation before the one that started at the given time. It also removes the endpoint's
+// shares of joint prefills; the endpoints that answer those requests notice the failure
+// themselves. It returns how many attempts ended.
+func (p *poolState) endEarlierIncarnations(instance string, startedAt time.Time) int {
 	n := 0
 	for id, at := range p.attempts {
 		switch {
-		case at.instance == instance && at.startedAt.Before(born):
+		case at.instance == instance && at.startedAt.Before(startedAt):
 			p.endAttempt(id)
 			n++
 		case slices.Contains(at.joint, instance):
@@ -55,8 +55,8 @@
 	return n
 }
 
-// isStale states whether a place was given at a life of an endpoint that is over. One
-// that does not say counts as given at the present life.
+// isStale states whether a grant is for an earlier incarnation of its endpoint. A grant without
+// a start time counts as one for the present incarnation.
 func (p *poolState) isStale(g *Grant) bool {
 	h := p.health[g.Instance]
 	return h != nil && !g.StartedAt.IsZero() && g.StartedAt.Before(h.startedAt)
--- a/pool/plain_latency.go
+++ b/pool/plain_latency.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// The measures of slow plain endpoints.
+// Parameters for detecting slow plain endpoints.
 const (
-	// plainLatencyWeight is the weight of one more request in the mean time that an endpoint
-	// takes: the last three count for two thirds.
+	// plainLatencyWeight is the weight of the latest request in the moving average of an
+	// endpoint's latency.
 	plainLatencyWeight = 0.3
-	// plainSlowThreshold is how many times as long as the median endpoint one takes that counts as
-	// slow: less than that, kinds of requests differ as much.
+	// plainSlowThreshold is the ratio of an endpoint's latency to the median from which on the
+	// endpoint counts as slow. Lower ratios may be due to different kinds of requests.
 	plainSlowThreshold = 2
-	// maxPlainSlowdown bounds how much slower an endpoint counts, so that it gets a request when
-	// its equals have that many.
+	// maxPlainSlowdown bounds that ratio, so that an idle slow endpoint gets a request when the
+	// others have about that many.
 	maxPlainSlowdown = 8
-	// minPlainEndpoints is how many endpoints must be known for one of them to be slow beside the
-	// others.
+	// minPlainEndpoints is how many endpoints must have a recent latency for a comparison.
 	minPlainEndpoints = 2
-	// plainLatencyLifetime is how long requests tell of an endpoint that gets no others; then it is
-	// tried again.
+	// plainLatencyLifetime is how long a latency holds without new requests. The endpoint then
+	// counts as normal and gets requests again.
 	plainLatencyLifetime = 5 * time.Second
 )
 
-// plainLatency is how long requests take at a plain endpoint.
+// plainLatency is the moving average of the time to the first event at a plain endpoint, and
+// the time of its last update.
 type plainLatency struct {
 	mean time.Duration
 	at   time.Time
 }
 
-// recordPlainLatency takes over the first sign of an answer of a plain endpoint.
+// recordPlainLatency updates the latency of a plain endpoint by the first event of an attempt.
 func (p *poolState) recordPlainLatency(at *attempt, now time.Time) {
 	r := &p.slowdowns.record(at.instance).plain
 	took := now.Sub(at.placedAt)
@@ -43,8 +43,8 @@
 	r.at = now
 }
 
-// plainSlowdowns returns how many times as long as at the median one requests take at the plain
-// endpoints that are slow; the others have none.
+// plainSlowdowns returns the ratio of the latency to the median for each plain endpoint that is
+// slow, by instance.
 func (p *poolState) plainSlowdowns(now time.Time) map[string]float64 {
 	var all []time.Duration
 	for _, r := range p.slowdowns.records {
@@ -70,7 +70,7 @@
 	return out
 }
 
-// isFresh states whether requests told of the endpoint of late.
+// isFresh states whether the latency has been updated within plainLatencyLifetime.
 func (r *plainLatency) isFresh(now time.Time) bool {
 	return r.mean > 0 && now.Sub(r.at) <= plainLatencyLifetime
 }
--- a/pool/prefill_load.go
+++ b/pool/prefill_load.go
@@ -8,25 +8,26 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// longPrefill is the time of reading from which on an engine counts as reading a long
-// prompt: with a pass it is more than the shortest pauses on the sheets, 200 ms.
+// longPrefill is the pending prefill time above which an engine counts as busy with a long
+// prompt. With a pass added, it is longer than the shortest gaps that requests allow.
 const longPrefill = 150 * time.Millisecond
 
-// prefillLoad returns what long prompts want of the engines when a request is decided on.
+// prefillLoad returns the part of the engines that are busy with long prompts, and the largest
+// gap that any request so far allows.
 func (p *poolState) prefillLoad(w *Waiter, now time.Time) placement.LongPrefills {
 	p.longestGap = max(p.longestGap, w.ask.Gap)
-	reading, all := 0, 0
+	busy, all := 0, 0
 	for _, e := range p.list {
 		if p.excluded(e, now) {
 			continue
 		}
 		all++
 		if e.PendingPrefill() > longPrefill {
-			reading++
+			busy++
 		}
 	}
 	return placement.LongPrefills{
-		EngineShare: float64(reading) / float64(max(all, 1)),
+		EngineShare: float64(busy) / float64(max(all, 1)),
 		MaxGap:      p.longestGap,
 	}
 }
--- a/pool/price.go
+++ b/pool/price.go
@@ -7,52 +7,42 @@
 	"time"
 )
 
-// The measures of the price of engines' time.
+// Parameters of the price of engine time.
 const (
-	// priceDecay is the time in which what was displaced counts by a factor of e less:
-	// slots and long reads turn over in about as long.
+	// priceDecay is the time constant with which past decisions lose their weight.
 	priceDecay = 2 * time.Second
-	// priceShare is the part of what displaced requests would have earned that a
-	// request must keep for the same time of engines. Late requests keep a quarter and
-	// yield; those in time pass whose prompts are too long to earn as much a second.
-	// With 0.5 more callers came back in vain: 0.691 of all worth in place of 0.698
-	// (18 engines, fifteen plays of bursts with faults, same seeds).
+	// priceShare is the price as a part of the worth that displaced requests lost for each
+	// second of engine time. A late answer usually keeps less worth than the price, and an
+	// answer in time more.
 	priceShare = 0.3
-	// priceFullShare is the part of the work asked for that must have been displaced for the
-	// price to hold in full. With less it is smaller in proportion: a few late requests
-	// need not be told that others are.
+	// priceFullShare is the part of the requested engine time that must have been displaced for
+	// the full price. With less, the price is lower in proportion.
 	priceFullShare = 0.1
 )
 
-// price learns what a second of the engines' time is worth to others, from what was
-// displaced of late:
+// price estimates what a second of engine time is worth to other requests, from the requests
+// that were displaced recently, that is, refused or placed late for lack of capacity:
 //
-//	price = priceShare × lost / displaced × min(1, displaced / (priceFull × asked))
+//	price = priceShare × lost / displaced × min(1, displaced / (priceFullShare × asked))
 //
-// It counts by the part of the engines that are in use now, so that nothing is held back
-// while engines rest. Nothing is displaced at a calm moment, and the price is zero.
+// The price is zero if nothing was displaced. poolState.priceNow scales it by the utilization
+// of the engines, so that idle engines are free to use.
 //
-// It guards against the collapse under more short prompts than there are slots, in which
-// callers that have come back fill the slots with late answers: of six engines, two of
-// them eight times slower for six seconds under 1.4 times of what all of them can do,
-// 0.38 to 0.42 of the requests were in time with it and 0.21 to 0.25 without, and 0.90 to
-// 1.00 in the second second after the engines' return in place of 0.70 to 0.90 (emulated
-// pool of the tests).
-//
-// The zero value is ready for use.
+// It guards against a collapse under overload by short prompts, in which callers that have come
+// back fill the slots with late answers. The zero value is ready for use.
 type price struct {
-	// lost is the worth that was lost by displaced requests, in units of worth.
+	// lost is the worth that displaced requests lost, in units of worth.
 	lost float64
-	// displaced is the engines' time that they would have taken, and asked that of all
-	// requests, in seconds.
+	// displaced is the engine time of displaced requests, and asked that of all requests, in
+	// seconds.
 	displaced float64
 	asked     float64
-	// at is up to when these have faded.
+	// at is when the sums last decayed.
 	at time.Time
 }
 
-// note takes over a decision: a request that takes the given time of engines, and how
-// much of its worth it loses for want of room.
+// note records the decision on a request: the engine time that it takes, and the worth that it
+// loses for lack of capacity, which is zero if it was not displaced.
 func (p *price) note(work time.Duration, lost float64, now time.Time) {
 	p.fade(now)
 	p.asked += work.Seconds()
@@ -62,7 +52,8 @@
 	}
 }
 
-// perSecond returns what a second of one engine costs, in units of worth.
+// perSecond returns the price of a second of engine time at full utilization, in units of
+// worth.
 func (p *price) perSecond(now time.Time) float64 {
 	p.fade(now)
 	if p.displaced == 0 {
@@ -72,7 +63,7 @@
 	return priceShare * p.lost / p.displaced * full
 }
 
-// fade lets what was noted count less.
+// fade decays the sums by the time since they last decayed.
 func (p *price) fade(now time.Time) {
 	if !p.at.IsZero() {
 		kept := math.Exp(-now.Sub(p.at).Seconds() / priceDecay.Seconds())
@@ -83,13 +74,14 @@
 	p.at = now
 }
 
-// priceNow returns what a second of one engine costs now, in units of worth.
+// priceNow returns the price of a second of engine time, in units of worth.
 func (p *poolState) priceNow(now time.Time) float64 {
 	return p.price.perSecond(now) * p.utilization(now)
 }
 
-// utilization returns the part of the engines that are in use: of each that does not read, the
-// part of its slots that run.
+// utilization returns the part of the engines that is in use, from 0 to 1, without those that
+// are excluded. An engine with pending prefill counts in full, any other by its part of slots
+// in use.
 func (p *poolState) utilization(now time.Time) float64 {
 	used, all := 0.0, 0
 	for _, e := range p.list {
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Review looks at all waiting requests, as Run does. It returns whether any still wait.
+// Review reviews the queued requests of all pools, as Run does periodically. It returns whether
+// any remain queued.
 func (s *Scheduler) Review() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,8 +23,8 @@
 	return waiting
 }
 
-// reviewPool places or refuses the waiting requests of a pool, the most urgent
-// ones first. The caller holds the lock.
+// reviewPool places or refuses the queued requests of a pool in order of urgency, or keeps them
+// in the queue. The caller must hold s.mu.
 func (s *Scheduler) reviewPool(p *poolState, now time.Time) {
 	if len(p.queue) == 0 {
 		return
@@ -53,9 +54,9 @@
 	p.queue = kept
 }
 
-// urgency orders waiting requests; the lowest goes first. It is the time in
-// seconds until the request is late, and more for customers of a lower priority.
-// What is late already comes after all others.
+// urgency returns the sort key of queued requests; the lowest goes first. It is the time in
+// seconds until the request is late, plus a penalty for the rank of its customer. Requests that
+// are late already come after all others.
 func (w *Waiter) urgency(now time.Time) float64 {
 	left := w.request.TargetAt.Sub(now)
 	if left <= 0 {
@@ -64,20 +65,19 @@
 	return left.Seconds() + rankPenalty*float64(w.ask.Rank)
 }
 
-// The weights of urgency, in seconds.
+// Penalties of the urgency, in seconds.
 const (
-	// latePenalty puts late requests behind all others: targets are shorter.
+	// latePenalty exceeds all targets.
 	latePenalty = 100
-	// rankPenalty is how much later a request counts for each rank of its
-	// customer.
+	// rankPenalty is added once for each rank.
 	rankPenalty = 0.3
 )
 
-// ReviewInterval is how often waiting requests are looked at anew: a fraction of a
-// pass.
+// ReviewInterval is the interval at which Run reviews queued requests. It is shorter than a
+// pass of an engine.
 const ReviewInterval = 15 * time.Millisecond
 
-// Run looks at waiting requests until ctx ends.
+// Run reviews queued requests until ctx ends.
 func (s *Scheduler) Run(ctx context.Context) {
 	tick := time.NewTicker(ReviewInterval)
 	defer tick.Stop()
@@ -98,7 +98,7 @@
 	}
 }
 
-// wakeUp makes Run look at the waiting requests.
+// wakeUp makes Run review the queued requests.
 func (s *Scheduler) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -106,7 +106,8 @@
 	}
 }
 
-// Withdraw takes back a request that no longer waits for its place.
+// Withdraw removes a request from the queue. If it was placed and nobody has received the
+// decision, its attempt ends.
 func (s *Scheduler) Withdraw(w *Waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pool/rate_limit.go
+++ b/pool/rate_limit.go
@@ -10,26 +10,26 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// The measures of keeping to an endpoint's rate limit.
+// Parameters for keeping an endpoint's rate limit.
 const (
-	// rateWindow is the time over which the limit is kept as a mean.
+	// rateWindow is the time over which the mean rate is kept below the limit.
 	rateWindow = 4 * time.Second
-	// minGapShare is the least time between two requests, in parts of the mean time that the
-	// limit allows: more than a burst, less than what wastes the limit when requests come
-	// unevenly.
+	// minGapShare is the least time between two requests, as a part of the mean time that the
+	// limit allows. It prevents bursts, but lets requests that come unevenly use most of the
+	// limit.
 	minGapShare = 0.8
-	// minRate is the rate, in requests a second, at which an endpoint is used however low its
-	// limit: only an answer tells that the limit has ended.
+	// minRate is the rate, in requests a second, that an endpoint gets however low its limit
+	// is, as only an answer shows that the limit has ended.
 	minRate = 0.1
 )
 
-// placementTimes are the moments at which an endpoint was given requests in the last rateWindow, and
-// the latest one before. The zero value has none.
+// placementTimes holds the times of the placements on an endpoint in the rateWindow before the
+// last one, the oldest first. The zero value holds none.
 type placementTimes struct {
 	at []time.Time
 }
 
-// note adds a request.
+// note adds a placement.
 func (a *placementTimes) note(now time.Time) {
 	a.at = append(a.at, now)
 	if len(a.at) < 2 || now.Sub(a.at[0]) <= rateWindow {
@@ -39,7 +39,8 @@
 	a.at = slices.Delete(a.at, 0, first)
 }
 
-// next returns when an endpoint with a rate limit may get the next request; zero for at once.
+// next returns when an endpoint with the given rate limit, in requests a second, may get the
+// next request. A time in the past or zero means at once.
 func (a *placementTimes) next(rate float64) time.Time {
 	n := len(a.at)
 	if n == 0 {
@@ -57,30 +58,32 @@
 	return at
 }
 
-// seconds returns a duration.
+// seconds converts seconds to a duration, bounded by maxSeconds.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, maxSeconds) * float64(time.Second))
 }
 
-// maxSeconds bounds a duration that is computed, in seconds.
+// maxSeconds bounds computed durations, in seconds, to prevent an overflow.
 const maxSeconds = 1e6
 
-// rateLimits are the rate limits of a pool's endpoints.
+// rateLimits holds what is needed to divide the rate limits of a pool's endpoints among
+// instances that reach no owner.
 type rateLimits struct {
-	// instances is how many instances there are, which share a limit while they place alone.
+	// instances is the number of all instances.
 	instances int
-	// fallbackSince is when this instance last began to place alone, aloneSeen when it last did, and
-	// alonePhase is the part of the time between two of its requests after which the first
-	// one may go.
+	// fallbackSince is when this instance last began to decide by itself because it reached no
+	// owner, and lastFallback when it last did so. fallbackPhase, from 0 to 1, is the part of
+	// the time between two of its requests by which the first one is delayed.
 	fallbackSince time.Time
 	lastFallback  time.Time
 	fallbackPhase float64
 }
 
-// fallbackTimeout is how long after a decision an instance still counts as one that places alone.
+// fallbackTimeout is how long after such a decision the instance still counts as deciding by
+// itself.
 const fallbackTimeout = 10 * time.Second
 
-// rateLimit returns the rate limit of this start of an endpoint.
+// rateLimit returns the rate limit that the current incarnation of an endpoint names, if any.
 func (p *poolState) rateLimit(e *placement.Engine, v *notice.View) (notice.Limit, bool) {
 	if !v.AnyLimited() {
 		return notice.Limit{}, false
@@ -88,30 +91,32 @@
 	return v.Limit(e.Instance, p.health[e.Instance].startedAt)
 }
 
-// nextWithinLimit returns when an endpoint with a rate limit may get a request; zero for at once. An
-// instance that places alone has its share of the limit.
-func (p *poolState) nextWithinLimit(e *placement.Engine, l notice.Limit, alone bool) time.Time {
-	h, rate := p.health[e.Instance], p.rateLimits.share(l, alone)
-	if !alone {
+// nextWithinLimit returns when an endpoint with a rate limit may get a request. A time in the
+// past or zero means at once. fallback states that no owner is reachable, so that the instance
+// has only its share of the limit.
+func (p *poolState) nextWithinLimit(e *placement.Engine, l notice.Limit, fallback bool) time.Time {
+	h, rate := p.health[e.Instance], p.rateLimits.share(l, fallback)
+	if !fallback {
 		return h.placements.next(rate)
 	}
-	first := p.rateLimits.fallbackSince.Add(seconds(p.rateLimits.fallbackPhase / rate))
-	return later(h.placements.next(rate), first)
+	earliest := p.rateLimits.fallbackSince.Add(seconds(p.rateLimits.fallbackPhase / rate))
+	return later(h.placements.next(rate), earliest)
 }
 
-// share returns what this instance may use of a rate limit, in requests a second.
-func (r *rateLimits) share(l notice.Limit, alone bool) float64 {
+// share returns how many requests a second this instance may place under a rate limit.
+func (r *rateLimits) share(l notice.Limit, fallback bool) float64 {
 	rate := max(l.Rate, minRate)
-	if alone {
+	if fallback {
 		rate /= float64(max(r.instances, 1))
 	}
 	return rate
 }
 
-// noteFallback notes that this instance decides, alone or not. Instances begin to place alone
-// together; the first request of each goes at a moment of its own.
-func (s *Scheduler) noteFallback(p *poolState, alone bool, now time.Time) {
-	if !alone {
+// noteFallback records a decision that this instance makes because it reaches no owner, if
+// fallback is set. Many instances lose the owner at the same moment, so a random phase spreads
+// their first requests.
+func (s *Scheduler) noteFallback(p *poolState, fallback bool, now time.Time) {
+	if !fallback {
 		return
 	}
 	if now.Sub(p.rateLimits.lastFallback) > fallbackTimeout {
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -10,80 +10,83 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// The measures of work that returns.
+// Parameters of reconnects.
 const (
-	// reconnectWindow is how long work that was cut is waited for: callers whose connection
-	// was reset are back within a tenth of a second, and after a second they count as new.
+	// reconnectWindow is how long the caller of an interrupted attempt is expected to
+	// reconnect. After that it counts as a new caller.
 	reconnectWindow = time.Second
-	// minBurstShare is the part of the engines for which there must be as much returning work
-	// for it to be a crowd, and crowdLeast the least of it: single callers leave at any
-	// moment.
+	// minBurstShare is the number of interrupted streams per engine from which on they count as
+	// a burst, and minBurst the least size of a burst: single callers leave at any time.
 	minBurstShare = 0.25
 	minBurst      = 4
-	// burstMinPrefill is the time of reading from which on a prompt that is not in a hurry
-	// waits for a crowd: a pass of an engine that writes, about.
+	// burstMinPrefill is the prefill time from which on a request may have to wait for a burst:
+	// about one pass of an engine.
 	burstMinPrefill = 60 * time.Millisecond
-	// burstGapFactor is how many of the shortest pauses a stream of the crowd bears at most.
+	// burstGapFactor limits the gaps that the streams of a burst allow to a multiple of the
+	// shortest one.
 	burstGapFactor = 2
 )
 
-// workloadID is by what work is known that returns: its caller's next try has another name.
+// workloadID identifies a request across reconnects. The caller's next try has a new attempt
+// id.
 type workloadID struct {
 	customer string
 	prompt   int
 	output   int
 }
 
-// workload is what an attempt does for its caller.
+// workload describes an attempt, so that its request can be recognized and valued when its
+// caller reconnects.
 type workload struct {
 	id  workloadID
 	gap time.Duration
-	// worth is what an answer in time is worth.
+	// worth is the value of an answer in time.
 	worth float64
 	// targetAt is when the first event would be late.
 	targetAt time.Time
 }
 
-// cutAttempt is work that was cut.
+// cutAttempt is an interrupted attempt.
 type cutAttempt struct {
 	at time.Time
 	// dueAt is when the next event would be late.
 	dueAt time.Time
-	// resumes states that the caller has events already, and gap is the longest pause
-	// between them.
+	// resumes states that the caller has received events of a stream, and gap is the longest
+	// pause between events that it allows.
 	resumes bool
 	gap     time.Duration
-	// worth is what an answer in time is worth.
+	// worth is the value of an answer in time.
 	worth float64
 }
 
-// reconnects counts work that was cut without a fault of its own, and may come back: after
-// a reset of connections or the loss of instances that is all that ran, within a tenth of
-// a second. Who returns is due by what it was cut from, which its new entry can't know. The
-// zero value is ready for use.
+// reconnects holds attempts that were interrupted and whose callers may reconnect. After a
+// reset of connections or the loss of an instance, these are all attempts that ran there. A
+// request of a caller that reconnects is due when the interrupted attempt was, which its new
+// entry instance doesn't know. The zero value is ready for use.
 type reconnects struct {
+	// cut holds the interrupted attempts by workload.
 	cut     map[workloadID][]cutAttempt
 	sweptAt time.Time
-	// crowd is the one that returns, if any.
+	// burst is the present reconnect burst, if any.
 	burst reconnectBurst
-	// cuts counts the attempts that were cut, returned those of them that came back, and
-	// crowds the crowds.
+	// cuts counts the interrupted attempts, returned those whose callers reconnected, and
+	// bursts the reconnect bursts.
 	cuts     int
 	returned int
 	bursts   int
 }
 
-// reconnectBurst is many streams that return at once.
+// reconnectBurst is a number of interrupted streams whose callers reconnect at the same time.
 type reconnectBurst struct {
-	// streams is how many there are.
+	// streams is the number of streams.
 	streams int
-	// until is when the last of them is due.
+	// until is when the last of their next events is due.
 	until time.Time
-	// worth is what they are worth in time, together.
+	// worth is the value of all their answers in time.
 	worth float64
 }
 
-// timeLeft returns the time left until the next event that an ask waits for would be late.
+// timeLeft returns the time left until the event that the caller waits for is late.
 func (a *PlacementRequest) timeLeft() time.Duration {
 	if a.Resumed {
 		return a.DueIn
@@ -91,9 +94,9 @@
 	return a.Target - a.Elapsed
 }
 
-// isShort states whether an ask waits for slots rather than for reading: its prompt is read
-// within a pass. What is left of the target of a stream that goes on says nothing of its
-// prompt; such streams are told apart by their longest pauses.
+// isShort states whether a request waits for a slot rather than for prefill, as its prompt is
+// prefilled within a pass. For a resumed stream, the time left doesn't depend on the prompt, so
+// the gap that it allows decides.
 func (a *PlacementRequest) isShort() bool {
 	if a.Resumed {
 		return a.Gap <= shortResumedGap
@@ -101,10 +104,10 @@
 	return a.Target <= shortTarget
 }
 
-// shortResumedGap is the longest pause of streams whose prompts are read within a pass.
+// shortResumedGap is the largest gap that a short resumed stream allows.
 const shortResumedGap = 400 * time.Millisecond
 
-// workload returns what an attempt of the request does.
+// workload returns the workload of the request.
 func (w *Waiter) workload() workload {
 	return workload{
 		id: workloadID{
@@ -118,7 +121,7 @@
 	}
 }
 
-// note takes over that an attempt was cut at a moment.
+// note records that an attempt was interrupted at the given time.
 func (r *reconnects) note(at *attempt, now time.Time) {
 	if at.workload.id.prompt == 0 {
 		return
@@ -141,8 +144,9 @@
 	r.cut[at.workload.id] = append(r.cut[at.workload.id], c)
 }
 
-// match finds what a request was cut from, and sets when it is due by that. An ask of the
-// entry that had the attempt itself knows when it is due.
+// match looks up the interrupted attempt that a request continues, and makes the request due
+// when that attempt was due. A retry by the attempt's own entry instance already has the right
+// due time.
 func (r *reconnects) match(w *Waiter, now time.Time) {
 	id := w.workload().id
 	i := slices.IndexFunc(r.cut[id], func(c cutAttempt) bool {
@@ -159,7 +163,8 @@
 	}
 }
 
-// expire forgets what did not return.
+// expire removes the interrupted attempts whose callers have not reconnected in time. It does
+// so at most once in a reconnectWindow.
 func (r *reconnects) expire(now time.Time) {
 	if now.Sub(r.sweptAt) < reconnectWindow {
 		return
@@ -170,7 +175,7 @@
 	}
 }
 
-// set keeps the work of one kind that was cut, if there is any.
+// set replaces the interrupted attempts of a workload.
 func (r *reconnects) set(id workloadID, list []cutAttempt) {
 	if len(list) == 0 {
 		delete(r.cut, id)
@@ -179,28 +184,29 @@
 	r.cut[id] = list
 }
 
-// isExpected states whether the work's caller is waited for still.
+// isExpected states whether the caller is still expected to reconnect.
 func (c *cutAttempt) isExpected(now time.Time) bool {
 	return now.Sub(c.at) < reconnectWindow
 }
 
-// yieldsToBurst states whether a crowd that returns goes before a request, and writes a
-// line for each crowd. The caller holds the lock.
+// yieldsToBurst states whether a request must wait for a reconnect burst, and logs each new
+// burst. The caller must hold s.mu.
 func (s *Scheduler) yieldsToBurst(p *poolState, w *Waiter, plan *placement.Plan, engines int, now time.Time) bool {
 	r := &p.reconnects
-	known := r.bursts
+	before := r.bursts
 	first := r.burstGoesFirst(w, plan, engines, now)
-	if r.bursts > known {
-		s.log.Info("crowd returns", "service", w.ask.Service, "streams", r.burst.streams, "worth", r.burst.worth,
+	if r.bursts > before {
+		s.log.Info("reconnect burst detected", "service", w.ask.Service, "streams", r.burst.streams, "worth", r.burst.worth,
 			"for_ms", r.burst.until.Sub(now).Milliseconds(), "engines", engines)
 	}
 	return first
 }
 
-// burstGoesFirst states whether a crowd that returns goes before a request: a long reading
-// begins once the streams of the crowd have been taken up or can't be in time any more,
-// when it is in time later, too, or is late anyway, or its engines' part of the crowd is
-// worth more. Streams that wait to be read on its engines would else wait for all of it.
+// burstGoesFirst states whether a request with a long prefill must wait until the streams of a
+// reconnect burst have been placed or can't be in time any more. It must if it is late anyway,
+// if it would still be in time after that, or if the part of the burst that falls on its
+// engines is worth more. Streams placed on its engines would otherwise wait for the whole
+// prefill.
 func (r *reconnects) burstGoesFirst(w *Waiter, plan *placement.Plan, engines int, now time.Time) bool {
 	if plan.PrefillTime < burstMinPrefill {
 		return false
@@ -218,7 +224,7 @@
 	return part*r.burst.worth > w.request.Worth
 }
 
-// detectBurst looks whether what was cut and may still be taken up in time is a crowd.
+// detectBurst updates the present burst by the interrupted streams that can still be in time.
 func (r *reconnects) detectBurst(engines int, now time.Time) {
 	if len(r.cut) < minBurst {
 		return
@@ -239,8 +245,8 @@
 	r.burst.until = later(r.burst.until, found.until)
 }
 
-// burstOf returns the crowd that streams are, however few. Those that bear much longer
-// pauses than others are not waited for.
+// burstOf returns the burst that streams form, however few they are. It leaves out streams that
+// allow much longer gaps than others.
 func burstOf(streams []cutAttempt) reconnectBurst {
 	shortest := time.Duration(math.MaxInt64)
 	for _, c := range streams {
@@ -257,7 +263,7 @@
 	return out
 }
 
-// inTime returns the streams that may still be taken up in time.
+// inTime returns the interrupted streams that can still be in time.
 func (r *reconnects) inTime(now time.Time) []cutAttempt {
 	var out []cutAttempt
 	for _, list := range r.cut {
--- a/pool/refused_callers.go
+++ b/pool/refused_callers.go
@@ -4,14 +4,14 @@
 
 import "time"
 
-// callerKey tells a caller that has come back from others: by who pays, and what its prompt
-// consists of.
+// callerKey identifies a caller that comes back, by its customer and a hash of its prompt.
 type callerKey struct {
 	customer string
 	content  uint64
 }
 
-// callerKeyOf returns the caller of a request, or false when nothing tells it.
+// callerKeyOf returns the key of a request's caller, or false if the hash of the prompt is
+// unknown.
 func callerKeyOf(a *PlacementRequest) (callerKey, bool) {
 	return callerKey{
 		customer: a.Customer,
@@ -19,28 +19,30 @@
 	}, a.Content != 0
 }
 
-// refusedCallers remembers requests that were refused, so that their callers are known when
-// they come back: as late by their first try, and with no further try. Callers name how
-// long they still wait, but that tells first tries from others only where all name the
-// same time at first.
+// refusedCallers remembers the callers of refused requests to recognize them when they come
+// back. The time of such a request counts from its first try, and this try is assumed to be the
+// last. Deadlines don't distinguish first tries from later ones, unless all callers start with
+// the same deadline.
 //
-// It belongs to the owner of a pool. A new one takes callers that come back for new ones,
-// which are refused at once if they can't be in time. The zero value is ready for use.
+// Each instance remembers the refusals that it decided. A new owner of a pool therefore takes
+// returning callers for new ones, and refuses them at once if they can't be in time. The zero
+// value is ready for use.
 type refusedCallers struct {
 	callers map[callerKey]refusedCaller
 }
 
-// refusedCaller is when a caller asked first, and until when it waits.
+// refusedCaller holds when a caller first asked, and until when it waits.
 type refusedCaller struct {
 	firstAskedAt time.Time
 	waitsUntil   time.Time
 }
 
-// maxRefusedCallers bounds the callers that are remembered: some seconds of all requests of a
-// pool of the size to design for.
+// maxRefusedCallers bounds the callers that are remembered: those of some seconds in a large
+// pool.
 const maxRefusedCallers = 8192
 
-// add remembers that a request was refused.
+// add remembers the caller of a refused request, unless maxRefusedCallers callers are still
+// waiting.
 func (r *refusedCallers) add(w *Waiter, now time.Time) {
 	key, ok := callerKeyOf(&w.ask)
 	if !ok {
@@ -61,8 +63,8 @@
 	}
 }
 
-// recognize completes an ask whose caller was refused before. What an endpoint had is no new
-// try of the caller.
+// recognize sets Returning and Elapsed of a request whose caller was refused before. Requests
+// that were sent to an endpoint already are no new try of the caller and stay unchanged.
 func (r *refusedCallers) recognize(a *PlacementRequest, now time.Time) {
 	if a.Retry || a.Replaces.ID != "" {
 		return
@@ -83,7 +85,7 @@
 	a.Elapsed = max(a.Elapsed, now.Sub(first.firstAskedAt))
 }
 
-// expire drops the callers that wait no longer.
+// expire removes the callers that don't wait any more.
 func (r *refusedCallers) expire(now time.Time) {
 	for key, first := range r.callers {
 		if now.After(first.waitsUntil) {
@@ -92,11 +94,11 @@
 	}
 }
 
-// refuseLate returns the refusal of a request for a long prompt that is late already, or nil
-// while it may wait. Ready is when it can be read by what goes before it. It is refused as
-// soon as others pay more for the engines' time, or once what was before it when it became
-// late is read and it has no place still: others come all the time that go first, so that
-// waiting further would be in vain.
+// refuseLate returns the refusal of a request with a long prompt that is late already, or nil
+// if it may wait. ready is when its prefill can be done after the work ahead of it. The request
+// is refused if its late answer is worth less than the price of its engine time, or if it still
+// has no place at the time that ready named when it became late: more urgent requests keep
+// arriving, so that waiting longer is in vain.
 func (s *Scheduler) refuseLate(p *poolState, w *Waiter, ready, now time.Time) *Refusal {
 	if w.ask.Target <= shortTarget || w.ask.Retry || w.request.TargetAt.After(now) {
 		return nil
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -18,54 +18,56 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// Settings are the measures of a Scheduler.
+// Settings configures a Scheduler.
 type Settings struct {
-	// Self names the instance.
+	// Self names this instance.
 	Self string
-	// Retries bounds how many requests are sent again; the zero value allows
-	// none.
+	// Retries is the retry budget of each service; the zero value allows no retries.
 	Retries Budget
-	// Cold bounds what endpoints get that are cold; the zero value sets no bound.
+	// Cold limits the requests to each cold endpoint; the zero value sets no limit.
 	Cold ColdLimit
-	// SlowdownQuerier asks engines for their pace; without it that is learned alone.
+	// SlowdownQuerier queries engines for their slowdown. If it is nil, slowdowns are only
+	// estimated from events.
 	SlowdownQuerier SlowdownQuerier
-	// SlowdownMode is how the pace of engines becomes known; for comparisons.
+	// SlowdownMode selects how slowdowns are determined.
 	SlowdownMode SlowdownMode
-	// Check opens a connection to an endpoint, to see whether it is there; nil means that
-	// endpoints are not checked.
+	// Check opens a connection to an endpoint to find out whether it is reachable; nil disables
+	// these checks.
 	Check quarantine.Checker
-	// Worth says what answers are worth.
+	// Worth configures the value of answers.
 	Worth worth.Settings
-	// Quarantine is what is known of requests that crash endpoints; the default is an empty
-	// book.
+	// Quarantine holds the requests that crash endpoints; the default is an empty registry.
 	Quarantine *quarantine.Registry
-	// Notices is what endpoints say of themselves; the default is an empty book.
+	// Notices holds what endpoints have announced in their answers; the default is an empty
+	// registry.
 	Notices *notice.Registry
-	// Now returns the time; the default is steady.Now.
+	// Now returns the current time; the default is steady.Now.
 	Now func() time.Time
-	// Draw returns a random time below one that is greater than zero; the default is
-	// that of the process's generator.
+	// Draw returns a random duration below the given one, which must be positive; the default
+	// uses the global generator of math/rand/v2.
 	Draw func(below time.Duration) time.Duration
 }
 
-// Scheduler places requests by what was placed through it. It implements
-// Placer. Run must be running.
+// Scheduler places the requests of all services. It models the load of each endpoint from the
+// attempts that it placed or adopted. It implements Placer. Queued requests are decided only by
+// Run or Review.
 type Scheduler struct {
 	settings Settings
 	log      logr.Logger
 
 	mu sync.Mutex
-	// pools are the services' states by name.
+	// pools holds the state of each service by name.
 	pools map[string]*poolState
-	// wake gets a value when there may be something to review.
+	// wake receives a value when Run has to review the queued requests.
 	wake chan struct{}
-	// lastOrphanMark counts the sessions that ended.
+	// lastOrphanMark is the orphanMark of the session that ended last.
 	lastOrphanMark int64
-	// notifyMove are what tells entries which of their attempts are to move.
+	// notifyMove holds the functions that tell an entry instance to migrate an attempt, by
+	// entry instance.
 	notifyMove map[string]*func(migration)
 }
 
-// NewScheduler returns a scheduler without endpoints.
+// NewScheduler returns a scheduler that knows no endpoints.
 func NewScheduler(s Settings, log logr.Logger) *Scheduler {
 	if s.Now == nil {
 		s.Now = steady.Now
@@ -88,12 +90,13 @@
 	}
 }
 
-// Notices returns what endpoints say of themselves.
+// Notices returns the registry of the endpoints' announcements.
 func (s *Scheduler) Notices() *notice.Registry {
 	return s.settings.Notices
 }
 
-// Update takes over the endpoints that are known.
+// Update applies a snapshot of the catalog: its services, endpoints, instances and drained
+// failure domains.
 func (s *Scheduler) Update(snap *catalog.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +106,7 @@
 			continue
 		}
 		p := s.pool(e.Service)
-		if ended, again := p.detectRestart(e); again {
+		if ended, restarted := p.detectRestart(e); restarted {
 			s.log.Info("endpoint has started again", "service", e.Service, "endpoint", e.Instance, "born", e.StartedAt, "ended", ended)
 		}
 		p.upsert(e, svc)
@@ -117,7 +120,7 @@
 	}
 }
 
-// pool returns the state of a service. The caller holds the lock.
+// pool returns the state of a service and creates it if necessary. The caller must hold s.mu.
 func (s *Scheduler) pool(service string) *poolState {
 	p, ok := s.pools[service]
 	if !ok {
@@ -139,15 +142,17 @@
 	return s.place(ctx, a, false)
 }
 
-// place returns a place. An instance that is alone because no owner of the pool
-// is in touch has only its part of the retry budget.
-func (s *Scheduler) place(ctx context.Context, a PlacementRequest, alone bool) (Grant, error) {
-	return s.placeFor(ctx, a, s.settings.Self, alone)
+// place places a request of this instance. fallback states that no owner of the pool is
+// reachable, so that the instance may use only its share of the retry budget and of the
+// endpoints' limits.
+func (s *Scheduler) place(ctx context.Context, a PlacementRequest, fallback bool) (Grant, error) {
+	return s.placeFor(ctx, a, s.settings.Self, fallback)
 }
 
-// placeFor returns a place for an entry's request.
-func (s *Scheduler) placeFor(ctx context.Context, a PlacementRequest, entry string, alone bool) (Grant, error) {
-	w := s.submitFor(a, entry, alone)
+// placeFor places a request of the given entry instance and waits for the decision. It
+// withdraws the request when ctx ends.
+func (s *Scheduler) placeFor(ctx context.Context, a PlacementRequest, entry string, fallback bool) (Grant, error) {
+	w := s.submitFor(a, entry, fallback)
 	select {
 	case g := <-w.granted:
 		return g, nil
@@ -159,19 +164,19 @@
 	}
 }
 
-// Submit takes a request without waiting for the decision, which may be there at once or
+// Submit submits a request and doesn't wait for the decision, which may be available at once or
 // after a Review.
 func (s *Scheduler) Submit(a PlacementRequest) *Waiter {
 	return s.submit(a, false)
 }
 
-// submit takes a request: it is placed or refused at once, or waits in the queue.
-func (s *Scheduler) submit(a PlacementRequest, alone bool) *Waiter {
-	return s.submitFor(a, s.settings.Self, alone)
+// submit places, refuses or queues a request of this instance.
+func (s *Scheduler) submit(a PlacementRequest, fallback bool) *Waiter {
+	return s.submitFor(a, s.settings.Self, fallback)
 }
 
-// submitFor takes an entry's request.
-func (s *Scheduler) submitFor(a PlacementRequest, entry string, alone bool) *Waiter {
+// submitFor places, refuses or queues a request of the given entry instance.
+func (s *Scheduler) submitFor(a PlacementRequest, entry string, fallback bool) *Waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.settings.Now()
@@ -182,13 +187,13 @@
 	}
 	s.evaluateIfDue(p, a.Service, now)
 	w := s.newWaiter(p, a, now)
-	w.entry, w.fallback = entry, alone
-	s.noteFallback(p, alone, now)
+	w.entry, w.fallback = entry, fallback
+	s.noteFallback(p, fallback, now)
 	if r := p.refuseReplacement(a.Replaces, now); r != nil {
 		w.refused <- r
 		return w
 	}
-	if r := p.admit(a, alone, now); r != nil {
+	if r := p.admit(a, fallback, now); r != nil {
 		w.refused <- r
 		return w
 	}
@@ -199,8 +204,7 @@
 	return w
 }
 
-// decide places or refuses a request that has come, or lets it wait in the queue. The
-// caller holds the lock.
+// decide places, refuses or queues a new request. The caller must hold s.mu.
 func (s *Scheduler) decide(p *poolState, w *Waiter, now time.Time) {
 	if g, ok := s.tryPlace(p, w, now); ok {
 		w.granted <- g
@@ -215,7 +219,8 @@
 	s.wakeUp()
 }
 
-// recordRefusal notes a refusal and writes its line.
+// recordRefusal updates the price and the list of refused callers, and logs the refusal. The
+// caller must hold s.mu.
 func (s *Scheduler) recordRefusal(p *poolState, w *Waiter, r *Refusal, now time.Time) {
 	work := p.engineTime(w)
 	p.price.note(work, w.remainingWorth(), now)
@@ -234,7 +239,7 @@
 	s.FirstEventFrom(id, service, s.settings.Self)
 }
 
-// FirstEventFrom takes over the first event of an attempt, as an instance reports it.
+// FirstEventFrom records the first event of an attempt, as reported by the given instance.
 func (s *Scheduler) FirstEventFrom(id, service, reporter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,7 +268,9 @@
 	s.EndFrom(id, service, o, culprit, s.settings.Self)
 }
 
-// EndFrom takes over how an attempt ended, as an instance reports it.
+// EndFrom records the end of an attempt, as reported by the given instance. culprit names the
+// endpoint at fault by instance or address; if it is empty, the endpoint that answers the
+// attempt is meant.
 func (s *Scheduler) EndFrom(id, service string, o Outcome, culprit, reporter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -274,7 +281,8 @@
 	}
 	now := s.settings.Now()
 	if o == Silent && (at.moved || p.silenceExpected(id, at, now)) {
-		// What showed that the endpoint is silent has been counted, or is no fault.
+		// The silence was counted when the attempt was migrated, or the engine models explain
+		// it.
 		o = Abandoned
 	}
 	if o == Abandoned || o == Failed {
@@ -300,8 +308,8 @@
 	s.wakeUp()
 }
 
-// UnusableEndpoints returns the endpoints that this instance's own requests can't use
-// now.
+// UnusableEndpoints returns the endpoints that are ejected at present by the outcomes of this
+// instance's own requests.
 func (s *Scheduler) UnusableEndpoints(service string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -8,36 +8,31 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// The measures of refusing at once.
+// Parameters of refusals.
 const (
-	// lateLossShare is the part of its worth that a request must lose to count as
+	// lateLossShare is the part of its worth that a request must lose by a plan to count as
 	// late.
 	lateLossShare = 0.4
-	// usedSlotsLimit is the part of the slots in use from which on a request that
-	// would be late is refused: its caller is better off with another try when
-	// there is room, and those who come now are in time.
+	// usedSlotsLimit is the part of the slots in use from which on a short request that would
+	// be late is refused. Its caller does better to try again when slots are free.
 	usedSlotsLimit = 0.8
-	// shortTarget is the longest target of requests that wait for slots rather than
-	// for reading: their prompts are read within a pass.
+	// shortTarget is the longest target of a short request, which waits for a slot rather than
+	// for prefill: its prompt is prefilled within a pass.
 	shortTarget = time.Second
-	// minRetryAfter and shedSpread are when a refused caller may come back at the
-	// earliest: slots become free within a second, and not all should return at
-	// once.
+	// minRetryAfter is the least RetryAfter of a refusal: slots become free within a second.
+	// retryAfterSpread is the least range of the random time added to it, so that callers don't
+	// all return at once.
 	minRetryAfter    = 600 * time.Millisecond
 	retryAfterSpread = 800 * time.Millisecond
-	// maxWaitShare is the part of its deadline after which a request that found no
-	// place is refused, so that its caller can come back in time.
+	// maxWaitShare is the part of its deadline after which a waiting request is refused, so
+	// that its caller has time for another try.
 	maxWaitShare = 0.6
 )
 
-// refuse returns the refusal of a request that can't be served as its caller needs
-// it, or nil while it may be. A caller at its first try needs it in time: told at once,
-// it can come back when there is room. One that has come back may have no further try:
-// it needs an answer before it gives up. Ahead is what goes before the request.
-//
-// Refusing long prompts at once raised the worth of bursts of them from 0.683 to 0.705
-// (18 engines, fifteen plays of days with faults, same seeds): late readings no longer
-// take the engines from those that are in time.
+// refuse returns the refusal of a request that can't be served as its caller needs it, or nil
+// if it may wait. A caller on its first try needs the answer in time; refused at once, it can
+// come back when there is room. A caller that has come back may not try again, so it needs an
+// answer before it gives up. ahead is the work that goes before the request.
 func (s *Scheduler) refuse(p *poolState, w *Waiter, ahead backlog, now time.Time) *Refusal {
 	list := p.usable(w, now)
 	if len(list) == 0 && p.drained.excludesAny(&w.ask, p.list) {
@@ -55,17 +50,17 @@
 	if w.outOfSlots(list) {
 		return s.refusal("no endpoint can answer in time now", 0)
 	}
-	unread := time.Duration(0)
+	wait := time.Duration(0)
 	if !w.ask.isShort() {
-		// Short ones are read beside long ones, in the next pass of some engine.
-		unread = time.Duration(float64(ahead.prefill) / totalSpeed(list) / prefillShare)
+		// Short prompts are prefilled beside long ones, in the next pass of some engine.
+		wait = time.Duration(float64(ahead.prefill) / totalSpeed(list) / prefillShare)
 	}
-	ready := now.Add(unread + placement.MinPrefillTime(list, w.request))
+	ready := now.Add(wait + placement.MinPrefillTime(list, w.request))
 	switch {
 	case w.firstTry() && w.late && !w.ask.isShort() && ready.After(w.request.TargetAt):
-		return s.refusal("no endpoint can read it in time", unread)
+		return s.refusal("no endpoint can read it in time", wait)
 	case ready.After(w.givesUpAt()):
-		return s.refusal("no endpoint can read it before its caller goes", unread)
+		return s.refusal("no endpoint can read it before its caller goes", wait)
 	}
 	if r := s.refuseLate(p, w, ready, now); r != nil {
 		return r
@@ -73,8 +68,8 @@
 	return s.refuseWaited(w, now)
 }
 
-// refusal returns a refusal for a caller that may come back once the work ahead is
-// done.
+// refusal returns a refusal whose caller may come back once the given work ahead is done, at a
+// random time.
 func (s *Scheduler) refusal(reason string, ahead time.Duration) *Refusal {
 	return &Refusal{
 		Reason:     reason,
@@ -82,7 +77,7 @@
 	}
 }
 
-// givesUpAt returns when the caller no longer waits for the first event.
+// givesUpAt returns when the caller stops waiting for the first event.
 func (w *Waiter) givesUpAt() time.Time {
 	deadline := w.arrived.Add(w.ask.Deadline)
 	if w.request.GiveUpAt.Before(deadline) {
@@ -91,7 +86,8 @@
 	return deadline
 }
 
-// refuseWaited returns a refusal for a request that waited too long, or nil.
+// refuseWaited returns the refusal of a request that has waited for maxWaitShare of its
+// deadline, or nil.
 func (s *Scheduler) refuseWaited(w *Waiter, now time.Time) *Refusal {
 	if now.Sub(w.arrived) < time.Duration(float64(w.ask.Deadline)*maxWaitShare) {
 		return nil
@@ -99,14 +95,12 @@
 	return s.refusal("no endpoint can take the request now", 0)
 }
 
-// prefillShare is the part of their time that engines under load are taken to read; in the
-// rest they write. Refusing earlier, from three quarters of the target on, the worth of
-// bursts of long prompts was 0.616 in place of 0.624 (18 engines, eight plays, same
-// seeds).
+// prefillShare is the part of their time that loaded engines are assumed to spend on prefill;
+// the rest is decode.
 const prefillShare = 0.8
 
-// pendingPrefill returns the time of reading what the engines have before them, summed over
-// them, if they work as their model says.
+// pendingPrefill returns the pending prefill time of all engines together, at the speed of
+// their model.
 func (p *poolState) pendingPrefill() time.Duration {
 	sum := time.Duration(0)
 	for _, e := range p.list {
@@ -115,11 +109,11 @@
 	return sum
 }
 
-// backlog is what goes before a request.
+// backlog is the work that goes before a request.
 type backlog struct {
-	// prefill is reading, summed over the engines.
+	// prefill is the prefill time at the speed of the model, summed over the engines.
 	prefill time.Duration
-	// requests are those that wait and are more urgent.
+	// requests counts the waiting requests.
 	requests int
 }
 
@@ -129,8 +123,8 @@
 	b.requests++
 }
 
-// backlogBefore returns what goes before a request that has come: what the engines have to read, and
-// the waiting requests that are as urgent or more, on one engine each.
+// backlogBefore returns the backlog before a new request: the pending prefill of the engines,
+// and the waiting requests that are at least as urgent.
 func (p *poolState) backlogBefore(w *Waiter, now time.Time) backlog {
 	sum := backlog{
 		prefill: p.pendingPrefill(),
@@ -144,7 +138,8 @@
 	return sum
 }
 
-// prefillTime returns the time that one engine needs to read a request's prompt.
+// prefillTime returns the time that one engine needs to prefill a request's prompt by its
+// model.
 func (p *poolState) prefillTime(w *Waiter) time.Duration {
 	if len(p.list) == 0 {
 		return 0
@@ -152,7 +147,7 @@
 	return p.list[0].Model.PrefillTime(w.ask.Prompt, 1)
 }
 
-// engineTime returns the time of one engine that a request takes.
+// engineTime returns the time of one engine that a request takes by the model.
 func (p *poolState) engineTime(w *Waiter) time.Duration {
 	if len(p.list) == 0 {
 		return 0
@@ -160,26 +155,26 @@
 	return w.request.Work(p.list[0].Model)
 }
 
-// firstTry states whether the caller asks for the first time and no endpoint had the
-// request: it can be told to come back.
+// firstTry states whether the caller asks for the first time and no endpoint has had the
+// request, so that the caller can be told to come back.
 func (w *Waiter) firstTry() bool {
 	return !w.ask.Returning && !w.ask.Retry && !w.ask.Resumed && w.ask.Target > 0
 }
 
-// outOfSlots states whether a short request would be late for want of slots, so that it
-// should be refused.
+// outOfSlots states whether a short request on its first try would be late while most slots are
+// in use. Such a request is refused.
 func (w *Waiter) outOfSlots(list []*placement.Engine) bool {
 	return w.firstTry() && w.late && w.ask.isShort() && mostSlotsUsed(list)
 }
 
-// mostSlotsUsed states whether most slots are in use.
+// mostSlotsUsed states whether at least usedSlotsLimit of the engines' slots are in use.
 func mostSlotsUsed(list []*placement.Engine) bool {
 	used, all := slotUsage(list)
 	return float64(used) >= usedSlotsLimit*float64(all)
 }
 
-// slotUsage returns how many slots engines have in use, and how many they have in all. Those
-// of engines that get nothing now count as used.
+// slotUsage returns how many slots of the engines are in use, and how many there are. All slots
+// of an engine that is marked as full count as used.
 func slotUsage(list []*placement.Engine) (used, all int) {
 	for _, e := range list {
 		all += e.Slots
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -10,142 +10,141 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// SlowdownQuerier asks engines for what they tell of themselves.
+// SlowdownQuerier queries engines for their slowdown: the factor by which they take longer than
+// their model predicts.
 type SlowdownQuerier interface {
-	// QuerySlowdown asks the engine at an address how many times as long as by its model it takes,
-	// and calls told with the answer, once. Without an answer told isn't called. QuerySlowdown
-	// doesn't wait.
-	QuerySlowdown(address string, told func(pace float64))
+	// QuerySlowdown queries the engine at an address without waiting for the answer. It calls
+	// report once with the slowdown, or never if the engine doesn't answer.
+	QuerySlowdown(address string, report func(slowdown float64))
 }
 
-// SlowdownMode is how the pace of engines becomes known.
+// SlowdownMode selects how the slowdown of engines is determined.
 type SlowdownMode int
 
-// The ways.
+// The slowdown modes.
 const (
-	// SlowdownQueriedOrEstimated asks engines whose events come at other times than predicted, and learns
-	// from the events where there is no answer.
+	// SlowdownQueriedOrEstimated queries engines whose first events deviate from the
+	// prediction, and estimates the slowdown of those that don't answer from their events.
 	SlowdownQueriedOrEstimated SlowdownMode = iota
-	// SlowdownEstimated learns from the events alone.
+	// SlowdownEstimated estimates the slowdown from events and queries no engines.
 	SlowdownEstimated
-	// SlowdownQueried asks, and learns nothing without an answer.
+	// SlowdownQueried queries engines, and estimates nothing if they don't answer.
 	SlowdownQueried
-	// SlowdownIgnored takes all engines to work as their model says.
+	// SlowdownIgnored assumes that all engines work at the speed of their model.
 	SlowdownIgnored
 )
 
-// The measures of doubting an engine's pace.
+// Parameters for noticing that a slowdown may have changed.
 const (
-	// minDeviation and offShare are how far the first event of a request must be off for the
-	// pace of its engine to be unsure, as a time and in parts of the predicted one: more
-	// than the ways of messages differ, less than what makes streams late.
+	// minDeviation and minDeviationShare are the deviations of a first event from its predicted
+	// time, absolute and relative to that time, beyond which the slowdown of the engine becomes
+	// unsure. Both must be exceeded.
 	minDeviation      = 30 * time.Millisecond
 	minDeviationShare = 0.35
-	// minOverdue and overdueShare are how long a first event that has not come must be
-	// overdue for the same.
+	// minOverdue and minOverdueShare are the same for a first event that has not arrived.
 	minOverdue      = 100 * time.Millisecond
 	minOverdueShare = 0.6
-	// commonDelayWindow is how long an engine's last event tells how late the way makes events,
-	// wayLeast how many engines it takes, and 1/wayRank the part of them whose events may
-	// come earlier than that.
+	// commonDelayWindow is how long the last event of an engine counts for the common delay,
+	// commonDelayMinEngines is how many engines are needed, and 1/commonDelayRank is the
+	// quantile of their lateness that is taken.
 	commonDelayWindow     = time.Second
 	commonDelayMinEngines = 2
 	commonDelayRank       = 4
-	// slowdownUpdateInterval is how often the engines are looked at: two or three times a pass.
+	// slowdownUpdateInterval is the least time between two updates of the slowdowns.
 	slowdownUpdateInterval = 25 * time.Millisecond
 )
 
-// The measures of asking engines.
+// Parameters of queries.
 const (
-	// unsureQueryInterval is how long an engine whose pace is unsure isn't asked again: its
-	// reports are as of some hundred milliseconds earlier.
+	// unsureQueryInterval is the least time between two queries of an engine whose slowdown is
+	// unsure. Its reports lag by some hundred milliseconds.
 	unsureQueryInterval = 200 * time.Millisecond
-	// slowQueryInterval is how often a slow engine is asked, so that its return is noticed
-	// within half a second and the delay of its reports.
+	// slowQueryInterval is the interval at which a slow engine is queried to notice its
+	// recovery.
 	slowQueryInterval = 400 * time.Millisecond
-	// maxUnanswered is how many questions in a row may be without an answer for the answers
-	// before to settle what events say otherwise.
+	// maxUnanswered is how many queries in a row may be unanswered before the slowdown is
+	// estimated from events.
 	maxUnanswered = 2
-	// unsurePerReport is how many others become unsure when one engine tells another pace. Where
-	// some of them tell one too, each makes as many unsure again, so that a third of 1,000 engines
-	// are known within a second, while one slow engine among them takes 65 questions in place of
-	// 1,000 (TestPaceOfMany).
+	// unsurePerReport is how many other engines become unsure when one reports a changed
+	// slowdown. Each of them that reports a change makes as many unsure, so that few engines
+	// are queried if only one is slow, and all of them soon if many are.
 	unsurePerReport = 64
-	// maxQueriesPerUpdate is how many engines are asked at one look, and looks are 25 ms apart: all of 60
-	// engines at once, as without it, and 3,000 within some 1.2 s (computed).
+	// maxQueriesPerUpdate bounds the queries of one update.
 	maxQueriesPerUpdate = 64
-	// decidingWindow is how long after its last place an instance counts as one that decides:
-	// longer than reading a long prompt takes.
+	// decidingWindow is how long an instance counts as deciding after its last placement:
+	// longer than the prefill of a long prompt takes.
 	decidingWindow = 10 * time.Second
 )
 
-// The measures of learning the pace from events.
+// Parameters for estimating the slowdown from events.
 const (
-	// slowdownSamples is how many of the last events count, and how many it takes.
+	// slowdownSamples is how many samples an estimate takes.
 	slowdownSamples = 3
-	// slowdownSampleWindow is how long an event counts.
+	// slowdownSampleWindow is the greatest age of the oldest of them.
 	slowdownSampleWindow = 1500 * time.Millisecond
-	// minPrediction is the shortest predicted time that an event is compared with: with less
-	// the way counts for most.
+	// minPrediction is the predicted time that an event must exceed to become a sample. Below
+	// it the network has more influence than the engine.
 	minPrediction = 20 * time.Millisecond
-	// slowThreshold is the pace from which on an engine counts as slow, paceUsual that up to
-	// which it doesn't.
+	// slowThreshold is the estimate from which on an engine counts as slow, and normalThreshold
+	// the one below which it doesn't count as slow any more.
 	slowThreshold   = 1.3
 	normalThreshold = 1.15
-	// estimateLifetime is how long a learned pace holds without events; then half of it is
-	// forgotten, so that the engine is tried again.
+	// estimateLifetime is how long an estimate holds without new samples. Its excess over 1 is
+	// then halved, so that the engine gets requests again.
 	estimateLifetime = 2 * time.Second
-	// minSlowdownChange is the relative difference from which on another pace is taken over.
+	// minSlowdownChange is the relative change from which on a new slowdown is applied.
 	minSlowdownChange = 0.08
-	// maxSlowdown bounds a pace, so that an engine that stands still doesn't seem to do so
-	// for ever.
+	// maxSlowdown bounds the slowdown, so that an engine that stalls isn't avoided forever.
 	maxSlowdown = 30
 )
 
-// slowdowns is what is known of how quickly engines work. The zero value is ready for use.
+// slowdowns tracks the slowdown of the engines of a pool. The zero value is ready for use.
 type slowdowns struct {
-	// records are the records by instance.
+	// records holds the records by instance.
 	records map[string]*slowdownRecord
-	// decidedAt is when this instance last gave a place, and alone states that it did so for
-	// itself, as no owner was in touch.
+	// decidedAt is when this instance last placed a request, and fallback states that it
+	// reached no owner then and decided by itself.
 	decidedAt time.Time
 	fallback  bool
-	// updatedAt is when the engines were last looked at.
+	// updatedAt is when the slowdowns were last updated.
 	updatedAt time.Time
-	// queries counts the questions to engines, and changes those of a pace.
+	// queries counts the queries of engines, and changes the changes of a slowdown that were
+	// applied.
 	queries int
 	changes int
-	// nextUnsure is how many engines have become unsure as others changed: where to go on.
+	// nextUnsure is the position in the pool's list, modulo its length, of the next engine to
+	// become unsure when another one reports a change.
 	nextUnsure int
 }
 
-// slowdownRecord is what is known of one engine.
+// slowdownRecord is what is known about the slowdown of one engine.
 type slowdownRecord struct {
-	// unsure states that its pace may be another one than is taken: since it was last
-	// asked its events came at other times than predicted, or another engine's pace has
-	// changed.
+	// unsure states that the slowdown may have changed since the last query: an event deviated
+	// from its prediction, or another engine reported a change.
 	unsure bool
-	// queriedAt is when it was last asked, and unanswered how often since its last answer.
+	// queriedAt is when the engine was last queried, and unanswered the number of queries since
+	// its last answer.
 	queriedAt  time.Time
 	unanswered int
-	// late is how late its last first event came that it alone was to blame for, at lateAt.
+	// late is how much later than predicted the last first event came whose prefill this engine
+	// did alone, and lateAt when it came.
 	late   time.Duration
 	lateAt time.Time
-	// samples are the last events.
+	// samples holds the latest samples, the oldest first.
 	samples []slowdownSample
-	// plain is how long requests take there if it is a plain endpoint.
+	// plain is the latency of the endpoint if it is a plain one.
 	plain plainLatency
-	// changedAt is when its pace last changed.
+	// changedAt is when the slowdown last changed.
 	changedAt time.Time
 }
 
-// slowdownSample is a first event that came at a moment, and the pace that it stands for.
+// slowdownSample is the slowdown that is implied by a first event, with the time of the event.
 type slowdownSample struct {
 	at       time.Time
 	slowdown float64
 }
 
-// record returns the record of an engine.
+// record returns the record of an engine and creates it if necessary.
 func (k *slowdowns) record(instance string) *slowdownRecord {
 	r := k.records[instance]
 	if r == nil {
@@ -158,8 +157,8 @@
 	return r
 }
 
-// atModelSpeed states whether all endpoints of an attempt work as their model says, as far as
-// is known: only then a late event tells of its way.
+// atModelSpeed states whether all endpoints of an attempt work at the speed of their model, as
+// far as is known. Only then is the lateness of its first event a measure of its transit.
 func (p *poolState) atModelSpeed(at *attempt) bool {
 	for _, name := range at.endpoints() {
 		if e := p.engines[name]; e != nil && e.Speed() != 1 {
@@ -169,8 +168,8 @@
 	return true
 }
 
-// recordFirstEvent takes over the first event of an attempt that came so much later than the
-// model said. The caller holds the lock.
+// recordFirstEvent updates the slowdowns after the first event of an attempt. late is how much
+// later than predicted the event came. The caller must hold s.mu.
 func (s *Scheduler) recordFirstEvent(p *poolState, at *attempt, late time.Duration, now time.Time) {
 	if s.settings.SlowdownMode == SlowdownIgnored || !p.slowdowns.isDeciding(now) {
 		return
@@ -183,9 +182,10 @@
 	s.updateSlowdowns(p, now)
 }
 
-// observeFirstEvent learns from how much later the first event of an attempt came than the model
-// said: how late the way makes events, whether the pace of its engines is unsure, and what
-// pace it stands for. Where several engines read, it isn't known which of them was late.
+// observeFirstEvent compares the first event of an attempt with its prediction, after deducting
+// the delay that all engines have in common. An event that deviates makes the slowdown of its
+// engines unsure. It also becomes a sample, except after a joint prefill, in which it isn't
+// known which engine was late.
 func (p *poolState) observeFirstEvent(at *attempt, late time.Duration, now time.Time) {
 	took := now.Sub(at.placedAt) - p.transit.time
 	predicted := took - late
@@ -193,9 +193,9 @@
 		r := p.slowdowns.record(at.instance)
 		r.late, r.lateAt = late, now
 	}
-	way := p.slowdowns.commonDelay(now)
-	took -= way
-	late -= way
+	delay := p.slowdowns.commonDelay(now)
+	took -= delay
+	late -= delay
 	if deviates(late, predicted) {
 		for _, name := range at.endpoints() {
 			p.slowdowns.record(name).unsure = true
@@ -206,48 +206,49 @@
 	}
 }
 
-// commonDelay returns the part of how late events come that their way explains: what the last
-// events of all engines but the earliest quarter have in common. A pace is one engine's, or
-// that of some, while a late network is that of all.
+// commonDelay returns the delay that the network is assumed to add to all events: the lower
+// quartile of the lateness of the engines' last events, as a slowdown affects only some
+// engines. It is zero if too few engines had events recently.
 func (k *slowdowns) commonDelay(now time.Time) time.Duration {
-	var of []time.Duration
+	var lateness []time.Duration
 	for _, r := range k.records {
 		if !r.lateAt.IsZero() && now.Sub(r.lateAt) < commonDelayWindow {
-			of = append(of, r.late)
+			lateness = append(lateness, r.late)
 		}
 	}
-	if len(of) < commonDelayMinEngines {
+	if len(lateness) < commonDelayMinEngines {
 		return 0
 	}
-	slices.Sort(of)
-	return max(of[len(of)/commonDelayRank], 0)
+	slices.Sort(lateness)
+	return max(lateness[len(lateness)/commonDelayRank], 0)
 }
 
-// deviates states whether an event that was predicted to take a time is so late, or early,
-// that this may tell of the engine.
+// deviates states whether an event is so late or early, given its predicted time, that the
+// slowdown of its engine may have changed.
 func deviates(late, predicted time.Duration) bool {
 	return late.Abs() > minDeviation && float64(late.Abs()) > minDeviationShare*float64(predicted)
 }
 
-// addSample takes over the pace that an event stands for whose request was placed at a moment.
-func (p *poolState) addSample(e *placement.Engine, pace float64, placed, now time.Time) {
+// addSample adds the slowdown that is implied by the first event of a request that was placed
+// at the given time.
+func (p *poolState) addSample(e *placement.Engine, slowdown float64, placed, now time.Time) {
 	r := p.slowdowns.record(e.Instance)
 	if placed.Before(r.changedAt) {
-		// Part of it was predicted by another pace.
+		// The prediction was made in part with the previous slowdown.
 		return
 	}
 	r.samples = append(r.samples, slowdownSample{
 		at:       now,
-		slowdown: pace,
+		slowdown: slowdown,
 	})
 	if len(r.samples) > slowdownSamples {
 		r.samples = slices.Delete(r.samples, 0, len(r.samples)-slowdownSamples)
 	}
 }
 
-// minSample returns the least pace that the last events stand for, or false when there are too
-// few. Those of requests that waited for others to be read, which the model took to be
-// done, stand for more than the engine's pace; the least is the one that waited least.
+// minSample returns the least of the latest samples, or false if there are too few. Samples are
+// too high for requests that waited for the prefill of others longer than predicted, so the
+// least one is the most accurate.
 func (r *slowdownRecord) minSample(now time.Time) (float64, bool) {
 	if len(r.samples) < slowdownSamples || now.Sub(r.samples[0].at) > slowdownSampleWindow {
 		return 0, false
@@ -259,8 +260,9 @@
 	return least, true
 }
 
-// updateSlowdowns asks the engines that are due, and takes over what was learned. It does so
-// from time to time, however often it is called. The caller holds the lock.
+// updateSlowdowns queries the engines that are due for a query and applies estimates. It does
+// nothing if the last update was less than slowdownUpdateInterval ago. The caller must hold
+// s.mu.
 func (s *Scheduler) updateSlowdowns(p *poolState, now time.Time) {
 	if p.plain || s.settings.SlowdownMode == SlowdownIgnored || now.Sub(p.slowdowns.updatedAt) < slowdownUpdateInterval {
 		return
@@ -275,37 +277,38 @@
 			delete(p.slowdowns.records, name)
 			continue
 		}
-		asks := s.mayQuery(p, now) && p.acceptsRequests(e) && p.acceptsQueries(e, v, now)
-		if asks && left > 0 && r.queryDue(e, now) {
+		mayQuery := s.mayQuery(p, now) && p.acceptsRequests(e) && p.acceptsQueries(e, v, now)
+		if mayQuery && left > 0 && r.queryDue(e, now) {
 			left--
 			s.querySlowdown(p, e, r, now)
 		}
-		if s.settings.SlowdownMode != SlowdownQueried && (!asks || r.unanswered > maxUnanswered) {
+		if s.settings.SlowdownMode != SlowdownQueried && (!mayQuery || r.unanswered > maxUnanswered) {
 			s.applyEstimate(p, e, r, now)
 		}
 	}
 }
 
-// isDeciding states whether this instance gives places, for all or alone: only then it matters
-// what it takes for the pace of engines.
+// isDeciding states whether this instance placed requests recently. Other instances don't need
+// to know the slowdowns.
 func (k *slowdowns) isDeciding(now time.Time) bool {
 	return now.Sub(k.decidedAt) < decidingWindow
 }
 
-// mayQuery states whether this instance asks engines: it decides for all. Those that place
-// alone learn from events: there may be many of them.
+// mayQuery states whether this instance queries engines. It does so only while it decides as
+// the owner: there may be many instances that decide by themselves because they reach no owner,
+// and these only estimate.
 func (s *Scheduler) mayQuery(p *poolState, now time.Time) bool {
 	return s.settings.SlowdownQuerier != nil && s.settings.SlowdownMode != SlowdownEstimated && !p.slowdowns.fallback && p.slowdowns.isDeciding(now)
 }
 
-// acceptsQueries states whether an engine may be asked: not if it has asked this instance for a
-// back-off or names a rate limit.
+// acceptsQueries states whether an engine may be queried: it has not asked this instance for a
+// back-off and names no rate limit.
 func (p *poolState) acceptsQueries(e *placement.Engine, v *notice.View, now time.Time) bool {
 	_, limited := p.rateLimit(e, v)
 	return !limited && !v.BackoffUntil(e.Instance, p.health[e.Instance].startedAt).After(now)
 }
 
-// markOverdue notes that the pace of engines is unsure whose first events are overdue.
+// markOverdue makes the slowdown of engines unsure whose first events are overdue.
 func (p *poolState) markOverdue(now time.Time) {
 	for _, at := range p.attempts {
 		if at.begun || at.orphanMark != 0 {
@@ -321,44 +324,45 @@
 	}
 }
 
-// queryDue states whether an engine is to be asked.
+// queryDue states whether the engine is due for a query.
 func (r *slowdownRecord) queryDue(e *placement.Engine, now time.Time) bool {
 	since := now.Sub(r.queriedAt)
 	return r.unsure && since >= unsureQueryInterval || e.Speed() != 1 && since >= slowQueryInterval
 }
 
-// querySlowdown asks an engine. The caller holds the lock.
+// querySlowdown queries an engine and applies its answer once it arrives. The caller must hold
+// s.mu.
 func (s *Scheduler) querySlowdown(p *poolState, e *placement.Engine, r *slowdownRecord, now time.Time) {
 	r.queriedAt = now
 	r.unanswered++
 	r.unsure = false
 	p.slowdowns.queries++
 	instance, address := e.Instance, e.Address
-	s.settings.SlowdownQuerier.QuerySlowdown(address, func(pace float64) {
+	s.settings.SlowdownQuerier.QuerySlowdown(address, func(slowdown float64) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		// After a new start under the name the record is another one.
+		// An endpoint that restarted under the same name has another record.
 		if e := p.engines[instance]; e != nil && e.Address == address && p.slowdowns.records[instance] == r {
-			s.slowdownReported(p, e, pace)
+			s.slowdownReported(p, e, slowdown)
 		}
 	})
 }
 
-// slowdownReported takes over what an engine says of its pace. When it is another one than before, that
-// of others is unsure: what slows an engine often slows more of them, and the first request
-// that tells of each would be late. The caller holds the lock.
-func (s *Scheduler) slowdownReported(p *poolState, e *placement.Engine, pace float64) {
+// slowdownReported applies the slowdown that an engine reports. If it has changed, other
+// engines become unsure: a cause often affects several engines, and the first request on each
+// of them would be late. The caller must hold s.mu.
+func (s *Scheduler) slowdownReported(p *poolState, e *placement.Engine, slowdown float64) {
 	now := s.settings.Now()
 	r := p.slowdowns.record(e.Instance)
 	r.unanswered = 0
-	if !s.setSlowdown(p, e, r, pace, "told", now) {
+	if !s.setSlowdown(p, e, r, slowdown, "told", now) {
 		return
 	}
 	p.markOthersUnsure(e, now)
 }
 
-// markOthersUnsure makes some engines unsure as one has told another pace than before: those that
-// come next and were not asked just now.
+// markOthersUnsure makes up to unsurePerReport other engines unsure after e reported a change:
+// the next ones in the list that are not unsure yet and were not queried just now.
 func (p *poolState) markOthersUnsure(e *placement.Engine, now time.Time) {
 	left := unsurePerReport
 	for range p.list {
@@ -376,26 +380,27 @@
 	}
 }
 
-// applyEstimate takes over the pace that an engine's events stand for. The caller holds the
-// lock.
+// applyEstimate applies the slowdown that an engine's samples imply. Without enough samples it
+// lowers an estimate that is older than estimateLifetime. The caller must hold s.mu.
 func (s *Scheduler) applyEstimate(p *poolState, e *placement.Engine, r *slowdownRecord, now time.Time) {
-	pace := 1 / e.Speed()
+	slowdown := 1 / e.Speed()
 	seen, ok := r.minSample(now)
 	switch {
 	case ok && seen < normalThreshold:
-		pace = 1
-	case ok && (seen >= slowThreshold || pace > 1):
-		pace = seen
-	case !ok && pace > 1 && now.Sub(r.lastUpdate()) >= estimateLifetime:
-		pace = 1 + (pace-1)/2
-		if pace < normalThreshold {
-			pace = 1
+		slowdown = 1
+	case ok && (seen >= slowThreshold || slowdown > 1):
+		slowdown = seen
+	case !ok && slowdown > 1 && now.Sub(r.lastUpdate()) >= estimateLifetime:
+		slowdown = 1 + (slowdown-1)/2
+		if slowdown < normalThreshold {
+			slowdown = 1
 		}
 	}
-	s.setSlowdown(p, e, r, pace, "learned", now)
+	s.setSlowdown(p, e, r, slowdown, "learned", now)
 }
 
-// lastUpdate returns when the last thing became known of the engine's pace.
+// lastUpdate returns when the slowdown last changed or the last sample was added, whichever is
+// later.
 func (r *slowdownRecord) lastUpdate() time.Time {
 	if n := len(r.samples); n > 0 {
 		return later(r.changedAt, r.samples[n-1].at)
@@ -403,25 +408,25 @@
 	return r.changedAt
 }
 
-// setSlowdown takes over an engine's pace, if it is another one than before, and writes a
-// line. It returns whether it is. The caller holds the lock.
-func (s *Scheduler) setSlowdown(p *poolState, e *placement.Engine, r *slowdownRecord, pace float64, way string, now time.Time) bool {
+// setSlowdown applies an engine's slowdown and logs it. It does nothing and returns false if
+// the slowdown differs too little from the previous one. The caller must hold s.mu.
+func (s *Scheduler) setSlowdown(p *poolState, e *placement.Engine, r *slowdownRecord, slowdown float64, source string, now time.Time) bool {
 	before := 1 / e.Speed()
-	pace = min(max(pace, 1), maxSlowdown)
-	if off := pace/before - 1; off < minSlowdownChange && off > -minSlowdownChange {
+	slowdown = min(max(slowdown, 1), maxSlowdown)
+	if off := slowdown/before - 1; off < minSlowdownChange && off > -minSlowdownChange {
 		return false
 	}
-	e.SetSlowdown(pace, now)
+	e.SetSlowdown(slowdown, now)
 	r.changedAt = now
 	r.samples = r.samples[:0]
 	p.slowdowns.changes++
-	s.log.Info("pace of an endpoint", "endpoint", e.Instance, "pace", pace, "before", before, "way", way,
+	s.log.Info("endpoint slowdown changed", "endpoint", e.Instance, "pace", slowdown, "before", before, "way", source,
 		"asked", p.slowdowns.queries)
 	s.wakeUp()
 	return true
 }
 
-// totalSpeed returns what some engines do in a second together, in seconds of their model.
+// totalSpeed returns how much work engines do together in a second, in seconds of their model.
 func totalSpeed(list []*placement.Engine) float64 {
 	sum := 0.0
 	for _, e := range list {
@@ -430,7 +435,7 @@
 	return sum
 }
 
-// countSlow returns how many engines count as slower than their model.
+// countSlow returns how many engines are slower than their model.
 func (p *poolState) countSlow() int {
 	n := 0
 	for _, e := range p.list {
--- a/pool/slowdown_test.go
+++ b/pool/slowdown_test.go
@@ -53,7 +53,7 @@
 		asked:   make(map[string]int),
 	}
 	log := funcr.NewJSON(func(line string) {
-		if strings.Contains(line, `"msg":"pace of an endpoint"`) {
+		if strings.Contains(line, `"msg":"endpoint slowdown changed"`) {
 			f.lines++
 		}
 	}, funcr.Options{})
--- a/pool/state.go
+++ b/pool/state.go
@@ -16,97 +16,102 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// poolState is what a scheduler knows of one service.
+// poolState holds what a scheduler knows about one service: its endpoints, the attempts placed
+// on them and the requests that wait.
 type poolState struct {
-	// self names the instance.
+	// self names this instance.
 	self string
-	// engines are the endpoints by instance.
+	// engines holds the endpoints by instance.
 	engines map[string]*placement.Engine
-	// list is the engines in a fixed order.
+	// list holds the same engines, sorted by instance.
 	list []*placement.Engine
-	// endpointHealth is what is known of each endpoint, by instance.
+	// health holds the health of each endpoint, by instance.
 	health map[string]*endpointHealth
-	// placed are the attempts that have a place, by id.
+	// attempts holds the placed attempts that have not ended, by id.
 	attempts map[string]*attempt
-	// queue are the requests that wait.
+	// queue holds the requests that wait for a decision.
 	queue []*Waiter
-	// ownerRetries is the budget of the pool's owner, and alone what an instance may
-	// spend that has no owner to ask.
+	// ownerRetries is the retry budget for decisions as the pool's owner, and fallbackRetries
+	// the one for decisions while no owner is reachable.
 	ownerRetries    retryCounter
 	fallbackRetries retryCounter
-	predictions     predictionStats
-	// worth tells what requests are worth.
+	// predictions counts the accurate predictions of first events.
+	predictions predictionStats
+	// worth computes the value of requests.
 	worth *worth.Scale
-	// refusedCallers are callers that may come back.
+	// refusedCallers remembers refused callers, which may come back.
 	refusedCallers refusedCallers
-	// price is what a second of the engines costs.
+	// price estimates the price of engine time.
 	price price
-	// longestGap is the longest pause that any request has allowed.
+	// longestGap is the largest Gap of all requests so far.
 	longestGap time.Duration
-	// travel is how long requests are on their way to the engines.
+	// transit estimates how long requests take to reach the engines.
 	transit transitEstimate
-	// emptied are the failure domains that get nothing new.
+	// drained holds the failure domains that an operator has drained.
 	drained drainedDomains
-	// coldLedger counts what endpoints get that have just started.
+	// cold limits the requests to endpoints that have just started.
 	cold coldLedger
-	// slowdowns is how quickly the engines work.
+	// slowdowns tracks how much slower than their model the engines work.
 	slowdowns slowdowns
-	// suspicion is what shows that endpoints have stopped.
+	// suspicion tracks the signs that endpoints have stopped.
 	suspicion suspicion
-	// checks are how all endpoints are checked when some have stopped.
+	// checks tracks the connection checks of the endpoints.
 	checks checkState
-	// reconnects is the work that was cut and comes back.
+	// reconnects holds interrupted attempts, whose callers may reconnect.
 	reconnects reconnects
-	// notices has what endpoints say of themselves.
+	// notices holds the rate limits, back-offs and departures that endpoints have announced.
 	notices *notice.Registry
-	// rateLimits are the rate limits that endpoints name.
+	// rateLimits divides rate limits among the instances that place without an owner.
 	rateLimits rateLimits
-	// passedOver counts the endpoints that decisions passed over as they backed off or were at
-	// their rate limits, and unavailable the requests that were refused as no endpoint took
-	// any.
+	// passedOver counts the endpoints that placements skipped because of a back-off or a rate
+	// limit. unavailable counts the requests that were refused because each endpoint was
+	// leaving, backing off or at its rate limit.
 	passedOver  int64
 	unavailable int64
-	// plain states that the service's endpoints are no engines.
+	// plain states that the service has no engine model.
 	plain bool
 }
 
-// attempt is an attempt that has a place.
+// attempt is an attempt of a request that has been placed on an endpoint.
 type attempt struct {
 	instance string
-	// startedAt is when the life of the endpoint started that the place is at; zero when
-	// that is not known.
+	// startedAt is the start time of the endpoint's incarnation that received the attempt; zero
+	// if unknown.
 	startedAt time.Time
-	// joint are the endpoints that help to read the prompt.
+	// joint names the other endpoints that take part in a joint prefill.
 	joint []string
-	// placedAt is when the place was given, and first the predicted time from then to
-	// the first event.
+	// placedAt is when the attempt was placed, and predictedFirst the predicted time from then
+	// to the first event.
 	placedAt       time.Time
 	predictedFirst time.Duration
-	// begun states that the first event has come.
+	// begun states that the first event has arrived.
 	begun bool
-	// workload is what comes back if the attempt is cut.
+	// workload identifies the request if the attempt is interrupted and its caller reconnects.
 	workload workload
-	// entry names the instance that has the attempt.
+	// entry names the entry instance.
 	entry string
-	// suspectedAt is when its entry last said that it is silent, and silentSince since
-	// when it is. Moved states that the entry was told to move it.
+	// suspectedAt is when the entry instance last reported the attempt as silent, and
+	// silentSince when the silence began. moved states that the entry instance was told to
+	// migrate the attempt.
 	suspectedAt time.Time
 	silentSince time.Time
 	moved       bool
-	// watched states that its entry suspects it when it is silent.
+	// watched states that the entry instance reports the attempt when it is silent.
 	watched bool
-	// orphanMark is the mark of the ended session that the attempt came through;
-	// zero while its entry is in touch. CutAt is when that session ended.
+	// orphanMark identifies the ended session through which the attempt came; zero while the
+	// entry instance is connected. cutAt is when that session ended.
 	orphanMark int64
 	cutAt      time.Time
 }
 
-// endpoints returns all endpoints of the attempt, the one that answers last.
+// endpoints returns the instances of all endpoints of the attempt. The last one answers the
+// request.
 func (at *attempt) endpoints() []string {
 	return append(slices.Clone(at.joint), at.instance)
 }
 
-// upsert takes over the entry of an endpoint.
+// upsert adds an endpoint, or updates it, from its catalog entry. An endpoint of a service
+// without an engine model makes the pool plain.
 func (p *poolState) upsert(c catalog.Endpoint, svc *route.Service) {
 	e, ok := p.engines[c.Instance]
 	if !ok {
@@ -136,7 +141,8 @@
 	}
 }
 
-// prune forgets endpoints that are gone, once nothing runs there.
+// prune closes the endpoints that the catalog no longer lists for the service, and removes them
+// once they have no jobs.
 func (p *poolState) prune(service string, snap *catalog.Snapshot) {
 	p.list = slices.DeleteFunc(p.list, func(e *placement.Engine) bool {
 		c, known := snap.Endpoints[e.Instance]
@@ -155,10 +161,10 @@
 	})
 }
 
-// shareRetryBudget sets the parts of the retry budget. Of what may be sent again beside the
-// ratio, half is for the pool's owner, which may change, and half for all
-// instances that place alone. Pools without engines are always placed by each
-// instance alone, so that there the instances share all of it.
+// shareRetryBudget divides the retry budget of the service among the instances. Half of Extra
+// is for the pool's owner, which may change, and half for all instances together while they
+// place without an owner. In a plain pool each instance usually places its own requests, so
+// there the instances share all of Extra.
 func (p *poolState) shareRetryBudget(whole Budget, instances int) {
 	p.ownerRetries.budget = Budget{
 		Ratio:  whole.Ratio * retryBudgetShare,
@@ -174,12 +180,12 @@
 	}
 }
 
-// retryBudgetShare leaves a part of the budget for what is counted twice or not at
-// all when owners change.
+// retryBudgetShare is the part of the budget that is handed out. The rest covers sends that are
+// counted twice, or not at all, while the owner changes.
 const retryBudgetShare = 0.75
 
-// resolve returns the instance of the endpoint with a name or an address; empty
-// when there is none.
+// resolve returns the instance of the endpoint with the given instance or address, or "" if
+// there is none. Closed endpoints are not found by their address.
 func (p *poolState) resolve(name string) string {
 	if _, ok := p.engines[name]; ok {
 		return name
@@ -192,7 +198,7 @@
 	return ""
 }
 
-// endAttempt forgets an attempt.
+// endAttempt removes an attempt and its jobs.
 func (p *poolState) endAttempt(id string) {
 	at, ok := p.attempts[id]
 	if !ok {
@@ -206,8 +212,9 @@
 	}
 }
 
-// usable returns the endpoints that a request may be placed on. When all of them
-// failed of late, it returns them all the same: the reports may be wrong.
+// usable returns the endpoints on which a request may be placed. If every available endpoint
+// failed recently or is suspected to have stopped, it returns these, as the reports may be
+// wrong.
 func (p *poolState) usable(w *Waiter, now time.Time) []*placement.Engine {
 	out := make([]*placement.Engine, 0, len(p.list))
 	v := p.notices.View()
@@ -227,19 +234,19 @@
 	return out
 }
 
-// admit counts a request against the retry budget. It returns a refusal when
-// the budget is spent.
-func (p *poolState) admit(a PlacementRequest, alone bool, now time.Time) *Refusal {
+// admit counts a first send, or charges a retry to the budget. It returns a refusal if the
+// budget is exhausted.
+func (p *poolState) admit(a PlacementRequest, fallback bool, now time.Time) *Refusal {
 	if !a.Retry {
 		p.ownerRetries.countFirst(now)
 		p.fallbackRetries.countFirst(now)
 		return nil
 	}
-	spender := &p.ownerRetries
-	if alone {
-		spender = &p.fallbackRetries
+	counter := &p.ownerRetries
+	if fallback {
+		counter = &p.fallbackRetries
 	}
-	if spender.allowRetry(now) {
+	if counter.allowRetry(now) {
 		return nil
 	}
 	return &Refusal{
@@ -248,11 +255,11 @@
 	}
 }
 
-// defaultRetryAfter is when to come back when nothing better is known.
+// defaultRetryAfter is the RetryAfter of a request that exceeds the retry budget.
 const defaultRetryAfter = 500 * time.Millisecond
 
-// applyFirstEvent corrects the model by an attempt's first event. It returns how much later that
-// was than the model said.
+// applyFirstEvent corrects the engine models by the first event of an attempt. It returns how
+// much later the event came than the model of its engine predicted.
 func (p *poolState) applyFirstEvent(id string, at *attempt, now time.Time) time.Duration {
 	if p.plain {
 		return 0
--- a/pool/transit.go
+++ b/pool/transit.go
@@ -4,27 +4,25 @@
 
 import "time"
 
-// The measures of learning how long requests are on their way.
+// Parameters of the transit estimate.
 const (
-	// transitStep is how far one first event moves the estimate: some tens of them,
-	// a tenth of a second of a busy pool, find a way of a few milliseconds.
+	// transitStep is how far one first event moves the estimate. A busy pool reaches a transit
+	// of a few milliseconds within a fraction of a second.
 	transitStep = 100 * time.Microsecond
-	// maxTransit bounds the estimate: less than a pass of the engines, so that a slow
-	// engine is not taken for a long way.
+	// maxTransit bounds the estimate. It is shorter than a pass of the engines, so that a slow
+	// engine is not taken for a long transit.
 	maxTransit = 50 * time.Millisecond
 )
 
-// transitEstimate learns how long it takes from a decision until the engine has the request, with
-// the time that its first event needs to come back: the way to the entry, a connection
-// to the engine, and the request. It follows the median of how much later first events
-// come than the model of the engines says, by a step for each event, so that events of
-// engines that are late for other reasons don't count for more. The zero value is ready
-// for use.
+// transitEstimate estimates the time from a placement until the engine has the request, plus
+// the time that the first event takes back. It follows the median of how much later than
+// predicted first events come, by a fixed step for each event, so that a few very late events
+// have little influence. The zero value is ready for use.
 type transitEstimate struct {
 	time time.Duration
 }
 
-// observe takes over how much later a first event came than predicted.
+// observe updates the estimate by how much later than predicted a first event came.
 func (t *transitEstimate) observe(late time.Duration) {
 	step := transitStep
 	if late < 0 {
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -11,26 +11,28 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// lateWait is how long a request that is late already waits for an endpoint that backs off or is at
-// its rate limit.
+// lateWait is how long a request that is late already waits for an endpoint that backs off or
+// is at its rate limit.
 const lateWait = 100 * time.Millisecond
 
-// leavingRetryAfter is when the callers of a service may come back all of whose endpoints leave:
-// others take seconds to start.
+// leavingRetryAfter is the least RetryAfter of a refusal because all endpoints are leaving.
+// Their replacements take seconds to start.
 const leavingRetryAfter = 2 * time.Second
 
-// isLeaving states whether an endpoint leaves, as the store or its own answers say.
+// isLeaving states whether an endpoint is leaving, according to the catalog or to its own
+// answers.
 func (p *poolState) isLeaving(e *placement.Engine, v *notice.View) bool {
 	return e.Closed || v.AnyLeaving() && v.IsLeaving(e.Instance, p.health[e.Instance].startedAt)
 }
 
-// ineligible states whether a request must not be placed on an endpoint.
+// ineligible states whether a request must not be placed on an endpoint at all: it is leaving,
+// drained or excluded by the request.
 func (p *poolState) ineligible(w *Waiter, e *placement.Engine, v *notice.View) bool {
 	return p.isLeaving(e, v) || slices.Contains(w.ask.Exclude, e.Instance) || p.drained.excludes(&w.ask, e)
 }
 
-// availableAt returns when an endpoint takes a request: once its back-off has ended, and its rate
-// limit allows it; zero for at once.
+// availableAt returns when an endpoint accepts a request, by its back-off and its rate limit;
+// zero means at once.
 func (p *poolState) availableAt(w *Waiter, e *placement.Engine, v *notice.View) time.Time {
 	at := w.backoffs[e.Instance]
 	if l, limited := p.rateLimit(e, v); limited {
@@ -39,7 +41,8 @@
 	return at
 }
 
-// withheld returns how many endpoints take a request only later.
+// withheld returns how many endpoints don't accept the request yet because of a back-off or a
+// rate limit.
 func (p *poolState) withheld(w *Waiter, now time.Time) int {
 	v := p.notices.View()
 	if !v.AnyLimited() && len(w.backoffs) == 0 {
@@ -54,19 +57,20 @@
 	return n
 }
 
-// availability is when endpoints that take nothing now take requests again.
+// availability is when endpoints accept requests again.
 type availability struct {
-	// soonest is when the first of those does that a request may have, and rate how many a
-	// second they take in all; zero for none.
+	// soonest is when the first eligible endpoint accepts the request, and rate how many
+	// requests a second all eligible endpoints accept; zero if there are none.
 	soonest time.Time
 	rate    float64
-	// elsewhere is when the first of all others does; zero for none.
+	// elsewhere is when the first unavailable endpoint becomes available among those that the
+	// request must not use; zero if there are none.
 	elsewhere time.Time
-	// someLeaving states that some never will.
+	// someLeaving states that an endpoint is leaving.
 	someLeaving bool
 }
 
-// availability returns when endpoints take requests again.
+// availability returns when endpoints accept requests again.
 func (p *poolState) availability(w *Waiter, now time.Time) availability {
 	v := p.notices.View()
 	var o availability
@@ -87,7 +91,8 @@
 	return o
 }
 
-// rateOf returns how many requests a second an endpoint takes by its limit.
+// rateOf returns how many requests a second an endpoint accepts from this instance; infinite
+// without a rate limit.
 func (p *poolState) rateOf(w *Waiter, e *placement.Engine, v *notice.View) float64 {
 	l, limited := p.rateLimit(e, v)
 	if !limited {
@@ -96,9 +101,9 @@
 	return p.rateLimits.share(l, w.fallback)
 }
 
-// refuseUnavailable returns a refusal for a request when each endpoint leaves, backs off or has got
-// what its rate limit allows, and none takes it in time; nil for others. Ahead is how many
-// requests wait that are more urgent.
+// refuseUnavailable returns a refusal if list, the usable endpoints, is empty because of
+// departures, back-offs or rate limits, and no endpoint accepts the request soon enough; nil
+// otherwise. ahead is the number of waiting requests that are more urgent.
 func (s *Scheduler) refuseUnavailable(p *poolState, w *Waiter, list []*placement.Engine, ahead int, now time.Time) *Refusal {
 	if len(list) > 0 {
 		return nil
@@ -122,8 +127,8 @@
 	return s.refusal(reason, after)
 }
 
-// waitsUntil returns until when a request may wait for an endpoint that takes nothing now: while
-// it would be in time, and otherwise for a moment. Its caller is better off with another try.
+// waitsUntil returns until when a request waits for an endpoint that doesn't accept it now:
+// until it would be late, but at least for lateWait. Its caller then does better to try again.
 func (w *Waiter) waitsUntil() time.Time {
 	return later(w.request.TargetAt, w.arrived.Add(lateWait))
 }
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -8,28 +8,31 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// Waiter is a request that has been submitted and waits for its decision.
+// Waiter is a submitted request, from its submission to the decision.
 type Waiter struct {
 	ask     PlacementRequest
 	request placement.Request
 	arrived time.Time
-	// granted or refuse gets the decision.
+	// granted or refused receives the decision.
 	granted chan Grant
 	refused chan *Refusal
-	// placeBy is when a late request should have a place; zero while it isn't late.
+	// placeBy is when a late request with a long prompt is refused if it still has no place;
+	// zero until it is late.
 	placeBy time.Time
-	// backoffs are the endpoints that want nothing from the entry, with until when.
+	// backoffs holds when the back-offs end that endpoints asked the entry instance for.
 	backoffs map[string]time.Time
-	// late states that the last plan made the request late.
+	// late states that the last search for a place found no plan, or only one that makes the
+	// request late.
 	late bool
-	// entry names the instance that asks.
+	// entry names the entry instance.
 	entry string
-	// fallback states that no owner of the pool could be asked.
+	// fallback states that no owner of the pool is reachable, so that this instance decides by
+	// itself.
 	fallback bool
 }
 
-// Decision returns the decision once: a place, or a refusal. It returns false while
-// there is none.
+// Decision returns the grant or the refusal, once. It returns false if there is no decision
+// yet.
 func (w *Waiter) Decision() (Grant, *Refusal, bool) {
 	select {
 	case g := <-w.granted:
@@ -41,20 +44,20 @@
 	}
 }
 
-// backoffsUntil returns the endpoints that want nothing from the entry, with until when; nil for
-// none.
+// backoffsUntil returns when each back-off ends that an endpoint asked the entry instance for,
+// by endpoint; nil if there are none.
 func (a *PlacementRequest) backoffsUntil(now time.Time) map[string]time.Time {
 	if len(a.Backoffs) == 0 {
 		return nil
 	}
 	out := make(map[string]time.Time, len(a.Backoffs))
-	for _, r := range a.Backoffs {
-		out[r.Instance] = now.Add(r.Duration)
+	for _, b := range a.Backoffs {
+		out[b.Instance] = now.Add(b.Duration)
 	}
 	return out
 }
 
-// newWaiter makes the state of an ask.
+// newWaiter returns the Waiter of a placement request that arrives now.
 func (s *Scheduler) newWaiter(p *poolState, a PlacementRequest, now time.Time) *Waiter {
 	v := p.worth.Value(a.kind())
 	return &Waiter{
--- a/pool/worth.go
+++ b/pool/worth.go
@@ -4,7 +4,7 @@
 
 import "github.com/linkmast/linkmast/worth"
 
-// kind returns what the worth of a request depends on.
+// kind returns the properties of a request on which its value depends.
 func (a *PlacementRequest) kind() worth.Request {
 	k := worth.Request{
 		Customer:  a.Rank,
@@ -14,7 +14,7 @@
 		Output:    a.Output,
 	}
 	if a.Customer == "" {
-		// The rank is that of the route.
+		// Without a customer, Rank is the priority of the route.
 		k.Customer = 0
 	}
 	return k
