--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -17,27 +17,27 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// The service of a coldWorld: a cold endpoint bears 10 requests a second, and must get
-// fewer than 17 in any second.
+// The service of a coldHarness: a cold endpoint sustains 10 requests a second, and must get at
+// most 17 in any second.
 const (
-	coldRate    = 10
-	coldOverage = 1.2
-	coldSlack   = 5
-	coldBound   = coldRate*coldOverage + coldSlack
+	coldRate         = 10
+	coldOverage      = 1.2
+	coldSlack        = 5
+	coldMaxPerSecond = coldRate*coldOverage + coldSlack
 )
 
-// coldHarness is some instances that place on endpoints of which some are cold.
+// coldHarness is a number of instances that place requests on endpoints of which some are cold.
 type coldHarness struct {
-	t    *testing.T
-	now  time.Time
-	snap *catalog.Snapshot
-	all  []*Scheduler
-	// given are when each endpoint was given requests.
-	given map[string][]time.Time
-	count int
+	t          *testing.T
+	now        time.Time
+	snap       *catalog.Snapshot
+	schedulers []*Scheduler
+	// placements holds the times of the placements by endpoint.
+	placements map[string][]time.Time
+	count      int
 }
 
-// newColdHarness returns instances that know endpoints with 100 slots each, which are warm.
+// newColdHarness returns instances that know warm endpoints with 100 slots each.
 func newColdHarness(t *testing.T, instances, endpoints int, limit ColdLimit) *coldHarness {
 	t.Helper()
 	w := &coldHarness{
@@ -66,7 +66,7 @@
 			Endpoints: make(map[string]catalog.Endpoint),
 			Peers:     make(map[string]catalog.Peer),
 		},
-		given: make(map[string][]time.Time),
+		placements: make(map[string][]time.Time),
 	}
 	for i := range instances {
 		id := fmt.Sprintf("n%d", i)
@@ -75,8 +75,8 @@
 		}
 	}
 	for i := range endpoints {
-		w.enter(fmt.Sprintf("e%d", i), "engines", 0)
-		w.enter(fmt.Sprintf("p%d", i), "plain", 0)
+		w.setEndpoint(fmt.Sprintf("e%d", i), "engines", 0)
+		w.setEndpoint(fmt.Sprintf("p%d", i), "plain", 0)
 	}
 	for i := range instances {
 		s := NewScheduler(Settings{
@@ -84,13 +84,13 @@
 			Cold: limit,
 			Now:  func() time.Time { return w.now },
 		}, logr.Discard())
-		w.all = append(w.all, s)
+		w.schedulers = append(w.schedulers, s)
 	}
 	w.update()
 	return w
 }
 
-// defaultLimit is the bound of most tests.
+// defaultLimit returns the limit that most tests use.
 func defaultLimit() ColdLimit {
 	return ColdLimit{
 		Overage: coldOverage,
@@ -98,8 +98,8 @@
 	}
 }
 
-// enter sets the entry of an endpoint that is cold for a time.
-func (w *coldHarness) enter(name, service string, cold time.Duration) {
+// setEndpoint sets the catalog entry of an endpoint that is cold for the given time.
+func (w *coldHarness) setEndpoint(name, service string, cold time.Duration) {
 	e := catalog.Endpoint{
 		Instance:      name,
 		Service:       service,
@@ -112,15 +112,15 @@
 	w.snap.Endpoints[name] = e
 }
 
-// update tells all instances what is known.
+// update applies the snapshot to all instances.
 func (w *coldHarness) update() {
-	for _, s := range w.all {
+	for _, s := range w.schedulers {
 		s.Update(w.snap)
 	}
 }
 
-// ask returns a request that has an id of its own.
-func (w *coldHarness) ask(service string) PlacementRequest {
+// request returns a request with a new id.
+func (w *coldHarness) request(service string) PlacementRequest {
 	w.count++
 	return PlacementRequest{
 		ID:       fmt.Sprint("a", w.count),
@@ -132,32 +132,32 @@
 	}
 }
 
-// place lets an instance place a request if there is a place at once, and tells those who
-// hear of it. It returns the endpoint, or "".
-func (w *coldHarness) place(s *Scheduler, a PlacementRequest, alone bool, hear ...*Scheduler) string {
+// place lets an instance place a request if that is possible at once, and the listeners adopt
+// the attempt. It returns the endpoint, or "".
+func (w *coldHarness) place(s *Scheduler, a PlacementRequest, fallback bool, listeners ...*Scheduler) string {
 	w.t.Helper()
-	wait := s.submit(a, alone)
+	wait := s.submit(a, fallback)
 	g, _, ok := wait.Decision()
 	if !ok || g.Instance == "" {
 		s.Withdraw(wait)
 		return ""
 	}
-	for _, other := range hear {
+	for _, other := range listeners {
 		other.Adopt(a, g, false)
 	}
-	w.given[g.Instance] = append(w.given[g.Instance], w.now)
+	w.placements[g.Instance] = append(w.placements[g.Instance], w.now)
 	return g.Instance
 }
 
-// assertBound looks that no endpoint gets more than the bound in any second, when its
-// requests need up to most to reach it.
-func (w *coldHarness) assertBound(bound float64, most time.Duration) {
+// assertLimit checks that no endpoint gets more requests than limit in any second, if requests
+// take a random time of up to maxDelay to arrive.
+func (w *coldHarness) assertLimit(limit float64, maxDelay time.Duration) {
 	w.t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
-	for name, given := range w.given {
-		arrivals := make([]time.Time, 0, len(given))
-		for _, at := range given {
-			arrivals = append(arrivals, at.Add(time.Duration(random.Int64N(int64(most)+1))))
+	for name, placements := range w.placements {
+		arrivals := make([]time.Time, 0, len(placements))
+		for _, at := range placements {
+			arrivals = append(arrivals, at.Add(time.Duration(random.Int64N(int64(maxDelay)+1))))
 		}
 		slices.SortFunc(arrivals, time.Time.Compare)
 		for i, from := range arrivals {
@@ -167,199 +167,202 @@
 					n++
 				}
 			}
-			if float64(n) > bound {
-				w.t.Fatalf("%s got %d requests in a second, may get %g", name, n, bound)
+			if float64(n) > limit {
+				w.t.Fatalf("%s got %d requests in a second, limit %g", name, n, limit)
 			}
 		}
 	}
 }
 
-// TestColdSum lets an owner, the next one, which acts at the same time and hears of what
-// the first does, and all others, that place alone, give as much as they may to cold
-// endpoints.
-func TestColdSum(t *testing.T) {
+// TestColdLimitOfAllInstances checks the limit while two owners, of which the second adopts the
+// attempts of the first, and instances that reach no owner place as many requests as they may.
+func TestColdLimitOfAllInstances(t *testing.T) {
 	is := is.New(t)
 	w := newColdHarness(t, 40, 3, defaultLimit())
 	for i := range 3 {
-		w.enter(fmt.Sprintf("e%d", i), "engines", time.Minute)
+		w.setEndpoint(fmt.Sprintf("e%d", i), "engines", time.Minute)
 	}
 	w.update()
-	owner, next := w.all[0], w.all[1]
+	owner, next := w.schedulers[0], w.schedulers[1]
 	for range 200 {
 		w.now = w.now.Add(20 * time.Millisecond)
 		for range 4 {
-			w.place(next, w.ask("engines"), false)
-			w.place(owner, w.ask("engines"), false, next)
+			w.place(next, w.request("engines"), false)
+			w.place(owner, w.request("engines"), false, next)
 		}
-		for _, s := range w.all[2:] {
-			w.place(s, w.ask("engines"), true, owner, next)
+		for _, s := range w.schedulers[2:] {
+			w.place(s, w.request("engines"), true, owner, next)
 		}
 	}
-	w.assertBound(coldBound, coldWindow-time.Second)
-	is.Equal(len(w.given), 3)
-	for _, given := range w.given {
-		is.True(len(given) >= 4*coldRate/2) // four seconds at half of what it bears
+	w.assertLimit(coldMaxPerSecond, coldWindow-time.Second)
+	is.Equal(len(w.placements), 3)
+	for _, placements := range w.placements {
+		is.True(len(placements) >= 4*coldRate/2) // half of what it sustains in four seconds
 	}
 }
 
-// TestColdOwners lets one owner follow the other in the same second, each of which has
-// heard of what those before it gave.
-func TestColdOwners(t *testing.T) {
+// TestColdLimitOfSuccessiveOwners checks that several owners which take over from each other
+// within a second, and know the attempts of the previous ones, keep to the limit of one owner.
+func TestColdLimitOfSuccessiveOwners(t *testing.T) {
 	w := newColdHarness(t, 6, 1, defaultLimit())
-	w.enter("e0", "engines", time.Minute)
+	w.setEndpoint("e0", "engines", time.Minute)
 	w.update()
-	for i, owner := range w.all {
+	for i, owner := range w.schedulers {
 		for range coldRate {
-			w.place(owner, w.ask("engines"), false, w.all[i+1:]...)
+			w.place(owner, w.request("engines"), false, w.schedulers[i+1:]...)
 		}
 		w.now = w.now.Add(50 * time.Millisecond)
 	}
-	w.assertBound(coldBound*coldOwnerShare, 0)
+	w.assertLimit(coldMaxPerSecond*coldOwnerShare, 0)
 }
 
-// TestColdAlone lets only instances place that have no owner to ask.
-func TestColdAlone(t *testing.T) {
+// TestColdLimitWithoutOwner checks that instances that reach no owner keep to their common part
+// of the limit, and that most of them get a share.
+func TestColdLimitWithoutOwner(t *testing.T) {
 	is := is.New(t)
 	w := newColdHarness(t, 40, 20, defaultLimit())
 	for i := range 20 {
-		w.enter(fmt.Sprintf("e%d", i), "engines", time.Minute)
+		w.setEndpoint(fmt.Sprintf("e%d", i), "engines", time.Minute)
 	}
 	w.update()
 	served := make(map[string]bool)
 	for range 100 {
 		w.now = w.now.Add(20 * time.Millisecond)
-		for _, s := range w.all {
-			if w.place(s, w.ask("engines"), true) != "" {
+		for _, s := range w.schedulers {
+			if w.place(s, w.request("engines"), true) != "" {
 				served[s.settings.Self] = true
 			}
 		}
 	}
-	w.assertBound(coldBound*coldFallbackShare, 0)
-	is.Equal(len(w.given), 20)
-	is.True(len(served) > 30) // most instances have a part at some endpoint
+	w.assertLimit(coldMaxPerSecond*coldFallbackShare, 0)
+	is.Equal(len(w.placements), 20)
+	is.True(len(served) > 30) // most instances have a share of some endpoint
 }
 
-// TestColdPlain lets all instances place on cold endpoints that have no owner.
-func TestColdPlain(t *testing.T) {
+// TestColdLimitOfPlainEndpoints checks the limit of cold plain endpoints, on which all
+// instances place without an owner.
+func TestColdLimitOfPlainEndpoints(t *testing.T) {
 	for _, instances := range []int{1, 7, 40} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			is := is.New(t)
 			w := newColdHarness(t, instances, 3, defaultLimit())
 			for i := range 3 {
-				w.enter(fmt.Sprintf("p%d", i), "plain", time.Minute)
+				w.setEndpoint(fmt.Sprintf("p%d", i), "plain", time.Minute)
 			}
 			w.update()
 			for range 200 {
 				w.now = w.now.Add(10 * time.Millisecond)
-				for _, s := range w.all {
-					w.place(s, w.ask("plain"), false)
+				for _, s := range w.schedulers {
+					w.place(s, w.request("plain"), false)
 				}
 			}
-			w.assertBound(coldBound, coldWindow-time.Second)
-			is.Equal(len(w.given), 3)
-			for _, given := range w.given {
-				is.True(len(given) >= coldRate)
+			w.assertLimit(coldMaxPerSecond, coldWindow-time.Second)
+			is.Equal(len(w.placements), 3)
+			for _, placements := range w.placements {
+				is.True(len(placements) >= coldRate)
 			}
 		})
 	}
 }
 
-// TestColdHalf lets half of the engines be cold under more than they may take: the others
-// get the rest, and nobody is refused.
-func TestColdHalf(t *testing.T) {
+// TestWarmEndpointsTakeTheRest checks that no request is refused if half of the engines are
+// cold and at their limits, and the others have room.
+func TestWarmEndpointsTakeTheRest(t *testing.T) {
 	is := is.New(t)
 	w := newColdHarness(t, 1, 4, defaultLimit())
-	w.enter("e0", "engines", time.Minute)
-	w.enter("e1", "engines", time.Minute)
+	w.setEndpoint("e0", "engines", time.Minute)
+	w.setEndpoint("e1", "engines", time.Minute)
 	w.update()
 	for range 100 {
 		w.now = w.now.Add(10 * time.Millisecond)
-		is.True(w.place(w.all[0], w.ask("engines"), false) != "")
+		is.True(w.place(w.schedulers[0], w.request("engines"), false) != "")
 	}
-	cold := len(w.given["e0"]) + len(w.given["e1"])
-	delete(w.given, "e2")
-	delete(w.given, "e3")
-	w.assertBound(coldBound, coldWindow-time.Second)
-	is.True(cold >= 10)     // they take what they may,
-	is.True(100-cold >= 80) // and the others the rest
+	cold := len(w.placements["e0"]) + len(w.placements["e1"])
+	delete(w.placements, "e2")
+	delete(w.placements, "e3")
+	w.assertLimit(coldMaxPerSecond, coldWindow-time.Second)
+	is.True(cold >= 10)     // the cold engines take their limit
+	is.True(100-cold >= 80) // the warm ones take the rest
 }
 
-// TestColdAgain lets a warm endpoint turn cold that was given much just before.
-func TestColdAgain(t *testing.T) {
+// TestWarmEndpointTurnsCold checks that the placements on a warm endpoint count when it turns
+// cold.
+func TestWarmEndpointTurnsCold(t *testing.T) {
 	is := is.New(t)
 	w := newColdHarness(t, 1, 1, defaultLimit())
-	s := w.all[0]
+	s := w.schedulers[0]
 	for range 30 {
-		is.Equal(w.place(s, w.ask("engines"), false), "e0") // no bound while warm
+		is.Equal(w.place(s, w.request("engines"), false), "e0") // no limit while warm
 	}
-	w.enter("e0", "engines", 2*time.Second)
+	w.setEndpoint("e0", "engines", 2*time.Second)
 	w.update()
-	is.Equal(w.place(s, w.ask("engines"), false), "")
+	is.Equal(w.place(s, w.request("engines"), false), "")
 	w.now = w.now.Add(coldWindow)
-	is.Equal(w.place(s, w.ask("engines"), false), "e0")
+	is.Equal(w.place(s, w.request("engines"), false), "e0")
 	w.now = w.now.Add(time.Second)
 	for range 30 {
-		is.Equal(w.place(s, w.ask("engines"), false), "e0") // it is warm again
+		is.Equal(w.place(s, w.request("engines"), false), "e0") // warm again
 	}
 }
 
-// TestColdReturns looks at endpoints that may have started without saying so: they are
-// given as little as cold ones.
-func TestColdReturns(t *testing.T) {
+// TestAssumedRestartIsCold checks that endpoints which may have restarted without a new catalog
+// entry are limited like cold ones.
+func TestAssumedRestartIsCold(t *testing.T) {
 	for _, row := range []struct {
 		name    string
-		returns func(w *coldHarness)
+		restart func(w *coldHarness)
 	}{
-		{"its failure domain is restored", func(w *coldHarness) {
+		{"its failure domain is undrained", func(w *coldHarness) {
 			w.snap.Drained = map[string]time.Time{"d-e0": w.now}
 			w.update()
 			w.snap.Drained = nil
 			w.update()
 		}},
-		{"it failed", func(w *coldHarness) {
+		{"it failed and is probed", func(w *coldHarness) {
 			for i := range toleratedFailures + 2 {
-				a := w.ask("engines")
-				w.place(w.all[0], a, false)
-				w.all[0].EndFrom(a.ID, "engines", Unreachable, "", fmt.Sprint("m", i))
+				a := w.request("engines")
+				w.place(w.schedulers[0], a, false)
+				w.schedulers[0].EndFrom(a.ID, "engines", Unreachable, "", fmt.Sprint("m", i))
 			}
 			w.now = w.now.Add(maxEjection)
-			a := w.ask("engines")
-			w.place(w.all[0], a, false)
-			w.all[0].First(a.ID, "engines")
+			a := w.request("engines")
+			w.place(w.schedulers[0], a, false)
+			w.schedulers[0].First(a.ID, "engines")
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			w := newColdHarness(t, 1, 1, defaultLimit())
-			row.returns(w)
-			clear(w.given)
+			row.restart(w)
+			clear(w.placements)
 			for range 100 {
 				w.now = w.now.Add(10 * time.Millisecond)
-				w.place(w.all[0], w.ask("engines"), false)
+				w.place(w.schedulers[0], w.request("engines"), false)
 			}
-			w.assertBound(coldBound, coldWindow-time.Second)
+			w.assertLimit(coldMaxPerSecond, coldWindow-time.Second)
 			w.now = w.now.Add(3 * time.Second)
-			clear(w.given)
+			clear(w.placements)
 			for range 50 {
-				is.New(t).Equal(w.place(w.all[0], w.ask("engines"), false), "e0") // its time is over
+				is.New(t).Equal(w.place(w.schedulers[0], w.request("engines"), false), "e0") // warm again
 			}
 		})
 	}
 }
 
-// TestColdWaits lets a request wait that may be served once the only endpoint may get more.
-func TestColdWaits(t *testing.T) {
+// TestRequestWaitsForColdEndpoint checks that a request waits until the limit of the only
+// endpoint allows it.
+func TestRequestWaitsForColdEndpoint(t *testing.T) {
 	for _, service := range []string{"engines", "plain"} {
 		t.Run(service, func(t *testing.T) {
 			is := is.New(t)
 			w := newColdHarness(t, 1, 1, defaultLimit())
-			w.enter("e0", "engines", time.Minute)
-			w.enter("p0", "plain", time.Minute)
+			w.setEndpoint("e0", "engines", time.Minute)
+			w.setEndpoint("p0", "plain", time.Minute)
 			w.update()
-			s := w.all[0]
+			s := w.schedulers[0]
 			for range 2 * coldRate {
-				w.place(s, w.ask(service), false)
+				w.place(s, w.request(service), false)
 			}
-			a := w.ask(service)
+			a := w.request(service)
 			a.Target = 3 * time.Second
 			wait := s.Submit(a)
 			_, _, ok := wait.Decision()
@@ -373,21 +376,21 @@
 	}
 }
 
-// TestColdInVain looks that a request that no endpoint may get before its caller has
-// waited too long is refused at once.
-func TestColdInVain(t *testing.T) {
+// TestRefusedWhileAllAreCold checks that a request is refused at once if no endpoint may get it
+// before the request would have waited too long.
+func TestRefusedWhileAllAreCold(t *testing.T) {
 	for _, service := range []string{"engines", "plain"} {
 		t.Run(service, func(t *testing.T) {
 			is := is.New(t)
 			w := newColdHarness(t, 1, 1, defaultLimit())
-			w.enter("e0", "engines", time.Minute)
-			w.enter("p0", "plain", time.Minute)
+			w.setEndpoint("e0", "engines", time.Minute)
+			w.setEndpoint("p0", "plain", time.Minute)
 			w.update()
-			s := w.all[0]
+			s := w.schedulers[0]
 			for range 2 * coldRate {
-				w.place(s, w.ask(service), false)
+				w.place(s, w.request(service), false)
 			}
-			a := w.ask(service)
+			a := w.request(service)
 			a.Deadline = coldWindow
 			a.Returning = true
 			_, r, ok := s.Submit(a).Decision()
@@ -398,18 +401,18 @@
 	}
 }
 
-// TestColdReader looks that a cold engine that gets no request may still help to read: its
-// part is no request to it.
-func TestColdReader(t *testing.T) {
+// TestColdEngineHelpsWithPrefill checks that a cold engine at its limit still helps with the
+// prefill of another engine's request.
+func TestColdEngineHelpsWithPrefill(t *testing.T) {
 	is := is.New(t)
 	w := newColdHarness(t, 1, 2, defaultLimit())
-	w.enter("e0", "engines", time.Minute)
+	w.setEndpoint("e0", "engines", time.Minute)
 	w.update()
-	s := w.all[0]
+	s := w.schedulers[0]
 	for range 100 {
-		w.place(s, w.ask("engines"), false)
+		w.place(s, w.request("engines"), false)
 	}
-	a := w.ask("engines")
+	a := w.request("engines")
 	a.Prompt = 6_000_000
 	a.Target = 500 * time.Millisecond
 	g, _, ok := s.Submit(a).Decision()
@@ -418,30 +421,29 @@
 	is.Equal(len(g.Shares), 1)
 }
 
-// TestColdUnbound looks that endpoints get what they can where the settings or the
-// configuration set no bound.
-func TestColdUnbound(t *testing.T) {
+// TestNoColdLimit checks that cold endpoints are not limited without a ColdLimit.
+func TestNoColdLimit(t *testing.T) {
 	is := is.New(t)
 	w := newColdHarness(t, 1, 1, ColdLimit{})
-	w.enter("e0", "engines", time.Minute)
+	w.setEndpoint("e0", "engines", time.Minute)
 	w.update()
 	for range 50 {
-		is.Equal(w.place(w.all[0], w.ask("engines"), false), "e0")
+		is.Equal(w.place(w.schedulers[0], w.request("engines"), false), "e0")
 	}
 }
 
-// TestColdFigures looks at what operators see.
-func TestColdFigures(t *testing.T) {
+// TestColdStats checks the statistics about cold endpoints.
+func TestColdStats(t *testing.T) {
 	is := is.New(t)
 	w := newColdHarness(t, 1, 2, defaultLimit())
-	w.enter("e0", "engines", time.Second)
+	w.setEndpoint("e0", "engines", time.Second)
 	w.update()
 	for range 30 {
-		w.place(w.all[0], w.ask("engines"), false)
+		w.place(w.schedulers[0], w.request("engines"), false)
 	}
-	f := w.all[0].Stats()["engines"]
-	is.Equal(f.Cold, 1)
-	is.True(f.ColdPassedOver > 0)
+	stats := w.schedulers[0].Stats()["engines"]
+	is.Equal(stats.Cold, 1)
+	is.True(stats.ColdPassedOver > 0)
 	w.now = w.now.Add(2 * time.Second)
-	is.Equal(w.all[0].Stats()["engines"].Cold, 0)
+	is.Equal(w.schedulers[0].Stats()["engines"].Cold, 0)
 }
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -84,7 +84,7 @@
 
 // lateFromStart states whether the request was late on arrival, as its caller has come back or
 // its first endpoint failed.
-func (w *Waiter) lateFromStart() bool {
+func (w *Waiter) lateOnArrival() bool {
 	return !w.request.TargetAt.After(w.arrived)
 }
 
@@ -108,13 +108,13 @@
 // against the backlog of an outage taking the slots from new requests. A request whose endpoint
 // failed doesn't yield, since work was spent on it.
 func (w *Waiter) yields() bool {
-	return w.lateFromStart() && !w.ask.Retry && w.ask.isShort()
+	return w.lateOnArrival() && !w.ask.Retry && w.ask.isShort()
 }
 
 // remainingWorth returns the worth that a request would still have if it were answered at once:
 // LateWorth if it was late on arrival.
 func (w *Waiter) remainingWorth() float64 {
-	if w.lateFromStart() {
+	if w.lateOnArrival() {
 		return w.request.LateWorth
 	}
 	return w.request.Worth
@@ -123,7 +123,7 @@
 // worthLost returns the worth that a request loses by a plan that makes it late. A request that
 // was late on arrival loses nothing more.
 func (w *Waiter) worthLost(plan *placement.Plan) float64 {
-	if !w.late || w.lateFromStart() {
+	if !w.late || w.lateOnArrival() {
 		return 0
 	}
 	return plan.OwnLoss
--- a/pool/decide_test.go
+++ b/pool/decide_test.go
@@ -12,11 +12,11 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// moment is when the requests of these tests come.
+// moment is the time at which the requests of these tests arrive.
 var moment = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// waiting returns a request that came at moment.
-func waiting(prompt int, target time.Duration) *Waiter {
+// newWaiting returns a request that arrived at moment.
+func newWaiting(prompt int, target time.Duration) *Waiter {
 	return &Waiter{
 		ask: PlacementRequest{
 			Prompt:   prompt,
@@ -32,7 +32,7 @@
 	}
 }
 
-// busyPool returns a pool of one engine that reads 100 000 tokens a second and is busy.
+// busyPool returns a pool with one busy engine, which prefills 100 000 tokens a second.
 func busyPool() *poolState {
 	e := &placement.Engine{
 		Instance: "e0",
@@ -51,14 +51,16 @@
 	}
 }
 
-// TestCovers holds what a request keeps against what others lose and the price.
-func TestCovers(t *testing.T) {
+// TestCoversCost compares the worth that a request keeps with the loss of other requests and
+// with the price.
+func TestCoversCost(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// spoils is what others lose, and loses what the request does, of a worth of 1.
-		spoils float64
-		loses  float64
-		// price is what a second of engines costs; the request takes half a second.
+		// othersLoss is the loss of other requests, and ownLoss that of the request, whose
+		// worth is 1.
+		othersLoss float64
+		ownLoss    float64
+		// price is the price of a second of engine time. The request takes half a second.
 		price  float64
 		waited time.Duration
 		want   bool
@@ -77,26 +79,26 @@
 			is := is.New(t)
 			p := busyPool()
 			now := moment.Add(row.waited)
-			// All work was displaced, so that the price holds in full.
+			// All work was displaced, so that the full price applies.
 			p.price.note(time.Second, row.price/priceShare, now)
-			got := p.coversCost(waiting(50_000, 3*time.Second), &placement.Plan{
-				OthersLoss: row.spoils,
-				OwnLoss:    row.loses,
+			got := p.coversCost(newWaiting(50_000, 3*time.Second), &placement.Plan{
+				OthersLoss: row.othersLoss,
+				OwnLoss:    row.ownLoss,
 			}, now)
 			is.Equal(got, row.want)
 		})
 	}
-	t.Run("engines rest", func(t *testing.T) {
+	t.Run("engines are idle", func(t *testing.T) {
 		is := is.New(t)
 		p := busyPool()
 		p.list[0].Remove("before")
 		p.price.note(time.Second, 100, moment)
-		is.True(p.coversCost(waiting(50_000, 3*time.Second), &placement.Plan{}, moment))
+		is.True(p.coversCost(newWaiting(50_000, 3*time.Second), &placement.Plan{}, moment))
 	})
 }
 
-// TestBetterLater looks which requests wait for a better moment.
-func TestBetterLater(t *testing.T) {
+// TestShouldDefer checks which requests wait for a better moment.
+func TestShouldDefer(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		target time.Duration
@@ -107,28 +109,28 @@
 	}{
 		{"in time at no cost", 3 * time.Second, false, placement.Plan{TimeToFirstEvent: time.Second}, 0, false},
 		{"late, may be in time", 3 * time.Second, true, placement.Plan{TimeToFirstEvent: 4 * time.Second}, 0, true},
-		{"late, too late to be in time", 3 * time.Second, true, placement.Plan{TimeToFirstEvent: 4 * time.Second}, 2500 * time.Millisecond, false},
+		{"late, can't be in time", 3 * time.Second, true, placement.Plan{TimeToFirstEvent: 4 * time.Second}, 2500 * time.Millisecond, false},
 		{"costs others, has time", 3 * time.Second, false, placement.Plan{TimeToFirstEvent: time.Second, OthersLoss: 1}, 0, true},
 		{"costs others, has no time", 3 * time.Second, false, placement.Plan{TimeToFirstEvent: time.Second, OthersLoss: 1}, 2 * time.Second, false},
 		{"short", 300 * time.Millisecond, true, placement.Plan{TimeToFirstEvent: time.Second, OthersLoss: 1}, 0, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := waiting(50_000, row.target)
+			w := newWaiting(50_000, row.target)
 			w.late = row.late
 			is.Equal(w.shouldDefer(&row.plan, busyPool().list, moment.Add(row.now)), row.want)
 		})
 	}
 }
 
-// TestYields looks who leaves room for those that can still be in time.
+// TestYields checks which requests leave the slots to those that can still be in time.
 func TestYields(t *testing.T) {
 	for _, row := range []struct {
-		name   string
-		target time.Duration
-		spent  time.Duration
-		again  bool
-		want   bool
+		name    string
+		target  time.Duration
+		elapsed time.Duration
+		retry   bool
+		want    bool
 	}{
 		{"first try", 300 * time.Millisecond, 0, false, false},
 		{"came back", 300 * time.Millisecond, 2 * time.Second, false, true},
@@ -138,10 +140,10 @@
 		{"came back and its endpoint failed", -time.Second, 2 * time.Second, true, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			w := waiting(5000, row.target-row.spent)
+			w := newWaiting(5000, row.target-row.elapsed)
 			w.ask.Target = row.target
-			w.ask.Elapsed = row.spent
-			w.ask.Retry = row.again
+			w.ask.Elapsed = row.elapsed
+			w.ask.Retry = row.retry
 			is.New(t).Equal(w.yields(), row.want)
 		})
 	}
--- a/pool/drained_test.go
+++ b/pool/drained_test.go
@@ -18,9 +18,9 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// domains returns what is known of two endpoints in each of the failure domains "d0" and
-// "d1", for each of the services "engines" and "plain".
-func domains(emptied ...string) *catalog.Snapshot {
+// drainedSnapshot returns a snapshot with two endpoints in each of the failure domains "d0" and
+// "d1" for each of the services "engines" and "plain", and with the given domains drained.
+func drainedSnapshot(drained ...string) *catalog.Snapshot {
 	s := &catalog.Snapshot{
 		Table: route.New(1, nil, []route.Service{
 			{Name: "engines", Engine: model()},
@@ -41,14 +41,14 @@
 			}
 		}
 	}
-	for _, d := range emptied {
+	for _, d := range drained {
 		s.Drained[d] = time.Now()
 	}
 	return s
 }
 
-// emptiedPool runs a test with a scheduler in virtual time.
-func emptiedPool(t *testing.T, f func(ctx context.Context, is *is.I, s *pool.Scheduler)) {
+// withScheduler runs f with a scheduler in virtual time.
+func withScheduler(t *testing.T, f func(ctx context.Context, is *is.I, s *pool.Scheduler)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := pool.NewScheduler(pool.Settings{
@@ -60,15 +60,15 @@
 	})
 }
 
-// assertOnly places some requests and checks that all come to one failure domain, with
-// those who read their prompts.
-func assertOnly(ctx context.Context, is *is.I, s *pool.Scheduler, service, domain string, emptied ...string) {
+// assertOnly places some requests and checks that all of them, and the helpers of their
+// prefills, are in the given failure domain. The entry instance knows of the drained domains.
+func assertOnly(ctx context.Context, is *is.I, s *pool.Scheduler, service, domain string, drained ...string) {
 	is.Helper()
-	at := domains().Endpoints
+	at := drainedSnapshot().Endpoints
 	for i := range 6 {
 		a := prompt(fmt.Sprintf("%s-%d", service, i), 90_000, 5*time.Second)
 		a.Service = service
-		a.DrainedDomains = emptied
+		a.DrainedDomains = drained
 		g, err := s.Place(ctx, a)
 		is.NoErr(err)
 		is.Equal(at[g.Instance].FailureDomain, domain)
@@ -79,32 +79,33 @@
 	}
 }
 
-// TestEmptied looks that nothing is placed in an emptied failure domain, whether the owner
-// knows of it or only the entry that asks, and that requests return once it is restored.
-func TestEmptied(t *testing.T) {
+// TestDrainedDomainGetsNoRequests checks that nothing is placed in a failure domain that is
+// drained according to the owner or to the entry instance, and that requests return once it is
+// undrained.
+func TestDrainedDomainGetsNoRequests(t *testing.T) {
 	for _, service := range []string{"engines", "plain"} {
 		t.Run(service, func(t *testing.T) {
-			emptiedPool(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
-				s.Update(domains("d0"))
+			withScheduler(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
+				s.Update(drainedSnapshot("d0"))
 				assertOnly(ctx, is, s, service, "d1")
-				s.Update(domains("d1"))
+				s.Update(drainedSnapshot("d1"))
 				assertOnly(ctx, is, s, service, "d0")
-				s.Update(domains())
+				s.Update(drainedSnapshot())
 				assertOnly(ctx, is, s, service, "d0", "d1")
-				s.Update(domains("unknown"))
+				s.Update(drainedSnapshot("unknown"))
 				assertOnly(ctx, is, s, service, "d1", "d0")
 			})
 		})
 	}
 }
 
-// TestAllEmptied looks that a request is refused at once, with a time to come back, when
-// all failure domains of its service are emptied, and that one that waits is.
-func TestAllEmptied(t *testing.T) {
+// TestRefusedWhileAllDrained checks that a request is refused at once, with a sufficient
+// RetryAfter, if all failure domains of its service are drained.
+func TestRefusedWhileAllDrained(t *testing.T) {
 	for _, service := range []string{"engines", "plain"} {
 		t.Run(service, func(t *testing.T) {
-			emptiedPool(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
-				s.Update(domains("d0", "d1"))
+			withScheduler(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
+				s.Update(drainedSnapshot("d0", "d1"))
 				a := prompt("a", 1000, time.Second)
 				a.Service = service
 				began := time.Now()
@@ -118,10 +119,11 @@
 	}
 }
 
-// TestEmptiedWhileWaiting empties the failure domain that a request waits for.
-func TestEmptiedWhileWaiting(t *testing.T) {
-	emptiedPool(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
-		s.Update(domains("d0"))
+// TestDrainedWhileWaiting checks that a waiting request is placed elsewhere if the failure
+// domain with the endpoints that it waits for is drained.
+func TestDrainedWhileWaiting(t *testing.T) {
+	withScheduler(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
+		s.Update(drainedSnapshot("d0"))
 		for i := range 2 {
 			_, err := s.Place(ctx, prompt(fmt.Sprint("long-", i), 90_000, 5*time.Second))
 			is.NoErr(err)
@@ -130,16 +132,17 @@
 		time.Sleep(100 * time.Millisecond)
 		_, _, decided := w.Decision()
 		is.True(!decided)
-		s.Update(domains("d1"))
+		s.Update(drainedSnapshot("d1"))
 		time.Sleep(100 * time.Millisecond)
 		g, _, decided := w.Decision()
 		is.True(decided)
-		is.Equal(domains().Endpoints[g.Instance].FailureDomain, "d0")
+		is.Equal(drainedSnapshot().Endpoints[g.Instance].FailureDomain, "d0")
 	})
 }
 
-// TestEmptiedKnownToEntry lets only the entry know that a failure domain is emptied.
-func TestEmptiedKnownToEntry(t *testing.T) {
+// TestDrainedAccordingToEntry checks that the owner respects a drained failure domain of which
+// only the entry instance knows.
+func TestDrainedAccordingToEntry(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
 	for name, e := range f.snap.Endpoints {
@@ -154,9 +157,9 @@
 		if n == owner {
 			continue
 		}
-		told := *f.snap
-		told.Drained = map[string]time.Time{"d-e0": time.Now()}
-		n.client.Update(&told)
+		known := *f.snap
+		known.Drained = map[string]time.Time{"d-e0": time.Now()}
+		n.client.Update(&known)
 		for i := range 12 {
 			g := n.place(t, ask(fmt.Sprintf("%s-%d", n.self.ID, i)))
 			is.True(g.Instance != "e0")
--- a/pool/fallback_test.go
+++ b/pool/fallback_test.go
@@ -15,9 +15,9 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// TestAloneSpread lets many instances that have just started, and no owner to ask yet,
-// place a request each. No engine gets more than it has slots for.
-func TestAloneSpread(t *testing.T) {
+// TestFallbackInstancesSpread guards against many instances without an owner that place their
+// first requests on the same engine.
+func TestFallbackInstancesSpread(t *testing.T) {
 	is := is.New(t)
 	const instances, engines, slots = 300, 150, 10
 	snap := &catalog.Snapshot{
@@ -41,7 +41,7 @@
 			Slots:    slots,
 		}
 	}
-	arrivals := make(map[string]int)
+	placements := make(map[string]int)
 	for i := range instances {
 		s := NewScheduler(Settings{
 			Self: fmt.Sprint("n", i),
@@ -57,28 +57,28 @@
 			Deadline: 10 * time.Second,
 		}, true)
 		is.NoErr(err)
-		arrivals[g.Instance]++
+		placements[g.Instance]++
 	}
-	for _, n := range arrivals {
-		is.True(n <= slots) // 300 at one engine with one order for all
+	for _, n := range placements {
+		is.True(n <= slots)
 	}
 }
 
-// TestOwnerAble looks that pools are owned by instances that are able to, and that the
-// next in line is, whatever the names of their services: a weak one that owns a pool is
-// late with its decisions under a burst.
-func TestOwnerAble(t *testing.T) {
+// TestOwnersHaveCapacity checks that the owners of pools, and the next in line, are instances
+// with much capacity, and that these share the pools. A weak owner would decide late under a
+// burst.
+func TestOwnersHaveCapacity(t *testing.T) {
 	is := is.New(t)
-	const pools, able, weak = 60, 15, 280
+	const pools, strong, weak = 60, 15, 280
 	snap := &catalog.Snapshot{
 		Peers: make(map[string]catalog.Peer),
 	}
-	for i := range able + weak {
+	for i := range strong + weak {
 		p := catalog.Peer{
 			ID:       fmt.Sprint("n", i),
 			Capacity: 100,
 		}
-		if i < able {
+		if i < strong {
 			p.Capacity = 800
 		}
 		snap.Peers[p.ID] = p
@@ -91,5 +91,5 @@
 			owned[id]++
 		}
 	}
-	is.Equal(len(owned), able) // they share the pools
+	is.Equal(len(owned), strong) // they share the pools
 }
--- a/pool/incarnation_test.go
+++ b/pool/incarnation_test.go
@@ -15,7 +15,7 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// incarnationHarness is a scheduler with endpoints that may start again.
+// incarnationHarness is a scheduler with endpoints that may restart.
 type incarnationHarness struct {
 	t    *testing.T
 	s    *Scheduler
@@ -23,11 +23,11 @@
 	now  time.Time
 }
 
-// firstIncarnation is when the endpoints of a lifeWorld started.
+// firstIncarnation is when the endpoints of an incarnationHarness first started.
 var firstIncarnation = time.UnixMilli(1796256000000)
 
-// newIncarnationHarness returns a scheduler that knows n endpoints of the services "engines" and
-// "plain" each, with two slots.
+// newIncarnationHarness returns a scheduler that knows n endpoints of each of the services
+// "engines" and "plain", with two slots each.
 func newIncarnationHarness(t *testing.T, n int) *incarnationHarness {
 	t.Helper()
 	w := &incarnationHarness{
@@ -57,28 +57,28 @@
 		Now:  func() time.Time { return w.now },
 	}, logr.Discard())
 	for i := range n {
-		w.start(fmt.Sprintf("e%d", i), "engines", firstIncarnation)
-		w.start(fmt.Sprintf("p%d", i), "plain", firstIncarnation)
+		w.restart(fmt.Sprintf("e%d", i), "engines", firstIncarnation)
+		w.restart(fmt.Sprintf("p%d", i), "plain", firstIncarnation)
 	}
 	return w
 }
 
-// start makes the entry of an endpoint known that started at a moment.
-func (w *incarnationHarness) start(name, service string, born time.Time) {
+// restart applies the catalog entry of an endpoint with the given start time.
+func (w *incarnationHarness) restart(name, service string, startedAt time.Time) {
 	w.snap.Endpoints[name] = catalog.Endpoint{
 		Instance:  name,
 		Service:   service,
 		Address:   name + ":1",
 		Slots:     2,
-		StartedAt: born,
+		StartedAt: startedAt,
 	}
 	w.s.Update(w.snap)
 }
 
-// place places a request and fails the test when it gets no place at once.
+// place places a request and fails the test if that isn't possible at once.
 func (w *incarnationHarness) place(id, service string, prompt int) Grant {
 	w.t.Helper()
-	wait := w.s.Submit(w.ask(id, service, prompt))
+	wait := w.s.Submit(w.request(id, service, prompt))
 	g, _, ok := wait.Decision()
 	if !ok || g.Instance == "" {
 		w.t.Fatalf("%s got no place", id)
@@ -86,7 +86,8 @@
 	return g
 }
 
-func (w *incarnationHarness) ask(id, service string, prompt int) PlacementRequest {
+// request returns a request with a prompt of the given length.
+func (w *incarnationHarness) request(id, service string, prompt int) PlacementRequest {
 	return PlacementRequest{
 		ID:       id,
 		Service:  service,
@@ -97,114 +98,115 @@
 	}
 }
 
-// running returns how many jobs an endpoint is thought to have.
+// running returns the number of jobs in the model of an endpoint.
 func (w *incarnationHarness) running(name, service string) int {
 	return len(w.s.pools[service].engines[name].Jobs)
 }
 
-// failing states whether an endpoint is set aside.
-func (w *incarnationHarness) failing(name, service string) bool {
+// isEjected states whether an endpoint is ejected.
+func (w *incarnationHarness) isEjected(name, service string) bool {
 	h := w.s.pools[service].health[name]
 	return !h.shared.usable(w.now) || !h.own.usable(w.now)
 }
 
-// fail makes an endpoint fail until it is set aside.
-func (w *incarnationHarness) fail(name, service string) {
+// eject makes requests on an endpoint fail until it is ejected.
+func (w *incarnationHarness) eject(name, service string) {
 	w.t.Helper()
 	for i := range 20 {
-		if w.failing(name, service) {
+		if w.isEjected(name, service) {
 			return
 		}
 		id := fmt.Sprintf("fails-%s-%d", name, i)
 		w.place(id, service, 100)
 		w.s.EndFrom(id, service, Unreachable, name, fmt.Sprint("n", i%2))
 	}
-	w.t.Fatal("the endpoint is not set aside")
+	w.t.Fatal("the endpoint is not ejected")
 }
 
-// TestNewLife lets the only endpoint of a service start again while requests run there and
-// after it failed.
-func TestNewLife(t *testing.T) {
+// TestRestartEndsAttempts checks that a restart of an endpoint ends the attempts on its earlier
+// incarnation and clears its failures.
+func TestRestartEndsAttempts(t *testing.T) {
 	for service, name := range map[string]string{"engines": "e0", "plain": "p0"} {
 		t.Run(service, func(t *testing.T) {
 			is := is.New(t)
 			w := newIncarnationHarness(t, 1)
-			w.fail(name, service)
+			w.eject(name, service)
 			w.now = w.now.Add(maxEjection)
 			w.place("one", service, 1000)
 			w.place("two", service, 1000)
 			w.s.UnusableEndpoints(service)
-			w.start(name, service, firstIncarnation.Add(time.Minute))
+			w.restart(name, service, firstIncarnation.Add(time.Minute))
 			is.Equal(w.running(name, service), 0)
 			is.Equal(len(w.s.pools[service].attempts), 0)
-			is.True(!w.failing(name, service))
+			is.True(!w.isEjected(name, service))
 			is.Equal(w.s.pools[service].health[name].failureRate, 0.0)
 			g := w.place("three", service, 1000)
 			is.Equal(g.StartedAt, firstIncarnation.Add(time.Minute))
-			// What the older life's requests came to is no matter of the new one.
+			// Outcomes of attempts on the earlier incarnation don't count for the new one.
 			for range 5 {
 				w.s.EndFrom("one", service, Unreachable, name, "n1")
 				w.s.EndFrom("two", service, Unreachable, name, "n2")
 			}
-			is.True(!w.failing(name, service))
+			is.True(!w.isEjected(name, service))
 			is.Equal(w.running(name, service), 1)
 		})
 	}
 }
 
-// TestSameLife looks that an entry of the life that is known, or one that does not say,
-// ends nothing.
-func TestSameLife(t *testing.T) {
-	for _, born := range []time.Time{firstIncarnation, {}} {
+// TestSameIncarnationKeepsAttempts checks that a catalog entry with the known start time, or
+// without one, ends no attempts.
+func TestSameIncarnationKeepsAttempts(t *testing.T) {
+	for _, startedAt := range []time.Time{firstIncarnation, {}} {
 		is := is.New(t)
 		w := newIncarnationHarness(t, 1)
 		w.place("one", "engines", 1000)
-		w.start("e0", "engines", born)
+		w.restart("e0", "engines", startedAt)
 		is.Equal(w.running("e0", "engines"), 1)
-		w.start("e0", "engines", firstIncarnation)
+		w.restart("e0", "engines", firstIncarnation)
 		is.Equal(w.running("e0", "engines"), 1)
 	}
 }
 
-// TestNewLifeOfReader lets one of the engines start again that read a prompt together.
-func TestNewLifeOfReader(t *testing.T) {
+// TestRestartOfPrefillHelper checks that the restart of an engine ends its share of a joint
+// prefill, but not the attempt.
+func TestRestartOfPrefillHelper(t *testing.T) {
 	is := is.New(t)
 	w := newIncarnationHarness(t, 4)
-	a := w.ask("long", "engines", 90_000)
+	a := w.request("long", "engines", 90_000)
 	a.Target = 500 * time.Millisecond
 	g, _, _ := w.s.Submit(a).Decision()
 	is.True(len(g.Shares) > 0)
 	w.place("beside", "engines", 1000)
-	reader := g.Shares[0].Instance
-	before := w.running(reader, "engines")
-	w.start(reader, "engines", firstIncarnation.Add(time.Minute))
-	is.Equal(w.running(reader, "engines"), before-1)
-	is.True(w.s.pools["engines"].attempts["long"] != nil) // its engine has to notice
+	helper := g.Shares[0].Instance
+	before := w.running(helper, "engines")
+	w.restart(helper, "engines", firstIncarnation.Add(time.Minute))
+	is.Equal(w.running(helper, "engines"), before-1)
+	is.True(w.s.pools["engines"].attempts["long"] != nil) // its own engine notices the failure
 	w.s.End("long", "engines", Failed, "")
 	is.Equal(w.running(g.Instance, "engines"), 0)
 }
 
-// TestOlderLifeAdopted tells a scheduler of attempts that others placed at lives of an
-// endpoint.
-func TestOlderLifeAdopted(t *testing.T) {
+// TestAdoptOfEarlierIncarnation checks that an adopted attempt counts if its grant is for the
+// known incarnation, a newer one or an unknown one, but not if it is for an earlier one.
+func TestAdoptOfEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
 	w := newIncarnationHarness(t, 1)
 	second, third := firstIncarnation.Add(time.Minute), firstIncarnation.Add(2*time.Minute)
-	w.start("e0", "engines", second)
-	w.s.Adopt(w.ask("old", "engines", 1000), Grant{
+	w.restart("e0", "engines", second)
+	w.s.Adopt(w.request("old", "engines", 1000), Grant{
 		Instance:  "e0",
 		StartedAt: firstIncarnation,
 	}, true)
 	is.Equal(w.running("e0", "engines"), 0)
-	w.s.Adopt(w.ask("new", "engines", 1000), Grant{
+	w.s.Adopt(w.request("new", "engines", 1000), Grant{
 		Instance:  "e0",
-		StartedAt: third, // whoever decided knows of it already
+		StartedAt: third, // the deciding instance knows it already
 	}, false)
-	w.s.Adopt(w.ask("untold", "engines", 1000), Grant{
+	w.s.Adopt(w.request("unknown", "engines", 1000), Grant{
 		Instance: "e0",
 	}, false)
 	is.Equal(w.running("e0", "engines"), 2)
-	w.start("e0", "engines", third)
+	w.restart("e0", "engines", third)
 	is.Equal(w.running("e0", "engines"), 1)
 	is.True(w.s.pools["engines"].attempts["new"] != nil)
 }
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -14,30 +14,32 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// plainLoad has instances ask for places on plain endpoints.
+// plainLoad sends requests to plain endpoints from several instances.
 type plainLoad struct {
 	mu sync.Mutex
-	// given is when places were given, by endpoint, and by counts who decided.
+	// given holds the times of the placements by endpoint, and by counts them by the instance
+	// that decided.
 	given map[string][]time.Time
 	by    map[string]int
 	asks  sync.WaitGroup
 }
 
-// run sends requests by instances in turn for a time. Each takes 20 ms.
-func (l *plainLoad) run(t *testing.T, name string, nodes []*node, lasts time.Duration) {
+// run sends a request every 5 ms for the given time, from the instances in turn. Each holds its
+// place for 20 ms.
+func (l *plainLoad) run(t *testing.T, name string, nodes []*node, duration time.Duration) {
 	t.Helper()
 	l.mu.Lock()
 	l.given, l.by = make(map[string][]time.Time), make(map[string]int)
 	l.mu.Unlock()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	for i := range int(lasts / (5 * time.Millisecond)) {
+	for i := range int(duration / (5 * time.Millisecond)) {
 		<-tick.C
 		l.asks.Go(func() { l.one(t, nodes[i%len(nodes)], fmt.Sprint(name, i)) })
 	}
 }
 
-// one asks for one place.
+// one sends one request.
 func (l *plainLoad) one(t *testing.T, n *node, id string) {
 	g, err := n.client.Place(t.Context(), pool.PlacementRequest{
 		ID:       id,
@@ -56,21 +58,22 @@
 	n.client.End(id, "plain", pool.Served, "")
 }
 
-// assertRate checks how many places an endpoint with a rate limit got in a time: as many as
-// the limit allows, and no more than a half more.
-func (l *plainLoad) assertRate(t *testing.T, endpoint string, rate float64, lasts time.Duration) {
+// assertRate checks that an endpoint with a rate limit got between 0.5 and 1.5 times the
+// requests that the limit allows.
+func (l *plainLoad) assertRate(t *testing.T, endpoint string, rate float64, duration time.Duration) {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	got, mean := float64(len(l.given[endpoint])), rate*lasts.Seconds()
-	t.Logf("%s: %.0f places in %v at %g a second, by %v", endpoint, got, lasts, rate, l.by)
+	got, mean := float64(len(l.given[endpoint])), rate*duration.Seconds()
+	t.Logf("%s: %.0f places in %v at %g a second, by %v", endpoint, got, duration, rate, l.by)
 	is.New(t).True(got <= 1.5*mean)
 	is.New(t).True(got >= 0.5*mean)
 }
 
-// TestPlainPoolGetsOwner looks that the instances keep to the limit of a plain endpoint together,
-// also as its owner stops, and that each places for itself again once the limit has ended.
-func TestPlainPoolGetsOwner(t *testing.T) {
+// TestRateLimitedPlainPoolHasOwner checks that instances keep to the rate limits of plain
+// endpoints together through an owner, also when the owner stops, and that each instance
+// decides by itself again once the limits have ended.
+func TestRateLimitedPlainPoolHasOwner(t *testing.T) {
 	const rate = 10
 	f := newFleet(t, 5)
 	f.owner("")
@@ -90,7 +93,7 @@
 	}
 	is.New(t).Equal(len(load.by), 1)
 
-	t.Run("as its owner stops", func(t *testing.T) {
+	t.Run("owner stops", func(t *testing.T) {
 		var owner *node
 		for _, n := range f.nodes {
 			if load.by[n.self.ID] > 0 {
@@ -106,7 +109,7 @@
 		is.New(t).Equal(len(load.by), 2)
 	})
 
-	t.Run("once the limit has ended", func(t *testing.T) {
+	t.Run("limits end", func(t *testing.T) {
 		f.nodes[1].hears("p0", notice.Statements{})
 		f.nodes[1].hears("p1", notice.Statements{})
 		assertLimit(t, f.nodes, "p1", -1)
@@ -117,14 +120,15 @@
 	})
 }
 
-// rateSettles is how long what was given before a limit counts.
+// rateSettles is how long placements before a rate limit count towards it.
 const rateSettles = 4 * time.Second
 
-// sessionForgotten is how long an owner keeps what an ended session had running.
+// sessionForgotten is longer than an owner keeps the attempts of an ended session.
 const sessionForgotten = 2500 * time.Millisecond
 
-// TestReleasedPoolForgets looks that an owner forgets what runs when its pool has none any more.
-func TestReleasedPoolForgets(t *testing.T) {
+// TestReleasedPoolDropsAttempts checks that the owner drops the attempts of other instances
+// when its pool no longer has an owner.
+func TestReleasedPoolDropsAttempts(t *testing.T) {
 	f := newFleet(t, 5)
 	f.owner("")
 	f.nodes[0].hears("p0", limit(10))
@@ -142,8 +146,8 @@
 	settle()
 	f.nodes[0].hears("p0", notice.Statements{})
 	assertLimit(t, f.nodes, "p0", -1)
-	// The session of an instance may end before its messages are out; what ran is then
-	// forgotten with the session.
+	// If a session ends before an instance's messages are sent, its attempts are dropped with
+	// the session.
 	time.Sleep(sessionForgotten)
 	for i, n := range f.nodes {
 		is.New(t).Equal(n.scheduler.Stats()["plain"].Placed, 1)
--- a/pool/overload_test.go
+++ b/pool/overload_test.go
@@ -22,22 +22,21 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// The emulated pool: short prompts that hold a slot for most of two seconds, at nearly
-// all that the slots can take.
+// The emulated pool has short prompts, each of which holds a slot for almost two seconds, at
+// nearly the rate that the slots allow.
 const (
 	emulatedEngines = 6
 	emulatedSlots   = 16
-	// shortPrompt is read in 34 ms, and shortOutput written in 1.7 s.
+	// shortPrompt takes 34 ms of prefill, and shortOutput 1.7 s of decode.
 	shortPrompt = 5_000
 	shortOutput = 1_300
 	shortTarget = 300 * time.Millisecond
 	// patience is how long a caller waits for the first event.
 	patience = 2 * time.Second
-	// emulatedTick is how often the emulated engines are looked at.
+	// emulatedTick is the interval at which the emulated engines advance.
 	emulatedTick = 5 * time.Millisecond
 )
 
-// emulatedModel is the model of the engines.
 func emulatedModel() *batch.Model {
 	return &batch.Model{
 		Slots:            emulatedSlots,
@@ -50,25 +49,24 @@
 	}
 }
 
-// emulation is a pool of engines with callers that come back once.
+// emulation is a pool of engines whose callers come back once after a refusal.
 type emulation struct {
 	s *pool.Scheduler
 
 	mu      sync.Mutex
 	engines map[string]*placement.Engine
-	// arrived, inTime and late count requests by the second of their first try: how
-	// many came, and how many had their first event in time, or later.
+	// arrived, inTime and late count requests by the second of their first try: all requests,
+	// those with their first event in time, and those with a later one.
 	arrived map[int]int
 	inTime  map[int]int
 	late    map[int]int
-	// outage is up to when nobody is served. Those that come before are told to come
-	// back, one after the other.
+	// outage is the time until which all tries fail.
 	outage time.Duration
 	began  time.Time
 }
 
-// newEmulation returns an emulation whose scheduler draws its random times by a seed, so
-// that each run with it is the same.
+// newEmulation returns an emulation that is deterministic for a given seed of the scheduler's
+// random times.
 func newEmulation(seed uint64) *emulation {
 	draws := rand.New(rand.NewPCG(seed, 1))
 	m := &emulation{
@@ -106,7 +104,7 @@
 	return m
 }
 
-// run sends a request for each pause until the end, and waits for all of them.
+// run starts a request after each pause until the end, and waits for all requests.
 func (m *emulation) run(ctx context.Context, pause func(at time.Duration) time.Duration, end time.Duration) {
 	var all sync.WaitGroup
 	for i := 0; time.Since(m.began) < end; i++ {
@@ -116,7 +114,7 @@
 	all.Wait()
 }
 
-// caller sends a request, and once more when it is refused.
+// caller sends a request, and sends it once more if it is refused.
 func (m *emulation) caller(ctx context.Context, i int) {
 	began := time.Now()
 	second := int(time.Since(m.began) / time.Second)
@@ -146,14 +144,14 @@
 	}
 }
 
-// outageAfter returns when a caller comes back that was refused in an outage: spread
-// over a sixth to a third of ten seconds.
+// outageAfter returns the time after which the i-th caller comes back that is refused in the
+// outage, from a sixth to a third of ten seconds.
 func outageAfter(i int) time.Duration {
 	const least, spread, step = 1667, 1666, 389
 	return time.Duration(least+i*step%spread) * time.Millisecond
 }
 
-// served counts the answer to a request by the second of its first try.
+// served counts an answer by the second of the request's first try.
 func (m *emulation) served(second int, inTime bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,7 +162,7 @@
 	m.late[second]++
 }
 
-// attempt runs a request and returns when its first event came.
+// attempt runs a request and returns the time of its first event.
 func (m *emulation) attempt(ctx context.Context, a pool.PlacementRequest) (time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
@@ -210,7 +208,7 @@
 	return first, nil
 }
 
-// write waits until an engine has written an answer.
+// write waits until an engine has decoded an answer.
 func (m *emulation) write(e *placement.Engine, tokens int) {
 	for left := float64(tokens); left > 0; {
 		time.Sleep(emulatedTick)
@@ -220,7 +218,7 @@
 	}
 }
 
-// share returns which part of the requests of some seconds were in time.
+// share returns the part of the requests of the given seconds that were in time.
 func (m *emulation) share(from, to int) float64 {
 	arrived, inTime := 0, 0
 	for s := from; s < to; s++ {
@@ -230,20 +228,19 @@
 	return float64(inTime) / float64(arrived)
 }
 
-// TestFreshAfterOutage ends an outage in which callers were told to come back, while as
-// many new ones come as the slots can take. Those that come for the first time can still
-// be in time and go before those that are late already, who get the room that is left.
-func TestFreshAfterOutage(t *testing.T) {
+// TestNewCallersServedAfterOutage guards against an outage whose callers, when they come back
+// late, take the slots from new callers, which can still be in time.
+func TestNewCallersServedAfterOutage(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { assertFreshAfterOutage(t, seed) })
+			synctest.Test(t, func(t *testing.T) { assertNewCallersServed(t, seed) })
 		})
 	}
 }
 
-// assertFreshAfterOutage plays the outage of TestFreshAfterOutage with a seed of what the
-// scheduler draws.
-func assertFreshAfterOutage(t *testing.T, seed uint64) {
+// assertNewCallersServed plays an outage of four seconds with the given seed, while new callers
+// arrive at the rate that the slots allow.
+func assertNewCallersServed(t *testing.T, seed uint64) {
 	is := is.New(t)
 	m := newEmulation(seed)
 	m.outage = 4 * time.Second
@@ -255,7 +252,7 @@
 		late += m.late[s]
 	}
 	t.Log("in time:", m.share(4, 8), "then", m.share(8, 12), "late:", late)
-	is.True(m.share(4, 8) > 0.85) // 0.49 when their age does not count
+	is.True(m.share(4, 8) > 0.85)
 	is.True(m.share(8, 12) > 0.98)
-	is.True(late > 50) // of some 120 that come back when they can be served
+	is.True(late > 50) // callers that came back use the remaining slots
 }
--- a/pool/plain_latency_test.go
+++ b/pool/plain_latency_test.go
@@ -13,8 +13,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// servePlain serves n requests one after the other on one instance, with a pause between
-// them, and returns how many each endpoint got. Took is how long one takes there.
+// servePlain serves n requests one after the other, with pauses, and returns how many each
+// endpoint got. took returns how long a request takes on an endpoint.
 func servePlain(t *testing.T, s *pool.Scheduler, n int, took func(endpoint string) time.Duration) map[string]int {
 	t.Helper()
 	got := make(map[string]int)
@@ -30,9 +30,9 @@
 	return got
 }
 
-// learnPlain serves a request at each of three endpoints at the same time, and returns the
-// one that the instance prefers.
-func learnPlain(t *testing.T, s *pool.Scheduler, took time.Duration) string {
+// measurePlain serves a request on each of three endpoints at the same time. It returns the
+// endpoint that the instance prefers.
+func measurePlain(t *testing.T, s *pool.Scheduler, took time.Duration) string {
 	t.Helper()
 	ids := []string{"one", "two", "three"}
 	var got []string
@@ -47,15 +47,15 @@
 	return got[0]
 }
 
-// TestPlainSlow looks that an instance leaves a plain endpoint whose requests take far longer
-// than at others, and tries it again later.
-func TestPlainSlow(t *testing.T) {
+// TestSlowPlainEndpointAvoided checks that an instance avoids a plain endpoint whose requests
+// take far longer than on others, and tries it again later.
+func TestSlowPlainEndpointAvoided(t *testing.T) {
 	const usual = 30 * time.Millisecond
 	for _, row := range []struct {
-		name string
-		pace float64
-		// left is whether the slow endpoint is left.
-		left bool
+		name     string
+		slowdown float64
+		// avoided states that the slow endpoint is avoided.
+		avoided bool
 	}{
 		{"as quick as others", 1, false},
 		{"a little slower", 1.5, false},
@@ -64,15 +64,15 @@
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := newPlainFleet(1, 3)[0]
-				preferred := learnPlain(t, s, usual)
+				s := newPlainSchedulers(1, 3)[0]
+				preferred := measurePlain(t, s, usual)
 				got := servePlain(t, s, 20, func(endpoint string) time.Duration {
 					if endpoint == preferred {
-						return time.Duration(row.pace * float64(usual))
+						return time.Duration(row.slowdown * float64(usual))
 					}
 					return usual
 				})
-				if row.left {
+				if row.avoided {
 					is.True(got[preferred] <= 2)
 				} else {
 					is.Equal(got[preferred], 20)
--- a/pool/plain_test.go
+++ b/pool/plain_test.go
@@ -15,8 +15,9 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// newPlainFleet returns the schedulers of instances that know some plain endpoints.
-func newPlainFleet(instances, endpoints int) []*pool.Scheduler {
+// newPlainSchedulers returns the schedulers of some instances that know the same plain
+// endpoints.
+func newPlainSchedulers(instances, endpoints int) []*pool.Scheduler {
 	snap := &catalog.Snapshot{
 		Table:     route.New(1, nil, []route.Service{{Name: "plain"}}, nil, false, route.Limits{}),
 		Endpoints: make(map[string]catalog.Endpoint),
@@ -39,7 +40,7 @@
 	return out
 }
 
-// placePlain places a request and returns the endpoint.
+// placePlain places a request and returns its endpoint.
 func placePlain(t *testing.T, s *pool.Scheduler, id string) string {
 	t.Helper()
 	g, err := s.Place(t.Context(), pool.PlacementRequest{
@@ -54,12 +55,13 @@
 	return g.Instance
 }
 
-// TestPlainSpread lets many instances that have nothing running place a request each.
-func TestPlainSpread(t *testing.T) {
+// TestPlainInstancesSpread guards against idle instances that all place their first request on
+// the same plain endpoint.
+func TestPlainInstancesSpread(t *testing.T) {
 	is := is.New(t)
 	const instances, endpoints = 300, 12
 	arrivals := make(map[string]int)
-	for _, s := range newPlainFleet(instances, endpoints) {
+	for _, s := range newPlainSchedulers(instances, endpoints) {
 		arrivals[placePlain(t, s, "one")]++
 	}
 	is.Equal(len(arrivals), endpoints)
@@ -68,11 +70,11 @@
 	}
 }
 
-// TestPlainReturns looks that an instance that has nothing running goes to the same
-// endpoint again, to which it has a connection, and to others when it is busy there.
-func TestPlainReturns(t *testing.T) {
+// TestPlainInstanceKeepsEndpoint checks that an idle instance returns to the endpoint to which
+// it has a connection, and uses others while it has requests there.
+func TestPlainInstanceKeepsEndpoint(t *testing.T) {
 	is := is.New(t)
-	s := newPlainFleet(1, 12)[0]
+	s := newPlainSchedulers(1, 12)[0]
 	first := placePlain(t, s, "one")
 	second := placePlain(t, s, "two")
 	is.True(first != second)
--- a/pool/price.go
+++ b/pool/price.go
@@ -44,7 +44,7 @@
 // note records the decision on a request: the engine time that it takes, and the worth that it
 // loses for lack of capacity, which is zero if it was not displaced.
 func (p *price) note(work time.Duration, lost float64, now time.Time) {
-	p.fade(now)
+	p.decay(now)
 	p.asked += work.Seconds()
 	if lost > 0 {
 		p.displaced += work.Seconds()
@@ -55,7 +55,7 @@
 // perSecond returns the price of a second of engine time at full utilization, in units of
 // worth.
 func (p *price) perSecond(now time.Time) float64 {
-	p.fade(now)
+	p.decay(now)
 	if p.displaced == 0 {
 		return 0
 	}
@@ -64,7 +64,7 @@
 }
 
 // fade decays the sums by the time since they last decayed.
-func (p *price) fade(now time.Time) {
+func (p *price) decay(now time.Time) {
 	if !p.at.IsZero() {
 		kept := math.Exp(-now.Sub(p.at).Seconds() / priceDecay.Seconds())
 		p.lost *= kept
--- a/pool/price_test.go
+++ b/pool/price_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// assertNear checks a figure against a worked example.
+// assertNear compares a computed value with a worked example, up to rounding errors.
 func assertNear(t *testing.T, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
@@ -18,19 +18,19 @@
 	}
 }
 
-// TestPrice holds prices against worked examples.
+// TestPrice compares prices with worked examples.
 func TestPrice(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, row := range []struct {
 		name string
-		// served and displaced are how many requests of 100 ms each were served and
-		// displaced; those lose 1 each.
+		// served and displaced are the numbers of requests of 100 ms each that were served and
+		// displaced. A displaced one loses 1 unit of worth.
 		served    int
 		displaced int
 		after     time.Duration
 		want      float64
 	}{
-		{"nothing asked", 0, 0, 0, 0},
+		{"no requests", 0, 0, 0, 0},
 		{"nothing displaced", 50, 0, 0, 0},
 		{"half displaced", 50, 50, 0, priceShare * 10},
 		{"a tenth displaced", 90, 10, 0, priceShare * 10},
@@ -48,7 +48,7 @@
 			assertNear(t, p.perSecond(start.Add(row.after)), row.want)
 		})
 	}
-	t.Run("fades as others are served", func(t *testing.T) {
+	t.Run("decays while others are served", func(t *testing.T) {
 		is := is.New(t)
 		var p price
 		now := start
--- a/pool/probe_test.go
+++ b/pool/probe_test.go
@@ -10,16 +10,16 @@
 	"github.com/matryer/is"
 )
 
-// TestFailedTrialIsNotTheLast guards against endpoints that get nothing any more once the one
-// request that tries them, after they were set aside, has failed.
-func TestFailedTrialIsNotTheLast(t *testing.T) {
+// TestProbesContinueAfterFailure guards against endpoints that get no requests any more once a
+// probe request after their ejection has failed.
+func TestProbesContinueAfterFailure(t *testing.T) {
 	for _, o := range []Outcome{Failed, Unreachable} {
 		t.Run(o.String(), func(t *testing.T) {
-			w := newRateLimitHarness(t, 1, 2, rateModel())
+			w := newRateLimitHarness(t, 1, 2, idleModel())
 			s := w.instances[0]
-			end := func(entry string, fails bool) (tried bool) {
-				w.asked++
-				id := fmt.Sprint("r", w.asked)
+			end := func(entry string, fails bool) (probed bool) {
+				w.count++
+				id := fmt.Sprint("r", w.count)
 				x := s.submitFor(PlacementRequest{
 					ID:       id,
 					Service:  "s",
@@ -38,16 +38,16 @@
 			for i := range 8 {
 				end(fmt.Sprint("n", 1+i%2), true)
 			}
-			is.New(t).True(!end("n1", true)) // set aside
-			trials := 0
+			is.New(t).True(!end("n1", true)) // ejected
+			probes := 0
 			for range 30 {
 				w.run(time.Second, func(int) {})
-				if end("n1", trials < 2) {
-					trials++
+				if end("n1", probes < 2) {
+					probes++
 				}
 			}
-			t.Logf("%d requests after it was set aside", trials)
-			is.New(t).True(trials > 2)
+			t.Logf("%d requests after the ejection", probes)
+			is.New(t).True(probes > 2)
 		})
 	}
 }
--- a/pool/rate_limit_test.go
+++ b/pool/rate_limit_test.go
@@ -18,16 +18,16 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// The bound that operators state for endpoints with a rate limit: in statedWindow, statedFactor
-// times what the limit allows and statedSlack more.
+// The bound that operators are told for endpoints with a rate limit: in any statedWindow,
+// statedFactor times the requests that the limit allows, plus statedSlack.
 const (
 	statedWindow = 4 * time.Second
 	statedFactor = 1.5
 	statedSlack  = 5
 )
 
-// mostIn returns the greatest number of moments in some window, by the definition.
-func mostIn(at []time.Time, window time.Duration) int {
+// maxInWindow returns the greatest number of times within a window of the given length.
+func maxInWindow(at []time.Time, window time.Duration) int {
 	most := 0
 	for _, end := range at {
 		n := 0
@@ -41,20 +41,23 @@
 	return most
 }
 
-// stated returns how many requests the stated bound allows.
-func stated(rate float64) int {
+// statedBound returns how many requests the stated bound allows in a statedWindow.
+func statedBound(rate float64) int {
 	return int(statedFactor*rate*statedWindow.Seconds()) + statedSlack
 }
 
-// assertStated checks that requests keep to the stated bound of a rate limit.
-func assertStated(t *testing.T, at []time.Time, rate float64) {
+// assertStatedBound checks that requests at the given times keep to the stated bound of a rate
+// limit.
+func assertStatedBound(t *testing.T, at []time.Time, rate float64) {
 	t.Helper()
-	got := mostIn(at, statedWindow)
-	t.Logf("%d requests in %v, %d allowed", got, statedWindow, stated(rate))
-	is.New(t).True(got <= stated(rate))
+	got := maxInWindow(at, statedWindow)
+	t.Logf("%d requests in %v, %d allowed", got, statedWindow, statedBound(rate))
+	is.New(t).True(got <= statedBound(rate))
 }
 
-func TestArrivalsKeepToRate(t *testing.T) {
+// TestPlacementTimesKeepRate checks that placements at the times that next allows neither
+// exceed a rate limit nor waste it.
+func TestPlacementTimesKeepRate(t *testing.T) {
 	for _, rate := range []float64{0.1, 0.3, 0.45, 0.7, 1, 1.8, 3, 10, 50} {
 		for _, offered := range []float64{2, 20} {
 			t.Run(fmt.Sprint(rate, " offered ", offered), func(t *testing.T) {
@@ -71,11 +74,11 @@
 					a.note(now)
 					at = append(at, now)
 				}
-				assertStated(t, at, rate)
+				assertStatedBound(t, at, rate)
 				used := float64(len(at)) / lasts.Seconds() / rate
 				t.Logf("used %.2f of the limit", used)
 				is.New(t).True(used <= 1.05)
-				// With gaps of 1/rate and requests that come at random.
+				// The expected use with gaps of 1/rate and requests that arrive at random.
 				expected := offered / (1 + offered)
 				is.New(t).True(used >= 0.9*expected)
 				is.New(t).True(float64(len(a.at)) <= rateWindow.Seconds()*rate+2)
@@ -84,23 +87,25 @@
 	}
 }
 
-// rateLimitHarness is some instances that place on endpoints of one service, on a common clock.
+// rateLimitHarness is a number of instances that place requests on the endpoints of one
+// service, with a common clock.
 type rateLimitHarness struct {
 	t         *testing.T
 	now       time.Time
 	instances []*Scheduler
-	// given is when requests were placed, by endpoint.
-	given map[string][]time.Time
-	asked int
+	// placements holds the times of the placements by endpoint.
+	placements map[string][]time.Time
+	count      int
 }
 
-// newRateLimitHarness returns instances that know some endpoints; a nil model makes these plain.
+// newRateLimitHarness returns instances that know the given number of endpoints. A nil model
+// makes the endpoints plain.
 func newRateLimitHarness(t *testing.T, instances, endpoints int, m *batch.Model) *rateLimitHarness {
 	t.Helper()
 	w := &rateLimitHarness{
-		t:     t,
-		now:   time.Unix(1_000_000, 0),
-		given: make(map[string][]time.Time),
+		t:          t,
+		now:        time.Unix(1_000_000, 0),
+		placements: make(map[string][]time.Time),
 	}
 	snap := &catalog.Snapshot{
 		Table:     route.New(1, nil, []route.Service{{Name: "s", Engine: m}}, nil, false, route.Limits{}),
@@ -132,8 +137,8 @@
 	return w
 }
 
-// limit has all instances know the rate limit of endpoints.
-func (w *rateLimitHarness) limit(rate float64, names ...string) {
+// setLimit makes all instances know a rate limit of the named endpoints.
+func (w *rateLimitHarness) setLimit(rate float64, names ...string) {
 	for _, s := range w.instances {
 		for _, name := range names {
 			s.settings.Notices.ApplyNotice(notice.Notice{
@@ -146,11 +151,11 @@
 	}
 }
 
-// ask asks one instance for a place and ends the attempt at once. It returns the decision, of
-// which there may be none yet.
-func (w *rateLimitHarness) ask(s *Scheduler, alone bool) (*Refusal, bool) {
-	w.asked++
-	id := fmt.Sprint("r", w.asked)
+// request submits a request to one instance and ends its attempt at once. It returns the
+// refusal, if any, and whether there was a decision at once.
+func (w *rateLimitHarness) request(s *Scheduler, fallback bool) (*Refusal, bool) {
+	w.count++
+	id := fmt.Sprint("r", w.count)
 	x := s.submit(PlacementRequest{
 		ID:       id,
 		Service:  "s",
@@ -158,19 +163,19 @@
 		Output:   10,
 		Target:   300 * time.Millisecond,
 		Deadline: 4 * time.Second,
-	}, alone)
+	}, fallback)
 	g, r, decided := x.Decision()
 	switch {
 	case !decided:
 		s.Withdraw(x)
 	case r == nil:
-		w.given[g.Instance] = append(w.given[g.Instance], w.now)
+		w.placements[g.Instance] = append(w.placements[g.Instance], w.now)
 		s.End(id, "s", Served, "")
 	}
 	return r, decided
 }
 
-// run lets a time pass in steps of a millisecond.
+// run advances the clock by d in steps of a millisecond and calls each after every step.
 func (w *rateLimitHarness) run(d time.Duration, each func(ms int)) {
 	for ms := range int(d.Milliseconds()) {
 		w.now = w.now.Add(time.Millisecond)
@@ -178,8 +183,8 @@
 	}
 }
 
-// rateModel is an engine that is never busy.
-func rateModel() *batch.Model {
+// idleModel returns the model of an engine that is so fast that it is never busy.
+func idleModel() *batch.Model {
 	return &batch.Model{
 		Slots:            16,
 		Capacity:         1e9,
@@ -189,11 +194,11 @@
 	}
 }
 
-// TestOwnerKeepsRateLimit has an owner place many requests on engines and plain endpoints of
-// which one names a limit, after a time without one.
+// TestOwnerKeepsRateLimit checks that an owner under load keeps the rate limit of one of two
+// endpoints, but for a grace period after the limit becomes known, and makes use of it.
 func TestOwnerKeepsRateLimit(t *testing.T) {
 	for name, model := range map[string]*batch.Model{
-		"engines": rateModel(),
+		"engines": idleModel(),
 		"plain":   nil,
 	} {
 		for _, rate := range []float64{0.01, 0.5, 1, 1.8, 7} {
@@ -201,58 +206,58 @@
 				w := newRateLimitHarness(t, 1, 2, model)
 				each := func(ms int) {
 					if ms%20 == 0 {
-						r, decided := w.ask(w.instances[0], false)
+						r, decided := w.request(w.instances[0], false)
 						is.New(t).True(decided && r == nil)
 					}
 				}
 				w.run(time.Second, each)
 				first := "e0"
-				if len(w.given["e1"]) > 0 {
+				if len(w.placements["e1"]) > 0 {
 					first = "e1"
 				}
-				w.limit(rate, first)
+				w.setLimit(rate, first)
 				named := w.now
 				w.run(30*time.Second, each)
 				graceOver := named.Add(3 * time.Second)
-				after := slices.DeleteFunc(slices.Clone(w.given[first]), func(at time.Time) bool { return at.Before(graceOver) })
-				assertStated(t, after, rate)
+				after := slices.DeleteFunc(slices.Clone(w.placements[first]), func(at time.Time) bool { return at.Before(graceOver) })
+				assertStatedBound(t, after, rate)
 				is.New(t).True(float64(len(after)) >= 0.9*27*rate-1)
 			})
 		}
 	}
 }
 
-// TestAllAtRateLimit looks that requests are refused at once when no endpoint takes them in time,
-// with a time to come back at which one does.
-func TestAllAtRateLimit(t *testing.T) {
-	w := newRateLimitHarness(t, 1, 2, rateModel())
-	w.limit(0.5, "e0", "e1")
+// TestRefusedAtRateLimits checks that a request is refused at once if rate limits let no
+// endpoint accept it in time, with a RetryAfter at which one does.
+func TestRefusedAtRateLimits(t *testing.T) {
+	w := newRateLimitHarness(t, 1, 2, idleModel())
+	w.setLimit(0.5, "e0", "e1")
 	s := w.instances[0]
 	for range 2 {
-		r, decided := w.ask(s, false)
+		r, decided := w.request(s, false)
 		is.New(t).True(decided && r == nil)
 	}
-	r, decided := w.ask(s, false)
+	r, decided := w.request(s, false)
 	is.New(t).True(decided)
 	is.New(t).True(r != nil)
 	is.New(t).True(r.RetryAfter >= 2*time.Second)
 	w.run(2*time.Second, func(int) {})
-	r, decided = w.ask(s, false)
+	r, decided = w.request(s, false)
 	is.New(t).True(decided && r == nil)
 
-	t.Run("one that takes it in time is waited for", func(t *testing.T) {
-		w := newRateLimitHarness(t, 1, 1, rateModel())
-		w.limit(10, "e0")
+	t.Run("waits for an endpoint that accepts it in time", func(t *testing.T) {
+		w := newRateLimitHarness(t, 1, 1, idleModel())
+		w.setLimit(10, "e0")
 		s := w.instances[0]
-		w.ask(s, false)
-		_, decided := w.ask(s, false)
+		w.request(s, false)
+		_, decided := w.request(s, false)
 		is.New(t).True(!decided)
 	})
-	t.Run("those that wait count", func(t *testing.T) {
-		w := newRateLimitHarness(t, 1, 1, rateModel())
-		w.limit(10, "e0")
+	t.Run("waiting requests count", func(t *testing.T) {
+		w := newRateLimitHarness(t, 1, 1, idleModel())
+		w.setLimit(10, "e0")
 		s := w.instances[0]
-		w.ask(s, false)
+		w.request(s, false)
 		refused := 0
 		for i := range 20 {
 			x := s.Submit(PlacementRequest{
@@ -270,43 +275,45 @@
 	})
 }
 
-// TestAloneShareRateLimit has many instances place alone on an endpoint with a limit.
-func TestAloneShareRateLimit(t *testing.T) {
+// TestFallbackInstancesShareRateLimit guards against instances that reach no owner and exceed a
+// rate limit together.
+func TestFallbackInstancesShareRateLimit(t *testing.T) {
 	for _, instances := range []int{3, 30, 300} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
-			w := newRateLimitHarness(t, instances, 1, rateModel())
-			w.limit(2, "e0")
+			w := newRateLimitHarness(t, instances, 1, idleModel())
+			w.setLimit(2, "e0")
 			w.run(20*time.Second, func(ms int) {
 				if ms%10 == 0 {
 					for _, s := range w.instances {
-						w.ask(s, true)
+						w.request(s, true)
 					}
 				}
 			})
-			assertStated(t, w.given["e0"], 2)
-			is.New(t).True(len(w.given["e0"]) >= 10)
+			assertStatedBound(t, w.placements["e0"], 2)
+			is.New(t).True(len(w.placements["e0"]) >= 10)
 		})
 	}
 }
 
-// TestOwnerChangeKeepsRateLimit has each of several owners take over from one of which it knows
-// nothing.
+// TestOwnerChangeKeepsRateLimit checks the stated bound while a new owner takes over that
+// doesn't know the previous placements.
 func TestOwnerChangeKeepsRateLimit(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 3, 10} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
-			w := newRateLimitHarness(t, 2, 1, rateModel())
-			w.limit(rate, "e0")
+			w := newRateLimitHarness(t, 2, 1, idleModel())
+			w.setLimit(rate, "e0")
 			w.run(12*time.Second, func(ms int) {
-				w.ask(w.instances[ms/6000], false)
+				w.request(w.instances[ms/6000], false)
 			})
-			assertStated(t, w.given["e0"], rate)
+			assertStatedBound(t, w.placements["e0"], rate)
 		})
 	}
 }
 
-// TestRateLimitOfAnotherStart has an endpoint start again under its name.
-func TestRateLimitOfAnotherStart(t *testing.T) {
-	w := newRateLimitHarness(t, 1, 1, rateModel())
+// TestRestartEndsRateLimit checks that the rate limit of an endpoint ends when the endpoint
+// restarts under its name.
+func TestRestartEndsRateLimit(t *testing.T) {
+	w := newRateLimitHarness(t, 1, 1, idleModel())
 	s := w.instances[0]
 	s.settings.Notices.ApplyNotice(notice.Notice{
 		Instance:  "e0",
@@ -314,11 +321,11 @@
 		Limited:   true,
 		Revision:  1,
 	})
-	w.ask(s, false)
-	r, _ := w.ask(s, false)
+	w.request(s, false)
+	r, _ := w.request(s, false)
 	is.New(t).True(r != nil)
 	snap := &catalog.Snapshot{
-		Table: route.New(2, nil, []route.Service{{Name: "s", Engine: rateModel()}}, nil, false, route.Limits{}),
+		Table: route.New(2, nil, []route.Service{{Name: "s", Engine: idleModel()}}, nil, false, route.Limits{}),
 		Endpoints: map[string]catalog.Endpoint{
 			"e0": {
 				Instance:  "e0",
@@ -331,7 +338,7 @@
 	}
 	s.Update(snap)
 	for range 3 {
-		r, decided := w.ask(s, false)
+		r, decided := w.request(s, false)
 		is.New(t).True(decided && r == nil)
 	}
 }
@@ -339,9 +346,9 @@
 func BenchmarkUsableWithRateLimits(b *testing.B) {
 	for _, limited := range []int{0, 10, 1000} {
 		b.Run(fmt.Sprint(limited, " of 1000"), func(b *testing.B) {
-			w := newRateLimitHarness(&testing.T{}, 1, 1000, rateModel())
+			w := newRateLimitHarness(&testing.T{}, 1, 1000, idleModel())
 			for i := range limited {
-				w.limit(2, fmt.Sprint("e", i))
+				w.setLimit(2, fmt.Sprint("e", i))
 			}
 			p := w.instances[0].pools["s"]
 			x := &Waiter{}
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -65,8 +65,8 @@
 // entry instance doesn't know. The zero value is ready for use.
 type reconnects struct {
 	// cut holds the interrupted attempts by workload.
-	cut     map[workloadID][]cutAttempt
-	sweptAt time.Time
+	cut       map[workloadID][]cutAttempt
+	expiredAt time.Time
 	// burst is the present reconnect burst, if any.
 	burst reconnectBurst
 	// cuts counts the interrupted attempts, returned those whose callers reconnected, and
@@ -166,10 +166,10 @@
 // expire removes the interrupted attempts whose callers have not reconnected in time. It does
 // so at most once in a reconnectWindow.
 func (r *reconnects) expire(now time.Time) {
-	if now.Sub(r.sweptAt) < reconnectWindow {
+	if now.Sub(r.expiredAt) < reconnectWindow {
 		return
 	}
-	r.sweptAt = now
+	r.expiredAt = now
 	for id, list := range r.cut {
 		r.set(id, slices.DeleteFunc(list, func(c cutAttempt) bool { return !c.isExpected(now) }))
 	}
--- a/pool/reconnect_burst_test.go
+++ b/pool/reconnect_burst_test.go
@@ -14,7 +14,7 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// resettable is a listener whose connections can be reset.
+// resettable is a listener whose accepted connections can be reset.
 type resettable struct {
 	net.Listener
 
@@ -34,12 +34,12 @@
 	return c, nil
 }
 
-// reset resets all connections.
+// reset resets all accepted connections.
 func (r *resettable) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.conns {
-		// A connection that has ended already needs no reset.
+		// Errors are ignored, as the connection may have ended already.
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
 	}
@@ -53,12 +53,12 @@
 	}
 }
 
-// longOpen is how long sessions are open before they are reset: longer than the pause
-// between two tries.
+// longOpen is how long sessions are open before a reset: longer than the pause between two
+// attempts to connect.
 const longOpen = 400 * time.Millisecond
 
-// TestOwnerStaysAfterReset resets all connections between instances: they ask the same
-// owner as before, at once and later, since no instance has ended.
+// TestOwnerStaysAfterReset checks that after a reset of all connections between the instances
+// the same owner decides, since no instance has ended.
 func TestOwnerStaysAfterReset(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 5)
@@ -77,9 +77,9 @@
 	is.Equal(by[owner.self.ID], 40*len(f.nodes))
 }
 
-// TestCutAttemptsAreEnded ends attempts while the link to the owner is reset: the owner
-// knows as soon as the entry is back what still runs, and what does not.
-func TestCutAttemptsAreEnded(t *testing.T) {
+// TestAttemptsEndedDuringReset checks that the owner learns which attempts ended while its link
+// to the entry instance was reset, as soon as that instance is connected again.
+func TestAttemptsEndedDuringReset(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
 	owner := f.owner("")
@@ -96,7 +96,7 @@
 	}
 	time.Sleep(longOpen)
 	owner.listener.reset()
-	// The link is down for a round trip or more after the reset.
+	// The link is down for at least a round trip after the reset.
 	for i := range ended {
 		entry.client.End(fmt.Sprint("cut-", i), "engines", pool.Abandoned, "")
 	}
@@ -109,9 +109,9 @@
 	is.Equal(owner.scheduler.Stats()["engines"].Placed, attempts-ended)
 }
 
-// TestOwnerTellsToMove lets two entries suspect streams of one engine: the owner tells
-// those that are to move, also its own.
-func TestOwnerTellsToMove(t *testing.T) {
+// TestOwnerMigratesSilentStreams checks that the owner tells the entry instances, also itself,
+// to migrate their streams when two of them report silences of the same engine.
+func TestOwnerMigratesSilentStreams(t *testing.T) {
 	f := newFleet(t, 0)
 	for _, name := range []string{"e1", "e2", "e3"} {
 		delete(f.snap.Endpoints, name)
@@ -144,7 +144,7 @@
 		case id := <-moved:
 			got[id] = true
 		case <-time.After(time.Second):
-			t.Fatalf("told to move: %v", got)
+			t.Fatalf("told to migrate: %v", got)
 		}
 	}
 }
--- a/pool/slowdown_fleet_test.go
+++ b/pool/slowdown_fleet_test.go
@@ -12,13 +12,12 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// TestPaceOfMany has some of many engines become slow. The event of one tells it; the others are
-// found out by questions, few where only one is slow, and never more at a moment than an owner
-// bears: with 3,000 engines, asking all at once took it 5,005 connections and 195 MB; 334 and 48 now.
-func TestPaceOfMany(t *testing.T) {
+// TestSlowdownQueriesInLargePool checks that the slow engines among many are found quickly
+// after one of them deviates, with few queries in total and a bounded number at a time.
+func TestSlowdownQueriesInLargePool(t *testing.T) {
 	const (
 		engines = 1000
-		// atOnce is how many engines may be asked at a moment.
+		// atOnce bounds the queries of one update.
 		atOnce = 64
 		within = 2 * time.Second
 		step   = 25 * time.Millisecond
@@ -26,7 +25,7 @@
 	for _, row := range []struct {
 		name string
 		slow int
-		// most is how many questions may be asked before the slow ones are known.
+		// most bounds the queries until the slow engines are known.
 		most int
 	}{
 		{"one is slow", 1, 1 + atOnce},
@@ -34,32 +33,32 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newPacePool(t, engines, pool.SlowdownQueriedOrEstimated)
+			f := newSlowdownHarness(t, engines, pool.SlowdownQueriedOrEstimated)
 			for i := range row.slow {
-				f.tells[fmt.Sprint("e", i*engines/row.slow)] = 3
+				f.reports[fmt.Sprint("e", i*engines/row.slow)] = 3
 			}
-			f.serve(f.on("e0"), 3, 0)
-			asked := func() int {
+			f.serve(f.requestFor("e0"), 3, 0)
+			queries := func() int {
 				n := 0
-				for _, times := range f.asked {
+				for _, times := range f.queries {
 					n += times
 				}
 				return n
 			}
 			took := time.Duration(0)
-			for ; took < within && f.figures().Slow < row.slow; took += step {
-				before := asked()
-				f.rest(step)
-				f.pool.Submit(ownPrompt())
-				is.True(asked()-before <= atOnce)
-				f.answer()
+			for ; took < within && f.stats().Slow < row.slow; took += step {
+				before := queries()
+				f.advance(step)
+				f.pool.Submit(soloPrompt())
+				is.True(queries()-before <= atOnce)
+				f.deliver()
 			}
-			// What is doubted still is asked about, too.
-			f.rest(step)
-			f.pool.Submit(ownPrompt())
-			t.Logf("%d questions, %d engines known to be slow after %v", asked(), f.figures().Slow, took)
-			is.Equal(f.figures().Slow, row.slow)
-			is.True(asked() <= row.most)
+			// Queries the engines that are still unsure.
+			f.advance(step)
+			f.pool.Submit(soloPrompt())
+			t.Logf("%d queries, %d engines known to be slow after %v", queries(), f.stats().Slow, took)
+			is.Equal(f.stats().Slow, row.slow)
+			is.True(queries() <= row.most)
 		})
 	}
 }
--- a/pool/slowdown_query_test.go
+++ b/pool/slowdown_query_test.go
@@ -14,9 +14,9 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// TestWorkOfUnlikeEngines looks that what engines have to read counts by their model, and
-// how much of it they do in a second by their pace.
-func TestWorkOfUnlikeEngines(t *testing.T) {
+// TestPendingPrefillOfUnequalEngines checks that pending prefill is measured in seconds of the
+// model, and the speed of engines by their slowdown.
+func TestPendingPrefillOfUnequalEngines(t *testing.T) {
 	is := is.New(t)
 	p := busyPool()
 	p.list = append(p.list, busyPool().list...)
@@ -27,33 +27,33 @@
 	is.Equal(p.countSlow(), 1)
 }
 
-// countedReports counts questions, which nothing answers. It implements SlowdownQuerier.
-type countedReports struct {
-	asked int
+// countingQuerier counts queries and answers none. It implements SlowdownQuerier.
+type countingQuerier struct {
+	queries int
 }
 
 // QuerySlowdown implements SlowdownQuerier.
-func (c *countedReports) QuerySlowdown(string, func(float64)) {
-	c.asked++
+func (c *countingQuerier) QuerySlowdown(string, func(float64)) {
+	c.queries++
 }
 
-// TestAloneDoesNotAsk looks that an instance asks engines while it decides for all, and not
-// while no owner is in touch: there may be many such instances.
-func TestAloneDoesNotAsk(t *testing.T) {
+// TestFallbackInstanceDoesNotQuery checks that an instance queries engines while it decides for
+// all instances, but not while it reaches no owner.
+func TestFallbackInstanceDoesNotQuery(t *testing.T) {
 	for _, row := range []struct {
-		name  string
-		alone bool
-		asked int
+		name     string
+		fallback bool
+		queries  int
 	}{
-		{"decides for all", false, 1},
-		{"alone", true, 0},
+		{"owner", false, 1},
+		{"no owner reachable", true, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			now := moment
-			reports := &countedReports{}
+			querier := &countingQuerier{}
 			s := NewScheduler(Settings{
-				SlowdownQuerier: reports,
+				SlowdownQuerier: querier,
 				Now:             func() time.Time { return now },
 			}, logr.Discard())
 			p := s.pool("engines")
@@ -72,11 +72,11 @@
 				Prompt:   10_000,
 				Target:   time.Second,
 				Deadline: time.Minute,
-			}, row.alone)
+			}, row.fallback)
 			is.True(len(w.granted) == 1)
 			now = now.Add(300 * time.Millisecond)
 			s.First("a", "engines")
-			is.Equal(reports.asked, row.asked)
+			is.Equal(querier.queries, row.queries)
 		})
 	}
 }
--- a/pool/unavailable_test.go
+++ b/pool/unavailable_test.go
@@ -12,8 +12,8 @@
 	"github.com/linkmast/linkmast/notice"
 )
 
-// leave has all instances know that endpoints leave.
-func (w *rateLimitHarness) leave(names ...string) {
+// setLeaving makes all instances know that the named endpoints are leaving.
+func (w *rateLimitHarness) setLeaving(names ...string) {
 	for _, s := range w.instances {
 		for _, name := range names {
 			s.settings.Notices.ApplyNotice(notice.Notice{
@@ -25,19 +25,20 @@
 	}
 }
 
-// assertPlaced checks that requests get places, none of them on an endpoint.
-func assertPlaced(t *testing.T, w *rateLimitHarness, but string) {
+// assertPlacedElsewhere checks that requests are placed at once, none of them on the given
+// endpoint.
+func assertPlacedElsewhere(t *testing.T, w *rateLimitHarness, but string) {
 	t.Helper()
 	for range 5 {
-		r, decided := w.ask(w.instances[0], false)
+		r, decided := w.request(w.instances[0], false)
 		is.New(t).True(decided && r == nil)
 	}
-	is.New(t).Equal(len(w.given[but]), 0)
+	is.New(t).Equal(len(w.placements[but]), 0)
 }
 
-// TestLeavingGetsNothing looks that endpoints which say that they leave get nothing, and that
-// requests are refused at once when all do.
-func TestLeavingGetsNothing(t *testing.T) {
+// TestLeavingEndpointGetsNoRequests checks that leaving endpoints get no requests, and that
+// requests are refused at once if all endpoints are leaving.
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		plain bool
@@ -46,30 +47,30 @@
 		{"plain", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			model := rateModel()
+			model := idleModel()
 			if c.plain {
 				model = nil
 			}
 			w := newRateLimitHarness(t, 1, 2, model)
-			w.leave("e0")
-			assertPlaced(t, w, "e0")
-			w.leave("e1")
-			r, decided := w.ask(w.instances[0], false)
+			w.setLeaving("e0")
+			assertPlacedElsewhere(t, w, "e0")
+			w.setLeaving("e1")
+			r, decided := w.request(w.instances[0], false)
 			is.New(t).True(decided && r != nil)
 			is.New(t).True(r.RetryAfter >= leavingRetryAfter)
 		})
 	}
 }
 
-// TestLeavingAndLimited looks that the time to come back is that of the endpoint which takes a
-// request again.
-func TestLeavingAndLimited(t *testing.T) {
-	w := newRateLimitHarness(t, 1, 2, rateModel())
-	w.leave("e0")
-	w.limit(0.2, "e1")
+// TestRetryAfterOfRateLimitedEndpoint checks that RetryAfter follows the rate limit of the only
+// endpoint that is not leaving.
+func TestRetryAfterOfRateLimitedEndpoint(t *testing.T) {
+	w := newRateLimitHarness(t, 1, 2, idleModel())
+	w.setLeaving("e0")
+	w.setLimit(0.2, "e1")
 	assert := func(refused bool) {
 		t.Helper()
-		r, decided := w.ask(w.instances[0], false)
+		r, decided := w.request(w.instances[0], false)
 		is.New(t).True(decided)
 		is.New(t).Equal(r != nil, refused)
 		if refused {
@@ -82,15 +83,15 @@
 	assert(false)
 }
 
-// TestBackoffOfOneEntry looks that the requests of an entry that was asked for a back-off go elsewhere,
-// those of others don't, and that its requests are refused at once when all endpoints back off.
-func TestBackoffOfOneEntry(t *testing.T) {
-	w := newRateLimitHarness(t, 1, 2, rateModel())
+// TestBackoffAppliesToOneEntry checks that a back-off applies only to requests of the entry
+// instance that was asked for it, and that these are refused at once if all endpoints back off.
+func TestBackoffAppliesToOneEntry(t *testing.T) {
+	w := newRateLimitHarness(t, 1, 2, idleModel())
 	s := w.instances[0]
 	place := func(entry string, backoffs ...Backoff) (string, *Refusal) {
-		w.asked++
+		w.count++
 		x := s.submitFor(PlacementRequest{
-			ID:       fmt.Sprint("r", w.asked),
+			ID:       fmt.Sprint("r", w.count),
 			Service:  "s",
 			Prompt:   100,
 			Target:   300 * time.Millisecond,
@@ -111,7 +112,7 @@
 	is.New(t).True(r != nil)
 	is.New(t).True(r.RetryAfter >= 2*time.Second && r.RetryAfter <= 4*time.Second)
 
-	t.Run("one that soon takes a request again is waited for", func(t *testing.T) {
+	t.Run("waits for an endpoint whose back-off ends soon", func(t *testing.T) {
 		x := s.Submit(PlacementRequest{
 			ID:       "waits",
 			Service:  "s",
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -19,8 +19,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// slowEngine reads a prompt of 100 000 tokens in a second, in passes of some
-// hundredths of a second.
+// slowEngine returns the model of an engine that prefills 100 000 tokens in a second, in passes
+// of some 10 ms.
 func slowEngine() *batch.Model {
 	return &batch.Model{
 		Slots:            4,
@@ -32,8 +32,8 @@
 	}
 }
 
-// background starts run in a goroutine. It returns the context that run has, and what
-// ends that and waits for run to return.
+// background starts run in a goroutine. It returns the context of run, and a function that
+// cancels the context and waits for run to return.
 func background(t *testing.T, run func(context.Context)) (context.Context, func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -48,8 +48,7 @@
 	}
 }
 
-// withSlowEngine runs a test with a scheduler of a pool of one slow engine, in virtual
-// time.
+// withSlowEngine runs f in virtual time, with a scheduler that knows one slow engine.
 func withSlowEngine(t *testing.T, f func(ctx context.Context, is *is.I, s *pool.Scheduler)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -75,7 +74,7 @@
 	})
 }
 
-// prompt returns a request with a prompt that is in time within a target.
+// prompt returns a request with the given prompt length and target.
 func prompt(id string, tokens int, target time.Duration) pool.PlacementRequest {
 	return pool.PlacementRequest{
 		ID:       id,
@@ -87,16 +86,15 @@
 	}
 }
 
-// returning returns the same of a caller that has come back.
+// returning returns the same request of a caller that has come back.
 func returning(id string, tokens int, target time.Duration) pool.PlacementRequest {
 	a := prompt(id, tokens, target)
 	a.Returning = true
 	return a
 }
 
-// TestWaitsForTimelyPlace looks that the request of a caller that has come back, which
-// would be late now, is not placed while it may still be in time, and is placed late
-// once it can't be.
+// TestWaitsForTimelyPlace checks that the request of a returning caller, which would be late
+// now, waits while it may still be in time, and is placed late once it can't be.
 func TestWaitsForTimelyPlace(t *testing.T) {
 	t.Run("room in time", func(t *testing.T) {
 		withSlowEngine(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
@@ -121,28 +119,29 @@
 	})
 }
 
-// TestRefusedAtOnce looks that a request is refused at once when it can't be served as
-// its caller needs it, with a time to come back at which there is room.
+// TestRefusedAtOnce checks that a request which can't be served as its caller needs it is
+// refused at once, with a RetryAfter at which there is room.
 func TestRefusedAtOnce(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// before is what the engine has to read when the request comes.
-		before int
-		ask    pool.PlacementRequest
-		// after is the least time to come back; zero means that the request is placed.
+		// before is the number of tokens that the engine has to prefill when the request
+		// arrives.
+		before  int
+		request pool.PlacementRequest
+		// after is the least RetryAfter; zero means that the request is placed.
 		after time.Duration
 	}{
 		{"first try in time", 50_000, prompt("r", 50_000, 1400*time.Millisecond), 0},
 		{"first try too late", 400_000, prompt("r", 50_000, 1400*time.Millisecond), 4 * time.Second},
 		{"returning, late", 400_000, returning("r", 50_000, 1400*time.Millisecond), 0},
-		{"returning, after its caller goes", 800_000, returning("r", 50_000, 1400*time.Millisecond), 8 * time.Second},
+		{"returning, after its caller gives up", 800_000, returning("r", 50_000, 1400*time.Millisecond), 8 * time.Second},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			withSlowEngine(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
 				_, err := s.Place(ctx, prompt("before", row.before, 10*time.Second))
 				is.NoErr(err)
 				began := time.Now()
-				_, err = s.Place(ctx, row.ask)
+				_, err = s.Place(ctx, row.request)
 				if row.after == 0 {
 					is.NoErr(err)
 					return
@@ -156,8 +155,8 @@
 	}
 }
 
-// TestShortWaitsForSlot looks that a short request that has come back waits for a slot,
-// however much the engines have to read before it: it is read beside the long prompts.
+// TestShortWaitsForSlot checks that the short request of a returning caller waits for a slot,
+// however much prefill is pending, since it is prefilled beside the long prompts.
 func TestShortWaitsForSlot(t *testing.T) {
 	withSlowEngine(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
 		for i := range 4 {
@@ -177,8 +176,8 @@
 	})
 }
 
-// TestPriorityInQueue lets two requests wait for a slot: the one of the customer with the
-// higher priority goes first, though it came later.
+// TestPriorityInQueue checks that of two requests that wait for a slot, the one of the customer
+// with the higher priority goes first though it arrived later.
 func TestPriorityInQueue(t *testing.T) {
 	withSlowEngine(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
 		for i := range 4 {
