--- a/pool/overload_test.go
+++ b/pool/overload_test.go
@@ -60,7 +60,7 @@
 	arrived map[int]int
 	inTime  map[int]int
 	late    map[int]int
-	// outage is the time until which all tries fail.
+	// outage is the time, from the start, until which all tries fail.
 	outage time.Duration
 	began  time.Time
 }
@@ -228,8 +228,8 @@
 	return float64(inTime) / float64(arrived)
 }
 
-// TestNewCallersServedAfterOutage guards against an outage whose callers, when they come back
-// late, take the slots from new callers, which can still be in time.
+// TestNewCallersServedAfterOutage guards against callers that come back after an outage,
+// already late, and take the slots from new callers, which can still be in time.
 func TestNewCallersServedAfterOutage(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/pool/price.go
+++ b/pool/price.go
@@ -20,13 +20,13 @@
 	priceFullShare = 0.1
 )
 
-// price estimates what a second of engine time is worth to other requests, from the requests
-// that were displaced recently, that is, refused or placed late for lack of capacity:
+// price estimates what a second of engine time is worth to other requests. It is derived from
+// the requests that were displaced recently, that is, refused or placed too late to be in time:
 //
 //	price = priceShare × lost / displaced × min(1, displaced / (priceFullShare × asked))
 //
-// The price is zero if nothing was displaced. poolState.priceNow scales it by the utilization
-// of the engines, so that idle engines are free to use.
+// The price is zero if no request was displaced. poolState.priceNow scales it by the
+// utilization of the engines, so that idle engines are free to use.
 //
 // It guards against a collapse under overload by short prompts, in which callers that have come
 // back fill the slots with late answers. The zero value is ready for use.
@@ -42,7 +42,7 @@
 }
 
 // note records the decision on a request: the engine time that it takes, and the worth that it
-// loses for lack of capacity, which is zero if it was not displaced.
+// loses by being displaced, which is zero if it is served in time.
 func (p *price) note(work time.Duration, lost float64, now time.Time) {
 	p.decay(now)
 	p.asked += work.Seconds()
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -59,10 +59,10 @@
 	worth float64
 }
 
-// reconnects holds attempts that were interrupted and whose callers may reconnect. After a
-// reset of connections or the loss of an instance, these are all attempts that ran there. A
-// request of a caller that reconnects is due when the interrupted attempt was, which its new
-// entry instance doesn't know. The zero value is ready for use.
+// reconnects holds the attempts that were interrupted and whose callers may reconnect. After a
+// reset of connections or the loss of an instance, many callers do so at once. The request of a
+// caller that reconnects is due when the interrupted attempt was due, which its new entry
+// instance doesn't know. The zero value is ready for use.
 type reconnects struct {
 	// cut holds the interrupted attempts by workload.
 	cut       map[workloadID][]cutAttempt
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -68,8 +68,8 @@
 	return s.refuseWaited(w, now)
 }
 
-// refusal returns a refusal whose caller may come back once the given work ahead is done, at a
-// random time.
+// refusal returns a refusal with the given reason. Its RetryAfter is at least ahead, the time
+// that the work ahead of the request takes, plus a random time.
 func (s *Scheduler) refusal(reason string, ahead time.Duration) *Refusal {
 	return &Refusal{
 		Reason:     reason,
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -184,8 +184,8 @@
 
 // observeFirstEvent compares the first event of an attempt with its prediction, after deducting
 // the delay that all engines have in common. An event that deviates makes the slowdown of its
-// engines unsure. It also becomes a sample, except after a joint prefill, in which it isn't
-// known which engine was late.
+// engines unsure. The event also becomes a sample, unless its predicted time is too short or
+// several engines did the prefill, as it isn't known then which of them was late.
 func (p *poolState) observeFirstEvent(at *attempt, late time.Duration, now time.Time) {
 	took := now.Sub(at.placedAt) - p.transit.time
 	predicted := took - late
--- a/pool/slowdown_test.go
+++ b/pool/slowdown_test.go
@@ -152,8 +152,8 @@
 	return prompt("", 400_000, 2*time.Second)
 }
 
-// TestDeviationTriggersQuery checks that an engine is queried if and only if its first events
-// deviate from the prediction.
+// TestDeviationTriggersQuery checks that an engine is queried if its first events deviate from
+// the prediction, and only then.
 func TestDeviationTriggersQuery(t *testing.T) {
 	for _, row := range []struct {
 		name     string
--- a/pool/state.go
+++ b/pool/state.go
@@ -164,7 +164,8 @@
 // shareRetryBudget divides the retry budget of the service among the instances. Half of Extra
 // is for the pool's owner, which may change, and half for all instances together while they
 // place without an owner. In a plain pool each instance usually places its own requests, so
-// there the instances share all of Extra.
+// there the instances share all of Extra. It also sets the number of instances that share rate
+// limits.
 func (p *poolState) shareRetryBudget(whole Budget, instances int) {
 	p.ownerRetries.budget = Budget{
 		Ratio:  whole.Ratio * retryBudgetShare,
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -57,7 +57,7 @@
 	return n
 }
 
-// availability is when endpoints accept requests again.
+// availability states when the endpoints that don't accept a request now will accept it.
 type availability struct {
 	// soonest is when the first eligible endpoint accepts the request, and rate how many
 	// requests a second all eligible endpoints accept; zero if there are none.
@@ -70,7 +70,7 @@
 	someLeaving bool
 }
 
-// availability returns when endpoints accept requests again.
+// availability returns when the endpoints of the pool accept a request.
 func (p *poolState) availability(w *Waiter, now time.Time) availability {
 	v := p.notices.View()
 	var o availability
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -20,7 +20,7 @@
 )
 
 // slowEngine returns the model of an engine that prefills 100 000 tokens in a second, in passes
-// of some 10 ms.
+// of some tens of milliseconds.
 func slowEngine() *batch.Model {
 	return &batch.Model{
 		Slots:            4,
@@ -94,7 +94,7 @@
 }
 
 // TestWaitsForTimelyPlace checks that the request of a returning caller, which would be late
-// now, waits while it may still be in time, and is placed late once it can't be.
+// now, waits while it may still be in time, and is placed late if that becomes impossible.
 func TestWaitsForTimelyPlace(t *testing.T) {
 	t.Run("room in time", func(t *testing.T) {
 		withSlowEngine(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
