--- a/pool/decide.go
+++ b/pool/decide.go
@@ -59,9 +59,9 @@
 	return Grant{}, false
 }
 
-// rotated returns the engines in an order that starts at a different engine on each instance.
-// Plans fill engines from the front of the list, so that instances which place independently of
-// each other would otherwise overload the same engines.
+// rotated returns the engines in an order whose start depends on the instance. Plans fill
+// engines from the front of the list, so that instances which place independently of each other
+// would otherwise overload the same engines.
 func (s *Scheduler) rotated(list []*placement.Engine) []*placement.Engine {
 	at := rendezvous.Index(s.settings.Self, len(list))
 	return slices.Concat(list[at:], list[:at])
--- a/pool/state.go
+++ b/pool/state.go
@@ -35,7 +35,7 @@
 	// the one for decisions while no owner is reachable.
 	ownerRetries    retryCounter
 	fallbackRetries retryCounter
-	// predictions counts the accurate predictions of first events.
+	// predictions counts the predictions of first events, and those that were accurate.
 	predictions predictionStats
 	// worth computes the value of requests.
 	worth *worth.Scale
