--- a/catalog/announcing.go
+++ b/catalog/announcing.go
@@ -11,28 +11,28 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// The times of writing the entries of instances that have started. Those of many go into
-// the store with one call: it takes such calls in turn.
+// Timing of writing the entries of started instances. Many entries are written in one call,
+// because the store processes these calls one at a time.
 const (
-	// announceBatchDelay is how long entries are gathered after the first one.
+	// announceBatchDelay is how long entries are collected after the first one.
 	announceBatchDelay = 100 * time.Millisecond
-	// announceTimeout bounds one call.
+	// announceTimeout is the timeout of one call that writes entries.
 	announceTimeout = 2 * time.Second
-	// announceRetryDelay is how long after a call that failed it is made again, unless the
-	// entries stand by then: it may have been done all the same.
+	// announceRetryDelay is the delay before a failed call is repeated for the entries that
+	// have not appeared by then. A call that failed may have been executed.
 	announceRetryDelay = 2 * time.Second
-	// forwardRetryDelay is how long after an instance that did not take them over entries are
-	// handed on again: one that starts at the same time may not listen yet.
+	// forwardRetryDelay is the delay before entries are forwarded again to an instance that did
+	// not accept them, which may still be starting.
 	forwardRetryDelay = 100 * time.Millisecond
-	// ownEntryCheckInterval is how often an instance looks whether its own entry stands. It takes
-	// so long until others have written it.
+	// ownEntryCheckInterval is how often an instance checks that its own entry is in the store,
+	// and how long it waits for others to write it.
 	ownEntryCheckInterval = 3 * time.Second
 )
 
-// maxAnnounced bounds how many entries one call or message has.
+// maxAnnounced is the maximum number of entries in one call or message.
 const maxAnnounced = 1000
 
-// announceLoop sees to the entries of this instance and of those that have told it of
+// announceLoop writes or forwards the entries of this instance and of those that sent it
 // theirs, until ctx ends.
 func (c *Catalog) announceLoop(ctx context.Context) {
 	failures := 0
@@ -58,8 +58,8 @@
 	}
 }
 
-// checkOwnEntry adds this instance to the newcomers if its entry lacks although it was
-// there to be written for a while.
+// checkOwnEntry adds this instance to the pending entries if its entry is due and missing in
+// the store.
 func (c *Catalog) checkOwnEntry() {
 	due := c.ownEntryDue.Load()
 	if due == nil || steady.Now().Before(*due) || !c.knowsPeers() || c.entryStored(c.settings.Self) {
@@ -70,7 +70,7 @@
 	c.pending.add(c.settings.Self)
 }
 
-// knowsPeers states whether the entries of the instances are known.
+// knowsPeers reports whether this instance has received all entries of the Peers feed.
 func (c *Catalog) knowsPeers() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +78,7 @@
 	return known
 }
 
-// entryStored states whether the entry of an instance is known to be in the store.
+// entryStored reports whether the store is known to contain exactly this entry of an instance.
 func (c *Catalog) entryStored(p Peer) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,11 +86,11 @@
 	return len(c.records[Peers][p.ID].Value) > 0 && known == p
 }
 
-// announceDue writes the entries that are due, or hands them on to whom this instance
-// follows, so that those of many instances go into the store together. It returns false when
-// that failed, after a number of failures in a row.
+// announceDue writes the due entries to the store or forwards them to the followed instance, so
+// that those of many instances are written together. It returns false if that failed; failures
+// is the number of consecutive failures before.
 func (c *Catalog) announceDue(ctx context.Context, failures int) bool {
-	to, known := c.announceTarget()
+	target, known := c.announceTarget()
 	if !known {
 		return true
 	}
@@ -100,16 +100,16 @@
 	}
 	retry := announceRetryDelay
 	var err error
-	if to == "" {
+	if target == "" {
 		err = c.announce(ctx, due)
 	} else {
 		retry = forwardRetryDelay
-		err = c.forwardEntries(ctx, to, due)
+		err = c.forwardEntries(ctx, target, due)
 	}
 	if err != nil {
 		c.pending.postpone(due, steady.Now().Add(retry))
 		if shouldLogFailure(failures + 1) {
-			c.log.Info("entries of instances not written", "instances", len(due), "failures", failures+1, "by", to, "cause", err.Error())
+			c.log.Info("entries of instances not written", "instances", len(due), "failures", failures+1, "by", target, "cause", err.Error())
 		}
 		return false
 	}
@@ -117,8 +117,8 @@
 	return true
 }
 
-// announceTarget returns the address of the instance that this one hands entries to, which is
-// empty if it writes them itself; false while it can do neither.
+// announceTarget returns the address of the instance to which this one forwards entries, or ""
+// if it writes them itself. It returns false if it can do neither yet.
 func (c *Catalog) announceTarget() (address string, known bool) {
 	if c.storeAnswered.within(c.freshFor()) {
 		return "", true
@@ -132,7 +132,7 @@
 	return "", c.joined.Load() && c.knowsPeers()
 }
 
-// announce writes entries.
+// announce writes entries to the store.
 func (c *Catalog) announce(ctx context.Context, due []Peer) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// forwardEntries hands entries on to another instance.
+// forwardEntries sends entries to another instance, which writes or forwards them.
 func (c *Catalog) forwardEntries(ctx context.Context, address string, due []Peer) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
--- a/catalog/apply.go
+++ b/catalog/apply.go
@@ -8,37 +8,36 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// recordSource is where records come from.
+// recordSource tells where a batch of records comes from.
 type recordSource int
 
 // The sources of records.
 const (
-	// fromStore are records that this instance read: it may have to doubt
-	// removals.
+	// fromStore marks records that this instance read. Removals of endpoints among them may be
+	// held back.
 	fromStore recordSource = iota
-	// fromPeer are records of an instance that is followed. They took effect
-	// there, so that doubts are over.
+	// fromPeer marks records from the followed instance, which has already held back removals.
 	fromPeer
 )
 
-// maxRecordLogs is how many records that come together have a line each; of more there is one
-// line. An instance that starts hears of all endpoints and instances, and in a fleet as many
-// others start with it.
+// maxRecordLogs is the number of records in a batch up to which each has its own log line.
+// Larger batches, as at the start of an instance, are logged as a whole.
 const maxRecordLogs = 16
 
-// batch are records of a feed that come together: all there is before next of the whole
-// parts of the feed, so that what is missing there has gone.
+// batch contains records of one feed. For the parts in whole, it contains all records before
+// the offset next, so that keys missing from it have been deleted.
 type batch struct {
 	feed    Feed
 	records []Record
 	next    int64
 	whole   parts
-	// more states that further parts follow, so that not all before next is known yet.
+	// more is set if the batch is followed by further parts, so that next must not be stored
+	// yet.
 	more bool
 	from recordSource
 }
 
-// apply takes over a batch of records after which none are to follow.
+// apply applies records that no further part follows.
 func (c *Catalog) apply(f Feed, records []Record, next int64, whole parts, from recordSource) {
 	c.applyBatch(batch{
 		feed:    f,
@@ -49,7 +48,8 @@
 	})
 }
 
-// applyBatch takes over a batch of records.
+// applyBatch applies a batch of records, updates the topology if the instances changed, and
+// publishes a snapshot if anything changed.
 func (c *Catalog) applyBatch(b batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,13 +82,13 @@
 	}
 }
 
-// applyRecord takes over a record if it is newer than what is known. It returns
-// whether that changed anything.
+// applyRecord applies a record if it is newer than the known one of its key. It returns whether
+// it changed anything.
 func (c *Catalog) applyRecord(f Feed, r Record, from recordSource) bool {
 	if old, known := c.records[f][r.Key]; known && r.Offset <= old.Offset {
 		return false
 	}
-	if w, waits := c.heldRemovals[r.Key]; f == Endpoints && waits && from == fromStore && r.Offset <= w.record.Offset {
+	if held, waits := c.heldRemovals[r.Key]; f == Endpoints && waits && from == fromStore && r.Offset <= held.record.Offset {
 		return false
 	}
 	switch v := c.store.Decode(f, r).(type) {
@@ -125,27 +125,27 @@
 	return true
 }
 
-// commitRecord keeps a record that took effect, and hands it on to followers.
+// commitRecord stores a record that has been applied, and adds it to the journal for followers.
 func (c *Catalog) commitRecord(f Feed, r Record) {
 	before := c.records[f][r.Key]
 	c.records[f][r.Key] = r
 	c.checksums[f].toggle(before)
 	c.checksums[f].toggle(r)
 	c.journal.add(f, r, before)
-	long := recordKey{
+	id := recordKey{
 		feed: f,
 		key:  r.Key,
 	}
-	delete(c.packedValues, long)
+	delete(c.packedValues, id)
 	if len(r.Value) >= minPackedBytes {
-		c.packedValues[long] = newPackedValue(r, Record{})
+		c.packedValues[id] = newPackedValue(r, Record{})
 	}
 }
 
-// applyTable brings a configuration into force if it is newer.
+// applyTable puts a configuration into force if its version is higher than the current one.
 func (c *Catalog) applyTable(v *TableChange) {
 	if c.table != nil && v.Table.Version <= c.table.Version {
-		c.log.V(1).Info("configuration is not newer", "version", v.Table.Version, "in_force", c.table.Version)
+		c.log.V(1).Info("configuration ignored, not newer than the one in force", "version", v.Table.Version, "in_force", c.table.Version)
 		return
 	}
 	before := int64(0)
@@ -156,8 +156,8 @@
 	c.log.Info("configuration in force", "version", v.Table.Version, "before", before, "routes", len(v.Table.Routes))
 }
 
-// applyEndpoint takes over an entry, and returns false for one of an older life that came
-// late. An endpoint that said that it leaves does not come back in the same life.
+// applyEndpoint applies the entry of an endpoint. It returns false for a late entry of an older
+// incarnation. Within one incarnation, a leaving endpoint stays leaving.
 func (c *Catalog) applyEndpoint(e Endpoint) bool {
 	if !c.incarnations.accept(e) {
 		c.log.Info("entry of an older life ignored", "endpoint", e.Instance, "born", e.StartedAt)
@@ -177,15 +177,14 @@
 	if e.Leaving {
 		c.markDeparted(e.Instance)
 	} else {
-		// An entry that had lapsed is back, or the endpoint has started again.
+		// The entry was renewed after it had lapsed, or the endpoint has restarted.
 		delete(c.departed, e.Instance)
 	}
 	return true
 }
 
-// applyInvalidEndpoint takes over a record of an endpoint that names none to use: what was known
-// under its key gets nothing new until the key has a good entry. It returns whether
-// anything was known.
+// applyInvalidEndpoint applies a malformed endpoint record: it removes the endpoint with this
+// key until a valid entry arrives. It returns whether the endpoint was known.
 func (c *Catalog) applyInvalidEndpoint(r Record) bool {
 	if _, known := c.endpoints.get(r.Key); known {
 		c.removeEndpointNow(r, "its entry names no endpoint to use")
@@ -195,15 +194,15 @@
 	return false
 }
 
-// markDeparted notes that an endpoint leaves or is gone.
+// markDeparted records when an endpoint started to leave or was removed.
 func (c *Catalog) markDeparted(instance string) {
 	if _, known := c.departed[instance]; !known {
 		c.departed[instance] = steady.Now()
 	}
 }
 
-// removeEndpoint ends an endpoint: at once, or in doubt only when its entry has not come
-// back by then. It returns whether the endpoint ended.
+// removeEndpoint removes an endpoint, or holds the removal back if it was read from the store
+// during or shortly after an outage. It returns whether the endpoint was removed.
 func (c *Catalog) removeEndpoint(r Record, from recordSource) bool {
 	if _, known := c.endpoints.get(r.Key); !known {
 		c.commitRecord(Endpoints, r)
@@ -224,7 +223,7 @@
 	return false
 }
 
-// removeEndpointNow ends an endpoint. The reason is for the log.
+// removeEndpointNow removes an endpoint and logs the reason.
 func (c *Catalog) removeEndpointNow(r Record, reason string) {
 	c.endpoints.remove(r.Key)
 	delete(c.heldRemovals, r.Key)
@@ -233,15 +232,15 @@
 	c.log.Info("endpoint gone", "endpoint", r.Key, "reason", reason)
 }
 
-// dropMissing removes what a whole read of some parts of a feed up to an offset did not
-// show; the configuration stays in force. It returns whether that changed anything.
+// dropMissing deletes the keys of the given parts that a full read up to the offset next did
+// not return, except the configuration. It returns whether anything changed.
 func (c *Catalog) dropMissing(f Feed, whole parts, seen map[string]bool, next int64, from recordSource) bool {
 	changed := false
 	for key, old := range c.records[f] {
 		if seen[key] || !whole.has(key) || len(old.Value) == 0 || old.Offset >= next || c.isTable(f, key) {
 			continue
 		}
-		// The record that ended the key is gone too; it lay before next.
+		// The store no longer keeps the record that deleted the key; its offset was below next.
 		changed = c.applyRecord(f, Record{
 			Key:    key,
 			Offset: next - 1,
@@ -250,7 +249,7 @@
 	return changed
 }
 
-// expire removes the endpoints whose time after an outage is over.
+// expire applies the held removals that are due.
 func (c *Catalog) expire(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,7 +266,8 @@
 	}
 }
 
-// holdRemovals notes that the store could not be read at a moment.
+// holdRemovals extends the time for which removals of endpoints are held back, after a read
+// failed at the given time.
 func (c *Catalog) holdRemovals(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -15,158 +15,162 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// Settings are the measures of a Catalog. A zero value means the default.
+// Settings configures a Catalog. Zero values of Readers and of the durations select the
+// defaults.
 type Settings struct {
-	// Self is this instance.
+	// Self is the entry of this instance.
 	Self Peer
-	// Readers is how many instances read the store at least; the default is 2.
+	// Readers is the minimum number of instances that read the store; the default is 2.
 	Readers int
-	// Seeds are addresses of instances that others ask, when they start, whom to
-	// follow, the same ones at all instances; some may be gone. Without any, each
-	// instance that starts reads the store to know who is there.
+	// Seeds are the addresses of the instances that a starting instance asks for instances to
+	// follow. All instances use the same list, in the same order; some of the seeds may be
+	// down. Without seeds, each starting instance reads the list of instances from the store.
 	Seeds []string
-	// FirstStart states that all instances start now, so that it takes a moment
-	// until they are all announced.
+	// FirstStart is set if all instances are starting at the same time, so that their entries
+	// appear in the store only gradually.
 	FirstStart bool
-	// Poll is how long a poll for configurations waits; the default is 1s. The
-	// age of the configuration stays below about twice this.
+	// Poll is the wait time of a poll for configurations; the default is 1s. While the store is
+	// readable, the age of the configuration stays below about twice this.
 	Poll time.Duration
-	// EndpointPoll is how long a poll for endpoints waits; the default is 1s. The
-	// store does not always wake a poll when there is something new, and an
-	// endpoint that leaves must be known within two seconds.
+	// EndpointPoll is the wait time of a poll for endpoints; the default is 1s. It bounds the
+	// delay of a change when the store fails to wake the poll: all instances must know of a
+	// leaving endpoint within two seconds.
 	EndpointPoll time.Duration
-	// InstancePoll is how long a poll for instances waits; the default is 20s.
+	// InstancePoll is the wait time of a poll for instances; the default is 20s.
 	InstancePoll time.Duration
-	// Hold is how long endpoints that vanished in an outage of the store are
-	// kept after its return; the default is 2s.
+	// Hold is how long endpoints whose entries were removed during an outage of the store are
+	// kept after the last failed read; the default is 2s.
 	Hold time.Duration
 }
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
-	// defaultReaders is two, so that one may fail.
+	// defaultReaders tolerates the failure of one reader.
 	defaultReaders = 2
-	// defaultPoll keeps the age of a configuration at about two seconds.
+	// defaultPoll keeps the age of the configuration below about two seconds.
 	defaultPoll = time.Second
-	// defaultEndpointPoll leaves a second of the two in which a leaving endpoint
-	// must be known for the way to all instances.
+	// defaultEndpointPoll leaves one of the two seconds in which a leaving endpoint must become
+	// known for forwarding the change to all instances.
 	defaultEndpointPoll = time.Second
-	// defaultLongPoll costs the store three calls a minute.
-	defaultLongPoll = 20 * time.Second
-	// defaultHold is the time that the platform's pages give entries to return:
-	// about two seconds.
+	// defaultInstancePoll limits the load on the store to three calls a minute.
+	defaultInstancePoll = 20 * time.Second
+	// defaultHold is the time in which the platform expects entries to be renewed after an
+	// outage.
 	defaultHold = 2 * time.Second
 )
 
-// Dialer opens connections to instances.
+// Dialer provides connections to other instances.
 type Dialer interface {
-	// Conn returns the connection to an address.
+	// Conn returns the connection to an address, which later calls may return again.
 	Conn(address string) (*grpc.ClientConn, error)
-	// Forsake closes the connection to an address, so that the next use opens a new
+	// Forsake closes the connection to an address, so that the next call of Conn opens a new
 	// one.
 	Forsake(address string)
 }
 
-// Catalog follows the store.
+// Catalog holds the records of the store and keeps them up to date, by reading the store or by
+// following another instance.
 type Catalog struct {
 	settings Settings
 	store    Store
 	dialer   Dialer
 	log      logr.Logger
 
-	// confirmed is when the last read that confirmed the configuration was
-	// sent; nil before the first.
+	// confirmed is when the last request that confirmed the configuration was sent to the
+	// store; nil before the first.
 	confirmed atomic.Pointer[time.Time]
-	// snapshot is what was last published.
+	// snapshot is the last published state; nil before the first configuration.
 	snapshot atomic.Pointer[Snapshot]
-	// storeAnswered is when the store last answered this instance, and heard when an
-	// instance that it follows last confirmed the configuration.
+	// storeAnswered is when the store last confirmed the configuration to this instance, and
+	// upstreamConfirmed is when it last did so to the root of the followed instance.
 	storeAnswered     timestamp
 	upstreamConfirmed timestamp
-	// peerAnswered is when another instance last answered, whatever it knew.
+	// peerAnswered is when another instance last answered, even if its data was stale.
 	peerAnswered timestamp
-	// upstreamLost is when this instance found that no other one tells it enough;
-	// unmarked while one does.
+	// upstreamLost is when this instance found that no upstream provides fresh data; unset
+	// while one does.
 	upstreamLost timestamp
-	// failing has a bit for each feed whose last read failed.
+	// failing has one bit per feed, which is set if the last read of that feed failed.
 	failing atomic.Int64
-	// upstreamFreshness is what the instance that this one follows said last of where it knows
-	// from; nil before the first.
+	// upstreamFreshness holds the root of the followed instance and the number of hops from
+	// there to this instance; nil before the first answer. Its field answered is not used.
 	upstreamFreshness atomic.Pointer[freshness]
-	// confirmation fires when what is known was confirmed.
+	// confirmation fires whenever the store or the upstream confirms the configuration.
 	confirmation *signal
-	// topology are how the instances that are known divide the work.
+	// topology divides the known instances into readers, relays and followers.
 	topology atomic.Pointer[topology]
-	// followers are the instances that follow this one.
+	// followers counts the instances that follow this one.
 	followers followers
-	// introduced fires when another instance has introduced itself to this one, that
-	// knew nobody.
+	// introduced fires when adoptPeers accepts a list of instances.
 	introduced *signal
-	// joined is set, and joining closed, once it is known who is there.
+	// joined is set, and joinedCh closed, once this instance has a list of other instances.
 	joined   atomic.Bool
 	joinedCh chan struct{}
-	// ownEntryDue is from when on this instance sees to its own entry; nil before it is
-	// known who is there.
+	// ownEntryDue is the earliest time at which this instance checks its own entry in the
+	// store; nil before it has joined.
 	ownEntryDue atomic.Pointer[time.Time]
-	// pending are instances whose entries the store may lack.
+	// pending holds instances whose entries may be missing in the store.
 	pending pendingEntries
-	// upstreamAddress is the address of the instance that this one follows; nil without one.
+	// upstreamAddress is the address of the followed instance; nil if there is none.
 	upstreamAddress atomic.Pointer[string]
 
 	mu sync.Mutex
-	// table, endpoints and peers are what the records say, and tableKey is the key of
-	// the record that the table is of.
+	// table, endpoints and peers are the decoded content of the records, and tableKey is the
+	// key of the last configuration record.
 	table     *route.Table
 	tableKey  string
 	endpoints cowMap[Endpoint]
 	peers     cowMap[Peer]
-	// topologyStale states that the ranks do not yet have the latest changes of the instances.
+	// topologyStale is set if peers has changed since the topology was computed.
 	topologyStale bool
-	// suppressRecordLogs states that the records being taken over have no line each.
+	// suppressRecordLogs is set while a large batch is applied, whose records are not logged
+	// individually.
 	suppressRecordLogs bool
-	// reportedTotal is how many instances there are, by the one that said whom to follow.
+	// reportedTotal is the number of instances as reported by the instance that provided the
+	// first list of instances.
 	reportedTotal int
-	// records are the newest records by feed and key, as far as they took
-	// effect, and next the offsets after the last ones.
+	// records are the newest applied records by feed and key, and next are the offsets after
+	// the last ones.
 	records map[Feed]map[string]Record
 	next    map[Feed]int64
-	// checksums tell what there is of each feed, and long are the packed values of long
-	// records.
+	// checksums summarize the records of each feed, and packedValues are the compressed values
+	// of long records.
 	checksums    map[Feed]*checksums
 	packedValues map[recordKey]*packedValue
-	// journal has the latest changes for followers.
+	// journal contains the latest changes, which are sent to followers.
 	journal journal
-	// holdRemovalsUntil is until when removals of endpoints are not taken for real.
+	// holdRemovalsUntil is the time before which removals of endpoints read from the store are
+	// held back.
 	holdRemovalsUntil time.Time
-	// heldRemovals are removals that wait for their time, by endpoint.
+	// heldRemovals are the removals that have not been applied yet, by endpoint.
 	heldRemovals map[string]heldRemoval
-	// departed are the endpoints that leave or are gone, with when this became
-	// known.
+	// departed maps leaving and removed endpoints to the time at which this instance noticed
+	// it.
 	departed map[string]time.Time
-	// drained are the failure domains that get nothing new, with when this became
-	// known.
+	// drained maps drained failure domains to the time at which this instance noticed it.
 	drained map[string]time.Time
-	// banned are the requests that are kept from endpoints.
+	// banned are the banned requests.
 	banned map[quarantine.Identity]quarantine.Verdict
-	// incarnations tells late entries of older incarnations apart.
+	// incarnations identifies late entries of older incarnations.
 	incarnations incarnations
-	// changed is closed at the next change.
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
-// recordKey names a long record.
+// recordKey identifies a record by its feed and key.
 type recordKey struct {
 	feed Feed
 	key  string
 }
 
-// heldRemoval is the end of an endpoint's entry that has not taken effect.
+// heldRemoval is the deletion of an endpoint's entry that takes effect at the due time unless
+// the entry returns before.
 type heldRemoval struct {
 	record Record
 	due    time.Time
 }
 
-// New returns a catalog. Run fills it.
+// New returns a catalog without data. Run fills it and keeps it up to date.
 func New(s Settings, store Store, d Dialer, log logr.Logger) *Catalog {
 	if s.Readers == 0 {
 		s.Readers = defaultReaders
@@ -178,7 +182,7 @@
 		s.EndpointPoll = defaultEndpointPoll
 	}
 	if s.InstancePoll == 0 {
-		s.InstancePoll = defaultLongPoll
+		s.InstancePoll = defaultInstancePoll
 	}
 	if s.Hold == 0 {
 		s.Hold = defaultHold
@@ -211,8 +215,8 @@
 	return c
 }
 
-// updateTopology divides the work among the instances that are known. The caller holds the lock,
-// or is the only one that has the catalog.
+// updateTopology recomputes the topology from the known instances. The caller holds the lock,
+// or is the only user of the catalog.
 func (c *Catalog) updateTopology() {
 	total := c.peers.len()
 	if _, all := c.next[Peers]; !all {
@@ -221,17 +225,17 @@
 	c.topology.Store(newTopology(c.settings.Self, c.peers.values, c.settings.Readers, total))
 }
 
-// feeds are all feeds.
+// feeds lists all feeds. The configuration is first.
 var feeds = [...]Feed{Configurations, Endpoints, Peers}
 
-// Snapshot returns what is known, or nil while there is no configuration.
+// Snapshot returns the current state, or nil before the first configuration is known.
 func (c *Catalog) Snapshot() *Snapshot {
 	return c.snapshot.Load()
 }
 
-// Age returns how old the configuration in force may be: no configuration that
-// was accepted earlier than this is missing. It returns false before the first
-// read.
+// Age returns an upper bound of the age of the configuration in force: it includes every
+// version that the store had accepted that long ago. It returns false before the first
+// confirmation.
 func (c *Catalog) Age() (time.Duration, bool) {
 	at := c.confirmed.Load()
 	if at == nil {
@@ -247,7 +251,7 @@
 	return c.changed
 }
 
-// confirm notes that a read sent at a moment showed the newest configuration.
+// confirm records that a read sent at the given time returned the newest configuration.
 func (c *Catalog) confirm(sent time.Time) {
 	for {
 		old := c.confirmed.Load()
--- a/catalog/checksums.go
+++ b/catalog/checksums.go
@@ -8,39 +8,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// partCount is how many parts the keys of a feed are divided into. One that follows
-// says what it has by the sums of all parts, 512 bytes a feed, and gets those that
-// differ. With 300 keys one changed record brings four others along.
+// partCount is the number of parts into which the keys of a feed are hashed. More parts make
+// the checksums of a follower larger, but fewer unchanged records are sent again with a changed
+// one.
 const partCount = 64
 
-// parts is a set of parts of a feed, a bit for each.
+// parts is a set of parts of a feed, one bit each.
 type parts uint64
 
-// allParts has all parts.
+// allParts contains all parts.
 const allParts = ^parts(0)
 
-// has states whether a key belongs to one of the parts.
+// has reports whether the part of a key is in the set.
 func (p parts) has(key string) bool {
 	return p.contains(partOf(key))
 }
 
-// contains states whether a part is one of the parts.
+// contains reports whether a part is in the set.
 func (p parts) contains(part int) bool {
 	return p&(1<<part) != 0
 }
 
-// partOf returns the part that a key belongs to.
+// partOf returns the part to which a key belongs.
 func partOf(key string) int {
 	return int(xxhash.Sum64String(key) % partCount)
 }
 
-// checksums tells apart what two instances have of a feed: for each part the sum, bit by bit
-// without carry, of a hash of the key and the offset of each record that has a value.
-// Ends of keys do not count: not all instances know of those that lie far back. The
-// zero value is that of an empty feed.
+// checksums has, for each part of a feed, the XOR of the hashes of its records, so that two
+// instances can compare what they have. Deletions are not included, because not all instances
+// know the old ones. The zero value is that of an empty feed.
 type checksums [partCount]uint64
 
-// toggle adds a record, or takes one off that was added.
+// toggle adds a record, or removes one that was added before. It ignores deletions.
 func (s *checksums) toggle(r Record) {
 	if len(r.Value) == 0 {
 		return
@@ -54,8 +53,8 @@
 	return xxhash.Sum64(append(data, r.Key...))
 }
 
-// differ returns the parts that differ from what another instance has, which are all
-// when it does not say what it has.
+// differ returns the parts whose checksums differ from those of another instance, or all parts
+// if that instance sent none.
 func (s *checksums) differ(other []uint64) parts {
 	if len(other) != partCount {
 		return allParts
--- a/catalog/cow_map.go
+++ b/catalog/cow_map.go
@@ -4,27 +4,26 @@
 
 import "maps"
 
-// cowMap is a map that snapshots share. It is copied at the first change after it was
-// shared, so that a change of one part of what is known copies no other part. The zero value
-// is empty.
+// cowMap is a copy-on-write map that is shared with snapshots: the first change after the map
+// was shared copies it. The zero value is empty.
 type cowMap[V comparable] struct {
 	values map[string]V
-	// shared states that a snapshot has the values.
+	// shared is set if a snapshot uses values.
 	shared bool
 }
 
-// get returns the value of a key.
+// get returns the value of a key and whether it exists.
 func (m *cowMap[V]) get(key string) (V, bool) {
 	v, ok := m.values[key]
 	return v, ok
 }
 
-// len returns how many keys there are.
+// len returns the number of keys.
 func (m *cowMap[V]) len() int {
 	return len(m.values)
 }
 
-// set sets the value of a key.
+// set sets the value of a key, without a copy if the value is unchanged.
 func (m *cowMap[V]) set(key string, v V) {
 	if old, known := m.values[key]; known && old == v {
 		return
@@ -33,7 +32,7 @@
 	m.values[key] = v
 }
 
-// remove removes a key.
+// remove deletes a key, if it exists.
 func (m *cowMap[V]) remove(key string) {
 	if _, known := m.values[key]; !known {
 		return
@@ -42,7 +41,7 @@
 	delete(m.values, key)
 }
 
-// unshare makes the values those of this map alone.
+// unshare copies the values if a snapshot uses them.
 func (m *cowMap[V]) unshare() {
 	switch {
 	case m.values == nil:
@@ -53,7 +52,7 @@
 	m.shared = false
 }
 
-// share returns the values, which must not be changed by who gets them.
+// share returns the values, which the caller must not change.
 func (m *cowMap[V]) share() map[string]V {
 	if m.values == nil {
 		m.values = make(map[string]V)
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -1,36 +1,36 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package catalog is what an instance knows from the platform's store: the
-// configuration in force, the endpoints and the other instances.
+// Package catalog maintains each instance's view of the platform's store: the configuration in
+// force, the endpoints and the other instances.
 //
-// Few instances read the store: the first ones in the order of rendezvous hashing among
-// those with a processor and link that can carry others. Each feed is read whole once
-// and then followed by long polls. All other instances follow one of them over gRPC, or
-// one of the carriers that follow it: with n instances n/32 carry, so that two readers
-// and two levels reach 2,000. A follower says by sums what it has, and gets the records
-// of the parts that differ, as they were read, with their offsets; a record with a
-// higher offset replaces one with a lower one, whichever way it came. An instance that
-// knows too little holds those that want to follow it for a moment and then sends them
-// on. One that finds nobody reads the store itself, the later in the order the later
-// and the more seldom; a reader that the store turns away follows others. An instance
-// that starts asks one of a few contacts, which its settings name, whom to follow; the
-// first contact reads who is there for all of them. Entries go up to whom an instance
-// follows, and are written by who reads the store, those of many at once. An instance
-// that nobody answers reads the store itself, or is told who is there by the carrier that
-// it would follow.
+// Only a few instances, the readers, read the store: the first ones in a rendezvous order of
+// the instances that have enough capacity. A reader reads each feed in full once and then
+// follows it by long polls. All other instances are followers. Over gRPC they follow either a
+// reader or a relay, which is an instance that follows a reader and has followers itself. With
+// n instances there are about n/32 relays, so two readers and two levels serve 2,000 instances.
+// A follower sends checksums of the records it has, and receives the records of the parts that
+// differ, unchanged and with their offsets. A record with a higher offset replaces one with a
+// lower offset, whichever instance sent it.
 //
-// A configuration with a higher version replaces a lower one, never the other
-// way round. The age of the configuration counts from when the read that
-// confirmed it was sent, by the monotonic clock, so it can only be
-// overestimated; a follower adds the time from when it asked, and an age is sent only
-// after all changes that it covers. A caller compares
-// the age with how soon keys that were taken away must be refused.
+// An instance whose data is stale holds a follower briefly and then rejects it. An instance
+// that finds no upstream reads the store itself, after a delay that grows with its position in
+// the order. A reader that the store rejects follows other instances. A starting instance asks
+// one of a few seeds, which its settings name, for instances to follow; the first seed reads
+// the list of instances for all of them. If no seed answers, the instance reads the store
+// itself, unless a relay introduces itself first. Entries of starting instances are forwarded
+// upstream, and the instance that reads the store writes many of them in one call.
 //
-// The operator's requests to empty a failure domain stand beside the configuration, in one
-// feed: they come as soon and as widely as it does, and their age is that of the
-// configuration. One that a whole read no longer shows is over.
+// A configuration with a higher version replaces a lower one, never the other way round. The
+// age of the configuration counts from when the read that confirmed it was sent, by the
+// monotonic clock, so it can only be overestimated. A follower adds the time since it sent its
+// ping, and an age is sent only after all changes that it covers. Callers compare the age with
+// the time within which revoked keys must be refused.
 //
-// Endpoints that vanish from the store while it is, or has just been, out of
-// reach are kept for Hold after it is back: their entries lapse when they can't
+// Operator requests to drain a failure domain are in the same feed as the configuration, so
+// they arrive as fast and have the same age. A request that a full read no longer contains has
+// ended.
+//
+// Endpoints that vanish from the store while it is unreachable, or shortly afterwards, are kept
+// until it has been readable for Settings.Hold, because their entries expire when they can't
 // renew them.
 package catalog
--- a/catalog/drained.go
+++ b/catalog/drained.go
@@ -6,8 +6,8 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// drainDomain notes that the endpoints of a failure domain get nothing new. The caller holds the
-// lock, as for the functions below.
+// drainDomain records that the endpoints of a failure domain must receive no new requests. The
+// caller of this and of the functions below holds the lock.
 func (c *Catalog) drainDomain(domain string) {
 	if _, known := c.drained[domain]; known {
 		return
@@ -16,7 +16,7 @@
 	c.log.Info("failure domain is emptied", "failure_domain", domain, "endpoints", c.endpointsIn(domain))
 }
 
-// undrainDomain notes that the endpoints of a failure domain may get requests again.
+// undrainDomain records that the endpoints of a failure domain may receive requests again.
 func (c *Catalog) undrainDomain(domain string) {
 	since, known := c.drained[domain]
 	if !known {
@@ -27,7 +27,7 @@
 		"emptied_ms", steady.Since(since).Milliseconds())
 }
 
-// endpointsIn counts the endpoints of a failure domain.
+// endpointsIn returns the number of endpoints in a failure domain.
 func (c *Catalog) endpointsIn(domain string) int {
 	n := 0
 	for _, e := range c.endpoints.values {
@@ -38,7 +38,7 @@
 	return n
 }
 
-// isTable states whether a key is that of the configuration's record.
+// isTable reports whether a key is that of the configuration.
 func (c *Catalog) isTable(f Feed, key string) bool {
 	return f == Configurations && key == c.tableKey
 }
--- a/catalog/encoding.go
+++ b/catalog/encoding.go
@@ -9,13 +9,13 @@
 	"github.com/linkmast/linkmast/internal/zdelta"
 )
 
-// noOffset stands for no record.
+// noOffset is the offset of a record that does not exist.
 const noOffset = -1
 
-// decode unpacks records.
+// decode converts the records of a message and decompresses their values.
 func (c *Catalog) decode(f Feed, in []*catalogpb.Record) ([]Record, error) {
 	out := make([]Record, 0, len(in))
-	last := make(map[string]Record)
+	seen := make(map[string]Record)
 	for _, m := range in {
 		r := Record{
 			Key:    m.GetKey(),
@@ -23,31 +23,31 @@
 			Offset: m.GetOffset(),
 		}
 		if m.GetPacked() {
-			base, err := c.base(f, m, last)
+			base, err := c.base(f, m, seen)
 			if err != nil {
 				return nil, err
 			}
 			if r.Value, err = zdelta.Unpack(m.GetValue(), base); err != nil {
 				return nil, err
 			}
-			last[r.Key] = r
+			seen[r.Key] = r
 		}
 		out = append(out, r)
 	}
 	return out, nil
 }
 
-// errUnknownBase ends following when a change refers to a record that is not known; what is
-// lacking comes with the next stream.
-var errUnknownBase = errors.New("a change builds on an unknown record")
+// errUnknownBase ends following when a value was compressed with a record that this instance
+// does not have. The next stream sends the missing records.
+var errUnknownBase = errors.New("value compressed with an unknown record")
 
-// base returns the value that a packed record builds on: that of a record before it in
-// the message, by key, or of one that is known.
-func (c *Catalog) base(f Feed, m *catalogpb.Record, before map[string]Record) ([]byte, error) {
+// base returns the value that serves as the dictionary of a compressed record: that of an
+// earlier record in the same message, or of a stored one.
+func (c *Catalog) base(f Feed, m *catalogpb.Record, seen map[string]Record) ([]byte, error) {
 	if m.GetBase() < 0 {
 		return nil, nil
 	}
-	r, ok := before[m.GetKey()]
+	r, ok := seen[m.GetKey()]
 	if !ok {
 		c.mu.Lock()
 		r, ok = c.records[f][m.GetKey()]
@@ -59,7 +59,7 @@
 	return r.Value, nil
 }
 
-// sameFeed returns how many changes at the start are of one feed.
+// sameFeed returns the length of the longest prefix of entries that belongs to one feed.
 func sameFeed(entries []entry) int {
 	for i, e := range entries {
 		if e.feed != entries[0].feed {
@@ -69,7 +69,7 @@
 	return len(entries)
 }
 
-// encodeChanges makes the message of changes of one feed, one at least.
+// encodeChanges returns a message with changes, at least one, that all belong to the same feed.
 func encodeChanges(entries []entry) (*catalogpb.Update, error) {
 	out := make([]*catalogpb.Record, 0, len(entries))
 	next := int64(0)
@@ -84,8 +84,8 @@
 	return update(entries[0].feed, next, 0, out), nil
 }
 
-// update makes a message of records, which are all there is before next of some parts
-// of the feed.
+// update returns a message with records. For the parts in whole, these must be all records
+// before the offset next.
 func update(f Feed, next int64, whole parts, records []*catalogpb.Record) *catalogpb.Update {
 	return &catalogpb.Update{
 		Kind: &catalogpb.Update_Records{
--- a/catalog/followers.go
+++ b/catalog/followers.go
@@ -4,16 +4,16 @@
 
 import "sync"
 
-// followers are the instances that follow this one. The zero value has none.
+// followers counts the instances that follow this one. The zero value has none.
 type followers struct {
 	mu sync.Mutex
-	// streams counts the streams of each instance: one that comes again may be
-	// there before its old stream has ended.
+	// streams counts the open streams by instance ID. A reconnecting instance may open a new
+	// stream before its old one has ended.
 	streams map[string]int
 }
 
-// enter adds a stream of an instance, and returns false when more than a limit of
-// instances would follow. Each call needs one of leave.
+// enter adds a stream of an instance. It returns false if more instances than the limit follow
+// now. Each call of enter, whatever it returns, needs a call of leave.
 func (f *followers) enter(id string, limit int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -24,7 +24,7 @@
 	return len(f.streams) <= limit
 }
 
-// leave takes a stream of an instance off.
+// leave removes a stream of an instance.
 func (f *followers) leave(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -34,14 +34,14 @@
 	}
 }
 
-// count returns how many instances follow.
+// count returns the number of followers.
 func (f *followers) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.streams)
 }
 
-// has states whether an instance follows.
+// has reports whether an instance follows this one.
 func (f *followers) has(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/catalog/following.go
+++ b/catalog/following.go
@@ -15,61 +15,63 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// The times of following other instances. Round trips between them take a few
-// milliseconds, and a pause of the garbage collector some tens.
+// Timing of following another instance. The timeouts exceed round trips between instances and
+// pauses of the garbage collector by far.
 const (
-	// pingTimeout is how long a follower waits for an answer before it goes to
-	// another instance.
+	// pingTimeout is how long a follower waits for the next message before it tries another
+	// upstream.
 	pingTimeout = 600 * time.Millisecond
-	// openTimeout bounds the time until the first answer.
+	// openTimeout is the timeout of the first message.
 	openTimeout = 600 * time.Millisecond
 )
 
-// maxUpdate bounds a message between instances, in bytes: a whole configuration.
+// maxUpdate is the maximum size of a message between instances in bytes. It must hold the
+// largest configuration.
 const maxUpdate = 32 << 20
 
-// pingsPerTwoPolls is how often a follower asks for the age in two polls: often
-// enough that the age stays below that of fresh when an answer is late.
+// pingsPerTwoPolls is the number of pings in the time of two polls: enough that one late answer
+// does not make the last confirmation older than freshFor.
 const pingsPerTwoPolls = 5
 
-// pingEvery is how often a follower asks for the age.
+// pingEvery returns the interval of the pings that ask for the age of the configuration.
 func (c *Catalog) pingEvery() time.Duration {
 	return 2 * c.settings.Poll / pingsPerTwoPolls
 }
 
-// followLoop follows one instance after the other while that is needed.
+// followLoop follows one instance after the other, while this instance needs an upstream.
 func (c *Catalog) followLoop(ctx context.Context) {
-	for try := 0; ctx.Err() == nil; try++ {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		r := c.topology.Load()
 		if !c.shouldFollow() || len(r.upstreams) == 0 {
-			try = -1
+			attempt = -1
 			sleep(ctx, roleCheckInterval)
 			continue
 		}
-		p, patient := r.upstreamFor(try)
+		p, patient := r.upstreamFor(attempt)
 		began := steady.Now()
-		// Those that start together are all about to know something.
+		// If nothing is known yet, the upstream may be starting as well, and is about to have
+		// data.
 		err := c.followOne(ctx, p, patient || c.Snapshot() == nil)
 		if ctx.Err() != nil {
 			return
 		}
-		// With nobody to follow, this instance reads the store after the delay of
-		// its place in the order.
+		// Without an upstream, this instance reads the store after the delay of its position.
 		c.upstreamConfirmed.reset()
 		c.handleFollowEnd(p, err, steady.Since(began))
 		if steady.Since(began) > openTimeout {
-			// It worked for a while: the order is tried from its start.
-			try = -1
+			// The upstream worked for a while, so the next attempt starts from the first
+			// choice.
+			attempt = -1
 		}
-		if try >= 0 && try < startupTries && c.Snapshot() == nil {
+		if attempt >= 0 && attempt < startupTries && c.Snapshot() == nil {
 			patient = false
 		}
 		sleep(ctx, retryPause(patient, steady.Since(began)))
 	}
 }
 
-// retryPause returns the pause after a try to follow somebody. A patient one that was
-// held has waited already.
+// retryPause returns the pause after an attempt to follow an instance. took is the duration of
+// the attempt; the pause is short if the upstream held a patient request for that time.
 func retryPause(patient bool, took time.Duration) time.Duration {
 	switch {
 	case !patient:
@@ -80,50 +82,51 @@
 	return maxRetryPause
 }
 
-// handleFollowEnd notes why an instance is no longer followed.
+// handleFollowEnd records that p is no longer followed, and logs the reason and the duration.
+// It closes a silent connection.
 func (c *Catalog) handleFollowEnd(p Peer, err error, after time.Duration) {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.ResourceExhausted:
-		// It answered, and would tell when the store is back.
+		// The instance answered, so it can report when the store is back.
 		c.peerAnswered.mark(steady.Now())
-		c.log.V(1).Info("can't follow", "peer", p.ID, "cause", err.Error(), "ms", after.Milliseconds())
+		c.log.V(1).Info("follow request rejected", "peer", p.ID, "cause", err.Error(), "ms", after.Milliseconds())
 		return
 	default:
 	}
 	if errors.Is(err, errSilent) {
-		// The connection may have gone silent for good, while a new one works.
+		// The connection may be broken, while a new one works.
 		c.dialer.Forsake(p.Address)
 	}
 	c.log.Info("no longer follows", "peer", p.ID, "cause", err.Error(), "ms", after.Milliseconds())
 }
 
-// The pauses between tries to follow somebody.
+// The pauses between attempts to follow an instance.
 const (
-	// quickRetryPause is that between the first ones: in a second an instance of 300 has
-	// asked all that are likely to be in touch with the store.
+	// quickRetryPause is the pause after attempts that are not patient. It lets an instance try
+	// all likely upstreams within about a second.
 	quickRetryPause = 50 * time.Millisecond
-	// maxRetryPause is that between later ones while nobody answers.
+	// maxRetryPause is the pause after patient attempts that were not held.
 	maxRetryPause = 500 * time.Millisecond
 )
 
-// startupTries is how many tries follow one soon after the other while nothing is known yet:
-// of instances that start within a second those to follow may come last.
+// startupTries is the number of attempts with the short pause while no configuration is known,
+// because upstreams may start later than this instance.
 const startupTries = 20
 
-// errReadsStore ends following when this instance reads the store.
+// errReadsStore ends following when this instance can read the store as a reader.
 var errReadsStore = errors.New("reads the store itself")
 
-// errStale ends following an instance that knows too little.
+// errStale ends following an instance whose data is stale.
 var errStale = errors.New("knows too little")
 
-// errLoop ends following an instance that knows only what this one has told.
-var errLoop = errors.New("knows by this instance")
+// errLoop ends following an instance whose data comes from this instance.
+var errLoop = errors.New("upstream has its data from this instance")
 
-// errSilent ends following an instance that does not answer.
+// errSilent ends following an instance that stopped answering.
 var errSilent = errors.New("does not answer")
 
-// followOne follows an instance until that fails or is no longer needed. A patient one
-// is held for a moment by an instance that knows too little.
+// followOne follows an instance until that fails or is no longer needed. If patient is set, an
+// instance with stale data may hold the request briefly.
 func (c *Catalog) followOne(ctx context.Context, p Peer, patient bool) error {
 	conn, err := c.dialer.Conn(p.Address)
 	if err != nil {
@@ -146,19 +149,19 @@
 	return f.run(ctx, p, patient)
 }
 
-// followStream is a follower's side of a stream.
+// followStream is the follower's side of a stream.
 type followStream struct {
 	catalog *Catalog
 	stream  grpc.BidiStreamingClient[catalogpb.Ping, catalogpb.Update]
-	// seq is the number of the last ping, and sent are when those without an
-	// answer were sent, by number.
+	// seq is the number of the last ping, and sent holds the send times of the unanswered pings
+	// by number.
 	seq     int64
 	sent    map[int64]time.Time
 	updates chan *catalogpb.Update
 	failed  chan error
 }
 
-// receive hands on what the instance says until the stream ends.
+// receive passes the updates of the stream to run until the stream ends.
 func (f *followStream) receive(ctx context.Context) {
 	for {
 		u, err := f.stream.Recv()
@@ -174,25 +177,25 @@
 	}
 }
 
-// run takes over what the instance says, and asks for the age, until either
-// fails or it need not be followed any more.
+// run applies the updates of instance p and sends pings, until the stream fails or this
+// instance no longer needs an upstream.
 func (f *followStream) run(ctx context.Context, p Peer, patient bool) error {
 	tick := time.NewTicker(f.catalog.pingEvery())
 	defer tick.Stop()
-	silent := time.NewTimer(openTimeout)
-	defer silent.Stop()
+	timeout := time.NewTimer(openTimeout)
+	defer timeout.Stop()
 	defer f.catalog.upstreamAddress.Store(nil)
 	if err := f.sendFirstPing(patient); err != nil {
 		return err
 	}
-	said := false
+	answered := false
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case err := <-f.failed:
 			return err
-		case <-silent.C:
+		case <-timeout.C:
 			return errSilent
 		case <-tick.C:
 			if !f.catalog.shouldFollow() {
@@ -202,12 +205,12 @@
 				return err
 			}
 		case u := <-f.updates:
-			silent.Reset(pingTimeout)
+			timeout.Reset(pingTimeout)
 			if err := f.applyUpdate(u); err != nil {
 				return err
 			}
-			if !said {
-				said = true
+			if !answered {
+				answered = true
 				f.catalog.upstreamAddress.Store(&p.Address)
 				f.catalog.log.Info("follows", "peer", p.ID)
 			}
@@ -215,7 +218,7 @@
 	}
 }
 
-// sendFirstPing says what this instance has, and asks for the age.
+// sendFirstPing sends a summary of the records that this instance has, and asks for the age.
 func (f *followStream) sendFirstPing(patient bool) error {
 	p := f.catalog.firstPing()
 	p.Patient = patient
@@ -225,7 +228,7 @@
 	return f.stream.Send(p)
 }
 
-// ping asks for the age.
+// ping asks for the age of the configuration.
 func (f *followStream) ping() error {
 	f.seq++
 	f.sent[f.seq] = steady.Now()
@@ -235,7 +238,7 @@
 	})
 }
 
-// applyUpdate takes over an update.
+// applyUpdate applies records or an age.
 func (f *followStream) applyUpdate(u *catalogpb.Update) error {
 	c := f.catalog
 	switch k := u.GetKind().(type) {
@@ -259,7 +262,8 @@
 	return nil
 }
 
-// applyAge takes over an age. It counts from when its ping was sent.
+// applyAge applies the answer to a ping. The age counts from when the ping was sent. It returns
+// an error if the upstream is stale or gets its data from this instance.
 func (f *followStream) applyAge(a *catalogpb.Age) error {
 	c := f.catalog
 	c.peerAnswered.mark(steady.Now())
--- a/catalog/freshness.go
+++ b/catalog/freshness.go
@@ -7,67 +7,68 @@
 	"time"
 )
 
-// stalenessSlack is how much longer than its wait a poll may take before the store counts
-// as out of reach for followers.
+// stalenessSlack is the time beyond its wait time that a poll may take before followers regard
+// the data as stale.
 const stalenessSlack = 300 * time.Millisecond
 
-// freshness is how fresh what an instance knows is.
+// freshness describes where an instance's data comes from and how recent it is.
 type freshness struct {
-	// answered is how long ago the store answered the root.
+	// answered is the time since the store last answered the root.
 	answered time.Duration
-	// root names the instance that the store answered, and hops counts the
-	// instances from there to the one that says so.
+	// root is the ID of the instance that read the data from the store, and hops is the number
+	// of links from there to this instance.
 	root string
 	hops int
 }
 
-// neverAnswered stands for an answer that never came: longer than any that counts.
+// neverAnswered stands for a store that has never answered. It exceeds every staleness
+// threshold.
 const neverAnswered = time.Hour
 
-// freshness returns where what this instance knows comes from.
+// freshness returns the freshness of this instance's data: that of its own reads or of its
+// upstream, whichever is more recent.
 func (c *Catalog) freshness() freshness {
-	read, ok := c.storeAnswered.since()
-	// With a feed that can't be read it is not known what others must know.
+	own, ok := c.storeAnswered.since()
+	// While any feed can't be read, followers could miss changes.
 	ok = ok && c.failing.Load() == 0
-	heard, also := c.upstreamConfirmed.since()
+	upstream, following := c.upstreamConfirmed.since()
 	via := c.upstreamFreshness.Load()
-	if also && via != nil && (!ok || heard < read) {
+	if following && via != nil && (!ok || upstream < own) {
 		return freshness{
-			answered: heard,
+			answered: upstream,
 			root:     via.root,
 			hops:     via.hops,
 		}
 	}
 	if !ok {
-		read = neverAnswered
+		own = neverAnswered
 	}
 	return freshness{
-		answered: read,
+		answered: own,
 		root:     c.settings.Self.ID,
 	}
 }
 
-// stale states whether somebody knows too little for others to follow. Each hop adds
-// the time between two pings. Followers must know changes soon, so they leave long
-// before the age becomes a matter of safety.
+// stale reports whether data is too old for others to follow. Each hop adds the time between
+// two pings. The threshold is low, so that followers change their upstream long before the age
+// of the configuration becomes a problem.
 func (c *Catalog) stale(s freshness) bool {
 	return s.answered > c.settings.Poll+stalenessSlack+time.Duration(s.hops)*c.pingEvery()
 }
 
-// followable states whether others can follow this instance.
+// followable reports whether this instance's data is fresh enough for followers.
 func (c *Catalog) followable() bool {
 	_, known := c.Age()
 	return known && !c.stale(c.freshness())
 }
 
-// maxFollowerHold is how long an instance that knows too little holds a patient one that
-// wants to follow it. Instances that start together, and all of them when the store is back
-// from an outage, are told at once so, and in an outage ask seldom. It leaves a third
-// of openWithin for the way.
+// maxFollowerHold is how long an instance with stale data holds the request of a patient
+// follower. If the data becomes fresh meanwhile, as after a common start or an outage, the
+// follower is served at once. It leaves the follower enough of openTimeout for the network.
 const maxFollowerHold = 400 * time.Millisecond
 
-// awaitFollowable waits until others can follow this instance, for holdFollower at
-// most, and returns whether they can.
+// awaitFollowable waits up to maxFollowerHold until this instance is followable, and returns
+// whether it is.
 func (c *Catalog) awaitFollowable(ctx context.Context, closing <-chan struct{}) bool {
 	timeout := time.NewTimer(maxFollowerHold)
 	defer timeout.Stop()
--- a/catalog/full_read.go
+++ b/catalog/full_read.go
@@ -9,44 +9,45 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// fullRead is a read of a whole feed, page by page. One that fails goes on from its last
-// page: a store that is too slow for all pages within one limit is still read to the end.
-// The zero value of all but the feed is a read that has not begun.
+// fullRead is the state of reading a whole feed page by page. After a failed page it resumes
+// from the last page, so that a slow store is read to the end eventually. The zero value, with
+// the feed set, is a read that has not started.
 type fullRead struct {
 	feed Feed
-	// due states that the feed can't be followed from what is known of it.
+	// due is set if following the feed is impossible, because the store no longer keeps the
+	// records.
 	due bool
-	// records are those of the pages read so far, after is the key of the last one, and
-	// begun states that there was a page.
+	// records are those of the pages read so far, after is the last key, and begun is set after
+	// the first page.
 	records []Record
 	after   string
 	begun   bool
-	// next is the offset to follow from, by the first page, and sent is when that page was
-	// asked for: what is read is at least as new.
+	// next is the offset after the first page from which to follow the feed. sent is when the
+	// first page was requested, which is a lower bound of the time that the data reflects.
 	next int64
 	sent time.Time
 }
 
-// reset forgets the pages.
-func (w *fullRead) reset() {
-	*w = fullRead{
-		feed: w.feed,
+// reset discards the pages.
+func (r *fullRead) reset() {
+	*r = fullRead{
+		feed: r.feed,
 	}
 }
 
-// addPage takes over a page.
-func (w *fullRead) addPage(p Page, sent time.Time) {
-	if !w.begun {
-		w.begun, w.next, w.sent = true, p.Next, sent
+// addPage appends a page that was requested at the given time.
+func (r *fullRead) addPage(p Page, sent time.Time) {
+	if !r.begun {
+		r.begun, r.next, r.sent = true, p.Next, sent
 	}
-	w.records = append(w.records, p.Records...)
+	r.records = append(r.records, p.Records...)
 	if n := len(p.Records); n > 0 {
-		w.after = p.Records[n-1].Key
+		r.after = p.Records[n-1].Key
 	}
 }
 
-// readFull reads the pages of a feed that are left, and takes over what they say. It
-// returns the offset to follow from.
+// readFull reads the remaining pages of a feed and applies all records. It returns the offset
+// from which to follow the feed.
 func (c *Catalog) readFull(ctx context.Context, w *fullRead) (int64, error) {
 	for {
 		sent := steady.Now()
--- a/catalog/incarnations.go
+++ b/catalog/incarnations.go
@@ -4,13 +4,13 @@
 
 import "time"
 
-// incarnations is when the newest known life of each endpoint started, by name. It has those
-// that say so, and those that are gone for as long as their departure is remembered: an
-// entry that an older life wrote may come after the end of a newer one.
+// incarnations maps the name of an endpoint to the start time of its newest known incarnation.
+// Removed endpoints are kept while their departure is remembered, because an entry of an older
+// incarnation may arrive after the newest one has ended.
 type incarnations map[string]time.Time
 
-// accept takes over an entry's life, and returns false when it is older than the newest one.
-// An entry that does not say when its endpoint started counts as one of the newest life.
+// accept records the start time of an entry, and returns false if the entry belongs to an older
+// incarnation. Entries without a start time are accepted.
 func (l incarnations) accept(e Endpoint) bool {
 	if e.StartedAt.IsZero() {
 		return true
@@ -22,9 +22,9 @@
 	return true
 }
 
-// forget forgets an endpoint unless it is there.
-func (l incarnations) forget(name string, there map[string]Endpoint) {
-	if _, known := there[name]; !known {
+// forget deletes the start time of an endpoint that is not among the present ones.
+func (l incarnations) forget(name string, present map[string]Endpoint) {
+	if _, known := present[name]; !known {
 		delete(l, name)
 	}
 }
--- a/catalog/introducing.go
+++ b/catalog/introducing.go
@@ -12,24 +12,24 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// The measures of introductions. An instance that starts while the store does not
-// answer it knows nobody; the carrier that it would follow tells it so.
+// Timing and limits of introductions. A relay introduces itself to the instances that should
+// follow it, because an instance that starts during an outage of the store may not know any
+// other.
 const (
-	// introduceInterval is how often a carrier looks for instances that do not follow
-	// it although they would try it first.
+	// introduceInterval is how often a relay looks for instances that should follow it but
+	// don't.
 	introduceInterval = 500 * time.Millisecond
-	// introduceTimeout bounds one call: many round trips.
+	// introduceTimeout is the timeout of one introduction.
 	introduceTimeout = 300 * time.Millisecond
-	// reintroduceDelay is after how long an instance is told again that follows
-	// another one, or did not answer: one that starts anew follows this one or
-	// breaks off, and is told then.
+	// reintroduceDelay is the delay before a repeated introduction to an instance that follows
+	// another one or did not answer. It may restart in the meantime and know no instances
+	// again.
 	reintroduceDelay = 2 * time.Second
-	// maxParallelIntroductions is how many are made at once.
+	// maxParallelIntroductions is the maximum number of concurrent introductions.
 	maxParallelIntroductions = 8
 )
 
-// introduceLoop introduces this instance to those that should follow it and don't,
-// until ctx ends.
+// introduceLoop introduces this instance to its missing primary followers until ctx ends.
 func (c *Catalog) introduceLoop(ctx context.Context) {
 	due := make(map[string]time.Time)
 	for ctx.Err() == nil {
@@ -41,7 +41,8 @@
 	}
 }
 
-// introduceAll makes the introductions that are due, and notes when the next ones are.
+// introduceAll introduces this instance to the missing primary followers that are due, and sets
+// in due when the next introduction to each may be made.
 func (c *Catalog) introduceAll(ctx context.Context, due map[string]time.Time) {
 	var calls errgroup.Group
 	calls.SetLimit(maxParallelIntroductions)
@@ -58,11 +59,11 @@
 		calls.Go(func() error { return c.introduce(ctx, p) })
 	}
 	if err := calls.Wait(); err != nil && ctx.Err() == nil {
-		c.log.V(1).Info("introductions failed", "first", err.Error())
+		c.log.V(1).Info("cannot introduce this instance to others", "first", err.Error())
 	}
 }
 
-// introduce tells an instance of this one.
+// introduce sends an instance the entry of this one and those of others that it can follow.
 func (c *Catalog) introduce(ctx context.Context, p Peer) error {
 	ctx, cancel := context.WithTimeout(ctx, introduceTimeout)
 	defer cancel()
@@ -84,10 +85,10 @@
 	return nil
 }
 
-// adoptPeers takes over instances that are there, of so many in all, if it is not known yet who
-// is. It returns whether it did. Others see to this instance's entry for a while. The way is
-// for the log.
-func (c *Catalog) adoptPeers(known []Peer, total int, way string, others time.Duration) bool {
+// adoptPeers accepts a first list of instances and their total number, unless this instance has
+// joined already. It returns whether it did. For the given time, another instance takes care of
+// this instance's entry. The way is logged.
+func (c *Catalog) adoptPeers(known []Peer, total int, way string, delay time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.joined.Load() {
@@ -98,14 +99,14 @@
 	}
 	c.reportedTotal = total
 	c.updateTopology()
-	c.setJoined(steady.Now().Add(others))
+	c.setJoined(steady.Now().Add(delay))
 	c.introduced.fire()
 	c.log.Info("instances known", "known", len(known), "total", total, "by", way)
 	return true
 }
 
-// setJoined notes that it is known who is there, and from when on this instance sees to its
-// entry. The caller holds the lock.
+// setJoined records that this instance has joined and when it starts to check its own entry.
+// The caller holds the lock.
 func (c *Catalog) setJoined(entryDue time.Time) {
 	if c.joined.Swap(true) {
 		return
@@ -114,9 +115,8 @@
 	close(c.joinedCh)
 }
 
-// introduceToRelays tells the first of the order whom they can follow, after this instance
-// has found out from the store who is there because nobody else said so: they carry the
-// others.
+// introduceToRelays introduces this instance to the first ones of the order, among which are
+// the relays, after it had to read the list of instances from the store.
 func (c *Catalog) introduceToRelays(ctx context.Context) {
 	var calls errgroup.Group
 	calls.SetLimit(maxParallelIntroductions)
@@ -127,6 +127,6 @@
 		}
 	}
 	if err := calls.Wait(); err != nil && ctx.Err() == nil {
-		c.log.V(1).Info("introductions failed", "first", err.Error())
+		c.log.V(1).Info("cannot introduce this instance to others", "first", err.Error())
 	}
 }
--- a/catalog/joining.go
+++ b/catalog/joining.go
@@ -13,33 +13,33 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// The times of an instance that starts and does not know who is there.
+// Timing of an instance that starts and does not know the other instances.
 const (
-	// firstStartWait is how long an instance that knows no contacts waits at the first
-	// start of all until the others are announced; they start within 0.3 s.
+	// firstStartWait is how long an instance without seeds waits, at the first start of all
+	// instances, until the others have written their entries.
 	firstStartWait = 700 * time.Millisecond
-	// joinHold is how long a contact that does not know yet who is there holds one that
-	// asks, and joinWithin bounds that call with its way and its connection.
+	// joinHold is how long a seed that has not joined yet holds the request of a joining
+	// instance. joinTimeout is the timeout of that request, including the connection setup.
 	joinHold    = 700 * time.Millisecond
 	joinTimeout = 1200 * time.Millisecond
-	// joinPause is the pause after a contact that did not answer: some round trips.
+	// joinPause is the pause after a seed has failed to answer.
 	joinPause = 50 * time.Millisecond
-	// seedStartWait is how long a contact waits for one that comes before it and may not
-	// have started yet, and contactTrust for one that answers but does not know yet who is
-	// there.
+	// seedStartWait is how long a seed waits for an earlier seed that does not answer and may
+	// still be starting. seedAnswerWait is how long it waits for one that answers but has not
+	// joined yet.
 	seedStartWait  = 500 * time.Millisecond
 	seedAnswerWait = 1500 * time.Millisecond
-	// seedTimeout is how long no contact answers until an instance reads the store
-	// itself. Many may come to this at the same time: each waits up to readSpread more, in
-	// which the first ones introduce themselves to others, and twice that after each
-	// failure, up to longestReadSpread.
+	// seedTimeout is how long an instance keeps asking the seeds without an answer before it
+	// reads the store. A random time up to readSpread is added, because many instances may do
+	// so together and the first ones introduce themselves to others. The spread doubles with
+	// each failure, up to maxReadSpread.
 	seedTimeout   = time.Second
 	readSpread    = 3 * time.Second
 	maxReadSpread = 8 * time.Second
 )
 
-// join finds out who is there: of the contacts, from the store, or by an instance that
-// introduces itself. It returns false when ctx ends before.
+// join obtains a first list of other instances: from a seed, from the store or from an instance
+// that introduces itself. It returns false if ctx ends before.
 func (c *Catalog) join(ctx context.Context) bool {
 	joining, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -56,24 +56,24 @@
 	return ctx.Err() == nil
 }
 
-// joinWithoutSeeds finds out from the store who is there.
+// joinWithoutSeeds reads the list of instances from the store.
 func (c *Catalog) joinWithoutSeeds(ctx context.Context) {
 	if c.settings.FirstStart {
 		sleep(ctx, firstStartWait)
 	}
-	whole := &fullRead{
+	full := &fullRead{
 		feed: Peers,
 	}
 	for failures := 1; !c.joined.Load() && ctx.Err() == nil; failures++ {
-		if err := c.joinByReading(ctx, whole); err != nil {
+		if err := c.joinByReading(ctx, full); err != nil {
 			c.handleReadFailure(ctx, Peers, failures, err)
 		}
 	}
 }
 
-// joinByReading reads from the store who is there.
-func (c *Catalog) joinByReading(ctx context.Context, whole *fullRead) error {
-	if _, err := c.readFull(ctx, whole); err != nil {
+// joinByReading makes one attempt to read the list of instances from the store.
+func (c *Catalog) joinByReading(ctx context.Context, full *fullRead) error {
+	if _, err := c.readFull(ctx, full); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -82,57 +82,57 @@
 	return nil
 }
 
-// joinThroughSeeds asks the contacts, of which one answers for all that start; each instance has
-// an order of its own. It reads the store once no contact has answered for a while.
+// joinThroughSeeds asks the seeds, in an order that differs between instances to spread the
+// load. It reads the store if no seed answers for a while.
 func (c *Catalog) joinThroughSeeds(ctx context.Context) {
 	contacts := slices.Clone(c.settings.Seeds)
 	rendezvous.Sort(c.settings.Self.ID, contacts, func(address string) (string, int) { return address, 1 })
-	whole := &fullRead{
+	full := &fullRead{
 		feed: Peers,
 	}
 	spread := readSpread
-	reads := steady.Now().Add(seedTimeout + rand.N(spread))
+	readAt := steady.Now().Add(seedTimeout + rand.N(spread))
 	for at, failures := 0, 0; !c.joined.Load() && ctx.Err() == nil; {
 		if err := c.askSeed(ctx, contacts[at], true); err == nil {
-			reads = steady.Now().Add(seedTimeout + rand.N(spread))
+			readAt = steady.Now().Add(seedTimeout + rand.N(spread))
 			continue
 		}
 		at = (at + 1) % len(contacts)
-		if !steady.Now().Before(reads) {
+		if !steady.Now().Before(readAt) {
 			failures++
-			if err := c.joinByReading(ctx, whole); err == nil {
+			if err := c.joinByReading(ctx, full); err == nil {
 				c.introduceToRelays(ctx)
 				return
 			} else if ctx.Err() == nil {
 				c.recordReadFailure(Peers, failures, err)
 			}
 			spread = min(2*spread, maxReadSpread)
-			reads = steady.Now().Add(rand.N(spread))
+			readAt = steady.Now().Add(rand.N(spread))
 		}
 		sleep(ctx, joinPause)
 	}
 }
 
-// joinAsSeed finds out who is there for all that ask this instance. It asks the contacts
-// that come before it, so that one of them reads the store, and reads it when none of these
-// says who is there; when the store can't be read, it asks those that come after it.
+// joinAsSeed obtains the list of instances for all that ask this seed. It asks the earlier
+// seeds first, so that one of the seeds reads the store for all. If none of them has the list,
+// it reads the store. If that fails, it asks the later seeds.
 func (c *Catalog) joinAsSeed(ctx context.Context, at int) {
 	before, after := c.settings.Seeds[:at], c.settings.Seeds[at+1:]
 	began := steady.Now()
-	whole := &fullRead{
+	full := &fullRead{
 		feed: Peers,
 	}
 	for failures := 0; !c.joined.Load() && ctx.Err() == nil; {
-		waits := len(before) > 0 && steady.Since(began) < seedAnswerWait
-		answered := c.askSeeds(ctx, before, waits)
+		waiting := len(before) > 0 && steady.Since(began) < seedAnswerWait
+		answered := c.askSeeds(ctx, before, waiting)
 		if c.joined.Load() {
 			return
 		}
-		if waits && (answered || steady.Since(began) < seedStartWait) {
+		if waiting && (answered || steady.Since(began) < seedStartWait) {
 			sleep(ctx, joinPause)
 			continue
 		}
-		if err := c.joinAsFirstSeed(ctx, whole); err != nil {
+		if err := c.readAsSeed(ctx, full); err != nil {
 			failures++
 			c.askSeeds(ctx, after, false)
 			c.handleReadFailure(ctx, Peers, failures, err)
@@ -140,10 +140,10 @@
 	}
 }
 
-// joinAsFirstSeed reads from the store who is there, and at the first start of all waits for the
-// instances that ask this one.
-func (c *Catalog) joinAsFirstSeed(ctx context.Context, whole *fullRead) error {
-	if _, err := c.readFull(ctx, whole); err != nil {
+// readAsSeed reads the list of instances from the store. At the first start of all
+// instances, it then waits for the joining ones, and adds those to the list.
+func (c *Catalog) readAsSeed(ctx context.Context, full *fullRead) error {
+	if _, err := c.readFull(ctx, full); err != nil {
 		return err
 	}
 	if c.settings.FirstStart {
@@ -153,7 +153,8 @@
 	return nil
 }
 
-// askSeeds asks contacts whom to follow, and returns whether one of them answered.
+// askSeeds asks seeds in turn for instances to follow, until this instance has joined. It
+// returns whether any of them answered.
 func (c *Catalog) askSeeds(ctx context.Context, contacts []string, wait bool) bool {
 	answered := false
 	for _, address := range contacts {
@@ -167,9 +168,9 @@
 	return answered
 }
 
-// askSeed asks a contact whom to follow, and takes that over if it is not known yet who is
-// there. A contact that does not know it either holds one that waits for a moment. It sees
-// to this instance's entry.
+// askSeed asks a seed for instances to follow and accepts its answer if this instance has not
+// joined yet. With wait set, a seed that has not joined yet holds the request briefly. The seed
+// also takes care of this instance's entry.
 func (c *Catalog) askSeed(ctx context.Context, address string, wait bool) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -187,13 +188,14 @@
 	known := peersOf(reply.GetKnown())
 	c.adoptPeers(known, int(reply.GetTotal()), "contact "+address, ownEntryCheckInterval)
 	if !slices.ContainsFunc(known, func(p Peer) bool { return p.Address == address }) {
-		// It answers all that start; most of them don't need it again.
+		// The seed serves all starting instances, most of which don't need the connection
+		// again.
 		c.dialer.Forsake(address)
 	}
 	return nil
 }
 
-// introductions returns what other instances are told of some.
+// introductions encodes instances for a message.
 func introductions(peers []Peer) []*catalogpb.Introduction {
 	out := make([]*catalogpb.Introduction, 0, len(peers))
 	for _, p := range peers {
@@ -207,7 +209,7 @@
 	return out
 }
 
-// peersOf returns the instances that a message tells of.
+// peersOf decodes the instances of a message.
 func peersOf(in []*catalogpb.Introduction) []Peer {
 	out := make([]Peer, 0, len(in))
 	for _, m := range in {
--- a/catalog/journal.go
+++ b/catalog/journal.go
@@ -9,28 +9,28 @@
 	"github.com/linkmast/linkmast/internal/zdelta"
 )
 
-// The bounds of the changes that followers may be behind before they get all records
-// anew.
+// Limits of the journal. A follower that falls further behind receives all records again.
 const (
-	// maxJournalEntries counts changes.
+	// maxJournalEntries is the maximum number of entries.
 	maxJournalEntries = 512
-	// maxJournalBytes bounds the values of these changes. Configurations of 100 KB in
-	// quick succession would else hold 50 MB on each instance.
+	// maxJournalBytes is the maximum size of the values in bytes, in case large configurations
+	// change often.
 	maxJournalBytes = 4 << 20
 )
 
-// entry is a record that took effect.
+// entry is a record that has been applied.
 type entry struct {
 	feed Feed
-	// record is the record; a long one's value is in packed.
+	// record is the record, without its value if packed is set.
 	record Record
-	// packed is a long record's value against that of the record before.
+	// packed is the value of a long record, compressed with the previous value of its key as
+	// the dictionary; nil for short records.
 	packed *packedValue
-	// size is how many bytes of values the entry holds at most.
+	// size is the size of the uncompressed value in bytes.
 	size int
 }
 
-// encode makes the message of the record.
+// encode returns the record in the form in which it is sent.
 func (e *entry) encode() (*catalogpb.Record, error) {
 	m := &catalogpb.Record{
 		Key:    e.record.Key,
@@ -49,12 +49,12 @@
 	return m, nil
 }
 
-// minPackedBytes is the size from which values are packed, in bytes.
+// minPackedBytes is the size in bytes from which values are compressed.
 const minPackedBytes = 2 << 10
 
-// packedValue is a value against an earlier one of its key, which may be none, packedValue when
-// it is first sent. All followers share it: 150 that came at once and got a
-// configuration packedValue anew each took 490 MB, mostly of the compressor's.
+// packedValue is a value that is compressed with an earlier value of the same key as the
+// dictionary, if there is one. It is compressed when it is first sent, and all followers share
+// the result, which avoids a compressor per follower when many connect at once.
 type packedValue struct {
 	value Record
 	base  Record
@@ -64,7 +64,7 @@
 	err  error
 }
 
-// newPackedValue returns a record's value against that of the record before.
+// newPackedValue returns the value of r, to be compressed with that of the record before.
 func newPackedValue(r, before Record) *packedValue {
 	if len(before.Value) == 0 {
 		before.Offset = noOffset
@@ -75,7 +75,8 @@
 	}
 }
 
-// bytes returns the packed value.
+// bytes returns the compressed value, and on the first call compresses it and releases the
+// uncompressed values.
 func (p *packedValue) bytes() ([]byte, error) {
 	p.once.Do(func() {
 		p.data, p.err = zdelta.Pack(p.value.Value, p.base.Value)
@@ -86,16 +87,17 @@
 	return p.data, p.err
 }
 
-// journal is the latest changes in order.
+// journal contains the latest applied records in the order in which they were applied.
 type journal struct {
 	entries []entry
-	// first is the number of the first entry that is kept.
+	// first is the number of the oldest entry that is kept.
 	first int64
-	// size is the sum of the entries' sizes in bytes.
+	// size is the sum of the sizes of all entries.
 	size int
 }
 
-// add adds a record that replaces another one of its key.
+// add appends a record that replaces the record before of the same key, and drops the oldest
+// entries if a limit is exceeded.
 func (j *journal) add(f Feed, r, before Record) {
 	e := entry{
 		feed:   f,
@@ -116,12 +118,13 @@
 	}
 }
 
-// end is the number of the next entry.
+// end returns the number of the next entry.
 func (j *journal) end() int64 {
 	return j.first + int64(len(j.entries))
 }
 
-// from returns the entries from a number on, or false when they are not kept.
+// from returns the entries from the number n on. It returns false if some of them are no longer
+// kept.
 func (j *journal) from(n int64) ([]entry, bool) {
 	if n < j.first {
 		return nil, false
--- a/catalog/missing.go
+++ b/catalog/missing.go
@@ -8,7 +8,7 @@
 	"github.com/linkmast/linkmast/catalog/catalogpb"
 )
 
-// firstPing returns what this instance says that it has when it begins to follow.
+// firstPing returns a ping that summarizes the records that this instance has.
 func (c *Catalog) firstPing() *catalogpb.Ping {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,53 +28,51 @@
 	return p
 }
 
-// missingRecords is what a follower lacks of a feed.
+// missingRecords contains the records of a feed that a follower lacks.
 type missingRecords struct {
 	feed    Feed
 	next    int64
 	records []Record
-	// parts are those of the feed of which records has all.
+	// parts are the parts of the feed of which records contains all.
 	parts parts
-	// long are the packed values of long records, by key.
+	// long maps the keys of long records to their compressed values.
 	long map[string]*packedValue
-	// more states that further parts of the feed follow.
+	// more is set if further parts of the feed follow.
 	more bool
 }
 
-// maxMissingBytes is the size of the records of one message to an instance that lacks many. A
-// carrier sends all endpoints and instances to some 40 followers that start together; in one
-// message each is 350 KB with 1,000 of each, and is held several times over on its way.
+// maxMissingBytes is the size of records above which a message is split. It limits the memory
+// that a relay needs when many followers start together and receive all records.
 const maxMissingBytes = 24 << 10
 
-// split returns the same in messages of about lackBytes, each of which has all records of
-// some parts.
+// split divides l into messages of about maxMissingBytes, each with all records of some parts.
 func (l *missingRecords) split() []missingRecords {
 	byPart := make(map[int][]Record)
 	for _, r := range l.records {
 		byPart[partOf(r.Key)] = append(byPart[partOf(r.Key)], r)
 	}
 	var out []missingRecords
-	one := l.emptyCopy()
+	message := l.emptyCopy()
 	size := 0
 	for part := range partCount {
 		if !l.parts.contains(part) {
 			continue
 		}
 		if size > maxMissingBytes {
-			one.more = true
-			out = append(out, one)
-			one, size = l.emptyCopy(), 0
+			message.more = true
+			out = append(out, message)
+			message, size = l.emptyCopy(), 0
 		}
-		one.parts |= 1 << part
+		message.parts |= 1 << part
 		for _, r := range byPart[part] {
-			one.records = append(one.records, r)
+			message.records = append(message.records, r)
 			size += len(r.Key) + len(r.Value)
 		}
 	}
-	return append(out, one)
+	return append(out, message)
 }
 
-// emptyCopy returns the lack of no part.
+// emptyCopy returns a copy of l without parts and records.
 func (l *missingRecords) emptyCopy() missingRecords {
 	return missingRecords{
 		feed: l.feed,
@@ -83,15 +81,15 @@
 	}
 }
 
-// missingFor returns what a follower lacks of the feeds that are known, as it says in its
+// missingFor returns the records of all known feeds that a follower lacks according to its
 // first ping. The caller holds the lock.
 func (c *Catalog) missingFor(first *catalogpb.Ping) []missingRecords {
-	said := make(map[Feed][]uint64, len(first.GetHave()))
+	sums := make(map[Feed][]uint64, len(first.GetHave()))
 	for _, h := range first.GetHave() {
-		said[Feed(h.GetFeed())] = h.GetSums()
+		sums[Feed(h.GetFeed())] = h.GetSums()
 	}
-	out := make([]missingRecords, 0, len(feeds))
-	// The configuration comes last: an instance is ready once it has that.
+	missing := make([]missingRecords, 0, len(feeds))
+	// The configuration is sent last, because the follower is ready to serve once it has it.
 	for _, f := range slices.Backward(feeds[:]) {
 		next, known := c.next[f]
 		if !known {
@@ -100,20 +98,20 @@
 		l := missingRecords{
 			feed:  f,
 			next:  next,
-			parts: c.checksums[f].differ(said[f]),
+			parts: c.checksums[f].differ(sums[f]),
 			long:  make(map[string]*packedValue),
 		}
 		c.collect(&l, first.GetHas())
-		out = append(out, l.split()...)
+		missing = append(missing, l.split()...)
 	}
-	return out
+	return missing
 }
 
-// collect adds the records of a feed that are lacking; the configuration only where the
-// follower has the one at another offset. The caller holds the lock.
-func (c *Catalog) collect(l *missingRecords, has int64) {
+// collect adds the records of the parts in l. It omits the configuration if the follower has
+// the one at the same offset. The caller holds the lock.
+func (c *Catalog) collect(l *missingRecords, tableOffset int64) {
 	for key, r := range c.records[l.feed] {
-		if !l.parts.has(key) || c.isTable(l.feed, key) && r.Offset == has {
+		if !l.parts.has(key) || c.isTable(l.feed, key) && r.Offset == tableOffset {
 			continue
 		}
 		l.records = append(l.records, r)
@@ -123,7 +121,7 @@
 	}
 }
 
-// encode makes the message of what is lacking.
+// encode returns the message that contains the records.
 func (l *missingRecords) encode() (*catalogpb.Update, error) {
 	out := make([]*catalogpb.Record, 0, len(l.records))
 	for _, r := range l.records {
--- a/catalog/pending_entries.go
+++ b/catalog/pending_entries.go
@@ -11,31 +11,31 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// The times in which the first contact waits, at the first start of all, for those that
-// start with it: until no other one has asked for settleQuiet, and within the bounds.
+// At the first start of all instances, the first seed waits for the others until none has
+// called for settleQuiet, but at least minSettle and at most maxSettle.
 const (
 	settleQuiet = 250 * time.Millisecond
 	minSettle   = 500 * time.Millisecond
 	maxSettle   = 1200 * time.Millisecond
 )
 
-// pendingEntries are instances whose entries the store may lack, with when they are next
-// written or handed on.
+// pendingEntries holds the entries that the store may lack, by instance ID, with the time of
+// the next attempt to write or forward them.
 type pendingEntries struct {
 	mu        sync.Mutex
 	entries   map[string]pendingEntry
 	lastAdded time.Time
-	// arrived fires when there is a new one.
+	// arrived fires when add is called.
 	arrived *signal
 }
 
-// pendingEntry is one of newcomers.
+// pendingEntry is an entry to write or forward at the due time.
 type pendingEntry struct {
 	peer Peer
 	due  time.Time
 }
 
-// newPendingEntries returns none.
+// newPendingEntries returns an empty set.
 func newPendingEntries() pendingEntries {
 	return pendingEntries{
 		entries: make(map[string]pendingEntry),
@@ -43,48 +43,49 @@
 	}
 }
 
-// add adds instances; those that are there already keep their time.
-func (n *pendingEntries) add(started ...Peer) {
+// add adds entries that are due at once. It keeps the due time of entries that are already
+// present.
+func (s *pendingEntries) add(started ...Peer) {
 	if len(started) == 0 {
 		return
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.lastAdded = steady.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastAdded = steady.Now()
 	for _, p := range started {
-		if n.entries[p.ID].peer == p {
+		if s.entries[p.ID].peer == p {
 			continue
 		}
-		n.entries[p.ID] = pendingEntry{
+		s.entries[p.ID] = pendingEntry{
 			peer: p,
-			due:  n.lastAdded,
+			due:  s.lastAdded,
 		}
 	}
-	n.arrived.fire()
+	s.arrived.fire()
 }
 
-// all returns all of them.
-func (n *pendingEntries) all() []Peer {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	out := make([]Peer, 0, len(n.entries))
-	for _, one := range n.entries {
+// all returns all pending entries, in any order.
+func (s *pendingEntries) all() []Peer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make([]Peer, 0, len(s.entries))
+	for _, one := range s.entries {
 		out = append(out, one.peer)
 	}
 	return out
 }
 
-// take returns those that are due and don't stand yet, mostAnnounced at most, and forgets
-// those that stand.
-func (n *pendingEntries) take(stands func(Peer) bool) []Peer {
+// take returns up to maxAnnounced entries that are due and that are not in the store according
+// to stored. It removes those that are in the store.
+func (s *pendingEntries) take(stored func(Peer) bool) []Peer {
 	now := steady.Now()
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []Peer
-	for id, one := range n.entries {
+	for id, one := range s.entries {
 		switch {
-		case stands(one.peer):
-			delete(n.entries, id)
+		case stored(one.peer):
+			delete(s.entries, id)
 		case !now.Before(one.due) && len(out) < maxAnnounced:
 			out = append(out, one.peer)
 		}
@@ -92,31 +93,32 @@
 	return out
 }
 
-// count returns how many there are.
-func (n *pendingEntries) count() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return len(n.entries)
+// count returns the number of pending entries.
+func (s *pendingEntries) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.entries)
 }
 
-// forget forgets instances that others see to from now on.
-func (n *pendingEntries) forget(done []Peer) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// forget removes entries that have been written or forwarded, unless they have changed since.
+func (s *pendingEntries) forget(done []Peer) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, p := range done {
-		if n.entries[p.ID].peer == p {
-			delete(n.entries, p.ID)
+		if s.entries[p.ID].peer == p {
+			delete(s.entries, p.ID)
 		}
 	}
 }
 
-// settle waits until no other instance has come for settleQuiet.
-func (n *pendingEntries) settle(ctx context.Context) {
+// settle waits until no entry has been added for settleQuiet, within the limits of minSettle
+// and maxSettle.
+func (s *pendingEntries) settle(ctx context.Context) {
 	began := steady.Now()
 	for ctx.Err() == nil {
-		n.mu.Lock()
-		quiet := steady.Since(n.lastAdded) >= settleQuiet
-		n.mu.Unlock()
+		s.mu.Lock()
+		quiet := steady.Since(s.lastAdded) >= settleQuiet
+		s.mu.Unlock()
 		waited := steady.Since(began)
 		if waited >= maxSettle || waited >= minSettle && quiet {
 			return
@@ -125,25 +127,26 @@
 	}
 }
 
-// postpone makes instances that others did not see to due again at a moment.
-func (n *pendingEntries) postpone(some []Peer, due time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// postpone sets the due time of entries that could not be written or forwarded.
+func (s *pendingEntries) postpone(some []Peer, due time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, p := range some {
-		if one := n.entries[p.ID]; one.peer == p {
+		if one := s.entries[p.ID]; one.peer == p {
 			one.due = due
-			n.entries[p.ID] = one
+			s.entries[p.ID] = one
 		}
 	}
 }
 
-// next returns how long it takes until one is due; longer than anything without one.
-func (n *pendingEntries) next() time.Duration {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// next returns the time until an entry is due, at least forwardRetryDelay. Without entries it
+// returns the maximum duration.
+func (s *pendingEntries) next() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	least := time.Duration(math.MaxInt64)
 	now := steady.Now()
-	for _, one := range n.entries {
+	for _, one := range s.entries {
 		least = min(least, one.due.Sub(now))
 	}
 	return max(least, forwardRetryDelay)
--- a/catalog/readers.go
+++ b/catalog/readers.go
@@ -9,18 +9,18 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// roleCheckInterval is how often an instance looks whether it should read the store, or
-// follow another one: well below the two seconds in which changes must be in
-// force.
+// roleCheckInterval is how often an instance checks whether it must read the store or follow
+// another instance. It is short compared with the two seconds within which changes must take
+// effect.
 const roleCheckInterval = 100 * time.Millisecond
 
-// freshFor is how long ago a reader's last answer of the store, or a follower's
-// last confirmation, may be: two polls and a little.
+// freshFor returns how long the last answer of the store, or the last confirmation of the
+// upstream, counts as recent: two polls and some slack.
 func (c *Catalog) freshFor() time.Duration {
 	return 2*c.settings.Poll + c.settings.Poll/2
 }
 
-// setFailing notes whether the last read of a feed failed.
+// setFailing records whether the last read of a feed failed.
 func (c *Catalog) setFailing(f Feed, failing bool) {
 	bit := int64(1) << f
 	if failing {
@@ -30,36 +30,35 @@
 	c.failing.And(^bit)
 }
 
-// The measures of reading the store because no other instance tells enough. When many
-// instances come to this at the same time, those that come first in the order read
-// first, and the others can follow them.
+// The delays after which an instance without a fresh upstream reads the store itself. If many
+// instances lose their upstream together, the first ones in the order read first, and the
+// others can follow them.
 const (
-	// earlyReaders is how many instances of the order read after the shortest delay,
-	// and leastReadDelay is that delay: some round trips between instances, in which
-	// those find one to follow that start together.
+	// earlyReaders is the number of instances that read after the shortest delay, minReadDelay,
+	// which gives instances that start together time to find an upstream.
 	earlyReaders = 8
 	minReadDelay = 50 * time.Millisecond
-	// readDelayStep is after how long twice as many read: 0.78 s for the last of
-	// 295 instances, 1.1 s for the last of 1,200, below the two seconds in which
-	// changes must be in force. It is some tens of round trips between instances.
+	// readDelayStep is the time in which the number of instances that read the store doubles.
+	// With 1,200 instances the last delay stays below the two seconds within which changes must
+	// take effect.
 	readDelayStep = 150 * time.Millisecond
-	// startReadDelay is how much longer an instance waits that has just started and knows
-	// nothing yet: those that it was told to follow may be starting, too.
+	// startReadDelay is the additional delay of an instance that has just started, whose
+	// upstreams may still be starting.
 	startReadDelay = 400 * time.Millisecond
 )
 
-// readDelay returns how long the instance at a place of the order, counted from zero,
-// waits for another one to follow before it reads the store itself: readDelayStep more
-// for each doubling of the place beyond firstReaders.
-func readDelay(at int) time.Duration {
-	doublings := math.Log2(max(float64(at+1)/earlyReaders, 1))
+// readDelay returns how long the instance at a position of the order, counted from zero, looks
+// for an upstream before it reads the store itself. The delay grows by readDelayStep with each
+// doubling of the position beyond earlyReaders.
+func readDelay(position int) time.Duration {
+	doublings := math.Log2(max(float64(position+1)/earlyReaders, 1))
 	return minReadDelay + time.Duration(doublings*float64(readDelayStep))
 }
 
-// shouldRead states whether this instance reads the store: as one of the first, or
-// because no other instance has told it enough for the delay of its place. One that
-// reads for that reason goes on while others follow it, until it hears of the store by
-// one that comes before it in the order.
+// shouldRead reports whether this instance must read the store: as a reader, or because it has
+// been without a fresh upstream for the delay of its position. In the latter case it goes on
+// reading while it has followers, even with a fresh upstream again, until the root of that
+// upstream precedes it in the order.
 func (c *Catalog) shouldRead() bool {
 	r := c.topology.Load()
 	if r.isReader() {
@@ -80,8 +79,8 @@
 	return !c.upstreamLost.within(delay)
 }
 
-// shouldFollow states whether this instance follows another one: all do but the first
-// readers while the store answers them.
+// shouldFollow reports whether this instance must follow another one. Only a reader that can
+// read all feeds need not.
 func (c *Catalog) shouldFollow() bool {
 	if !c.storeAnswered.within(c.freshFor()) || c.failing.Load() != 0 {
 		return true
--- a/catalog/reading.go
+++ b/catalog/reading.go
@@ -12,28 +12,29 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// The times of reading the store.
+// Timing of reads from the store.
 const (
-	// pollSlack is how much longer than its wait a poll may take.
+	// pollSlack is the time that a poll may take beyond its wait time.
 	pollSlack = 800 * time.Millisecond
-	// pageTimeout bounds the read of one page.
+	// pageTimeout is the timeout of reading one page.
 	pageTimeout = 2 * time.Second
-	// minPollInterval is the least time between two polls for endpoints or instances
-	// that bring something: after an outage entries come back one by one, and
-	// what comes together costs one call.
+	// minPollInterval is the minimum time between two polls for endpoints or instances if the
+	// first one returned records. Entries that return one by one after an outage are then read
+	// together.
 	minPollInterval = 100 * time.Millisecond
-	// expireInterval is how often it is looked whether removals have come due.
+	// expireInterval is how often held removals are checked.
 	expireInterval = 100 * time.Millisecond
 )
 
-// confirmByStore notes that the store showed the newest configuration to a read.
+// confirmByStore records that the store returned the newest configuration for a request sent at
+// the given time.
 func (c *Catalog) confirmByStore(sent time.Time) {
 	c.confirm(sent)
 	c.storeAnswered.mark(steady.Now())
 	c.confirmation.fire()
 }
 
-// Run follows the store until ctx ends.
+// Run keeps the catalog up to date until ctx ends.
 func (c *Catalog) Run(ctx context.Context) {
 	var parts sync.WaitGroup
 	parts.Go(func() { c.expireLoop(ctx) })
@@ -46,7 +47,8 @@
 	parts.Wait()
 }
 
-// runFeeds reads the store and follows other instances as either is needed.
+// runFeeds runs the loops that read the store, follow another instance and introduce this
+// instance, until ctx ends.
 func (c *Catalog) runFeeds(ctx context.Context) {
 	var parts sync.WaitGroup
 	retry := newSignal()
@@ -58,7 +60,7 @@
 	parts.Wait()
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits until the duration has passed or ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -66,7 +68,7 @@
 	}
 }
 
-// expireLoop removes endpoints as their time comes.
+// expireLoop applies held removals when they are due.
 func (c *Catalog) expireLoop(ctx context.Context) {
 	tick := time.NewTicker(expireInterval)
 	defer tick.Stop()
@@ -80,12 +82,12 @@
 	}
 }
 
-// readLoop keeps one feed up to date from the store while this instance should
-// read it.
+// readLoop keeps one feed up to date from the store while this instance must read it. A fired
+// retry interrupts the current poll, except that of the configurations.
 func (c *Catalog) readLoop(ctx context.Context, f Feed, retry *signal) {
 	next := int64(unread)
 	failures := 0
-	whole := &fullRead{
+	full := &fullRead{
 		feed: f,
 	}
 	for ctx.Err() == nil {
@@ -93,22 +95,22 @@
 			sleep(ctx, roleCheckInterval)
 			c.setFailing(f, false)
 			next, failures = unread, 0
-			whole.reset()
+			full.reset()
 			continue
 		}
-		if next == unread && !whole.due {
+		if next == unread && !full.due {
 			next = c.resume(f)
 		}
 		var err error
 		if next == unread {
-			next, err = c.readFull(ctx, whole)
+			next, err = c.readFull(ctx, full)
 		} else {
 			next, err = c.poll(ctx, f, next, failures > 0, retry)
 			if errors.Is(err, ErrCompacted) {
-				c.log.Info("feed is read whole again", "feed", f.String(), "from", next)
+				c.log.Info("records no longer kept, reading the feed in full", "feed", f.String(), "from", next)
 				next = unread
-				whole.reset()
-				whole.due = true
+				full.reset()
+				full.due = true
 				continue
 			}
 		}
@@ -126,11 +128,11 @@
 	}
 }
 
-// unread stands for the offset of a feed that must be read whole.
+// unread is the offset of a feed that must be read in full.
 const unread = -1
 
-// resume returns the offset from which a feed can be followed, or unread when
-// nothing is known of it.
+// resume returns the offset from which a feed can be followed, or unread if the feed has no
+// records yet.
 func (c *Catalog) resume(f Feed) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,8 +142,8 @@
 	return unread
 }
 
-// pollWait returns how long a poll waits. After a failure it does not, so that it
-// is known at once that the store is back.
+// pollWait returns the wait time of a poll. After a failure it is zero, to detect at once that
+// the store is back.
 func (c *Catalog) pollWait(f Feed, failed bool) time.Duration {
 	switch {
 	case failed:
@@ -154,21 +156,21 @@
 	return c.settings.InstancePoll
 }
 
-// poll waits for the next records of a feed, and returns the offset after them. The error
-// is ErrCompacted when the feed must be read whole.
+// poll waits for the next records of a feed, applies them and returns the offset after them. It
+// returns ErrCompacted if the feed must be read in full.
 func (c *Catalog) poll(ctx context.Context, f Feed, from int64, failed bool, retry *signal) (int64, error) {
 	wait := c.pollWait(f, failed)
 	ctx, cancel := context.WithTimeout(ctx, wait+pollSlack)
 	defer cancel()
-	kicked := func() bool { return false }
+	interrupted := func() bool { return false }
 	if f != Configurations {
 		var stop func()
-		kicked, stop = retry.watch(cancel)
+		interrupted, stop = retry.watch(cancel)
 		defer stop()
 	}
 	sent := steady.Now()
 	records, next, err := c.store.Follow(ctx, f, from, wait)
-	if err != nil && kicked() {
+	if err != nil && interrupted() {
 		return from, nil
 	}
 	if err != nil {
--- a/catalog/server.go
+++ b/catalog/server.go
@@ -14,16 +14,16 @@
 	"github.com/linkmast/linkmast/catalog/catalogpb"
 )
 
-// Server hands on what a Catalog knows to other instances.
+// Server serves the data of a Catalog to the instances that follow or join.
 type Server struct {
 	catalogpb.UnimplementedCatalogServer
 
 	catalog *Catalog
-	// closing ends all streams.
+	// closing ends all streams when it is closed.
 	closing <-chan struct{}
 }
 
-// NewServer returns a server. Streams end when closing is closed.
+// NewServer returns a server, whose streams end when closing is closed.
 func NewServer(c *Catalog, closing <-chan struct{}) *Server {
 	return &Server{
 		catalog: c,
@@ -31,7 +31,8 @@
 	}
 }
 
-// Follow implements catalogpb.CatalogServer.
+// Follow implements catalogpb.CatalogServer. It rejects a follower if the limit is reached or
+// the data is stale.
 func (s *Server) Follow(stream grpc.BidiStreamingServer[catalogpb.Ping, catalogpb.Update]) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -55,28 +56,28 @@
 	return f.serve(first, s.closing)
 }
 
-// admits states whether somebody can follow this instance, at once or within the moment
-// that a patient one waits. One that starts in an outage of the store knows no
-// configuration; it is told what there is.
+// admits reports whether the sender of the first ping can follow this instance, either at once
+// or, if it is patient, after a short wait. A follower without a configuration is admitted even
+// if the data is stale, so that it can start during an outage of the store.
 func (c *Catalog) admits(ctx context.Context, first *catalogpb.Ping, closing <-chan struct{}) bool {
-	helps := first.GetHas() == noOffset && c.Snapshot() != nil
-	if helps || c.followable() {
+	bootstraps := first.GetHas() == noOffset && c.Snapshot() != nil
+	if bootstraps || c.followable() {
 		return true
 	}
 	return first.GetPatient() && c.awaitFollowable(ctx, closing)
 }
 
-// followerStream is an instance that follows this one. One goroutine sends to it.
+// followerStream is the serving side of a follower's stream. Only one goroutine sends to it.
 type followerStream struct {
 	catalog *Catalog
 	stream  grpc.BidiStreamingServer[catalogpb.Ping, catalogpb.Update]
 	pings   chan *catalogpb.Ping
 	failed  chan error
-	// at is the number of the next change that it gets.
+	// at is the number of the next journal entry to send.
 	at int64
 }
 
-// receive hands on the follower's pings until the stream ends.
+// receive passes the follower's pings to serve until the stream ends.
 func (f *followerStream) receive(ctx context.Context) {
 	for {
 		p, err := f.stream.Recv()
@@ -92,7 +93,7 @@
 	}
 }
 
-// serve sends what the follower lacks, each change, and an age for each ping.
+// serve sends the records that the follower lacks, then each change, and an age for each ping.
 func (f *followerStream) serve(first *catalogpb.Ping, closing <-chan struct{}) error {
 	if err := f.sendMissing(first); err != nil {
 		return err
@@ -119,8 +120,8 @@
 	}
 }
 
-// answer tells the age. All changes that it covers go first, so that the follower
-// never takes an older configuration for one that was confirmed.
+// answer sends the age of the configuration. All changes that the age covers are sent before
+// it, so that the follower never regards an older configuration as confirmed.
 func (f *followerStream) answer(p *catalogpb.Ping) error {
 	c := f.catalog
 	age, known := c.Age()
@@ -142,15 +143,15 @@
 	})
 }
 
-// sendMissing sends what the follower lacks, as it says in its first ping. The changes
-// from then on come after it.
+// sendMissing sends the records that the follower lacks according to its first ping. Later
+// changes are sent by sendChanges.
 func (f *followerStream) sendMissing(first *catalogpb.Ping) error {
 	c := f.catalog
 	c.mu.Lock()
 	f.at = c.journal.end()
-	lacks := c.missingFor(first)
+	missing := c.missingFor(first)
 	c.mu.Unlock()
-	for _, l := range lacks {
+	for _, l := range missing {
 		u, err := l.encode()
 		if err != nil {
 			return err
@@ -162,8 +163,8 @@
 	return nil
 }
 
-// sendChanges sends the changes that the follower has not got; all records when those
-// are no longer kept.
+// sendChanges sends the changes since the last call, or all records if the journal no longer
+// contains them.
 func (f *followerStream) sendChanges() error {
 	c := f.catalog
 	c.mu.Lock()
@@ -190,19 +191,20 @@
 	return nil
 }
 
-// Introduce implements catalogpb.CatalogServer.
+// Introduce implements catalogpb.CatalogServer. It passes the list of instances to adoptPeers.
 func (s *Server) Introduce(_ context.Context, in *catalogpb.Introducing) (*catalogpb.Introduced, error) {
 	return &catalogpb.Introduced{
 		Known: !s.catalog.adoptPeers(peersOf(in.GetKnown()), int(in.GetTotal()), "introduction", ownEntryCheckInterval),
 	}, nil
 }
 
-// Join implements catalogpb.CatalogServer.
+// Join implements catalogpb.CatalogServer. It adds the started instances to the pending entries
+// and returns instances that the first of them can follow.
 func (s *Server) Join(ctx context.Context, in *catalogpb.JoinRequest) (*catalogpb.JoinReply, error) {
 	c := s.catalog
 	started := peersOf(in.GetStarted())
 	if slices.ContainsFunc(started, func(p Peer) bool { return p.ID == "" || p.Address == "" }) {
-		// Entries are written together: one that can't be would keep the others out.
+		// The entries are written in one call, which one invalid entry would fail.
 		return nil, status.Error(codes.InvalidArgument, "an instance without a name or an address")
 	}
 	c.pending.add(slices.DeleteFunc(slices.Clone(started), c.entryStored)...)
@@ -220,7 +222,7 @@
 	}, nil
 }
 
-// awaitJoined waits until it is known who is there, for joinHold at most.
+// awaitJoined waits up to joinHold until this instance has joined.
 func (c *Catalog) awaitJoined(ctx context.Context, closing <-chan struct{}) {
 	timeout := time.NewTimer(joinHold)
 	defer timeout.Stop()
--- a/catalog/signal.go
+++ b/catalog/signal.go
@@ -7,38 +7,38 @@
 	"sync/atomic"
 )
 
-// signal wakes or ends what watches it.
+// signal is a broadcast that can fire repeatedly.
 type signal struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
-// newSignal returns a kick that nothing watches.
+// newSignal returns a signal that has not fired.
 func newSignal() *signal {
 	return &signal{
 		ch: make(chan struct{}),
 	}
 }
 
-// fire ends all that watch now.
-func (k *signal) fire() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	close(k.ch)
-	k.ch = make(chan struct{})
+// fire closes the channel that next returned, and calls the watching functions.
+func (s *signal) fire() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	close(s.ch)
+	s.ch = make(chan struct{})
 }
 
-// next returns a channel that is closed at the next fire.
-func (k *signal) next() <-chan struct{} {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.ch
+// next returns a channel that is closed the next time the signal fires.
+func (s *signal) next() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.ch
 }
 
-// watch calls f at the next fire, until it is stopped. Fired states whether it
-// was called.
-func (k *signal) watch(f func()) (fired func() bool, stop func()) {
-	ch := k.next()
+// watch calls f the next time the signal fires, unless stop is called before. fired reports
+// whether f has been called. stop must be called exactly once.
+func (s *signal) watch(f func()) (fired func() bool, stop func()) {
+	ch := s.next()
 	done := make(chan struct{})
 	var called atomic.Bool
 	go func() {
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -11,33 +11,35 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// Snapshot is what was known at one moment. It never changes.
+// Snapshot is an immutable copy of the catalog's data at one moment.
 type Snapshot struct {
 	// Table is the configuration in force.
 	Table *route.Table
-	// Complete states that the endpoints and the instances are known, too: without the
-	// former nothing can be served, and without the latter it is not known who owns a
-	// pool. An instance that starts may know the configuration first.
+	// Complete is set if the endpoints and the instances are known as well. A starting instance
+	// may know the configuration first, but without the endpoints it can't serve requests, and
+	// without the instances it can't determine the owners of pools.
 	Complete bool
-	// Endpoints are all endpoints by instance, leaving ones included.
+	// Endpoints are all known endpoints by name, including leaving ones.
 	Endpoints map[string]Endpoint
-	// Departed are the endpoints that leave or are gone, for departedFor after
-	// this became known. Another instance may not know of it yet.
+	// Departed maps leaving and removed endpoints to the time at which this instance noticed
+	// it. Entries are kept for departedFor, because another instance may learn of the departure
+	// later.
 	Departed map[string]time.Time
-	// Drained are the failure domains whose endpoints get nothing new, with when this
-	// became known.
+	// Drained maps the drained failure domains to the time at which this instance noticed it.
+	// Their endpoints must receive no new requests.
 	Drained map[string]time.Time
-	// Banned are the requests that are kept from endpoints, by their identity.
+	// Banned are the banned requests by identity.
 	Banned map[quarantine.Identity]quarantine.Verdict
-	// Peers are all instances by id, this one included.
+	// Peers are all known instances by ID, including this one once its entry is known.
 	Peers map[string]Peer
 }
 
-// departedFor is how long endpoints that are gone are remembered: longer than
-// outages of the store usually last.
+// departedFor is how long departed endpoints are kept in Departed. It exceeds the usual
+// duration of an outage of the store.
 const departedFor = 2 * time.Minute
 
-// DepartedEndpoints returns the endpoints that must get nothing new, in any order.
+// DepartedEndpoints returns the names of the leaving and recently removed endpoints, which must
+// receive no new requests, in any order.
 func (s *Snapshot) DepartedEndpoints() []string {
 	out := make([]string, 0, len(s.Departed))
 	for instance := range s.Departed {
@@ -46,14 +48,14 @@
 	return out
 }
 
-// HasDeparted states whether an endpoint must get nothing new.
+// HasDeparted reports whether an endpoint is leaving or was removed recently.
 func (s *Snapshot) HasDeparted(instance string) bool {
 	_, gone := s.Departed[instance]
 	return gone
 }
 
-// Unavailable states whether an endpoint must get nothing new, by itself or as its failure
-// domain is emptied.
+// Unavailable reports whether an endpoint must receive no new requests, because it has departed
+// or its failure domain is drained.
 func (s *Snapshot) Unavailable(instance string) bool {
 	if s.HasDeparted(instance) {
 		return true
@@ -62,7 +64,8 @@
 	return emptied
 }
 
-// publish makes what is known visible. The caller holds the lock.
+// publish stores a new snapshot, if a configuration is known, and notifies the receivers of
+// Changed. The caller holds the lock.
 func (c *Catalog) publish() {
 	close(c.changed)
 	c.changed = make(chan struct{})
--- a/catalog/stats.go
+++ b/catalog/stats.go
@@ -7,34 +7,35 @@
 	"slices"
 )
 
-// Stats are an instance's place among those that hand on what the store says.
+// Stats describes the state of a Catalog and its role in distributing the data of the store.
 type Stats struct {
-	// Role is "reader", "carrier" or "follower", by the order of all instances.
+	// Role is "reader", "carrier" (a relay) or "follower", according to the topology.
 	Role string `json:"role"`
-	// Joined states that it is known who is there: an instance that starts can't do
-	// anything before.
+	// Joined is set once this instance has a list of other instances. Before, it can neither
+	// read the store nor follow another instance.
 	Joined bool `json:"joined"`
-	// Instances counts all instances, and Newcomers those whose entries this one sees to.
+	// Instances is the number of all instances, and PendingEntries is the number of entries
+	// that this instance still has to write or forward.
 	Instances      int `json:"instances"`
 	PendingEntries int `json:"newcomers"`
-	// Reads states that the store answers this instance.
+	// Reads is set if the store has recently answered this instance.
 	Reads bool `json:"reads"`
-	// Followers counts the instances that follow this one.
+	// Followers is the number of instances that follow this one.
 	Followers int `json:"followers"`
-	// Hops counts the instances between the one that the store answers and this
-	// one, and Root names that one.
+	// Hops is the number of links between this instance and Root, which is the ID of the
+	// instance that read the data from the store.
 	Hops int    `json:"hops"`
 	Root string `json:"root"`
-	// AnsweredMS is how long ago the store answered the root, in ms; an hour when
-	// it never did.
+	// AnsweredMS is the time since the store last answered Root, in ms; one hour if it never
+	// did.
 	AnsweredMS int64 `json:"answered_ms"`
-	// Drained are the failure domains that get nothing new, in order.
+	// Drained are the drained failure domains in alphabetical order.
 	Drained []string `json:"emptied"`
 }
 
-// Stats returns the figures of now.
+// Stats returns the current state.
 func (c *Catalog) Stats() Stats {
-	now := c.freshness()
+	source := c.freshness()
 	return Stats{
 		Role:           c.topology.Load().role(),
 		Joined:         c.joined.Load(),
@@ -42,26 +43,26 @@
 		PendingEntries: c.pending.count(),
 		Reads:          c.storeAnswered.within(c.freshFor()),
 		Followers:      c.followers.count(),
-		Hops:           now.hops,
-		Root:           now.root,
-		AnsweredMS:     now.answered.Milliseconds(),
+		Hops:           source.hops,
+		Root:           source.root,
+		AnsweredMS:     source.answered.Milliseconds(),
 		Drained:        c.drainedDomains(),
 	}
 }
 
-// drainedDomains returns the failure domains that are emptied, in order.
+// drainedDomains returns the drained failure domains in alphabetical order.
 func (c *Catalog) drainedDomains() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.drained))
 }
 
-// role returns what an instance is meant to do.
-func (r *topology) role() string {
+// role returns the role of this instance, as in Stats.
+func (t *topology) role() string {
 	switch {
-	case r.isReader():
+	case t.isReader():
 		return "reader"
-	case r.self < r.relays:
+	case t.self < t.relays:
 		return "carrier"
 	}
 	return "follower"
--- a/catalog/timestamp.go
+++ b/catalog/timestamp.go
@@ -9,32 +9,32 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// timestamp is a moment that several goroutines mark and read. The zero value was never marked.
+// timestamp is a time that several goroutines can set and read. The zero value is unset.
 type timestamp struct {
 	at atomic.Pointer[time.Time]
 }
 
-// mark sets the clock to a moment.
-func (k *timestamp) mark(now time.Time) {
-	k.at.Store(&now)
+// mark sets the timestamp.
+func (t *timestamp) mark(now time.Time) {
+	t.at.Store(&now)
 }
 
-// reset makes the clock one that was never marked.
-func (k *timestamp) reset() {
-	k.at.Store(nil)
+// reset makes the timestamp unset.
+func (t *timestamp) reset() {
+	t.at.Store(nil)
 }
 
-// since returns how long ago the clock was marked; false when it never was.
-func (k *timestamp) since() (time.Duration, bool) {
-	at := k.at.Load()
+// since returns the time that has passed since the timestamp, or false if it is unset.
+func (t *timestamp) since() (time.Duration, bool) {
+	at := t.at.Load()
 	if at == nil {
 		return 0, false
 	}
 	return steady.Since(*at), true
 }
 
-// within states whether the clock was marked at most so long ago.
-func (k *timestamp) within(d time.Duration) bool {
-	ago, ok := k.since()
+// within reports whether the timestamp is set and at most d ago.
+func (t *timestamp) within(d time.Duration) bool {
+	ago, ok := t.since()
 	return ok && ago <= d
 }
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -11,63 +11,64 @@
 	"github.com/linkmast/linkmast/internal/rendezvous"
 )
 
-// orderKey is what the order of readers is made from.
+// orderKey is the rendezvous key of the order of the instances.
 const orderKey = "catalog"
 
-// relayFanOut is how many instances one carrier is meant for. What 32 instances get that
-// start at once, 60 KB each, takes 80 ms of a link of 200 Mbit/s. With two readers, a
-// tree of two levels reaches 2,000 instances, one of three levels 60,000.
+// relayFanOut is the number of instances that each relay is meant to serve. With two readers, a
+// tree of two levels reaches 2,000 instances and one of three levels 60,000.
 const relayFanOut = 32
 
-// minCapacityShare is the part of the greatest capacity from which instances do work for
-// others: read the store, carry followers, own pools.
+// minCapacityShare is the minimum capacity, as a share of the greatest one, with which an
+// instance can work for others: as a reader, a relay or the owner of a pool.
 const minCapacityShare = 0.5
 
-// The bounds of followers, which make instances look elsewhere when many carriers are
-// lost at once.
+// Limits on the number of followers. They spread the followers when many relays are lost at
+// once.
 const (
-	// followerLimitFactor is how many times the followers that it is meant for a carrier
-	// takes.
+	// followerLimitFactor is the limit of a relay, as a multiple of its intended number of
+	// followers.
 	followerLimitFactor = 2
-	// weakFollowerLimit is how many followers an instance takes that is not able to carry,
-	// when followers find nobody else: what changes goes out four times.
+	// weakFollowerLimit is the limit of an instance with too little capacity for a relay, which
+	// is followed only if no other upstream is available. It sends each change to every
+	// follower.
 	weakFollowerLimit = 4
 )
 
-// topology is how instances divide the work of handing on what the store says: the first
-// ones of an order that all compute alike read the store, some more follow these, and
-// carry the others. The zero value has nobody.
+// topology assigns roles to the instances by an order that all of them compute alike. The first
+// instances are readers. The relays, which include the readers, follow a reader and serve the
+// others. The zero value contains no instances.
 type topology struct {
-	// positions is each instance's positions in the order, counted from zero. Instances
-	// that are able to carry come before all others.
+	// positions maps each known instance to its position in the order, counted from zero.
+	// Instances with enough capacity for a relay come first.
 	positions map[string]int
-	// self is the place of this instance.
+	// self is the position of this instance.
 	self int
-	// readers and carriers are how many at the start of the order read the store,
-	// and carry followers; the readers are carriers too.
+	// readers and relays are the numbers of instances at the start of the order that read the
+	// store and that serve followers. The relays include the readers.
 	readers int
 	relays  int
-	// upstreams are the other instances in the order in which this one tries to
-	// follow them, the heads first: those that are meant to be followed by it.
+	// upstreams are the other instances in the order in which this one tries to follow them.
+	// The first ones, as many as preferred says, are the relays, or the readers if this
+	// instance is a relay.
 	upstreams []Peer
 	preferred int
-	// all are the instances that are known in order, of which the first able ones can
-	// carry others, and total is how many there are.
+	// all are the known instances in order. The first ones, as many as capable says, have
+	// enough capacity for a relay. total is the number of all instances, including the unknown
+	// ones.
 	all     []Peer
 	capable int
 	total   int
-	// primaryFollowers returns the instances that try to follow this one first. They are looked for
-	// when they are first needed: most instances have none, and most orders are soon
-	// replaced.
+	// primaryFollowers returns the instances whose first choice of an upstream is this one. The
+	// result is computed on first use, because most instances have none and a topology is often
+	// replaced soon.
 	primaryFollowers func() []Peer
-	// followerLimit is how many followers this instance takes.
+	// followerLimit is how many followers this instance accepts.
 	followerLimit int
 }
 
-// newTopology returns the ranks as they are for self, which peers may hold or not. Total is
-// how many instances there are, if peers may lack some; those that it lacks come after the
-// others.
-func newTopology(self Peer, peers map[string]Peer, leastReaders, total int) *topology {
+// newTopology computes the topology for self, which peers may or may not contain. Instances
+// that peers lacks, as total shows, are assumed to come last in the order.
+func newTopology(self Peer, peers map[string]Peer, minReaders, total int) *topology {
 	all := make([]Peer, 0, len(peers)+1)
 	for id, p := range peers {
 		if id != self.ID {
@@ -75,11 +76,11 @@
 		}
 	}
 	all = append(all, self)
-	able := Order(orderKey, all)
+	capable := Order(orderKey, all)
 	r := &topology{
 		positions: make(map[string]int, len(all)),
 		all:       all,
-		capable:   able,
+		capable:   capable,
 		total:     max(total, len(all)),
 	}
 	for i, p := range all {
@@ -87,34 +88,35 @@
 	}
 	r.self = r.positionOfSelf(self)
 	wanted := (r.total + relayFanOut - 1) / relayFanOut
-	r.readers = min(max(leastReaders, (wanted+relayFanOut-1)/relayFanOut), len(all))
-	r.relays = max(min(wanted, able), r.readers)
-	r.followerLimit = r.followerLimitFor(able)
+	r.readers = min(max(minReaders, (wanted+relayFanOut-1)/relayFanOut), len(all))
+	r.relays = max(min(wanted, capable), r.readers)
+	r.followerLimit = r.followerLimitFor(capable)
 	r.upstreams, r.preferred = r.upstreamsOf(all, self)
 	r.primaryFollowers = sync.OnceValue(func() []Peer { return r.primaryFollowersOf(self) })
 	return r
 }
 
-// positionOfSelf returns the place of this instance. One that comes last of those that are
-// known is somewhere among those that are not: a hash spreads these, so that not all do at
-// once what each does after the delay of its place.
-func (r *topology) positionOfSelf(self Peer) int {
-	place := r.positions[self.ID]
-	unknown := r.total - len(r.all)
-	if unknown > 0 && place == len(r.all)-1 {
-		place += int(xxhash.Sum64String(self.ID) % uint64(unknown+1))
+// positionOfSelf returns the position of this instance. If it is the last known instance and
+// others are unknown, a hash places it among the unknown ones, so that the delays that depend
+// on the position differ between instances.
+func (t *topology) positionOfSelf(self Peer) int {
+	position := t.positions[self.ID]
+	unknown := t.total - len(t.all)
+	if unknown > 0 && position == len(t.all)-1 {
+		position += int(xxhash.Sum64String(self.ID) % uint64(unknown+1))
 	}
-	return place
+	return position
 }
 
-// Rank returns how many of the other instances that are known come before this one for a duty
-// that nobody needs to be able for, and how many instances there are.
-func (c *Catalog) Rank(duty string) (before, of int) {
+// Rank returns how many of the other known instances have a higher rendezvous score than this
+// one for a task, and the number of instances including this one. Unlike Order, it doesn't put
+// instances with enough capacity first.
+func (c *Catalog) Rank(task string) (before, of int) {
 	known := c.Snapshot()
 	if known == nil {
 		return 0, 1
 	}
-	score := func(p Peer) float64 { return rendezvous.Score(duty, p.ID, p.Capacity) }
+	score := func(p Peer) float64 { return rendezvous.Score(task, p.ID, p.Capacity) }
 	own := score(c.settings.Self)
 	for id, p := range known.Peers {
 		switch {
@@ -128,92 +130,91 @@
 	return before, of + 1
 }
 
-// peerWeight returns what the order of an instance depends on.
+// peerWeight returns the inputs of rendezvous hashing for an instance.
 func peerWeight(p Peer) (id string, weight int) {
 	return p.ID, p.Capacity
 }
 
-// Order orders instances for a duty, the first one first, and returns how many of them
-// are able to do work for others. These come before all others, each part by rendezvous
-// hashing of the duty's name: of 15 able instances and 280 with an eighth of their
-// capacity one of the latter would else be first for a fifth of all duties.
-func Order(duty string, all []Peer) int {
-	rendezvous.Sort(duty, all, peerWeight)
+// Order sorts all by their suitability for a task and returns how many of them have enough
+// capacity to work for others. Those come first. Within both groups, rendezvous hashing with
+// the task's name determines the order. Without the groups, a large number of small instances
+// would win many tasks.
+func Order(task string, all []Peer) int {
+	rendezvous.Sort(task, all, peerWeight)
 	greatest := 0
 	for _, p := range all {
 		greatest = max(greatest, p.Capacity)
 	}
-	able := func(p Peer) int {
+	tooSmall := func(p Peer) int {
 		if float64(p.Capacity) >= minCapacityShare*float64(greatest) {
 			return 0
 		}
 		return 1
 	}
-	slices.SortStableFunc(all, func(a, b Peer) int { return able(a) - able(b) })
+	slices.SortStableFunc(all, func(a, b Peer) int { return tooSmall(a) - tooSmall(b) })
 	n := 0
 	for _, p := range all {
-		n += 1 - able(p)
+		n += 1 - tooSmall(p)
 	}
 	return n
 }
 
-// followerLimitFor returns how many followers this instance takes, when so many of all
-// instances are able to carry.
-func (r *topology) followerLimitFor(able int) int {
-	if r.self >= max(able, r.readers) {
+// followerLimitFor returns how many followers this instance accepts, given the number of
+// instances with enough capacity.
+func (t *topology) followerLimitFor(capable int) int {
+	if t.self >= max(capable, t.readers) {
 		return weakFollowerLimit
 	}
-	return followerLimitFactor * max(relayFanOut, r.total/r.relays)
+	return followerLimitFactor * max(relayFanOut, t.total/t.relays)
 }
 
-// upstreamsOf returns whom an instance tries to follow, in order: the carriers, those in
-// its own failure domain first and each instance in another order, so that they share
-// the work; then all others. A carrier begins with the readers. Heads is how many come
-// before the others.
-func (r *topology) upstreamsOf(all []Peer, p Peer) (sources []Peer, heads int) {
-	first := r.preferredCount(p)
-	head := slices.Clone(all[:first])
-	rendezvous.Sort(p.ID, head, peerWeight)
-	slices.SortStableFunc(head, func(a, b Peer) int { return domainDistance(a, p) - domainDistance(b, p) })
+// upstreamsOf returns the instances of all that p tries to follow, in order, and how many of
+// them are preferred. The preferred ones are the relays, or the readers if p is a relay itself.
+// Those in the failure domain of p come first, and each instance orders them differently to
+// spread the load. The other instances come last.
+func (t *topology) upstreamsOf(all []Peer, p Peer) (upstreams []Peer, preferred int) {
+	count := t.preferredCount(p)
+	candidates := slices.Clone(all[:count])
+	rendezvous.Sort(p.ID, candidates, peerWeight)
+	slices.SortStableFunc(candidates, func(a, b Peer) int { return domainDistance(a, p) - domainDistance(b, p) })
 	isSelf := func(o Peer) bool { return o.ID == p.ID }
-	head = slices.DeleteFunc(head, isSelf)
-	rest := slices.DeleteFunc(slices.Clone(all[first:]), isSelf)
-	return append(head, rest...), len(head)
+	candidates = slices.DeleteFunc(candidates, isSelf)
+	rest := slices.DeleteFunc(slices.Clone(all[count:]), isSelf)
+	return append(candidates, rest...), len(candidates)
 }
 
-// quickAttempts is how many of the first tries are made one soon after the other and
-// without waiting for one that knows too little: all that are meant to be followed, and
-// those of the others that read the store first when these fail.
-func (r *topology) quickAttempts() int {
-	return min(r.preferred+earlyReaders, len(r.upstreams))
+// quickAttempts returns how many attempts are made in quick succession, without waiting for an
+// upstream whose data is stale: one for each preferred upstream and for each of the early
+// readers, which read the store first when the readers fail.
+func (t *topology) quickAttempts() int {
+	return min(t.preferred+earlyReaders, len(t.upstreams))
 }
 
-// The tries after the first ones.
+// The pattern of attempts after the quick ones.
 const (
-	// patientEvery is how often a try is patient, and goes to one that is meant to be
-	// followed: in an outage of the store these are told first of its return. When
-	// all tries went on through 22 instances, the last ones knew of it after 3 s. The
-	// tries between go to those that read first when the readers are turned away;
-	// with one of four of them, these were found after 1.7 s.
+	// patientEvery is the period, in attempts, at which one goes to a preferred upstream and
+	// waits there, because these learn first when the store is back. The attempts in between go
+	// mostly to the early readers, which have data if the store rejects the readers.
 	patientEvery = 3
-	// restEvery is how often of these a try goes to any other instance: it may be the
-	// only one in touch.
+	// restEvery is the period, in the attempts in between, at which one goes to any other
+	// instance, since it may be the only one with fresh data.
 	restEvery = 8
 )
 
-// upstreamFor returns whom to follow at a try, counted from zero, and whether to wait there
-// for a moment if it knows too little. There must be somebody.
-func (r *topology) upstreamFor(try int) (p Peer, patient bool) {
-	if try < r.quickAttempts() {
-		return r.upstreams[try], false
+// upstreamFor returns the instance to follow at an attempt, counted from zero, and whether to
+// let it hold the request while its data is stale. The topology must have at least one
+// upstream.
+func (t *topology) upstreamFor(attempt int) (p Peer, patient bool) {
+	if attempt < t.quickAttempts() {
+		return t.upstreams[attempt], false
 	}
-	k := try - r.quickAttempts()
-	heads, others := r.upstreams[:r.preferred], r.upstreams[r.preferred:]
+	k := attempt - t.quickAttempts()
+	preferred, others := t.upstreams[:t.preferred], t.upstreams[t.preferred:]
 	if len(others) == 0 {
-		return heads[k%len(heads)], true
+		return preferred[k%len(preferred)], true
 	}
-	if len(heads) > 0 && k%patientEvery == 0 {
-		return heads[k/patientEvery%len(heads)], true
+	if len(preferred) > 0 && k%patientEvery == 0 {
+		return preferred[k/patientEvery%len(preferred)], true
 	}
 	i := k - k/patientEvery
 	first := min(earlyReaders, len(others))
@@ -223,7 +224,7 @@
 	return others[i%first], false
 }
 
-// domainDistance is zero for instances in the same failure domain, and one for others.
+// domainDistance returns 0 for instances in the same failure domain and 1 otherwise.
 func domainDistance(a, b Peer) int {
 	if a.FailureDomain == b.FailureDomain {
 		return 0
@@ -231,41 +232,42 @@
 	return 1
 }
 
-// primaryFollowersOf returns the instances that try to follow self, which is this one, first.
-func (r *topology) primaryFollowersOf(self Peer) []Peer {
-	if r.self >= r.relays {
+// primaryFollowersOf returns the instances whose first choice of an upstream is self, which
+// must be this instance.
+func (t *topology) primaryFollowersOf(self Peer) []Peer {
+	if t.self >= t.relays {
 		return nil
 	}
 	near := make(map[string][]Peer)
-	for _, h := range r.all[:r.relays] {
-		near[h.FailureDomain] = append(near[h.FailureDomain], h)
+	for _, relay := range t.all[:t.relays] {
+		near[relay.FailureDomain] = append(near[relay.FailureDomain], relay)
 	}
 	var out []Peer
-	for _, p := range r.all {
-		if p.ID != self.ID && r.primaryUpstream(p, near) == self.ID {
+	for _, p := range t.all {
+		if p.ID != self.ID && t.primaryUpstream(p, near) == self.ID {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// primaryUpstream returns whom an instance tries to follow primaryUpstream, as sourcesOf has it. Near are the
-// carriers of each failure domain: only for an instance with none of its own all of them
-// are compared.
-func (r *topology) primaryUpstream(p Peer, near map[string][]Peer) string {
-	heads := near[p.FailureDomain]
-	if r.preferredCount(p) < r.relays {
-		// It is a carrier itself.
-		return closest(p, r.all[:r.readers])
+// primaryUpstream returns the ID of the first upstream in the list that upstreamsOf returns for
+// p, without computing the list. near contains the relays by failure domain; all relays are
+// compared only if the domain of p has none.
+func (t *topology) primaryUpstream(p Peer, near map[string][]Peer) string {
+	candidates := near[p.FailureDomain]
+	if t.preferredCount(p) < t.relays {
+		// p is a relay itself.
+		return closest(p, t.all[:t.readers])
 	}
-	if len(heads) == 0 {
-		heads = r.all[:r.relays]
+	if len(candidates) == 0 {
+		candidates = t.all[:t.relays]
 	}
-	return closest(p, heads)
+	return closest(p, candidates)
 }
 
-// closest returns the first in an instance's own order of some others, those of its failure
-// domain first.
+// closest returns the ID of the instance among others that comes first in p's own order, in
+// which instances of its failure domain come first. It returns "" if others contains only p.
 func closest(p Peer, others []Peer) string {
 	best, highest, nearest := "", 0.0, false
 	for _, o := range others {
@@ -280,52 +282,53 @@
 	return best
 }
 
-// preferredCount returns how many of the order an instance, which may not be known, is meant to
-// follow one of: the carriers, or the readers if it is a carrier itself.
-func (r *topology) preferredCount(p Peer) int {
-	if place, known := r.positions[p.ID]; known && place < r.relays {
-		return r.readers
+// preferredCount returns how many instances at the start of the order are preferred upstreams
+// of p, which may be unknown: the readers if p is a relay, otherwise the relays.
+func (t *topology) preferredCount(p Peer) int {
+	if position, known := t.positions[p.ID]; known && position < t.relays {
+		return t.readers
 	}
-	return r.relays
+	return t.relays
 }
 
-// The bounds of what an instance that starts is told.
+// Limits on the number of instances that a joining instance receives.
 const (
-	// maxBootstrapUpstreams is how many instances that it can follow one is told that carries
-	// nobody: as many as it tries one soon after the other.
+	// maxBootstrapUpstreams is the limit for an instance that can't be a relay. It is the
+	// number of attempts that are made in quick succession.
 	maxBootstrapUpstreams = 8
-	// maxBootstrapPeers is how many of the order one is told that may have to carry others, or to
-	// tell others whom to follow: all carriers of 2,000 instances.
+	// maxBootstrapPeers is the limit for an instance that may become a relay, and for a seed:
+	// all relays of 2,000 instances.
 	maxBootstrapPeers = 64
 )
 
-// bootstrapPeers returns the instances that one is told of that starts and knows nobody. One that
-// collects tells others whom to follow.
-func (r *topology) bootstrapPeers(p Peer, collects bool) []Peer {
-	if collects || r.isCapable(p) {
-		return r.all[:min(maxBootstrapPeers, len(r.all))]
+// bootstrapPeers returns the known instances to send to the joining instance p. If p collects,
+// because it is a seed, it receives the start of the order like a possible relay, so that it
+// can serve other joining instances.
+func (t *topology) bootstrapPeers(p Peer, collects bool) []Peer {
+	if collects || t.isCapable(p) {
+		return t.all[:min(maxBootstrapPeers, len(t.all))]
 	}
-	sources, _ := r.upstreamsOf(r.all[:r.relays], p)
-	return sources[:min(maxBootstrapUpstreams, len(sources))]
+	upstreams, _ := t.upstreamsOf(t.all[:t.relays], p)
+	return upstreams[:min(maxBootstrapUpstreams, len(upstreams))]
 }
 
-// isCapable states whether an instance, which may not be known, is able to do work for others.
-func (r *topology) isCapable(p Peer) bool {
+// isCapable reports whether p, which may be unknown, has enough capacity to work for others.
+func (t *topology) isCapable(p Peer) bool {
 	greatest := 0
-	for _, o := range r.all {
+	for _, o := range t.all {
 		greatest = max(greatest, o.Capacity)
 	}
 	return float64(p.Capacity) >= minCapacityShare*float64(greatest)
 }
 
-// isReader states whether this instance is among the first readers.
-func (r *topology) isReader() bool {
-	return r.self < r.readers
+// isReader reports whether this instance is one of the readers.
+func (t *topology) isReader() bool {
+	return t.self < t.readers
 }
 
-// precedes states whether an instance comes precedes this one in the order. One that is
-// not known comes after all others.
-func (r *topology) precedes(id string) bool {
-	place, known := r.positions[id]
-	return known && place < r.self
+// precedes reports whether an instance comes before this one in the order. Unknown instances
+// come last.
+func (t *topology) precedes(id string) bool {
+	position, known := t.positions[id]
+	return known && position < t.self
 }
--- a/catalog/types.go
+++ b/catalog/types.go
@@ -12,34 +12,34 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// Endpoint is one life of an endpoint.
+// Endpoint is one incarnation of an endpoint: the time from a start of the endpoint to its end.
 type Endpoint struct {
-	// Instance names the endpoint; a restart may have the same name.
+	// Instance is the endpoint's name, which a later incarnation may reuse.
 	Instance string
-	// Service names what the endpoint answers for.
+	// Service is the service that the endpoint provides.
 	Service string
-	// Address is the host and port.
+	// Address is the host and port that the endpoint listens on.
 	Address string
-	// FailureDomain is where the endpoint runs.
+	// FailureDomain is the failure domain in which the endpoint runs.
 	FailureDomain string
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the endpoint processes concurrently.
 	Slots int
-	// Leaving endpoints get no new request.
+	// Leaving is set when the endpoint is shutting down and must receive no new requests.
 	Leaving bool
-	// StartedAt is when this life of the endpoint started, by the platform's clock; zero
-	// when it does not say. A later one under the same name holds and knows nothing
-	// of before.
+	// StartedAt is the start time of this incarnation, by the platform's clock; zero if the
+	// entry has none. An incarnation that started later has none of the state of the earlier
+	// ones.
 	StartedAt time.Time
-	// ColdFor is how much longer the endpoint bears only a limited rate of requests, as
-	// its entry says.
+	// ColdFor is how much longer the endpoint accepts only a limited rate of requests,
+	// according to its entry; zero if it is not cold.
 	ColdFor time.Duration
-	// ColdUntil is when that ends, counted from when the entry was first known here,
-	// so that it is never too early; zero for an endpoint that is not cold.
+	// ColdUntil is ColdFor after this instance received the entry, so it is never too early;
+	// zero if the endpoint is not cold.
 	ColdUntil time.Time
 }
 
-// equalExceptCold states whether two entries of an endpoint say the same, but for how much longer
-// it is cold.
+// equalExceptCold reports whether two entries are equal, ignoring the remaining cold time if
+// both are cold.
 func (e Endpoint) equalExceptCold(other Endpoint) bool {
 	if e.ColdFor > 0 && other.ColdFor > 0 {
 		e.ColdFor, e.ColdUntil = other.ColdFor, other.ColdUntil
@@ -47,40 +47,41 @@
 	return e == other
 }
 
-// Succeeds states whether the endpoint is a later life of another one under the same
-// name.
+// Succeeds reports whether e started later than old, an entry of the same name. It returns
+// false if the start time of old is unknown.
 func (e Endpoint) Succeeds(old Endpoint) bool {
 	return !old.StartedAt.IsZero() && e.StartedAt.After(old.StartedAt)
 }
 
-// Peer is another instance of the system.
+// Peer is an instance of the system.
 type Peer struct {
-	// ID names the instance.
+	// ID is unique among the instances.
 	ID string
-	// Address is where instances connect to it.
+	// Address is the host and port to which other instances connect.
 	Address string
-	// FailureDomain is where it runs.
+	// FailureDomain is the failure domain in which the instance runs.
 	FailureDomain string
-	// Capacity weighs what it can carry, in thousandths of a processor core.
+	// Capacity is the instance's weight in rendezvous hashing, in thousandths of a processor
+	// core.
 	Capacity int
 }
 
-// Feed is a part of the store.
+// Feed is one of the ordered record logs of the store. The offsets of different feeds are
+// unrelated.
 type Feed int
 
-// The feeds.
+// The feeds of the store.
 const (
-	// Configurations has the whole configuration, and the failure domains that are
-	// emptied.
+	// Configurations contains the configuration and the drained failure domains.
 	Configurations Feed = iota
-	// Endpoints has an entry for each endpoint.
+	// Endpoints contains one entry for each endpoint.
 	Endpoints
-	// Peers has an entry for each instance, and one for each request that they keep from
+	// Peers contains one entry for each instance and one for each ban of requests that crash
 	// endpoints.
 	Peers
 )
 
-// String returns the feed's name.
+// String returns the feed's name as it appears in logs.
 func (f Feed) String() string {
 	switch f {
 	case Configurations:
@@ -91,75 +92,75 @@
 	return "peers"
 }
 
-// Change is a record of a feed: *TableChange, *EndpointChange, *EndpointRemoved,
-// *PeerChange, *PeerRemoved, *DomainDrained, *DomainUndrained, *RequestBanned,
-// *RequestReleased or *Malformed.
+// Change is a decoded record: *TableChange, *EndpointChange, *EndpointRemoved, *PeerChange,
+// *PeerRemoved, *DomainDrained, *DomainUndrained, *RequestBanned, *RequestReleased or
+// *Malformed.
 type Change interface {
 	change()
 }
 
-// TableChange is a new version of the configuration.
+// TableChange announces a version of the configuration, which may be older than the one in
+// force.
 type TableChange struct {
-	// Table is the version.
+	// Table is the decoded configuration.
 	Table *route.Table
 }
 
-// EndpointChange is a new or changed endpoint.
+// EndpointChange adds or replaces the entry of an endpoint.
 type EndpointChange struct {
-	// Endpoint is the entry.
+	// Endpoint is the new entry.
 	Endpoint Endpoint
 }
 
-// EndpointRemoved is the end of an endpoint's entry.
+// EndpointRemoved reports that an endpoint's entry has been deleted or has expired.
 type EndpointRemoved struct {
-	// Instance names the endpoint.
+	// Instance is the endpoint's name.
 	Instance string
 }
 
-// PeerChange is a new or changed instance.
+// PeerChange adds or replaces the entry of an instance.
 type PeerChange struct {
-	// Peer is the entry.
+	// Peer is the new entry.
 	Peer Peer
 }
 
-// PeerRemoved is the end of an instance's entry.
+// PeerRemoved reports that an instance's entry has been deleted or has expired.
 type PeerRemoved struct {
-	// ID names the instance.
+	// ID identifies the instance.
 	ID string
 }
 
-// DomainDrained asks that nothing new be sent to the endpoints of a failure domain. It is
-// a record of the feed of configurations.
+// DomainDrained requests that no new requests go to the endpoints of a failure domain. It is a
+// record of the Configurations feed.
 type DomainDrained struct {
-	// Domain names the failure domain.
+	// Domain is the name of the failure domain.
 	Domain string
 }
 
-// DomainUndrained ends what DomainDrained asked for.
+// DomainUndrained reverts a DomainDrained.
 type DomainUndrained struct {
-	// Domain names the failure domain.
+	// Domain is the name of the failure domain.
 	Domain string
 }
 
-// RequestBanned keeps requests that crash endpoints from them. It is a record of the feed of
-// instances.
+// RequestBanned bans requests that crash endpoints. It is a record of the Peers feed.
 type RequestBanned struct {
-	// Verdict is the ban.
+	// Verdict holds the identity of the requests and the details of the ban.
 	Verdict quarantine.Verdict
 }
 
-// RequestReleased ends what RequestBanned asked for.
+// RequestReleased lifts the ban of a RequestBanned.
 type RequestReleased struct {
-	// Identity is that of the requests.
+	// Identity identifies the requests.
 	Identity quarantine.Identity
 }
 
-// Malformed is a record that can't be read, or that names nothing to use. That of an
-// endpoint ends what was known under its key; others change nothing.
+// Malformed is a record that can't be decoded or that has no usable content. In the Endpoints
+// feed it removes the endpoint with its key; in the other feeds it has no effect.
 type Malformed struct {
-	// Key is the record's key.
+	// Key is the key of the record; if it is empty, the record has no effect.
 	Key string
-	// Err says what is wrong.
+	// Err describes why the record was rejected.
 	Err error
 }
 
@@ -174,46 +175,44 @@
 func (*RequestReleased) change() {}
 func (*Malformed) change()       {}
 
-// ErrCompacted means that the records asked for are no longer kept; the feed
-// must be read whole again.
+// ErrCompacted is returned by Store.Follow when the store no longer keeps the requested
+// records. The feed must then be read in full.
 var ErrCompacted = errors.New("records are no longer kept")
 
-// Record is the newest record of a key. Without a value it ends the key.
+// Record is the newest record of a key. An empty Value deletes the key.
 type Record struct {
-	// Key names what the record is about.
+	// Key identifies the entry within its feed.
 	Key string
-	// Value is as the platform wrote it.
+	// Value is the content as the platform encoded it.
 	Value []byte
-	// Offset orders the records of a feed.
+	// Offset is the position of the record in its feed.
 	Offset int64
 }
 
-// Page is a part of the newest records of a feed, in the order of their keys.
+// Page is a part of a full read: the newest records of consecutive keys, sorted by key.
 type Page struct {
-	// Records are the newest records of some keys.
+	// Records are the newest records of the keys of this page.
 	Records []Record
-	// Next is the offset to follow from once all pages are read, as it was when this
-	// page was.
+	// Next is the end offset of the feed at the time when this page was read.
 	Next int64
-	// More states that another page follows.
+	// More is set if further pages exist.
 	More bool
 }
 
-// Store is the platform's store.
+// Store gives access to the platform's store.
 type Store interface {
-	// Page returns the newest records of a feed that come after a key; the first ones
-	// for an empty key. The pages of a feed are read one after the other, as several
-	// calls, and are no snapshot: what changes meanwhile is followed from the Next of
-	// the first one.
+	// Page returns the newest records of the keys after the given one, or from the first key if
+	// it is empty. Successive pages are not a consistent snapshot. To receive the changes made
+	// in the meantime, follow the feed from Next of the first page.
 	Page(ctx context.Context, f Feed, after string) (Page, error)
-	// Follow returns the records from an offset on. It waits for the first one
-	// for the given time; without one it returns none and the same offset. The
-	// error is ErrCompacted when the records are gone.
+	// Follow returns the records from an offset on and the offset after them. It waits up to
+	// the given time for the first record; if there is none, it returns no records and the same
+	// offset. It returns ErrCompacted if the records at the offset are no longer kept.
 	Follow(ctx context.Context, f Feed, from int64, wait time.Duration) (records []Record, next int64, err error)
-	// Decode returns what a record says; nil when it is of no concern.
+	// Decode decodes a record. It returns nil for a record that the catalog ignores.
 	Decode(f Feed, r Record) Change
-	// Announce writes the entries of instances in one call, all or none.
+	// Announce writes the entries of instances in one call, either all or none.
 	Announce(ctx context.Context, started []Peer) error
-	// Withdraw removes an instance's entry.
+	// Withdraw deletes the entry of an instance.
 	Withdraw(ctx context.Context, id string) error
 }
