--- a/catalog/banned_test.go
+++ b/catalog/banned_test.go
@@ -12,7 +12,7 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// bans keeps the requests of an identity from endpoints.
+// bans returns a change that bans the requests of an identity.
 func bans(id quarantine.Identity) catalog.Change {
 	return &catalog.RequestBanned{
 		Verdict: quarantine.Verdict{
@@ -24,25 +24,24 @@
 	}
 }
 
-// releases ends that.
+// releases returns a change that lifts the ban of an identity.
 func releases(id quarantine.Identity) catalog.Change {
 	return &catalog.RequestReleased{
 		Identity: id,
 	}
 }
 
-// TestRequestBanned follows what instances write of requests that crash endpoints, among their
-// own entries.
+// TestRequestBanned checks which requests are banned after a sequence of records.
 func TestRequestBanned(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		written []catalog.Change
 		want    []quarantine.Identity
 	}{
-		{"one", []catalog.Change{bans(1)}, []quarantine.Identity{1}},
-		{"two", []catalog.Change{bans(1), bans(2)}, []quarantine.Identity{1, 2}},
-		{"twice", []catalog.Change{bans(1), bans(1)}, []quarantine.Identity{1}},
-		{"released", []catalog.Change{bans(1), bans(2), releases(1), releases(3)}, []quarantine.Identity{2}},
+		{"one ban", []catalog.Change{bans(1)}, []quarantine.Identity{1}},
+		{"two bans", []catalog.Change{bans(1), bans(2)}, []quarantine.Identity{1, 2}},
+		{"banned twice", []catalog.Change{bans(1), bans(1)}, []quarantine.Identity{1}},
+		{"one of two released", []catalog.Change{bans(1), bans(2), releases(1), releases(3)}, []quarantine.Identity{2}},
 		{"released without a ban", []catalog.Change{releases(2)}, nil},
 		{"banned again", []catalog.Change{bans(1), releases(1), bans(1)}, []quarantine.Identity{1}},
 	} {
@@ -58,7 +57,8 @@
 	}
 }
 
-// TestBanForgotten lets the store forget the record of a release in an outage.
+// TestBanForgotten checks that a ban ends if the store has compacted the records of the ban and
+// of its release during an outage.
 func TestBanForgotten(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.put(catalog.Peers, bans(1))
@@ -74,7 +74,7 @@
 	})
 }
 
-// assertBanned checks which requests are kept from endpoints.
+// assertBanned checks that exactly the wanted requests are banned.
 func assertBanned(is *is.I, c *catalog.Catalog, want ...quarantine.Identity) {
 	is.Helper()
 	got := c.Snapshot().Banned
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -21,30 +21,30 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// fakeStore keeps changes in memory.
+// fakeStore is an in-memory catalog.Store with adjustable faults and delays.
 type fakeStore struct {
 	mu    sync.Mutex
 	feeds map[catalog.Feed][]catalog.Record
-	// changes are what records decode to, by their value.
+	// changes maps the value of a record to the change that Decode returns.
 	changes map[string]catalog.Change
 	first   map[catalog.Feed]int64
 	down    bool
 	calls   int
 	changed chan struct{}
-	// pageDelay is how long a whole read takes.
+	// pageDelay is the delay of each call of Page, and of Announce in addition to appendTime.
 	pageDelay time.Duration
-	// appendTime is how long the partition of the instances takes for an append, one after the
-	// other, and busy is until when it is at work.
+	// appendTime is the duration of one call of Announce. The calls are executed one at a time;
+	// appendingUntil is when the last one ends.
 	appendTime     time.Duration
 	appendingUntil time.Time
-	// loseReplies states that appends are done and not answered.
+	// loseReplies makes Announce write the entries but never answer.
 	loseReplies bool
-	// pageSize is how many records a page has; zero means all. Readers share the bytes
-	// that the store sends: read is until when it is at work, at readRate bytes a second.
+	// pageSize is the maximum number of records in a page; zero means no limit. All reads share
+	// readRate, in bytes per second; readingUntil is when the last read ends.
 	pageSize     int
 	readRate     float64
 	readingUntil time.Time
-	// missWakeUps states that polls are not woken by the next changes.
+	// missWakeUps is set if new records don't wake waiting polls.
 	missWakeUps bool
 }
 
@@ -70,13 +70,13 @@
 	s.changed = make(chan struct{})
 }
 
-// drainedPrefix begins the keys of emptied failure domains.
+// drainedPrefix is the prefix of the keys of drained failure domains.
 const drainedPrefix = "emptied/"
 
-// bannedPrefix begins the keys of requests that are kept from endpoints.
+// bannedPrefix is the prefix of the keys of bans.
 const bannedPrefix = "banned/"
 
-// record makes the record of a change. The caller holds the lock.
+// record encodes a change as a record. The caller holds the lock.
 func (s *fakeStore) record(f catalog.Feed, c catalog.Change, offset int64) catalog.Record {
 	r := catalog.Record{
 		Offset: offset,
@@ -106,14 +106,15 @@
 	}
 	r.Value = fmt.Appendf(nil, "%s/%d", f, len(s.changes))
 	if f == catalog.Configurations {
-		// Long enough to be packed on its way between instances.
+		// The value is long enough to be compressed between instances.
 		r.Value = fmt.Appendf(r.Value, "%s %d", strings.Repeat("a route and another ", 500), len(s.changes))
 	}
 	s.changes[string(r.Value)] = c
 	return r
 }
 
-// Decode implements catalog.Store.
+// Decode implements catalog.Store. It returns EndpointRemoved for every other record without a
+// value.
 func (s *fakeStore) Decode(_ catalog.Feed, r catalog.Record) catalog.Change {
 	if domain, ok := strings.CutPrefix(r.Key, drainedPrefix); ok && len(r.Value) == 0 {
 		return &catalog.DomainUndrained{
@@ -159,7 +160,7 @@
 	s.pageDelay = d
 }
 
-// outage makes the store fail for a time, and changes it before it is back.
+// outage makes the store fail for a time, and calls change just before the store is back.
 func (s *fakeStore) outage(d time.Duration, change func()) {
 	s.setDown(true)
 	time.Sleep(d)
@@ -167,7 +168,7 @@
 	s.setDown(false)
 }
 
-// forget drops a feed's records and leaves the given ones as the newest.
+// forget compacts a feed: it drops all records and keeps only those of the given changes.
 func (s *fakeStore) forget(f catalog.Feed, left ...catalog.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,7 +202,7 @@
 	return page, nil
 }
 
-// pageAfter returns a page and when the store has sent it.
+// pageAfter returns a page and the time until the store has sent it.
 func (s *fakeStore) pageAfter(f catalog.Feed, after string) (page catalog.Page, wait time.Duration, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,10 +227,10 @@
 	return page, wait, nil
 }
 
-// recordBytes is about what the entry of an instance takes on the wire.
+// recordBytes is the approximate size of a record on the wire.
 const recordBytes = 200
 
-// later returns the later of two moments.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -264,7 +265,7 @@
 	}
 }
 
-// newest returns the newest record of each key that has a value.
+// newest returns the newest record of each key, without deleted keys.
 func newest(records []catalog.Record) []catalog.Record {
 	last := make(map[string]catalog.Record)
 	for _, r := range records {
@@ -320,7 +321,7 @@
 	}
 }
 
-// run runs a test with a catalog in virtual time.
+// run runs a test with a single catalog in virtual time.
 func run(t *testing.T, f func(is *is.I, s *fakeStore, c *catalog.Catalog)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -346,7 +347,7 @@
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		is.Equal(c.Snapshot().Table.Version, int64(1))
 		s.put(catalog.Configurations, version(7))
-		s.put(catalog.Configurations, version(5)) // an older one that comes late
+		s.put(catalog.Configurations, version(5)) // an older version that arrives late
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(c.Snapshot().Table.Version, int64(7))
 		s.forget(catalog.Configurations, version(6))
@@ -355,8 +356,8 @@
 	})
 }
 
-// TestAge looks that the age is never less than the time since the store could
-// be read, and small while it can.
+// TestAge checks that the age is never less than the time since the store became unreadable,
+// and that it is small while the store is readable.
 func TestAge(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		for range 30 {
@@ -377,8 +378,8 @@
 	})
 }
 
-// TestLapsedEntries looks when an endpoint ends whose entry is removed: at once in calm,
-// and only after a while when the store was down.
+// TestLapsedEntries checks that the removal of an entry takes effect at once in normal
+// operation, but is held back after an outage of the store.
 func TestLapsedEntries(t *testing.T) {
 	gone := &catalog.EndpointRemoved{
 		Instance: "e1",
@@ -426,8 +427,8 @@
 	})
 }
 
-// TestSlowAfterOutage looks that what a store forgot in an outage is read whole although
-// that takes longer than a poll may.
+// TestSlowAfterOutage checks that a full read after an outage succeeds even if it takes longer
+// than the timeout of a poll.
 func TestSlowAfterOutage(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.setPageDelay(time.Second)
@@ -440,9 +441,8 @@
 	})
 }
 
-// TestMissedWakeUp looks that changes are known in time although the store does not
-// wake the polls that wait for them. An endpoint that leaves must get nothing new two
-// seconds after it said so.
+// TestMissedWakeUp checks that a leaving endpoint becomes known within two seconds even if the
+// store does not wake the waiting polls.
 func TestMissedWakeUp(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.setMissWakeUps()
@@ -452,8 +452,7 @@
 	})
 }
 
-// TestLeavingStays looks that an endpoint that said that it leaves does not come
-// back by a record that is late.
+// TestLeavingStays checks that a late record does not make a leaving endpoint available again.
 func TestLeavingStays(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.put(catalog.Endpoints, endpoint("e1", true))
@@ -464,8 +463,8 @@
 	})
 }
 
-// TestMalformed looks that an entry that names no endpoint to use ends what was known
-// under its key until there is a good one, and that all others hold.
+// TestMalformed checks that a malformed entry removes the endpoint with its key until a valid
+// one arrives, and that it changes nothing else.
 func TestMalformed(t *testing.T) {
 	malformed := func(key string) catalog.Change {
 		return &catalog.Malformed{
--- a/catalog/cow_map_test.go
+++ b/catalog/cow_map_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// TestCOWMap changes a map and a plain one alike and shares it now and then. Both stay the
-// same, and what was shared stays as it was.
+// TestCOWMap compares random operations with those on a plain map, and checks that shared maps
+// never change.
 func TestCOWMap(t *testing.T) {
 	is := is.New(t)
 	draw := rand.New(rand.NewPCG(1, 2))
@@ -35,8 +35,8 @@
 			plain[key] = v
 		}
 		v, known := m.get(key)
-		want, there := plain[key]
-		is.Equal(known, there)
+		want, exists := plain[key]
+		is.Equal(known, exists)
 		is.Equal(v, want)
 		is.Equal(m.len(), len(plain))
 	}
@@ -45,9 +45,8 @@
 	}
 }
 
-// BenchmarkPublish is what a change of the configuration costs an instance that knows 1,000
-// endpoints and as many instances, beside reading it: 0.46 us (one run, beside other work on
-// the machine). It was 522 us and 363 KB when both maps were copied at each change.
+// BenchmarkPublish measures the publication of a change with 1,000 endpoints and 1,000
+// instances.
 func BenchmarkPublish(b *testing.B) {
 	c := New(Settings{}, operatorStore{}, nil, logr.Discard())
 	for i := range 1000 {
--- a/catalog/drained_test.go
+++ b/catalog/drained_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// assertDrained checks which failure domains get nothing new.
+// assertDrained checks that exactly the wanted failure domains are drained.
 func assertDrained(is *is.I, c *catalog.Catalog, want ...string) {
 	is.Helper()
 	got := slices.Sorted(maps.Keys(c.Snapshot().Drained))
@@ -35,21 +35,21 @@
 	}
 }
 
-// TestDomainDrained follows the operator's requests about failure domains.
+// TestDomainDrained checks which failure domains are drained after a sequence of records.
 func TestDomainDrained(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		written []catalog.Change
 		want    []string
 	}{
-		{"one", []catalog.Change{drains("d1")}, []string{"d1"}},
-		{"two at once", []catalog.Change{drains("d1"), drains("d2")}, []string{"d1", "d2"}},
-		{"asked twice", []catalog.Change{drains("d1"), drains("d1")}, []string{"d1"}},
-		{"asked twice and taken back", []catalog.Change{drains("d1"), drains("d1"), undrains("d1")}, nil},
-		{"one of two taken back", []catalog.Change{drains("d1"), drains("d2"), undrains("d1")}, []string{"d2"}},
-		{"taken back without having been asked", []catalog.Change{undrains("d2")}, nil},
-		{"asked again", []catalog.Change{drains("d1"), undrains("d1"), drains("d1")}, []string{"d1"}},
-		{"a configuration after it", []catalog.Change{drains("d1"), version(2)}, []string{"d1"}},
+		{"one drained", []catalog.Change{drains("d1")}, []string{"d1"}},
+		{"two drained", []catalog.Change{drains("d1"), drains("d2")}, []string{"d1", "d2"}},
+		{"drained twice", []catalog.Change{drains("d1"), drains("d1")}, []string{"d1"}},
+		{"drained twice and undrained once", []catalog.Change{drains("d1"), drains("d1"), undrains("d1")}, nil},
+		{"one of two undrained", []catalog.Change{drains("d1"), drains("d2"), undrains("d1")}, []string{"d2"}},
+		{"undrained without being drained", []catalog.Change{undrains("d2")}, nil},
+		{"drained again", []catalog.Change{drains("d1"), undrains("d1"), drains("d1")}, []string{"d1"}},
+		{"followed by a configuration", []catalog.Change{drains("d1"), version(2)}, []string{"d1"}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestUndrainCompacted lets the store forget the records of a request that was taken back
-// meanwhile, and of one that stands.
+// TestUndrainCompacted checks that an undrained failure domain becomes available even if the
+// store has compacted the record, and that another one stays drained.
 func TestUndrainCompacted(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.put(catalog.Configurations, drains("d1"))
@@ -81,8 +81,8 @@
 	})
 }
 
-// TestDrainDuringOutage takes a request back while the store can't be read: it stands until
-// the store is back.
+// TestDrainDuringOutage checks that a failure domain stays drained during an outage of the
+// store, and that it is undrained afterwards.
 func TestDrainDuringOutage(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.put(catalog.Configurations, drains("d1"))
@@ -96,7 +96,8 @@
 	})
 }
 
-// TestUnavailable looks which endpoints get nothing new.
+// TestUnavailable checks that departed endpoints and those in drained failure domains are
+// unavailable.
 func TestUnavailable(t *testing.T) {
 	is := is.New(t)
 	s := &catalog.Snapshot{
--- a/catalog/forwarding_test.go
+++ b/catalog/forwarding_test.go
@@ -12,22 +12,22 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// operatorStore reads a configuration from the record of the key "config", and emptied
-// failure domains from the others. Only Decode may be called.
+// operatorStore decodes the record with the key "config" as a configuration, and records with
+// the prefix "empty/" as drained failure domains. It implements only Decode.
 type operatorStore struct {
 	Store
 }
 
 func (operatorStore) Decode(f Feed, r Record) Change {
-	domain, emptied := strings.CutPrefix(r.Key, "empty/")
+	domain, drained := strings.CutPrefix(r.Key, "empty/")
 	switch {
 	case f != Configurations:
 		return nil
-	case emptied && len(r.Value) == 0:
+	case drained && len(r.Value) == 0:
 		return &DomainUndrained{
 			Domain: domain,
 		}
-	case emptied:
+	case drained:
 		return &DomainDrained{
 			Domain: domain,
 		}
@@ -37,7 +37,7 @@
 	}
 }
 
-// written returns a record of the feed of configurations.
+// written returns a record of the Configurations feed.
 func written(key, value string, offset int64) Record {
 	return Record{
 		Key:    key,
@@ -46,14 +46,15 @@
 	}
 }
 
-// newOperatorCatalog returns a catalog that knows a configuration and an emptied failure domain.
+// newOperatorCatalog returns a catalog with a configuration and one drained failure domain.
 func newOperatorCatalog() *Catalog {
 	c := New(Settings{}, operatorStore{}, nil, logr.Discard())
 	c.apply(Configurations, []Record{written("config", "a", 0), written("empty/d1", "{}", 1)}, 2, allParts, fromStore)
 	return c
 }
 
-// assertForwarded checks what a follower knows, and that it was sent so many records.
+// assertForwarded sends to a follower what it lacks. It checks the number of records sent and
+// that the follower then has the same data.
 func assertForwarded(is *is.I, from, to *Catalog, records int) {
 	is.Helper()
 	is.Equal(transfer(from, to), records)
@@ -63,22 +64,22 @@
 	is.Equal(transfer(from, to), 0)
 }
 
-// TestDrainedForwarded hands what is known of failure domains on to a follower that was away
-// meanwhile.
+// TestDrainedForwarded checks that a follower that reconnects receives changes of drained
+// failure domains, including those whose records the store has compacted.
 func TestDrainedForwarded(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		change  func(from *Catalog)
 		records int
 	}{
-		{"nothing new", func(*Catalog) {}, 0},
-		{"another one emptied", func(c *Catalog) {
+		{"no change", func(*Catalog) {}, 0},
+		{"another one drained", func(c *Catalog) {
 			c.apply(Configurations, []Record{written("empty/d2", "{}", 2)}, 3, 0, fromStore)
 		}, 1},
-		{"restored", func(c *Catalog) {
+		{"undrained", func(c *Catalog) {
 			c.apply(Configurations, []Record{written("empty/d1", "", 2)}, 3, 0, fromStore)
 		}, 1},
-		{"restored, which the store forgot", func(c *Catalog) {
+		{"undrained and compacted", func(c *Catalog) {
 			c.apply(Configurations, []Record{written("config", "a", 0)}, 3, allParts, fromStore)
 		}, 1},
 		{"another configuration", func(c *Catalog) {
--- a/catalog/full_read_test.go
+++ b/catalog/full_read_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// pagedStore has endpoints in pages of one, of which each second read fails. Each read finds
-// the end of the feed further on. Only Page and Decode may be called.
+// pagedStore returns one endpoint per page, and fails every other read. The offset Next grows
+// with each read. It implements only Page and Decode.
 type pagedStore struct {
 	plainStore
 
@@ -44,8 +44,8 @@
 	return Page{}, nil
 }
 
-// TestFullReadResumes looks that a read which fails on the way goes on from its last page, and is
-// followed from where the first page said.
+// TestFullReadResumes checks that a full read resumes from its last page after a failure, and
+// that it returns the offset of its first page.
 func TestFullReadResumes(t *testing.T) {
 	is := is.New(t)
 	s := &pagedStore{
@@ -61,7 +61,7 @@
 		is.True(failures <= len(s.pages))
 		next, err = c.readFull(t.Context(), whole)
 	}
-	is.Equal(s.asked, []string{"", "", "a", "a", "b", "b", "c", "c"}) // each page once more, none anew
+	is.Equal(s.asked, []string{"", "", "a", "a", "b", "b", "c", "c"}) // each page is retried once, none is read again
 	is.Equal(next, int64(len(s.pages)+2))
 	is.Equal(c.endpoints.len(), len(s.pages))
 	is.Equal(*whole, fullRead{feed: Endpoints})
--- a/catalog/incarnations_test.go
+++ b/catalog/incarnations_test.go
@@ -11,11 +11,12 @@
 	"github.com/linkmast/linkmast/catalog"
 )
 
-// settled is how long a change takes to be known at most: the pause between two reads.
+// settled is the time after which a change is known: it exceeds the minimum time between two
+// polls.
 const settled = 500 * time.Millisecond
 
-// incarnation returns the entry of endpoint e3 that started so many seconds after the first
-// life did.
+// incarnation returns an entry of endpoint e3 that started the given number of seconds after a
+// fixed time.
 func incarnation(second int64, leaving bool) catalog.Change {
 	return &catalog.EndpointChange{
 		Endpoint: catalog.Endpoint{
@@ -26,26 +27,27 @@
 	}
 }
 
-// TestIncarnations writes entries of two lives of an endpoint in turn.
+// TestIncarnations checks that late entries of an older incarnation have no effect, and that
+// leaving ends with its incarnation.
 func TestIncarnations(t *testing.T) {
 	const first, second = 0, 10
 	gone := &catalog.EndpointRemoved{
 		Instance: "e3",
 	}
 	for _, row := range []struct {
-		name    string
-		entries []catalog.Change
-		known   bool
-		barred  bool
+		name     string
+		entries  []catalog.Change
+		known    bool
+		departed bool
 	}{
-		{"leaving ends with its life", []catalog.Change{incarnation(first, true), incarnation(second, false)}, true, false},
-		{"leaving stays in its life", []catalog.Change{incarnation(second, true), incarnation(second, false)}, true, true},
-		{"departure ends with its life", []catalog.Change{incarnation(first, false), gone, incarnation(second, false)}, true, false},
-		{"leaving of an older life", []catalog.Change{incarnation(second, false), incarnation(first, true)}, true, false},
-		{"readiness of an older life", []catalog.Change{incarnation(second, true), incarnation(first, false)}, true, true},
-		{"an older life after the end", []catalog.Change{incarnation(second, false), gone, incarnation(first, false)}, false, true},
-		{"the same life after a lapse", []catalog.Change{incarnation(second, false), gone, incarnation(second, false)}, true, false},
-		{"an entry that does not say", []catalog.Change{incarnation(second, false), endpoint("e3", true)}, true, true},
+		{"leaving ends with the incarnation", []catalog.Change{incarnation(first, true), incarnation(second, false)}, true, false},
+		{"leaving persists within an incarnation", []catalog.Change{incarnation(second, true), incarnation(second, false)}, true, true},
+		{"new incarnation after removal", []catalog.Change{incarnation(first, false), gone, incarnation(second, false)}, true, false},
+		{"late leaving entry of an older incarnation", []catalog.Change{incarnation(second, false), incarnation(first, true)}, true, false},
+		{"late ready entry of an older incarnation", []catalog.Change{incarnation(second, true), incarnation(first, false)}, true, true},
+		{"older incarnation after removal", []catalog.Change{incarnation(second, false), gone, incarnation(first, false)}, false, true},
+		{"same incarnation after removal", []catalog.Change{incarnation(second, false), gone, incarnation(second, false)}, true, false},
+		{"entry without a start time", []catalog.Change{incarnation(second, false), endpoint("e3", true)}, true, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
@@ -55,14 +57,14 @@
 				}
 				_, known := c.Snapshot().Endpoints["e3"]
 				is.Equal(known, row.known)
-				is.Equal(c.Snapshot().HasDeparted("e3"), row.barred)
+				is.Equal(c.Snapshot().HasDeparted("e3"), row.departed)
 			})
 		})
 	}
 }
 
-// TestIncarnationsForgotten looks that an endpoint that has been gone for long may return
-// whatever it says of its start.
+// TestIncarnationsForgotten checks that an endpoint may return with an earlier start time once
+// its departure is no longer remembered.
 func TestIncarnationsForgotten(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.put(catalog.Endpoints, incarnation(10, false))
@@ -79,8 +81,8 @@
 	})
 }
 
-// TestColdCounts looks that an endpoint is cold for as long as its entry says, from when
-// the entry came, and that another entry ends it or begins it anew.
+// TestColdCounts checks that an endpoint is cold for as long as its entry says, counted from
+// the arrival of the entry, and that a later entry replaces that time.
 func TestColdCounts(t *testing.T) {
 	cold := func(d time.Duration) catalog.Change {
 		return &catalog.EndpointChange{
@@ -102,6 +104,6 @@
 		s.put(catalog.Endpoints, cold(time.Second))
 		known = time.Now()
 		time.Sleep(settled)
-		is.Equal(c.Snapshot().Endpoints["e1"].ColdUntil, known.Add(time.Second)) // it turned cold again
+		is.Equal(c.Snapshot().Endpoints["e1"].ColdUntil, known.Add(time.Second)) // the endpoint is cold again
 	})
 }
--- a/catalog/large_fleet_test.go
+++ b/catalog/large_fleet_test.go
@@ -12,25 +12,24 @@
 	"github.com/linkmast/linkmast/catalog"
 )
 
-// fleetSize is how many instances the tests of many start: enough for carriers beside
-// the readers, and for delays in a line to show.
+// fleetSize is large enough for relays in addition to the readers, and for delays that differ
+// by position.
 const fleetSize = 120
 
-// TestStartTogether starts many instances at one moment. All are ready soon, and call the
-// store for who is there only; but for the readers, and the few that are next in line when the
-// readers need longer than the shortest delay of a line. It runs in virtual time, so that a
-// busy machine delays nobody.
+// TestStartTogether checks that instances that start together with their entries in the store
+// don't all read all feeds: few instances beside the readers make more than two calls. It runs
+// in virtual time to be independent of the machine's load.
 func TestStartTogether(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// read is how long the store takes for a whole read.
+		// read is the delay of each page.
 		read time.Duration
-		// more is how many read it beside the readers; 116 of 120 did without delays.
+		// more is the maximum number of other instances that make more than two calls.
 		more int
 	}{
-		{"the store answers at once", 0, 0},
-		{"within the shortest delay", 50 * time.Millisecond, 0},
-		{"after twice that", 100 * time.Millisecond, 8},
+		{"no delay", 0, 0},
+		{"store answers within the shortest read delay", 50 * time.Millisecond, 0},
+		{"store answers after the shortest read delay", 100 * time.Millisecond, 8},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			virtualGroup(t, fleetSize, row.read, func(t *testing.T, _ *memoryNet, fake *fakeStore, all []*instance) {
@@ -50,8 +49,8 @@
 	}
 }
 
-// TestOutageOfMany takes the store away from many instances. They seldom ask it, and
-// all know soon after its return what has changed.
+// TestOutageOfMany checks that many instances call an unreachable store rarely, and that all of
+// them receive changes soon after it is back.
 func TestOutageOfMany(t *testing.T) {
 	is := is.New(t)
 	fake, all := group(t, fleetSize)
@@ -80,9 +79,10 @@
 	is.True(time.Since(back) < 1500*time.Millisecond)
 }
 
-// TestStartInOutage starts an instance anew that can't reach the store. Others tell it
-// who is there and what they know, and how old that is. It runs in virtual time: what is known
-// and its age come in two messages, between which a busy machine may look.
+// TestStartInOutage checks that an instance that restarts during an outage of the store
+// receives the other instances, the data and its age from others. It runs in virtual time,
+// because the data and its age arrive in two messages and a slow machine might check in
+// between.
 func TestStartInOutage(t *testing.T) {
 	virtualGroup(t, 6, 0, func(t *testing.T, net *memoryNet, fake *fakeStore, all []*instance) {
 		is := is.New(t)
@@ -99,10 +99,10 @@
 		age, known := x.Age()
 		is.True(known)
 		is.True(age >= before)
-		is.True(x.store.calls.Load() <= 20) // some 25 for each second without an introduction
+		is.True(x.store.calls.Load() <= 20) // without an introduction it would make about 25 calls a second
 	})
 }
 
-// startTimeout is how soon an instance knows what others do that starts while the store is
-// away; it took 1.7 s in six runs, in virtual time as in real time.
+// startTimeout is the time within which an instance that starts during an outage must have the
+// data of the others.
 const startTimeout = 2 * time.Second
--- a/catalog/missing_test.go
+++ b/catalog/missing_test.go
@@ -14,7 +14,8 @@
 	"github.com/linkmast/linkmast/internal/zdelta"
 )
 
-// plainStore reads an endpoint from each record. Only Decode may be called.
+// plainStore decodes each record of the Endpoints feed as an endpoint and ignores the other
+// feeds. It implements only Decode.
 type plainStore struct {
 	Store
 }
@@ -35,7 +36,7 @@
 	}
 }
 
-// newPlain returns a catalog that knows n endpoints, each written once.
+// newPlain returns a catalog with n endpoints, each written once.
 func newPlain(n int) *Catalog {
 	c := New(Settings{}, plainStore{}, nil, logr.Discard())
 	var all []Record
@@ -54,7 +55,7 @@
 	}
 }
 
-// transfer gives a follower what it lacks, and returns how many records that took.
+// transfer sends to a follower what it lacks, and returns the number of records sent.
 func transfer(from, to *Catalog) int {
 	n := 0
 	for _, l := range from.missingFor(to.firstPing()) {
@@ -64,15 +65,15 @@
 	return n
 }
 
-// assertSame checks that two instances know the same endpoints.
+// assertSame checks that two catalogs have the same endpoints and checksums.
 func assertSame(is *is.I, a, b *Catalog) {
 	is.Helper()
 	is.Equal(a.endpoints, b.endpoints)
 	is.Equal(*a.checksums[Endpoints], *b.checksums[Endpoints])
 }
 
-// transferParts applies the messages of what a follower lacks, so many at most. It returns how many
-// records these had, and whether they were all.
+// transferParts sends to a follower at most the given number of messages with records that it
+// lacks. It returns the number of records sent, and whether those were all.
 func transferParts(is *is.I, from, to *Catalog, most int) (records int, all bool) {
 	is.Helper()
 	for i, l := range from.missingFor(to.firstPing()) {
@@ -98,8 +99,8 @@
 	return records, true
 }
 
-// TestMissingInParts looks that an instance that lacks much gets it in messages of a bounded
-// size, and after a break gets what it still lacks, which it does not take for all there is.
+// TestMissingInParts checks that a follower receives many records in messages of limited size,
+// and that it resumes after an interruption without taking a part for the whole feed.
 func TestMissingInParts(t *testing.T) {
 	is := is.New(t)
 	const n = 2000
@@ -111,19 +112,19 @@
 		all = append(all, r)
 	}
 	from.apply(Endpoints, all, n, allParts, fromStore)
-	first, whole := transferParts(is, from, to, 10)
-	is.True(!whole)
+	first, complete := transferParts(is, from, to, 10)
+	is.True(!complete)
 	_, known := to.next[Endpoints]
 	is.True(!known)
 	is.Equal(to.resume(Endpoints), int64(unread))
-	rest, whole := transferParts(is, from, to, n)
-	is.True(whole)
+	rest, complete := transferParts(is, from, to, n)
+	is.True(complete)
 	is.Equal(to.next[Endpoints], int64(n))
 	is.Equal(first+rest, n)
 	is.Equal(to.endpoints.values, from.endpoints.values)
 }
 
-// TestOnlyMissing looks how many records a follower is sent.
+// TestOnlyMissing checks that a follower receives few records that it already has.
 func TestOnlyMissing(t *testing.T) {
 	const n = 300
 	for _, row := range []struct {
@@ -131,20 +132,20 @@
 		change func(from *Catalog)
 		most   int
 	}{
-		{"nothing new", func(*Catalog) {}, 0},
+		{"no change", func(*Catalog) {}, 0},
 		{"one changed", func(c *Catalog) {
 			c.apply(Endpoints, []Record{record(7, n)}, n+1, 0, fromStore)
 		}, 20},
 		{"one new", func(c *Catalog) {
 			c.apply(Endpoints, []Record{record(n, n)}, n+1, 0, fromStore)
 		}, 20},
-		{"one gone", func(c *Catalog) {
+		{"one removed", func(c *Catalog) {
 			c.apply(Endpoints, []Record{{
 				Key:    "e7",
 				Offset: n,
 			}}, n+1, 0, fromStore)
 		}, 20},
-		{"half gone and not even their ends kept", func(c *Catalog) {
+		{"half removed and compacted", func(c *Catalog) {
 			*c = *newPlain(n / 2)
 			c.next[Endpoints] = n + 1
 		}, n / 2},
@@ -152,7 +153,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			from, to := newPlain(n), New(Settings{}, plainStore{}, nil, logr.Discard())
-			is.Equal(transfer(from, to), n) // nothing is known at first
+			is.Equal(transfer(from, to), n) // the follower has no records yet
 			assertSame(is, from, to)
 			row.change(from)
 			is.True(transfer(from, to) <= row.most)
@@ -162,7 +163,7 @@
 	}
 }
 
-// TestNewerStays looks that a follower that knows more loses nothing of it.
+// TestNewerStays checks that a follower keeps records that its upstream lacks.
 func TestNewerStays(t *testing.T) {
 	is := is.New(t)
 	from, to := newPlain(10), newPlain(20)
@@ -170,8 +171,7 @@
 	is.Equal(to.endpoints.len(), 20)
 }
 
-// TestPackedOnce looks that followers that come one after the other share one packed
-// configuration.
+// TestPackedOnce checks that a configuration is compressed only once for all followers.
 func TestPackedOnce(t *testing.T) {
 	is := is.New(t)
 	c := New(Settings{}, plainStore{}, nil, logr.Discard())
@@ -195,8 +195,8 @@
 	is.Equal(value, long.Value)
 }
 
-// TestJournalBytes looks that configurations in quick succession hold no more memory
-// than the journal may.
+// TestJournalBytes checks that frequent changes of a large configuration don't exceed the size
+// limit of the journal.
 func TestJournalBytes(t *testing.T) {
 	is := is.New(t)
 	var j journal
--- a/catalog/outage_test.go
+++ b/catalog/outage_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// TestReadDelay holds the delays of reading against worked examples.
+// TestReadDelay checks the delay at several positions of the order.
 func TestReadDelay(t *testing.T) {
 	is := is.New(t)
 	is.Equal(readDelay(0), 50*time.Millisecond)
@@ -21,9 +21,9 @@
 	is.True(readDelay(1199) < 1150*time.Millisecond)
 }
 
-// TestBackoffWithoutContact looks that an instance that hears from no other one goes on
-// asking the store often, as nobody would tell it that the store is back. Marks count
-// from the start of the process, so it runs in real time.
+// TestBackoffWithoutContact checks that an instance without contact to others keeps a short
+// back-off, since nobody would report that the store is back. It runs in real time, because
+// timestamps count from the start of the process.
 func TestBackoffWithoutContact(t *testing.T) {
 	is := is.New(t)
 	c := New(Settings{
@@ -40,7 +40,7 @@
 	}
 	c.updateTopology()
 	const many = 20
-	is.Equal(c.backoff(many), maxUnconfiguredBackoff) // it can serve nobody
+	is.Equal(c.backoff(many), maxUnconfiguredBackoff) // without a configuration
 	c.snapshot.Store(&Snapshot{})
 	is.Equal(c.backoff(many), maxBackoff)
 	c.peerAnswered.mark(time.Now())
--- a/catalog/readers_test.go
+++ b/catalog/readers_test.go
@@ -22,13 +22,13 @@
 	"github.com/linkmast/linkmast/peer"
 )
 
-// countingStore is the store as one instance sees it.
+// countingStore is the store as accessed by one instance. It counts calls and injects faults.
 type countingStore struct {
 	*fakeStore
 
-	// refused states that the store turns this instance away.
+	// refused makes all calls of this instance fail.
 	refused atomic.Bool
-	// silent states that the store does not answer this instance.
+	// silent makes polls of this instance hang until their timeout.
 	silent atomic.Bool
 	// calls counts the calls of this instance.
 	calls atomic.Int64
@@ -66,28 +66,28 @@
 	return records, next, err
 }
 
-// instance is one catalog with its server.
+// instance is a catalog with its gRPC server.
 type instance struct {
 	*catalog.Catalog
 
 	self  catalog.Peer
 	store *countingStore
 	rpc   *grpc.Server
-	// stop ends the instance. It may be called more than once.
+	// stop ends the instance. Later calls have no effect.
 	stop func()
 }
 
-// poll is short, so that the tests are.
+// poll is the wait time of a poll for configurations. It is short to keep the tests fast.
 const poll = 100 * time.Millisecond
 
-// group starts instances that know each other.
+// group starts n instances whose entries are in the store.
 func group(t *testing.T, n int) (*fakeStore, []*instance) {
 	t.Helper()
 	return groupAt(t, n, func(address string) string { return address })
 }
 
-// groupAt starts instances that know each other by other addresses than those where
-// they listen.
+// groupAt starts n instances whose entries have the address that known returns for the
+// listening address, such as that of a proxy.
 func groupAt(t *testing.T, n int, known func(address string) string) (*fakeStore, []*instance) {
 	t.Helper()
 	fake := newFakeStore()
@@ -127,8 +127,7 @@
 	}, l, conns, conns.Close)
 }
 
-// startInstanceWith starts an instance that connects to others by a dialer, which is closed at
-// its end.
+// startInstanceWith starts an instance that uses the dialer d and calls closeAll at its end.
 func startInstanceWith(t *testing.T, fake *fakeStore, s catalog.Settings, l net.Listener, d catalog.Dialer, closeAll func()) *instance {
 	s.Poll = poll
 	x := &instance{
@@ -164,10 +163,10 @@
 			return
 		}
 	}
-	t.Fatalf("not in time: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
-// readers returns the instances that called the store during a while.
+// readers returns the instances that call the store within the time of eight polls.
 func readers(all []*instance) []*instance {
 	before := calls(all)
 	time.Sleep(8 * poll)
@@ -180,10 +179,10 @@
 	return out
 }
 
-// wantedReaders is how many instances read the store in calm.
+// wantedReaders is the number of readers in normal operation.
 const wantedReaders = 2
 
-// awaitReaders waits until just as many instances as wanted read the store.
+// awaitReaders waits until exactly wantedReaders instances read the store, and returns them.
 func awaitReaders(t *testing.T, all []*instance) []*instance {
 	t.Helper()
 	var got []*instance
@@ -194,12 +193,13 @@
 	return got
 }
 
-// assertInForce checks that a version is in force on all and confirmed of late.
+// assertInForce checks that a version comes into force on all instances and that its age is
+// below one second.
 func assertInForce(t *testing.T, all []*instance, n int64) {
 	t.Helper()
 	for _, x := range all {
 		await(t, fmt.Sprint("version ", n), func() bool { return x.Snapshot().Table.Version == n })
-		await(t, "confirmed", func() bool {
+		await(t, "recent confirmation", func() bool {
 			age, ok := x.Age()
 			return ok && age < time.Second
 		})
@@ -217,19 +217,19 @@
 	assertInForce(t, all, 22)
 	fake.put(catalog.Endpoints, endpoint("e1", true))
 	for _, x := range all {
-		await(t, "leaving", func() bool { return x.Snapshot().HasDeparted("e1") })
+		await(t, "leaving endpoint", func() bool { return x.Snapshot().HasDeparted("e1") })
 	}
 }
 
-// TestReadersFail takes the readers away in several ways. The others know a
-// change soon after all the same, and are not many that read.
+// TestReadersFail checks that a change still reaches the other instances in time if both
+// readers fail, and that another instance reads the store.
 func TestReadersFail(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		within time.Duration
 		fail   func(x *instance)
 	}{
-		{"turned away by the store", 500 * time.Millisecond, func(x *instance) { x.store.refused.Store(true) }},
+		{"rejected by the store", 500 * time.Millisecond, func(x *instance) { x.store.refused.Store(true) }},
 		{"killed", 800 * time.Millisecond, func(x *instance) { x.rpc.Stop() }},
 		{"not answered by the store", 1200 * time.Millisecond, func(x *instance) { x.store.silent.Store(true) }},
 	} {
@@ -246,14 +246,14 @@
 					left = append(left, x)
 				}
 			}
-			// Followers leave readers that the store does not answer before a
-			// change is due.
+			// Followers must leave a reader that the store does not answer before a change is
+			// late.
 			fake.put(catalog.Configurations, version(2))
 			fake.put(catalog.Endpoints, endpoint("e1", true))
 			changed := time.Now()
 			assertInForce(t, left, 2)
 			for _, x := range left {
-				await(t, "leaving", func() bool { return x.Snapshot().HasDeparted("e1") })
+				await(t, "leaving endpoint", func() bool { return x.Snapshot().HasDeparted("e1") })
 			}
 			is.True(time.Since(changed) < row.within)
 			is.True(len(readers(left)) >= 1)
@@ -261,11 +261,11 @@
 	}
 }
 
-// TestReadersRejectedByStore looks that instances that the store turns away learn from the one that
-// it does not, wherever that is in their order.
+// TestReadersRejectedByStore checks that instances that the store rejects receive changes from
+// the only one that it accepts, at any position in the order.
 func TestReadersRejectedByStore(t *testing.T) {
 	for i := range 4 {
-		t.Run(fmt.Sprint("all but ", i), func(t *testing.T) {
+		t.Run(fmt.Sprint("only instance ", i), func(t *testing.T) {
 			fake, all := group(t, 4)
 			for k, x := range all {
 				x.store.refused.Store(k != i)
@@ -278,16 +278,16 @@
 			gone := time.Now()
 			assertInForce(t, all, 2)
 			for _, x := range all {
-				await(t, "gone", func() bool { return x.Snapshot().HasDeparted("e1") })
+				await(t, "removal of the endpoint", func() bool { return x.Snapshot().HasDeparted("e1") })
 			}
-			// Those that are turned away themselves don't doubt what others tell them.
+			// Instances that are rejected must not hold back removals that others report.
 			is.New(t).True(time.Since(gone) < time.Second)
 		})
 	}
 }
 
-// TestOutageCostsFewCalls looks that instances that hear from others don't ask a store
-// that is down again and again, and know soon after that it is back.
+// TestOutageCostsFewCalls checks that connected instances call an unreachable store rarely, and
+// soon notice that it is back.
 func TestOutageCostsFewCalls(t *testing.T) {
 	is := is.New(t)
 	fake, all := group(t, 6)
@@ -299,7 +299,7 @@
 	time.Sleep(3 * time.Second)
 	for i, x := range all {
 		if x != first[0] && x != first[1] {
-			is.True(x.store.calls.Load()-before[i] <= 12) // some 25 with all feeds read each 0.4 s
+			is.True(x.store.calls.Load()-before[i] <= 12) // reading all feeds with maxBackoff would take about 25 calls
 		}
 	}
 	for _, x := range all {
@@ -311,7 +311,7 @@
 	is.True(time.Since(back) < 1500*time.Millisecond)
 }
 
-// calls returns how often each instance has called the store.
+// calls returns the number of calls of each instance.
 func calls(all []*instance) []int64 {
 	out := make([]int64, len(all))
 	for i, x := range all {
@@ -320,8 +320,8 @@
 	return out
 }
 
-// TestAgeOfFollowers looks that no instance takes what it knows for fresher than
-// the store's last answer to anybody.
+// TestAgeOfFollowers checks that no instance reports an age that is less than the time since
+// the store last answered any instance.
 func TestAgeOfFollowers(t *testing.T) {
 	is := is.New(t)
 	fake, all := group(t, 4)
@@ -337,7 +337,8 @@
 	}
 }
 
-// TestOlderRecord hands an instance that read the store records that are older.
+// TestOlderRecord checks that an instance does not revert to older records when its role
+// changes between reader and follower.
 func TestOlderRecord(t *testing.T) {
 	is := is.New(t)
 	fake, all := group(t, 4)
@@ -345,7 +346,7 @@
 	fake.put(catalog.Configurations, version(5))
 	assertInForce(t, all, 5)
 	for range 10 {
-		// Readers and followers change places.
+		// Readers and followers swap roles.
 		for _, x := range all {
 			x.store.refused.Store(!x.store.refused.Load())
 		}
@@ -356,8 +357,8 @@
 	}
 }
 
-// TestSilentPeers lets all open connections between instances go silent for good. They
-// open new ones, and know a change soon after.
+// TestSilentPeers checks that instances open new connections and receive changes in time after
+// all connections between them stopped transferring data.
 func TestSilentPeers(t *testing.T) {
 	is := is.New(t)
 	var proxies []*tcptest.Proxy
@@ -376,23 +377,23 @@
 	fake.put(catalog.Configurations, version(2))
 	assertInForce(t, all, 2)
 	is.True(time.Since(silenced) < 2*time.Second)
-	// They follow again, and don't just read the store themselves.
+	// The other instances must follow again instead of reading the store themselves.
 	awaitReaders(t, all)
 }
 
-// TestPlace looks that the instances agree on an order of a duty, each with a place of its own.
-func TestPlace(t *testing.T) {
+// TestRank checks that the instances agree on a distinct rank for each of them.
+func TestRank(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 6)
-	for _, duty := range []string{"ban/1", "ban/2"} {
-		var places []int
+	for _, task := range []string{"ban/1", "ban/2"} {
+		var ranks []int
 		for _, x := range all {
-			await(t, "all others", func() bool { return len(x.Snapshot().Peers) == len(all) })
-			before, of := x.Rank(duty)
+			await(t, "entries of all instances", func() bool { return len(x.Snapshot().Peers) == len(all) })
+			before, of := x.Rank(task)
 			is.Equal(of, len(all))
-			places = append(places, before)
+			ranks = append(ranks, before)
 		}
-		slices.Sort(places)
-		is.Equal(places, []int{0, 1, 2, 3, 4, 5})
+		slices.Sort(ranks)
+		is.Equal(ranks, []int{0, 1, 2, 3, 4, 5})
 	}
 }
--- a/catalog/server_test.go
+++ b/catalog/server_test.go
@@ -15,7 +15,7 @@
 	"github.com/linkmast/linkmast/catalog/catalogpb"
 )
 
-// recordingStream keeps what is sent to a follower. Only Send may be called.
+// recordingStream records the messages to a follower. It implements only Send.
 type recordingStream struct {
 	grpc.BidiStreamingServer[catalogpb.Ping, catalogpb.Update]
 
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// TestChangesBeforeAge looks that a follower gets a change before the age that covers
-// it: else it would take keys for valid that the change takes away.
+// TestChangesBeforeAge checks that a change is sent before the age that covers it. Otherwise
+// the follower would accept revoked keys as valid.
 func TestChangesBeforeAge(t *testing.T) {
 	is := is.New(t)
 	c := New(Settings{}, plainStore{}, nil, logr.Discard())
@@ -46,15 +46,15 @@
 	is.Equal(len(stream.sent), 2)
 	is.Equal(stream.sent[0].GetRecords().GetRecords()[0].GetOffset(), int64(1))
 	is.True(stream.sent[1].GetAge().GetKnown())
-	// It is not sent again.
+	// The change is not sent again.
 	is.NoErr(f.answer(&catalogpb.Ping{
 		Seq: 2,
 	}))
 	is.Equal(len(stream.sent), 3)
 }
 
-// TestFollowersLimit looks that an instance that has enough followers sends others on,
-// and takes one that comes again before its old stream has ended.
+// TestFollowersLimit checks that followers above the limit are rejected, and that a follower
+// may reconnect before its old stream has ended.
 func TestFollowersLimit(t *testing.T) {
 	is := is.New(t)
 	var f followers
@@ -71,8 +71,8 @@
 	is.True(f.enter("c", 2))
 }
 
-// TestJoinWithoutName looks that an instance without a name or an address is refused, so that
-// it does not keep the entries of others from being written.
+// TestJoinWithoutName checks that an instance without an ID or address is rejected. Otherwise
+// it would prevent the entries of others from being written.
 func TestJoinWithoutName(t *testing.T) {
 	for _, row := range []struct {
 		name string
--- a/catalog/start_test.go
+++ b/catalog/start_test.go
@@ -14,39 +14,41 @@
 	"github.com/linkmast/linkmast/catalog"
 )
 
-// The sizes at which starts are compared: what a start costs must not grow with the square.
+// The fleet sizes at which starts are compared. The cost of a start must not grow
+// quadratically.
 const (
 	fewStart  = 60
 	manyStart = 2 * fewStart
 )
 
-// instances makes the tests of starts those of a larger fleet; by hand, as 2,000 take minutes.
+// instances sets a larger fleet size for manual runs; 2,000 instances take minutes.
 var instances = flag.Int("instances", manyStart, "how many instances start at most")
 
-// The bounds of a start of instances of which a few can carry others.
+// Limits of a start.
 const (
-	// firstStartWithin is how soon all are ready that start for the first time, and
-	// startWithin how soon where the entries stand.
+	// firstStartWithin is the time within which all instances must be ready at the first start,
+	// and startWithin if their entries are in the store.
 	firstStartWithin = 2 * time.Second
 	startWithin      = 300 * time.Millisecond
-	// leastStartCalls and startCallsShare bound the calls of the store: so many, and one
-	// for each tenth instance.
+	// The store may receive leastStartCalls calls, plus one for every startCallsShare
+	// instances.
 	leastStartCalls = 50
 	startCallsShare = 10
 )
 
-// testFleet are instances that start in virtual time, of which one in twenty can carry others.
+// testFleet contains instances that start in virtual time. One in twenty has enough capacity
+// for a relay.
 type testFleet struct {
 	t     *testing.T
 	net   *memoryNet
 	store *fakeStore
-	// contacts are the addresses of the first instances.
-	contacts []string
-	all      []*instance
+	// seeds are the addresses of the seeds.
+	seeds []string
+	all   []*instance
 }
 
-// withFleet runs a test with a store like the platform's: a partition that takes appends in
-// turn, pages, and a rate that all reads share.
+// withFleet runs a test with a store that, like the platform's, executes appends one at a time,
+// returns pages, and limits the total read rate.
 func withFleet(t *testing.T, run func(c *testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -58,20 +60,20 @@
 		store.pageSize = 50
 		store.readRate = 10e6
 		run(&testFleet{
-			t:        t,
-			net:      newMemoryNet(),
-			store:    store,
-			contacts: []string{addressOf(0), addressOf(1), addressOf(2)},
+			t:     t,
+			net:   newMemoryNet(),
+			store: store,
+			seeds: []string{addressOf(0), addressOf(1), addressOf(2)},
 		})
 	})
 }
 
-// addressOf returns the address of an instance.
+// addressOf returns the address of the instance with a number.
 func addressOf(i int) string {
 	return fmt.Sprint("n", i, ":1")
 }
 
-// start starts the instances from one number to before another, all within 0.3 s.
+// start starts the instances numbered from to to-1, spread over 0.3 s.
 func (c *testFleet) start(from, to int, first bool) []*instance {
 	c.t.Helper()
 	const within = 300 * time.Millisecond
@@ -90,7 +92,7 @@
 		d := newMemoryDialer(c.net)
 		out = append(out, startInstanceWith(c.t, c.store, catalog.Settings{
 			Self:       p,
-			Seeds:      c.contacts,
+			Seeds:      c.seeds,
 			FirstStart: first,
 		}, c.net.listen(p.Address), d, d.close))
 		time.Sleep(time.Until(began.Add(within * time.Duration(i-from+1) / time.Duration(to-from))))
@@ -99,7 +101,7 @@
 	return out
 }
 
-// stop ends instances at one moment, as a loss of power does.
+// stop ends instances at one moment, as a power failure does.
 func (c *testFleet) stop(some []*instance) {
 	for _, x := range some {
 		x.stop()
@@ -107,15 +109,15 @@
 	c.all = nil
 }
 
-// assertReady checks that instances know the configuration soon, counted from when the last
-// of them started, with few calls of the store since a count of them.
+// assertReady checks that instances have a configuration in time, and that the store has
+// received few calls since the count before.
 func (c *testFleet) assertReady(some []*instance, within time.Duration, before int) {
 	c.t.Helper()
 	c.assertConfigured(some, within)
 	c.assertCalls(some, before)
 }
 
-// assertConfigured checks that instances know the configuration within a time.
+// assertConfigured checks that instances have a configuration in time.
 func (c *testFleet) assertConfigured(some []*instance, within time.Duration) {
 	c.t.Helper()
 	began := time.Now()
@@ -130,8 +132,7 @@
 	c.t.Logf("%d ready %s after the start of the last", len(some), time.Since(began))
 }
 
-// assertCalls checks that a start of some instances took few calls of the store since a
-// count of them.
+// assertCalls checks that the store has received few calls since the count before.
 func (c *testFleet) assertCalls(some []*instance, before int) {
 	c.t.Helper()
 	got := c.calls() - before
@@ -141,14 +142,14 @@
 	}
 }
 
-// calls returns how many calls the store had.
+// calls returns the number of calls that the store has received.
 func (c *testFleet) calls() int {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	return c.store.calls
 }
 
-// assertEntries checks that all instances have an entry in the store within a time.
+// assertEntries checks that the store contains the entries of n instances after a time.
 func (c *testFleet) assertEntries(n int, within time.Duration) {
 	c.t.Helper()
 	time.Sleep(within)
@@ -157,7 +158,7 @@
 	is.New(c.t).Equal(len(newest(c.store.feeds[catalog.Peers])), n)
 }
 
-// atTwoSizes runs a test at two sizes.
+// atTwoSizes runs a test at half and at full fleet size.
 func atTwoSizes(t *testing.T, run func(t *testing.T, n int)) {
 	t.Helper()
 	for _, n := range []int{*instances / 2, *instances} {
@@ -165,8 +166,8 @@
 	}
 }
 
-// TestFirstStart starts all instances for the first time. All are ready soon with few calls,
-// and each has an entry.
+// TestFirstStart checks that a first start of all instances is fast, takes few calls of the
+// store and writes all entries.
 func TestFirstStart(t *testing.T) {
 	atTwoSizes(t, func(t *testing.T, n int) {
 		withFleet(t, func(c *testFleet) {
@@ -176,7 +177,8 @@
 	})
 }
 
-// TestStartAfterLossOfAll starts all instances at one moment after all have lost power.
+// TestStartAfterLossOfAll checks that a simultaneous restart of all instances is fast and takes
+// few calls of the store.
 func TestStartAfterLossOfAll(t *testing.T) {
 	atTwoSizes(t, func(t *testing.T, n int) {
 		withFleet(t, func(c *testFleet) {
@@ -190,7 +192,8 @@
 	})
 }
 
-// TestManyInstancesAdded starts three quarters more beside instances that are there.
+// TestManyInstancesAdded checks that a start is fast and takes few calls of the store if three
+// quarters as many instances are added as are running.
 func TestManyInstancesAdded(t *testing.T) {
 	atTwoSizes(t, func(t *testing.T, n int) {
 		withFleet(t, func(c *testFleet) {
@@ -204,22 +207,21 @@
 	})
 }
 
-// TestStartWithFaults starts all instances while something is wrong. They are ready within a
-// time, with few calls where others can tell them what they need.
+// TestStartWithFaults checks that all instances become ready in time despite a fault, with few
+// calls of the store if they can learn from each other.
 func TestStartWithFaults(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		within time.Duration
-		// alone states that nobody tells an instance whom to follow, so that each reads the
-		// store.
+		// alone is set if no seed answers, so that each instance reads the store.
 		alone bool
 		fault func(c *testFleet)
 	}{
-		{"the first contact is gone", firstStartWithin, false, func(c *testFleet) { c.contacts[0] = "gone:1" }},
-		{"two contacts are gone", firstStartWithin, false, func(c *testFleet) { c.contacts[0], c.contacts[1] = "gone:1", "gone:2" }},
-		{"all contacts are gone", 5 * time.Second, true, func(c *testFleet) { c.contacts = []string{"gone:1", "gone:2"} }},
-		{"no contacts", 5 * time.Second, true, func(c *testFleet) { c.contacts = nil }},
-		{"a slow store", 5 * time.Second, false, func(c *testFleet) { c.store.pageDelay = 240 * time.Millisecond }},
+		{"first seed down", firstStartWithin, false, func(c *testFleet) { c.seeds[0] = "gone:1" }},
+		{"two seeds down", firstStartWithin, false, func(c *testFleet) { c.seeds[0], c.seeds[1] = "gone:1", "gone:2" }},
+		{"all seeds down", 5 * time.Second, true, func(c *testFleet) { c.seeds = []string{"gone:1", "gone:2"} }},
+		{"no seeds", 5 * time.Second, true, func(c *testFleet) { c.seeds = nil }},
+		{"slow store", 5 * time.Second, false, func(c *testFleet) { c.store.pageDelay = 240 * time.Millisecond }},
 		{"appends without an answer", firstStartWithin, false, func(c *testFleet) { c.store.loseReplies = true }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -236,8 +238,8 @@
 	}
 }
 
-// TestFirstSeedDies ends the instance that all others wait for in the middle of their
-// start.
+// TestFirstSeedDies checks that a start succeeds if the first seed, for which all others wait,
+// dies in the middle.
 func TestFirstSeedDies(t *testing.T) {
 	withFleet(t, func(c *testFleet) {
 		all := c.start(0, fewStart, true)
@@ -247,8 +249,8 @@
 	})
 }
 
-// TestStartInOutageOfStore starts a third of the instances anew while the store is away.
-// They serve by what the others know.
+// TestStartInOutageOfStore checks that instances that restart during an outage of the store get
+// their data from the others.
 func TestStartInOutageOfStore(t *testing.T) {
 	withFleet(t, func(c *testFleet) {
 		all := c.start(0, fewStart, true)
@@ -263,17 +265,17 @@
 	})
 }
 
-// TestSingleInstance starts the only instance, which is the only contact.
+// TestSingleInstance checks the start of the only instance, which is the only seed.
 func TestSingleInstance(t *testing.T) {
 	withFleet(t, func(c *testFleet) {
-		c.contacts = c.contacts[:1]
+		c.seeds = c.seeds[:1]
 		c.assertReady(c.start(0, 1, true), firstStartWithin, 0)
 		c.assertEntries(1, time.Second)
 	})
 }
 
-// TestStartBeforeStore starts all instances while the store is away. The contacts alone ask
-// it, and all are ready soon after it is back.
+// TestStartBeforeStore checks that only the seeds call an unreachable store at a start, and
+// that all instances are ready soon after it is back.
 func TestStartBeforeStore(t *testing.T) {
 	atTwoSizes(t, func(t *testing.T, n int) {
 		withFleet(t, func(c *testFleet) {
@@ -281,11 +283,11 @@
 			all := c.start(0, n, false)
 			const (
 				away = 5 * time.Second
-				// asks is how often an instance that serves nobody asks a store that is away.
+				// asks is the interval of the calls of one seed.
 				asks = 200 * time.Millisecond
 			)
 			time.Sleep(away)
-			is.New(t).True(c.calls() <= len(c.contacts)*int(away/asks))
+			is.New(t).True(c.calls() <= len(c.seeds)*int(away/asks))
 			c.store.setDown(false)
 			before := c.calls()
 			c.assertReady(all, time.Second, before)
--- a/catalog/stats.go
+++ b/catalog/stats.go
@@ -11,8 +11,8 @@
 type Stats struct {
 	// Role is "reader", "carrier" (a relay) or "follower", according to the topology.
 	Role string `json:"role"`
-	// Joined is set once this instance has a list of other instances. Before, it can neither
-	// read the store nor follow another instance.
+	// Joined is set once this instance has a list of other instances. Until then it neither
+	// polls the store nor follows another instance.
 	Joined bool `json:"joined"`
 	// Instances is the number of all instances, and PendingEntries is the number of entries
 	// that this instance still has to write or forward.
--- a/catalog/suspension_test.go
+++ b/catalog/suspension_test.go
@@ -12,8 +12,8 @@
 	"github.com/linkmast/linkmast/internal/steady/steadytest"
 )
 
-// TestAgeOverSuspension suspends the machine: the age of the configuration counts that time at
-// once, and what was read before doesn't confirm it. What is read after does.
+// TestAgeOverSuspension checks that the age of the configuration includes the time for which
+// the machine was suspended, and that only reads after it reduce the age.
 func TestAgeOverSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	run(t, func(is *is.I, _ *fakeStore, c *catalog.Catalog) {
@@ -22,21 +22,21 @@
 		age, ok := c.Age()
 		is.True(ok)
 		is.True(age >= before+20*time.Second)
-		time.Sleep(2100 * time.Millisecond) // the poll that was under way, and the next
+		time.Sleep(2100 * time.Millisecond) // the current poll and the next one
 		age, _ = c.Age()
 		is.True(age <= 2100*time.Millisecond)
 	})
 }
 
-// TestAnswerFromBeforeSuspension has the machine suspended while a read is under way: its answer
-// may be from before, and counts from when it was asked for.
+// TestAnswerFromBeforeSuspension checks that the age counts from the request if the machine was
+// suspended during a read, because the answer may date from before.
 func TestAnswerFromBeforeSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.setPageDelay(500 * time.Millisecond)
 		time.Sleep(1200 * time.Millisecond)
 		m.Suspend(20 * time.Second)
-		s.put(catalog.Configurations, version(2)) // ends the poll that is under way
+		s.put(catalog.Configurations, version(2)) // ends the current poll
 		time.Sleep(510 * time.Millisecond)
 		age, _ := c.Age()
 		is.Equal(c.Snapshot().Table.Version, int64(2))
@@ -44,8 +44,8 @@
 	})
 }
 
-// TestHeldRemovalsOverSuspension suspends the machine between an outage of the store and the moment up to
-// which entries that lapsed in it are kept.
+// TestHeldRemovalsOverSuspension checks that the time for which removals are held back after an
+// outage includes a suspension of the machine.
 func TestHeldRemovalsOverSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
--- a/catalog/topology_test.go
+++ b/catalog/topology_test.go
@@ -9,16 +9,17 @@
 	"github.com/matryer/is"
 )
 
-// instanceSet returns instances, so many of them able to carry, in five failure domains.
-func instanceSet(able, weak int) map[string]Peer {
+// instanceSet returns instances in five failure domains. Those in capable have enough capacity
+// for a relay.
+func instanceSet(capable, weak int) map[string]Peer {
 	out := make(map[string]Peer)
-	for i := range able + weak {
+	for i := range capable + weak {
 		p := Peer{
 			ID:            fmt.Sprint("n", i),
 			FailureDomain: fmt.Sprint("d", i%5),
 			Capacity:      100,
 		}
-		if i < able {
+		if i < capable {
 			p.Capacity = 800
 		}
 		out[p.ID] = p
@@ -26,13 +27,13 @@
 	return out
 }
 
-// TestTopology looks at how instances divide the work at several sizes: followers by
-// first choice, and the depth of the tree.
+// TestTopology checks the numbers of readers and relays at several fleet sizes, and that no
+// relay exceeds its limit if all instances follow their first choice.
 func TestTopology(t *testing.T) {
 	for _, row := range []struct {
-		able, weak int
-		readers    int
-		carriers   int
+		capable, weak int
+		readers       int
+		relays        int
 	}{
 		{1, 0, 1, 1},
 		{2, 4, 2, 2},
@@ -42,20 +43,20 @@
 		{60, 1140, 2, 38},
 		{10_000, 0, 10, 313},
 	} {
-		t.Run(fmt.Sprint(row.able, "+", row.weak), func(t *testing.T) {
+		t.Run(fmt.Sprint(row.capable, "+", row.weak), func(t *testing.T) {
 			is := is.New(t)
-			peers := instanceSet(row.able, row.weak)
+			peers := instanceSet(row.capable, row.weak)
 			if len(peers) > 2000 {
 				r := newTopology(peers["n0"], peers, 2, 0)
 				is.Equal(r.readers, row.readers)
-				is.Equal(r.relays, row.carriers)
+				is.Equal(r.relays, row.relays)
 				return
 			}
 			followers := make(map[string]int)
 			for _, p := range peers {
 				r := newTopology(p, peers, 2, 0)
 				is.Equal(r.readers, row.readers)
-				is.Equal(r.relays, row.carriers)
+				is.Equal(r.relays, row.relays)
 				is.Equal(len(r.upstreams), len(peers)-1)
 				if len(r.upstreams) > 0 && !r.isReader() {
 					followers[r.upstreams[0].ID]++
@@ -65,43 +66,44 @@
 				r := newTopology(peers[id], peers, 2, 0)
 				is.True(r.self < r.relays)
 				is.True(n <= r.followerLimit)
-				if row.able >= row.carriers {
-					is.Equal(peers[id].Capacity, 800) // weak ones carry nobody
+				if row.capable >= row.relays {
+					is.Equal(peers[id].Capacity, 800) // weak instances have no followers
 				}
 			}
 		})
 	}
 }
 
-// TestUpstreamOrder looks whom an instance tries to follow: mostly those that are meant to be,
-// and everybody in the end.
+// TestUpstreamOrder checks that an instance tries its preferred upstreams often enough and
+// every other instance eventually.
 func TestUpstreamOrder(t *testing.T) {
-	for _, row := range []struct{ able, weak int }{{2, 0}, {22, 0}, {15, 280}, {1, 3}} {
-		t.Run(fmt.Sprint(row.able, "+", row.weak), func(t *testing.T) {
+	for _, row := range []struct{ capable, weak int }{{2, 0}, {22, 0}, {15, 280}, {1, 3}} {
+		t.Run(fmt.Sprint(row.capable, "+", row.weak), func(t *testing.T) {
 			is := is.New(t)
-			peers := instanceSet(row.able, row.weak)
+			peers := instanceSet(row.capable, row.weak)
 			for id, p := range peers {
 				r := newTopology(p, peers, 2, 0)
 				seen := make(map[string]bool)
-				heads := 0
+				patientAttempts := 0
 				quick := r.quickAttempts()
-				for try := range quick + 30*len(peers) {
-					s, patient := r.upstreamFor(try)
+				for attempt := range quick + 30*len(peers) {
+					s, patient := r.upstreamFor(attempt)
 					seen[s.ID] = true
 					if patient {
-						is.True(try >= quick)
-						heads++
+						is.True(attempt >= quick)
+						patientAttempts++
 					}
 				}
 				is.True(!seen[id])
 				is.Equal(len(seen), len(peers)-1)
-				is.True(r.preferred == 0 || heads >= 30*len(peers)/patientEvery)
+				is.True(r.preferred == 0 || patientAttempts >= 30*len(peers)/patientEvery)
 			}
 		})
 	}
 }
 
-// TestPrimaryFollowers looks that each instance is the ward of the one that it follows first.
+// TestPrimaryFollowers checks that primaryFollowers is consistent with the first choice of each
+// instance.
 func TestPrimaryFollowers(t *testing.T) {
 	is := is.New(t)
 	peers := instanceSet(15, 280)
@@ -109,17 +111,17 @@
 	for _, p := range peers {
 		first[p.ID] = newTopology(p, peers, 2, 0).upstreams[0].ID
 	}
-	wards := 0
+	total := 0
 	for _, p := range peers {
-		for _, w := range newTopology(p, peers, 2, 0).primaryFollowers() {
-			is.Equal(first[w.ID], p.ID)
-			wards++
+		for _, follower := range newTopology(p, peers, 2, 0).primaryFollowers() {
+			is.Equal(first[follower.ID], p.ID)
+			total++
 		}
 	}
-	is.Equal(wards, len(peers))
+	is.Equal(total, len(peers))
 }
 
-// TestPrecedes looks at the order of two that read the store for the same reason.
+// TestPrecedes checks that exactly one of two instances precedes the other.
 func TestPrecedes(t *testing.T) {
 	is := is.New(t)
 	peers := instanceSet(5, 0)
@@ -129,9 +131,7 @@
 	is.True(!a.precedes("unknown"))
 }
 
-// BenchmarkTopology is what each change of the instances costs a carrier: 0.29 ms with 295
-// instances and 1.7 ms with 1,200 (one run, beside other work on the machine). It was 1.3
-// and 23 ms when the carriers were sorted anew for each instance to find the wards.
+// BenchmarkTopology measures the recomputation of the topology after a change of the instances.
 func BenchmarkTopology(b *testing.B) {
 	for _, n := range []int{295, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/catalog/virtual_test.go
+++ b/catalog/virtual_test.go
@@ -21,23 +21,24 @@
 	"github.com/linkmast/linkmast/catalog"
 )
 
-// pipeBytes is the buffer of each connection in memory.
+// pipeBytes is the buffer size of each in-memory connection.
 const pipeBytes = 64 << 10
 
-// memoryNet connects instances in memory, so that their tests run in virtual time.
+// memoryNet is an in-memory network, which allows tests with several instances to run in
+// virtual time.
 type memoryNet struct {
 	mu        sync.Mutex
 	listeners map[string]*bufconn.Listener
 }
 
-// newMemoryNet returns a net without instances.
+// newMemoryNet returns a network without listeners.
 func newMemoryNet() *memoryNet {
 	return &memoryNet{
 		listeners: make(map[string]*bufconn.Listener),
 	}
 }
 
-// listen opens an address, anew if it had been closed.
+// listen opens a listener at an address and replaces an earlier one.
 func (n *memoryNet) listen(address string) *bufconn.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,7 +67,7 @@
 	}, l, d, d.close)
 }
 
-// memoryDialer has the connections of one instance. It implements catalog.Dialer.
+// memoryDialer manages the connections of one instance. It implements catalog.Dialer.
 type memoryDialer struct {
 	net *memoryNet
 
@@ -125,8 +126,8 @@
 	}
 }
 
-// virtualGroup runs a test with instances that know each other, in virtual time. They start
-// together; a whole read of the store takes as long as given.
+// virtualGroup runs a test in virtual time with n instances that start together and whose
+// entries are in the store. slow is the delay of each page.
 func virtualGroup(t *testing.T, n int, slow time.Duration, run func(t *testing.T, net *memoryNet, fake *fakeStore, all []*instance)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
