--- a/catalog/announcing.go
+++ b/catalog/announcing.go
@@ -123,10 +123,10 @@
 	if c.storeAnswered.within(c.freshFor()) {
 		return "", true
 	}
-	if followed := c.upstreamAddress.Load(); followed != nil {
-		return *followed, true
+	if upstream := c.upstreamAddress.Load(); upstream != nil {
+		return *upstream, true
 	}
-	if at := slices.Index(c.settings.Seeds, c.settings.Self.Address); at > 0 && !c.knowsPeers() {
+	if index := slices.Index(c.settings.Seeds, c.settings.Self.Address); index > 0 && !c.knowsPeers() {
 		return c.settings.Seeds[0], true
 	}
 	return "", c.joined.Load() && c.knowsPeers()
--- a/catalog/apply.go
+++ b/catalog/apply.go
@@ -8,7 +8,7 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// recordSource tells where a batch of records comes from.
+// recordSource is the origin of a batch of records.
 type recordSource int
 
 // The sources of records.
@@ -66,7 +66,7 @@
 	}
 	if c.suppressRecordLogs {
 		c.suppressRecordLogs = false
-		c.log.Info("many records known", "feed", b.feed.String(), "records", len(b.records), "changed", changed,
+		c.log.Info("applied many records", "feed", b.feed.String(), "records", len(b.records), "changed", changed,
 			"endpoints", c.endpoints.len(), "instances", c.peers.len(), "next", b.next)
 	}
 	if b.whole != 0 {
@@ -111,11 +111,11 @@
 		return c.removeEndpoint(r, from)
 	case *PeerChange:
 		if known, _ := c.peers.get(v.Peer.ID); known != v.Peer && !c.suppressRecordLogs {
-			c.log.Info("peer known", "peer", v.Peer.ID, "address", v.Peer.Address)
+			c.log.Info("instance added or changed", "peer", v.Peer.ID, "address", v.Peer.Address)
 		}
 		c.peers.set(v.Peer.ID, v.Peer)
 	case *PeerRemoved:
-		c.log.Info("peer gone", "peer", v.ID)
+		c.log.Info("instance gone", "peer", v.ID)
 		c.peers.remove(v.ID)
 	case *Malformed:
 		c.log.Error(v.Err, "record ignored", "key", v.Key)
@@ -160,7 +160,7 @@
 // incarnation. Within one incarnation, a leaving endpoint stays leaving.
 func (c *Catalog) applyEndpoint(e Endpoint) bool {
 	if !c.incarnations.accept(e) {
-		c.log.Info("entry of an older life ignored", "endpoint", e.Instance, "born", e.StartedAt)
+		c.log.Info("entry of an older incarnation ignored", "endpoint", e.Instance, "born", e.StartedAt)
 		return false
 	}
 	old, known := c.endpoints.get(e.Instance)
@@ -170,7 +170,7 @@
 	}
 	delete(c.heldRemovals, e.Instance)
 	if !c.suppressRecordLogs && (!known || !old.equalExceptCold(e)) {
-		c.log.Info("endpoint known", "endpoint", e.Instance, "service", e.Service, "address", e.Address,
+		c.log.Info("endpoint added or changed", "endpoint", e.Instance, "service", e.Service, "address", e.Address,
 			"leaving", e.Leaving, "born", e.StartedAt, "cold_ms", e.ColdFor.Milliseconds())
 	}
 	c.endpoints.set(e.Instance, e)
@@ -187,7 +187,7 @@
 // key until a valid entry arrives. It returns whether the endpoint was known.
 func (c *Catalog) applyInvalidEndpoint(r Record) bool {
 	if _, known := c.endpoints.get(r.Key); known {
-		c.removeEndpointNow(r, "its entry names no endpoint to use")
+		c.removeEndpointNow(r, "its entry is malformed")
 		return true
 	}
 	c.commitRecord(Endpoints, r)
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-var errDown = errors.New("down")
+var errDown = errors.New("store is down")
 
 func (s *fakeStore) put(f catalog.Feed, c catalog.Change) {
 	s.mu.Lock()
@@ -169,12 +169,12 @@
 }
 
 // forget compacts a feed: it drops all records and keeps only those of the given changes.
-func (s *fakeStore) forget(f catalog.Feed, left ...catalog.Change) {
+func (s *fakeStore) forget(f catalog.Feed, kept ...catalog.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.first[f] += int64(len(s.feeds[f]))
 	s.feeds[f] = nil
-	for i, c := range left {
+	for i, c := range kept {
 		s.feeds[f] = append(s.feeds[f], s.record(f, c, s.first[f]+int64(i)))
 	}
 	close(s.changed)
--- a/catalog/following.go
+++ b/catalog/following.go
@@ -117,7 +117,7 @@
 var errReadsStore = errors.New("reads the store itself")
 
 // errStale ends following an instance whose data is stale.
-var errStale = errors.New("knows too little")
+var errStale = errors.New("upstream has stale data")
 
 // errLoop ends following an instance whose data comes from this instance.
 var errLoop = errors.New("upstream has its data from this instance")
--- a/catalog/full_read_test.go
+++ b/catalog/full_read_test.go
@@ -20,7 +20,7 @@
 	asked []string
 }
 
-var errPage = errors.New("page not read")
+var errPage = errors.New("injected failure")
 
 // Page implements Store.
 func (s *pagedStore) Page(_ context.Context, _ Feed, after string) (Page, error) {
--- a/catalog/introducing.go
+++ b/catalog/introducing.go
@@ -80,14 +80,15 @@
 		return err
 	}
 	if !answer.GetKnown() {
-		c.log.Info("introduced itself", "peer", p.ID)
+		c.log.Info("introduced this instance", "peer", p.ID)
 	}
 	return nil
 }
 
 // adoptPeers accepts a first list of instances and their total number, unless this instance has
-// joined already. It returns whether it did. For the given time, another instance takes care of
-// this instance's entry. The way is logged.
+// joined already, and returns whether it did. This instance starts to check its own entry after
+// delay, within which another instance may write the entry. way is logged as the origin of the
+// list.
 func (c *Catalog) adoptPeers(known []Peer, total int, way string, delay time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +102,7 @@
 	c.updateTopology()
 	c.setJoined(steady.Now().Add(delay))
 	c.introduced.fire()
-	c.log.Info("instances known", "known", len(known), "total", total, "by", way)
+	c.log.Info("accepted list of instances", "known", len(known), "total", total, "by", way)
 	return true
 }
 
--- a/catalog/joining.go
+++ b/catalog/joining.go
@@ -45,11 +45,11 @@
 	defer cancel()
 	_, stop := c.introduced.watch(cancel)
 	defer stop()
-	switch at := slices.Index(c.settings.Seeds, c.settings.Self.Address); {
+	switch index := slices.Index(c.settings.Seeds, c.settings.Self.Address); {
 	case len(c.settings.Seeds) == 0:
 		c.joinWithoutSeeds(joining)
-	case at >= 0:
-		c.joinAsSeed(joining, at)
+	case index >= 0:
+		c.joinAsSeed(joining, index)
 	default:
 		c.joinThroughSeeds(joining)
 	}
@@ -85,19 +85,19 @@
 // joinThroughSeeds asks the seeds, in an order that differs between instances to spread the
 // load. It reads the store if no seed answers for a while.
 func (c *Catalog) joinThroughSeeds(ctx context.Context) {
-	contacts := slices.Clone(c.settings.Seeds)
-	rendezvous.Sort(c.settings.Self.ID, contacts, func(address string) (string, int) { return address, 1 })
+	seeds := slices.Clone(c.settings.Seeds)
+	rendezvous.Sort(c.settings.Self.ID, seeds, func(address string) (string, int) { return address, 1 })
 	full := &fullRead{
 		feed: Peers,
 	}
 	spread := readSpread
 	readAt := steady.Now().Add(seedTimeout + rand.N(spread))
-	for at, failures := 0, 0; !c.joined.Load() && ctx.Err() == nil; {
-		if err := c.askSeed(ctx, contacts[at], true); err == nil {
+	for next, failures := 0, 0; !c.joined.Load() && ctx.Err() == nil; {
+		if err := c.askSeed(ctx, seeds[next], true); err == nil {
 			readAt = steady.Now().Add(seedTimeout + rand.N(spread))
 			continue
 		}
-		at = (at + 1) % len(contacts)
+		next = (next + 1) % len(seeds)
 		if !steady.Now().Before(readAt) {
 			failures++
 			if err := c.joinByReading(ctx, full); err == nil {
@@ -116,8 +116,8 @@
 // joinAsSeed obtains the list of instances for all that ask this seed. It asks the earlier
 // seeds first, so that one of the seeds reads the store for all. If none of them has the list,
 // it reads the store. If that fails, it asks the later seeds.
-func (c *Catalog) joinAsSeed(ctx context.Context, at int) {
-	before, after := c.settings.Seeds[:at], c.settings.Seeds[at+1:]
+func (c *Catalog) joinAsSeed(ctx context.Context, index int) {
+	before, after := c.settings.Seeds[:index], c.settings.Seeds[index+1:]
 	began := steady.Now()
 	full := &fullRead{
 		feed: Peers,
@@ -149,15 +149,15 @@
 	if c.settings.FirstStart {
 		c.pending.settle(ctx)
 	}
-	c.adoptPeers(c.pending.all(), 0, "those that ask", 0)
+	c.adoptPeers(c.pending.all(), 0, "joining instances", 0)
 	return nil
 }
 
 // askSeeds asks seeds in turn for instances to follow, until this instance has joined. It
 // returns whether any of them answered.
-func (c *Catalog) askSeeds(ctx context.Context, contacts []string, wait bool) bool {
+func (c *Catalog) askSeeds(ctx context.Context, seeds []string, wait bool) bool {
 	answered := false
-	for _, address := range contacts {
+	for _, address := range seeds {
 		if c.joined.Load() || ctx.Err() != nil {
 			return answered
 		}
--- a/catalog/large_fleet_test.go
+++ b/catalog/large_fleet_test.go
@@ -65,7 +65,7 @@
 			asked += x.store.calls.Load() - before[i]
 		}
 	}
-	t.Log("calls of all but the readers:", asked)
+	t.Log("calls of the other instances:", asked)
 	is.True(asked <= 3*fleetSize)
 	fake.put(catalog.Configurations, version(2))
 	fake.setDown(false)
@@ -73,7 +73,7 @@
 	for i, x := range all {
 		await(t, "version 2", func() bool { return x.Snapshot().Table.Version == 2 })
 		if i == fleetSize*9/10 {
-			t.Log("nine in ten know after", time.Since(back))
+			t.Log("90% of the instances up to date after", time.Since(back))
 		}
 	}
 	is.True(time.Since(back) < 1500*time.Millisecond)
--- a/catalog/pending_entries.go
+++ b/catalog/pending_entries.go
@@ -69,8 +69,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Peer, 0, len(s.entries))
-	for _, one := range s.entries {
-		out = append(out, one.peer)
+	for _, e := range s.entries {
+		out = append(out, e.peer)
 	}
 	return out
 }
@@ -82,12 +82,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Peer
-	for id, one := range s.entries {
+	for id, e := range s.entries {
 		switch {
-		case stored(one.peer):
+		case stored(e.peer):
 			delete(s.entries, id)
-		case !now.Before(one.due) && len(out) < maxAnnounced:
-			out = append(out, one.peer)
+		case !now.Before(e.due) && len(out) < maxAnnounced:
+			out = append(out, e.peer)
 		}
 	}
 	return out
@@ -128,13 +128,13 @@
 }
 
 // postpone sets the due time of entries that could not be written or forwarded.
-func (s *pendingEntries) postpone(some []Peer, due time.Time) {
+func (s *pendingEntries) postpone(failed []Peer, due time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range some {
-		if one := s.entries[p.ID]; one.peer == p {
-			one.due = due
-			s.entries[p.ID] = one
+	for _, p := range failed {
+		if e := s.entries[p.ID]; e.peer == p {
+			e.due = due
+			s.entries[p.ID] = e
 		}
 	}
 }
@@ -146,8 +146,8 @@
 	defer s.mu.Unlock()
 	least := time.Duration(math.MaxInt64)
 	now := steady.Now()
-	for _, one := range s.entries {
-		least = min(least, one.due.Sub(now))
+	for _, e := range s.entries {
+		least = min(least, e.due.Sub(now))
 	}
 	return max(least, forwardRetryDelay)
 }
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -50,8 +50,8 @@
 
 // HasDeparted reports whether an endpoint is leaving or was removed recently.
 func (s *Snapshot) HasDeparted(instance string) bool {
-	_, gone := s.Departed[instance]
-	return gone
+	_, departed := s.Departed[instance]
+	return departed
 }
 
 // Unavailable reports whether an endpoint must receive no new requests, because it has departed
@@ -60,8 +60,8 @@
 	if s.HasDeparted(instance) {
 		return true
 	}
-	_, emptied := s.Drained[s.Endpoints[instance].FailureDomain]
-	return emptied
+	_, drained := s.Drained[s.Endpoints[instance].FailureDomain]
+	return drained
 }
 
 // publish stores a new snapshot, if a configuration is known, and notifies the receivers of
--- a/catalog/start_test.go
+++ b/catalog/start_test.go
@@ -126,19 +126,19 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		if x.Snapshot() == nil {
-			c.t.Fatalf("%s is not ready %s after the start", x.self.ID, within)
+			c.t.Fatalf("%s has no configuration %s after the start", x.self.ID, within)
 		}
 	}
-	c.t.Logf("%d ready %s after the start of the last", len(some), time.Since(began))
+	c.t.Logf("%d instances ready %s after the start of the last one", len(some), time.Since(began))
 }
 
 // assertCalls checks that the store has received few calls since the count before.
 func (c *testFleet) assertCalls(some []*instance, before int) {
 	c.t.Helper()
 	got := c.calls() - before
-	c.t.Logf("%d calls", got)
+	c.t.Logf("%d calls of the store", got)
 	if most := leastStartCalls + len(some)/startCallsShare; got > most {
-		c.t.Errorf("%d calls for a start of %d, %d at most", got, len(some), most)
+		c.t.Errorf("%d calls for a start of %d instances, want at most %d", got, len(some), most)
 	}
 }
 
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -293,8 +293,8 @@
 
 // Limits on the number of instances that a joining instance receives.
 const (
-	// maxBootstrapUpstreams is the limit for an instance that can't be a relay. It is the
-	// number of attempts that are made in quick succession.
+	// maxBootstrapUpstreams is the limit for an instance that can't be a relay. It tries all of
+	// them in quick succession.
 	maxBootstrapUpstreams = 8
 	// maxBootstrapPeers is the limit for an instance that may become a relay, and for a seed:
 	// all relays of 2,000 instances.
