--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -52,7 +52,7 @@
 	// defaultEndpointPoll leaves one of the two seconds in which a leaving endpoint must become
 	// known for forwarding the change to all instances.
 	defaultEndpointPoll = time.Second
-	// defaultInstancePoll limits the load on the store to three calls a minute.
+	// defaultInstancePoll makes a reader poll three times a minute while no instance changes.
 	defaultInstancePoll = 20 * time.Second
 	// defaultHold is the time in which the platform expects entries to be renewed after an
 	// outage.
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -168,7 +168,7 @@
 	s.setDown(false)
 }
 
-// forget compacts a feed: it drops all records and keeps only those of the given changes.
+// forget compacts a feed: it replaces all records by new ones for the given changes.
 func (s *fakeStore) forget(f catalog.Feed, kept ...catalog.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/catalog/following.go
+++ b/catalog/following.go
@@ -49,8 +49,8 @@
 		}
 		p, patient := r.upstreamFor(attempt)
 		began := steady.Now()
-		// If nothing is known yet, the upstream may be starting as well, and is about to have
-		// data.
+		// While nothing is known yet, the attempt is always patient, because the upstream may
+		// be starting as well.
 		err := c.followOne(ctx, p, patient || c.Snapshot() == nil)
 		if ctx.Err() != nil {
 			return
--- a/catalog/full_read.go
+++ b/catalog/full_read.go
@@ -22,7 +22,7 @@
 	records []Record
 	after   string
 	begun   bool
-	// next is the offset after the first page from which to follow the feed. sent is when the
+	// next is Next of the first page, from which the feed is to be followed. sent is when the
 	// first page was requested, which is a lower bound of the time that the data reflects.
 	next int64
 	sent time.Time
--- a/catalog/outage.go
+++ b/catalog/outage.go
@@ -18,9 +18,10 @@
 	// maxUnconfiguredBackoff limits the wait of an instance without a configuration, which
 	// can't serve any requests yet.
 	maxUnconfiguredBackoff = 200 * time.Millisecond
-	// maxConnectedBackoff limits the exponential back-off of instances that learn from others
-	// that the store is back, before it is scaled by the position in the order. Most instances
-	// use it, and each call costs the store.
+	// maxConnectedBackoff limits the exponential back-off of an instance that can learn from
+	// others that the store is back. The back-off is then multiplied by a factor that grows
+	// with the position in the order. The limit is high because most instances are in this
+	// state.
 	maxConnectedBackoff = 2 * time.Second
 	// peerAnswerWindow is how recently another instance must have answered for this one to rely
 	// on it to learn that the store is back. It allows for several attempts to follow another
@@ -88,7 +89,8 @@
 	}
 }
 
-// recordRecovery logs that a feed is readable again.
+// recordRecovery logs that a feed is readable again. In the case of the configurations, it also
+// interrupts the polls of the other feeds.
 func (c *Catalog) recordRecovery(f Feed, failures int, retry *signal) {
 	c.log.Info("store is back", "feed", f.String(), "failures", failures)
 	if f == Configurations {
--- a/catalog/signal.go
+++ b/catalog/signal.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// fire closes the channel that next returned, and calls the watching functions.
+// fire closes the channel that next has returned, and thereby triggers the watching functions.
 func (s *signal) fire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/catalog/start_test.go
+++ b/catalog/start_test.go
@@ -283,11 +283,11 @@
 			all := c.start(0, n, false)
 			const (
 				away = 5 * time.Second
-				// asks is the interval of the calls of one seed.
-				asks = 200 * time.Millisecond
+				// callInterval is the minimum average time between calls of one seed.
+				callInterval = 200 * time.Millisecond
 			)
 			time.Sleep(away)
-			is.New(t).True(c.calls() <= len(c.seeds)*int(away/asks))
+			is.New(t).True(c.calls() <= len(c.seeds)*int(away/callInterval))
 			c.store.setDown(false)
 			before := c.calls()
 			c.assertReady(all, time.Second, before)
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -18,8 +18,8 @@
 // tree of two levels reaches 2,000 instances and one of three levels 60,000.
 const relayFanOut = 32
 
-// minCapacityShare is the minimum capacity, as a share of the greatest one, with which an
-// instance can work for others: as a reader, a relay or the owner of a pool.
+// minCapacityShare is the share of the greatest capacity from which an instance counts as
+// capable of working for others: as a reader, a relay or the owner of a pool.
 const minCapacityShare = 0.5
 
 // Limits on the number of followers. They spread the followers when many relays are lost at
@@ -29,14 +29,14 @@
 	// followers.
 	followerLimitFactor = 2
 	// weakFollowerLimit is the limit of an instance with too little capacity for a relay, which
-	// is followed only if no other upstream is available. It sends each change to every
-	// follower.
+	// is followed only if no other upstream is available. It is low because such an instance
+	// sends each change to every follower.
 	weakFollowerLimit = 4
 )
 
 // topology assigns roles to the instances by an order that all of them compute alike. The first
-// instances are readers. The relays, which include the readers, follow a reader and serve the
-// others. The zero value contains no instances.
+// instances are readers. The relays, which include the readers, serve the other instances; a
+// relay that is not a reader follows one. The zero value contains no instances.
 type topology struct {
 	// positions maps each known instance to its position in the order, counted from zero.
 	// Instances with enough capacity for a relay come first.
