--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -4,13 +4,14 @@
 
 import "github.com/linkmast/linkmast/placement"
 
-// Adopt takes over an attempt that another instance placed. It changes nothing
-// when the attempt is known.
+// Adopt records an attempt of this instance that another one placed, so that this scheduler can
+// take over as owner. Begun is true if the attempt's first event has come. It changes nothing if
+// the attempt is known.
 func (s *Scheduler) Adopt(a PlacementRequest, g Grant, begun bool) {
 	s.adoptFor(a, g, s.settings.Self, begun)
 }
 
-// adoptFor takes over an entry's attempt.
+// adoptFor records an attempt of an entry instance. A known attempt only stops being an orphan.
 func (s *Scheduler) adoptFor(a PlacementRequest, g Grant, entry string, begun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,8 +61,7 @@
 	}
 }
 
-// planFromGrant returns the plan that a grant was made from, as far as its endpoints are
-// known.
+// planFromGrant reconstructs the plan behind a grant, as far as its endpoints are known here.
 func (p *poolState) planFromGrant(a *PlacementRequest, g *Grant, e *placement.Engine) placement.Plan {
 	plan := placement.Plan{
 		Engine:      e,
@@ -82,7 +82,8 @@
 	return plan
 }
 
-// markOrphans marks attempts whose entry is out of touch, and returns the mark.
+// markOrphans marks the attempts of a session that ended as orphans, and returns their mark.
+// Attempts maps IDs to services.
 func (s *Scheduler) markOrphans(attempts map[string]string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +97,7 @@
 	return s.lastOrphanMark
 }
 
-// endOrphans ends the attempts that still have a mark.
+// endOrphans ends the attempts that still have the mark, since no later session reported them.
 func (s *Scheduler) endOrphans(attempts map[string]string, mark int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pool/check.go
+++ b/pool/check.go
@@ -15,66 +15,66 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// The measures of checking all endpoints of a pool.
+// Parameters of the checks of endpoints.
 const (
-	// minCorrelatedStops is how many endpoints must be found to have stopped within
-	// togetherWithin for the others to be checked: more than one at a moment has a cause in
-	// common, and those on which nobody waits for an event show nothing.
+	// If minCorrelatedStops endpoints stop within correlationWindow, there is probably a common
+	// cause, and all other endpoints of the pool are checked. Some of them may have stopped without
+	// a sign, because no attempt there waits for an event.
 	minCorrelatedStops = 2
 	correlationWindow  = 300 * time.Millisecond
-	// checkTimeout bounds a check: many round trips. checkInterval bounds how often all are
-	// checked.
+	// checkTimeout bounds the check of one endpoint, and checkInterval is the least time between
+	// two checks of a whole pool.
 	checkTimeout  = 50 * time.Millisecond
 	checkInterval = time.Second
-	// verifyInterval bounds how often it is looked whether a silent endpoint is there, and how
-	// long it is taken to be busy once it was.
+	// verifyInterval is the least time between two verifications of an endpoint. An endpoint that
+	// passed one counts as busy, not as stopped, for the same time.
 	verifyInterval = time.Second
-	// recheckInterval is how often an endpoint is checked that is not there, and maxAbsence how
-	// long it is left out for that: the link of this instance may be at fault.
+	// recheckInterval is the time between two checks of an endpoint that did not answer. maxAbsence
+	// is how long it is excluded at most without an answer, in case the fault lies in this
+	// instance's network.
 	recheckInterval = 300 * time.Millisecond
 	maxAbsence      = 5 * time.Second
-	// maxConcurrentChecks bounds the connections that a check has open, so that an instance before
-	// thousands of engines doesn't run out of descriptors. Before 1,000 engines the busiest
-	// of 100 instances had 263 connections with it and 932 without (one run each). As many
-	// that don't answer are looked at in checkWithin.
+	// maxConcurrentChecks bounds the connections that are open for checks, so that a pool of
+	// thousands of engines does not exhaust the file descriptors.
 	maxConcurrentChecks = 128
-	// maxUnansweredShare is the part of the endpoints that may leave a check unanswered for it
-	// to count. With more, this instance's own links are at fault.
+	// maxUnansweredShare is the largest share of the endpoints that may time out in a check. If
+	// more do, the fault is assumed to lie in this instance's network and the timeouts are ignored.
 	maxUnansweredShare = 0.75
 )
 
-// checkState are how the endpoints of a pool are checked. The zero value is ready for use.
+// checkState is the state of the checks of a pool. The zero value is ready for use.
 type checkState struct {
-	// found are when endpoints were found to have stopped, by instance.
-	found map[string]time.Time
-	// at is when all were last checked, and again states that those are checked again that
-	// are not there.
-	at    time.Time
-	again bool
-	// checked counts the endpoints that were checked, and failed those that did not answer.
+	// stoppedAt has the time at which each endpoint was last found to have stopped.
+	stoppedAt map[string]time.Time
+	// lastFullCheck is the time of the last check of the whole pool. rechecking is set while absent
+	// endpoints are rechecked.
+	lastFullCheck time.Time
+	rechecking    bool
+	// checked counts the checks of single endpoints, and failed the endpoints excluded by a check
+	// of the whole pool.
 	checked int
 	failed  int
 }
 
-// recordStopped notes that an endpoint was found to have stopped, and states whether the
-// others are to be checked.
+// recordStopped records that an endpoint has stopped, and reports whether the others should be
+// checked now.
 func (c *checkState) recordStopped(instance string, now time.Time) bool {
-	if c.found == nil {
-		c.found = make(map[string]time.Time)
+	if c.stoppedAt == nil {
+		c.stoppedAt = make(map[string]time.Time)
 	}
-	c.found[instance] = now
-	maps.DeleteFunc(c.found, func(_ string, at time.Time) bool { return now.Sub(at) > correlationWindow })
-	if len(c.found) < minCorrelatedStops || !c.at.IsZero() && now.Sub(c.at) < checkInterval {
+	c.stoppedAt[instance] = now
+	maps.DeleteFunc(c.stoppedAt, func(_ string, at time.Time) bool { return now.Sub(at) > correlationWindow })
+	if len(c.stoppedAt) < minCorrelatedStops || !c.lastFullCheck.IsZero() && now.Sub(c.lastFullCheck) < checkInterval {
 		return false
 	}
-	c.at = now
+	c.lastFullCheck = now
 	return true
 }
 
-// checkAll checks the endpoints of a pool that have not been set aside, if one was found to
-// have stopped soon after another. The caller holds the lock.
-func (s *Scheduler) checkAll(p *poolState, service, found string, now time.Time) {
-	if s.settings.Check == nil || !p.checks.recordStopped(found, now) {
+// checkAll records that an endpoint has stopped, and starts a check of all usable endpoints of the
+// pool if several have stopped at about the same time. The caller holds s.mu.
+func (s *Scheduler) checkAll(p *poolState, service, stopped string, now time.Time) {
+	if s.settings.Check == nil || !p.checks.recordStopped(stopped, now) {
 		return
 	}
 	addresses := p.addresses(func(h *endpointHealth) bool { return h.usable(now) })
@@ -82,8 +82,8 @@
 	go s.check(service, addresses)
 }
 
-// addresses returns the addresses of the endpoints that take part, of those whose health
-// is as wanted, by instance.
+// addresses returns the addresses, by name, of the endpoints that accept requests and whose health
+// satisfies the condition.
 func (p *poolState) addresses(wanted func(h *endpointHealth) bool) map[string]string {
 	out := make(map[string]string)
 	for _, e := range p.list {
@@ -94,23 +94,23 @@
 	return out
 }
 
-// acceptsRequests states whether an endpoint gets requests when it is well: it does not leave,
-// and its failure domain is not emptied as far as this instance knows. Others are not
-// asked for anything either.
+// acceptsRequests reports whether an endpoint may get requests at all: it is not leaving, and its
+// failure domain is not drained as far as this instance knows. Other endpoints are not checked
+// either.
 func (p *poolState) acceptsRequests(e *placement.Engine) bool {
 	return !p.isLeaving(e, p.notices.View()) && !p.drained.excludes(&PlacementRequest{}, e)
 }
 
-// check checks endpoints, given by instance with their address.
+// check connects to endpoints, given as addresses by name, and excludes those that fail.
 func (s *Scheduler) check(service string, addresses map[string]string) {
 	failed := s.runChecks(addresses)
-	lost := 0
+	timedOut := 0
 	for _, err := range failed {
 		if !errors.Is(err, syscall.ECONNREFUSED) {
-			lost++
+			timedOut++
 		}
 	}
-	trusted := float64(lost) <= maxUnansweredShare*float64(len(addresses))
+	trusted := float64(timedOut) <= maxUnansweredShare*float64(len(addresses))
 	if !trusted {
 		s.log.Info("check of endpoints not trusted", "service", service, "checked", len(addresses), "failed", len(failed))
 	}
@@ -121,10 +121,9 @@
 	}
 }
 
-// verify looks whether an endpoint is there of which instances agree that it is silent: one
-// that is busy takes connections still. It guards against streams that leave engines which
-// work, but whose passes have grown long as many callers came back. The caller holds the
-// lock.
+// verify connects to an endpoint on which several instances have silent attempts, and excludes it
+// if it does not answer. If it accepts the connection, it is only busy, for example with long
+// passes, and keeps its streams. The caller holds s.mu.
 func (s *Scheduler) verify(p *poolState, service string, e *placement.Engine, silent int, now time.Time) {
 	h := p.health[e.Instance]
 	switch {
@@ -155,13 +154,12 @@
 	}()
 }
 
-// answeredRecently states whether the endpoint is busy rather than gone, as it took a connection
-// just now.
+// answeredRecently reports whether the endpoint passed a verification within verifyInterval.
 func (h *endpointHealth) answeredRecently(now time.Time) bool {
 	return !h.answeredAt.IsZero() && now.Sub(h.answeredAt) < verifyInterval
 }
 
-// runChecks returns the endpoints that don't answer, with the cause.
+// runChecks connects to all given endpoints and returns the errors of those that fail, by name.
 func (s *Scheduler) runChecks(addresses map[string]string) map[string]error {
 	var (
 		mu     sync.Mutex
@@ -181,13 +179,13 @@
 			return nil
 		})
 	}
-	// What fails is in failed.
+	// The goroutines return no errors; they store them in failed.
 	_ = wait.Wait()
 	return failed
 }
 
-// handleFailedCheck leaves an endpoint out that did not answer a check, unless a stream there has
-// a sign of life, and has its attempts move.
+// handleFailedCheck excludes an endpoint that failed a check and migrates its attempts, unless one
+// of its streams is alive.
 func (s *Scheduler) handleFailedCheck(service, instance string, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +201,7 @@
 	s.log.Info("endpoint does not answer", "service", service, "endpoint", instance, "cause", cause.Error(), "moved", n)
 }
 
-// usable states whether the endpoint may get a request.
+// usable reports whether the endpoint may get a request: it is neither excluded nor ejected.
 func (h *endpointHealth) usable(now time.Time) bool {
 	if !h.absentSince.IsZero() && now.Sub(h.absentSince) < maxAbsence {
 		return false
@@ -211,16 +209,16 @@
 	return h.shared.usable(now)
 }
 
-// excluded states whether an engine is left out or set aside, so that the work of the pool
-// is spread over the others. It guards against a price that engines which have stopped,
-// counted as idle, halve while the others are full.
+// excluded reports whether an endpoint gets no requests because of its health. Such endpoints do
+// not count as capacity of the pool: as idle ones they would lower the price of the other engines'
+// time.
 func (p *poolState) excluded(e *placement.Engine, now time.Time) bool {
 	h := p.health[e.Instance]
 	return h != nil && !h.usable(now)
 }
 
-// exclude leaves an endpoint out that has stopped: until it answers a check, or for a
-// while where endpoints are not checked. The caller holds the lock.
+// exclude takes an endpoint that has stopped out of use until it answers a check, for at most
+// maxAbsence. Where endpoints are not checked, it is ejected as unreachable. The caller holds s.mu.
 func (s *Scheduler) exclude(p *poolState, service, instance string, now time.Time) {
 	h := p.health[instance]
 	if s.settings.Check == nil {
@@ -228,18 +226,18 @@
 		return
 	}
 	h.absentSince = now
-	if !p.checks.again {
-		p.checks.again = true
+	if !p.checks.rechecking {
+		p.checks.rechecking = true
 		time.AfterFunc(recheckInterval, func() { s.recheck(service) })
 	}
 }
 
-// recheck checks the endpoints that are not there, and again while there are any.
+// recheck checks the excluded endpoints, and schedules the next recheck while there are any.
 func (s *Scheduler) recheck(service string) {
 	s.mu.Lock()
 	p := s.pool(service)
 	addresses := p.addresses(func(h *endpointHealth) bool { return !h.absentSince.IsZero() })
-	p.checks.again = len(addresses) > 0
+	p.checks.rechecking = len(addresses) > 0
 	p.checks.checked += len(addresses)
 	s.mu.Unlock()
 	if len(addresses) == 0 {
@@ -254,7 +252,7 @@
 	time.AfterFunc(recheckInterval, func() { s.recheck(service) })
 }
 
-// readmit takes an endpoint back that answers a check.
+// readmit puts an endpoint that answered a check back into use.
 func (s *Scheduler) readmit(service, instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,7 +269,7 @@
 	s.wakeUp()
 }
 
-// hasLiveStream states whether a stream that an endpoint answers has a sign of life.
+// hasLiveStream reports whether a stream from an endpoint is alive.
 func (p *poolState) hasLiveStream(instance string, now time.Time) bool {
 	for id, at := range p.attempts {
 		if at.instance == instance && p.signalOf(id, at, now) == signalAlive {
--- a/pool/client.go
+++ b/pool/client.go
@@ -18,9 +18,10 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// Client finds the owner of each pool and asks it. It implements Placer. The
-// owner is the first instance in the order of rendezvous hashing that is in
-// touch; the next one hears of everything too, so that it can take over.
+// Client sends the placement requests of this instance to the owners of the pools. It implements
+// Placer. The instances are ordered by rendezvous hashing for each pool. The owner is the first one
+// that is reachable; the next ones receive the same reports as standbys, so that they can take
+// over.
 type Client struct {
 	self   catalog.Peer
 	local  *Scheduler
@@ -29,40 +30,42 @@
 
 	mu       sync.Mutex
 	snapshot *catalog.Snapshot
-	// ownerOrder is the instances of each pool with an owner, the owner first.
+	// ownerOrder has the instances in the order in which they own a pool, by service. Only services
+	// whose pool has an owner are in it.
 	ownerOrder map[string][]string
-	// plainOwned are the pools without engines that have an owner, and untold those of them
-	// whose owners are to be told what runs.
+	// plainOwned has the services without engines whose pool has an owner. Attempts of those in
+	// unannounced have not been reported to the owners yet.
 	plainOwned  map[string]bool
 	unannounced []string
-	// followed is the part of the order that is asked.
+	// followed is the first part of ownerOrder by service: the instances that placement requests
+	// and reports are sent to. It may contain this instance.
 	followed map[string][]string
-	// links are the links by instance.
+	// links has the links to other instances by name.
 	links map[string]*ownerLink
-	// attempts is what this instance has running, by attempt.
+	// attempts has the running attempts of this instance by ID.
 	attempts map[string]*running
-	// migrations are what makes attempts move, by attempt.
+	// migrations has the functions that migrate an attempt, by attempt ID.
 	migrations map[string]func()
-	// common names the pool with whose owners all instances have sessions, and crashes are
-	// the latest that this instance saw.
+	// common is the service whose followed owners all instances have sessions with; crash reports
+	// go to them. crashes has the recent crashes that this instance saw.
 	common  string
 	crashes []quarantine.Crash
-	// wake gets a value when a link breaks off or comes about.
+	// wake wakes Run when links have to be checked.
 	wake chan struct{}
-	// ctx is that of Run; nil before.
+	// ctx is the context of Run; nil until Run is called.
 	ctx       context.Context
 	linkGroup sync.WaitGroup
 }
 
-// running is an attempt that has a place.
+// running is an attempt that has been placed and has not ended.
 type running struct {
-	ask   PlacementRequest
-	grant Grant
-	begun bool
+	request PlacementRequest
+	grant   Grant
+	begun   bool
 }
 
-// NewClient returns a client that places by local what it owns, and what no
-// owner answers.
+// NewClient returns a client for the instance self. It uses local where this instance is the owner
+// or no owner answers.
 func NewClient(self catalog.Peer, local *Scheduler, d Dialer, log logr.Logger) *Client {
 	return &Client{
 		self:       self,
@@ -79,7 +82,7 @@
 	}
 }
 
-// Run keeps the links until ctx ends.
+// Run keeps the links to the owners open until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	defer c.local.onMigrations(c.self.ID, c.migrateLocally)()
 	defer c.local.settings.Notices.OnChange(func(notice.Notice) { c.wakeRun() })()
@@ -100,7 +103,7 @@
 	}
 }
 
-// Update takes over the instances and services that are known.
+// Update applies a snapshot of the instances and services.
 func (c *Client) Update(snap *catalog.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,18 +118,19 @@
 	c.relink()
 }
 
-// Place implements Placer.
+// Place implements Placer. It asks the owners, and places the request on local if this instance is
+// the owner or none answers.
 func (c *Client) Place(ctx context.Context, a PlacementRequest) (Grant, error) {
 	a.Avoid = c.local.UnusableEndpoints(a.Service)
-	leaving, emptied := c.excludedTargets()
+	leaving, drained := c.excludedTargets()
 	a.Exclude = append(slices.Clone(a.Exclude), leaving...)
-	a.DrainedDomains = emptied
+	a.DrainedDomains = drained
 	a.Backoffs = c.backoffs(a.Service)
-	alone := false
+	fallback := false
 	for range maxAskRounds {
 		var g Grant
 		var err error
-		g, alone, err = c.askOwners(ctx, &a)
+		g, fallback, err = c.askOwners(ctx, &a)
 		if errors.Is(err, errLost) {
 			continue
 		}
@@ -135,32 +139,32 @@
 		}
 		break
 	}
-	g, err := c.local.place(ctx, a, alone)
+	g, err := c.local.place(ctx, a, fallback)
 	if err == nil {
 		c.recordAttempt(a, g, nil)
 	}
 	return g, err
 }
 
-// errDecideLocally means that this instance decides itself.
+// errDecideLocally means that this instance has to place the request itself.
 var errDecideLocally = errors.New("no other owner of the pool")
 
-// maxAskRounds is how often the owners are looked at for one ask: links that were in use while
-// an owner was away are closed when it is back, and the asks under way there are asked
-// anew.
+// maxAskRounds bounds how often the owners are asked for one placement. Links to standbys are
+// closed when the owner is back, and requests that were waiting there are then sent to the owner.
 const maxAskRounds = 3
 
-// askOwners asks the owners of a pool in order. The error is errDecideLocally when this instance is to
-// decide, alone if others may not know that it does, and errLost when an owner was lost
-// that may have been asked in vain.
-func (c *Client) askOwners(ctx context.Context, a *PlacementRequest) (g Grant, alone bool, err error) {
+// askOwners sends a placement request to the owners of a pool in order. The error is
+// errDecideLocally if this instance has to place the request, and errLost if the session to an
+// owner ended while the request waited there. Fallback is true if this instance is not known to be
+// the owner, so that others may place at the same time.
+func (c *Client) askOwners(ctx context.Context, a *PlacementRequest) (g Grant, fallback bool, err error) {
 	owners := c.owners(a.Service)
-	// A pool that has no owners, like one without engines, is each instance's own.
-	alone = len(owners) > 0
+	// Pools without an owner are placed by each instance on its own, which is no fallback.
+	fallback = len(owners) > 0
 	lost := false
 	for i, l := range owners {
 		if l == nil {
-			// Those before are out of touch; others may still ask them.
+			// The owners before this instance are unreachable from here, but maybe not from others.
 			return Grant{}, i > 0, errDecideLocally
 		}
 		if !l.usable() && !l.awaitRedial(ctx) {
@@ -178,14 +182,14 @@
 		return g, false, err
 	}
 	if lost {
-		return Grant{}, alone, errLost
+		return Grant{}, fallback, errLost
 	}
-	return Grant{}, alone, errDecideLocally
+	return Grant{}, fallback, errDecideLocally
 }
 
-// excludedTargets returns the endpoints and the failure domains that must get nothing new, as this
-// instance knows: the owner may be cut off from the store.
-func (c *Client) excludedTargets() (leaving, emptied []string) {
+// excludedTargets returns the endpoints that leave and the failure domains that are drained, as far
+// as this instance knows. The owner may know less, if it is cut off from the store.
+func (c *Client) excludedTargets() (leaving, drained []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.snapshot == nil {
@@ -201,23 +205,24 @@
 	return leaving, slices.Sorted(maps.Keys(c.snapshot.Drained))
 }
 
-// recordAttempt remembers an attempt and tells all but the one who placed it.
-func (c *Client) recordAttempt(a PlacementRequest, g Grant, by *ownerLink) {
+// recordAttempt stores a placed attempt and reports it to all followed owners but the one that
+// placed it.
+func (c *Client) recordAttempt(a PlacementRequest, g Grant, placedBy *ownerLink) {
 	r := &running{
-		ask:   a,
-		grant: g,
+		request: a,
+		grant:   g,
 	}
 	c.mu.Lock()
 	c.attempts[a.ID] = r
 	m := runningMessage(r)
 	c.mu.Unlock()
-	c.broadcast(a.Service, m, by)
+	c.broadcast(a.Service, m, placedBy)
 }
 
-// broadcast sends a message to the owners of a pool but one, which may be nil.
-func (c *Client) broadcast(service string, m *poolpb.FromEntry, but *ownerLink) {
+// broadcast sends a message to all followed owners of a pool except one, which may be nil.
+func (c *Client) broadcast(service string, m *poolpb.FromEntry, except *ownerLink) {
 	for _, l := range c.owners(service) {
-		if l != nil && l != but {
+		if l != nil && l != except {
 			l.enqueue(m)
 		}
 	}
--- a/pool/client_crashes.go
+++ b/pool/client_crashes.go
@@ -12,23 +12,21 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// noEnginesPool is the name under which the instances of a fleet without engines choose who
-// counts crashes. No service has it.
+// noEnginesPool stands in for the common pool in a fleet without engines, so that its instances
+// agree on who counts crashes. No service has this name.
 const noEnginesPool = ""
 
-// The measures of the crashes that an instance tells a new owner of.
+// Limits on the crashes that an instance reports again to a new owner.
 const (
-	// maxCrashAge is how old they may be: callers that come back after minutes are no reason
-	// to count from the start.
-	maxCrashAge = 10 * time.Minute
-	// maxKeptCrashes bounds them: those of an instance with some tens of streams that lost most of
-	// its engines.
+	// maxCrashAge is the age up to which a crash is reported again, and maxKeptCrashes the number
+	// of the latest crashes that are. The age covers callers that retry after minutes.
+	maxCrashAge    = 10 * time.Minute
 	maxKeptCrashes = 64
 )
 
-// pickCommon returns the pool whose owners count the crashes of all services and tell all
-// instances what concerns them, so that no further links are needed: the first one with
-// engines. The caller holds the lock.
+// pickCommon returns the service whose owners count the crashes of all services and send the
+// verdicts to all instances: the first one by name that has engines. Every instance has sessions
+// with these owners anyway. The caller holds c.mu.
 func (c *Client) pickCommon(snap *catalog.Snapshot) string {
 	if len(c.ownerOrder) == 0 {
 		c.ownerOrder[noEnginesPool] = c.rankOwners(noEnginesPool, snap)
@@ -37,33 +35,36 @@
 	return slices.Min(slices.Collect(maps.Keys(c.ownerOrder)))
 }
 
-// commonPool names the pool with whose owners all instances have sessions.
+// commonPool returns the service that pickCommon chose.
 func (c *Client) commonPool() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.common
 }
 
-// CountsCrashes states whether this instance is the first of those that count crashes.
+// CountsCrashes reports whether this instance is the one that decides on bans, by its view of the
+// common pool.
 func (c *Client) CountsCrashes() bool {
 	return c.decidingInstance(c.commonPool()) == c.self.ID
 }
 
-// ReportCrash reports an attempt whose endpoint has ended.
-func (c *Client) ReportCrash(one quarantine.Crash) {
-	c.local.settings.Quarantine.ReportCrash(one)
+// ReportCrash records a crash of an endpoint during an attempt and reports it to the owners of the
+// common pool.
+func (c *Client) ReportCrash(crash quarantine.Crash) {
+	c.local.settings.Quarantine.ReportCrash(crash)
 	now := c.local.settings.Now()
 	c.mu.Lock()
 	c.crashes = slices.DeleteFunc(c.crashes, func(old quarantine.Crash) bool { return now.Sub(old.EndedAt) > maxCrashAge })
 	if len(c.crashes) >= maxKeptCrashes {
 		c.crashes = slices.Delete(c.crashes, 0, 1)
 	}
-	c.crashes = append(c.crashes, one)
+	c.crashes = append(c.crashes, crash)
 	c.mu.Unlock()
-	c.broadcast(c.commonPool(), crashMessage(one, now), nil)
+	c.broadcast(c.commonPool(), crashMessage(crash, now), nil)
 }
 
-// ReportAnswered notes that a request was answered whole.
+// ReportAnswered records that a request got a whole answer. If that clears a suspected or banned
+// request, the owners of the common pool are notified.
 func (c *Client) ReportAnswered(id quarantine.Identity) {
 	if !c.local.settings.Quarantine.ReportAnswered(id) {
 		return
@@ -74,39 +75,39 @@
 	}), nil)
 }
 
-// Admit gives a request leave to run, as the instance's book does.
+// Admit asks the local registry whether a request may run now.
 func (c *Client) Admit(id quarantine.Identity) (quarantine.Admission, time.Duration, bool) {
 	return c.local.settings.Quarantine.Admit(id)
 }
 
-// Suspected states whether attempts of an identity have ended with their endpoints of late.
+// Suspected reports whether a request is suspected of crashing endpoints.
 func (c *Client) Suspected(id quarantine.Identity) bool {
 	return c.local.settings.Quarantine.Suspected(id)
 }
 
-// BanRemaining states whether requests of an identity must not run, and for how much longer.
+// BanRemaining returns how much longer a request is banned, and whether it is.
 func (c *Client) BanRemaining(id quarantine.Identity) (time.Duration, bool) {
 	return c.local.settings.Quarantine.BanRemaining(id)
 }
 
-// learnVerdict takes over a verdict of an owner.
+// learnVerdict applies a verdict that an owner sent.
 func (c *Client) learnVerdict(v quarantine.Verdict) {
 	c.local.settings.Quarantine.ApplyVerdict(v)
 }
 
-// crashMessages returns the messages that tell an owner of bans, and of the crashes that this
-// instance saw: an owner that is new counts them anew. The caller holds the lock.
+// crashMessages returns the messages that bring an owner up to date: the recent crashes that this
+// instance saw, since a new owner counts from zero, and the bans. The caller holds c.mu.
 func (c *Client) crashMessages() []*poolpb.FromEntry {
 	now := c.local.settings.Now()
 	var out []*poolpb.FromEntry
-	book := c.local.settings.Quarantine
-	for _, one := range c.crashes {
-		// What is banned or was cleared is counted no more.
-		if book.HasSuspect(one.Identity) {
-			out = append(out, crashMessage(one, now))
+	registry := c.local.settings.Quarantine
+	for _, crash := range c.crashes {
+		// Requests that are banned or were cleared are not counted.
+		if registry.HasSuspect(crash.Identity) {
+			out = append(out, crashMessage(crash, now))
 		}
 	}
-	for _, v := range book.Verdicts() {
+	for _, v := range registry.Verdicts() {
 		if v.State == quarantine.Banned {
 			out = append(out, ownerVerdictMessage(v))
 		}
--- a/pool/client_limited.go
+++ b/pool/client_limited.go
@@ -4,9 +4,9 @@
 
 import "github.com/linkmast/linkmast/notice"
 
-// assignOwners gives the pools without engines an owner one of whose endpoints names a rate limit,
-// as that holds for all instances together, and takes it from the others. The caller holds the
-// lock.
+// assignOwners gives an owner to each pool without engines in which an endpoint announces a rate
+// limit, because the limit applies to all instances together, and removes the owner from the other
+// pools without engines. The caller holds c.mu.
 func (c *Client) assignOwners() {
 	limited := c.limitedServices(c.local.settings.Notices.View())
 	for name := range c.plainOwned {
@@ -27,7 +27,7 @@
 	}
 }
 
-// limitedServices returns the services one of whose endpoints names a rate limit.
+// limitedServices returns the services in which an endpoint announces a rate limit.
 func (c *Client) limitedServices(v *notice.View) map[string]bool {
 	out := make(map[string]bool)
 	for _, instance := range v.Limited() {
@@ -39,13 +39,14 @@
 	return out
 }
 
-// dropOwners has each instance place for itself again on the endpoints of a pool. Its owners are
-// told that the attempts of this instance have ended, as they won't hear of their ends; where
-// the session ends with it, they forget them. The caller holds the lock.
+// dropOwners removes the owner of a pool, so that each instance places its own requests there. Its
+// owners are told that the attempts of this instance have ended, since the real ends won't be
+// reported to them. Where the session ends at the same time, the owner drops the attempts for that
+// reason. The caller holds c.mu.
 func (c *Client) dropOwners(name string) {
 	owners := c.linksOf(name)
 	for id, r := range c.attempts {
-		if r.ask.Service != name {
+		if r.request.Service != name {
 			continue
 		}
 		for _, l := range owners {
@@ -60,13 +61,13 @@
 	c.log.Info("pool has no owner any more", "service", name)
 }
 
-// announceAttempts tells the owners of pools that have just got one what this instance has running
-// there; sessions that open later begin with it. The caller holds the lock.
+// announceAttempts reports the running attempts to the owners of pools that have just got one.
+// Sessions that are opened later start with such a report. The caller holds c.mu.
 func (c *Client) announceAttempts() {
 	for _, name := range c.unannounced {
 		owners := c.linksOf(name)
 		for _, r := range c.attempts {
-			if r.ask.Service != name {
+			if r.request.Service != name {
 				continue
 			}
 			for _, l := range owners {
--- a/pool/client_links.go
+++ b/pool/client_links.go
@@ -10,29 +10,28 @@
 	"github.com/linkmast/linkmast/pool/poolpb"
 )
 
-// The measures of following owners.
+// Parameters of the links to owners.
 const (
-	// followedOwners is how many instances in touch know what runs in a pool: the
-	// owner, and one that can take over.
+	// followedOwners is how many reachable owners each instance follows in a pool: the owner and
+	// one standby.
 	followedOwners = 2
-	// relinkInterval is how often the links are compared with what is wanted.
+	// relinkInterval is how often Run checks the links.
 	relinkInterval = 200 * time.Millisecond
-	// extraDials is how many more owners than wanted may be open or in their first
-	// try at once. An instance that starts among many would else try all.
+	// extraDials is how many links beyond followedOwners may be opening or open for a pool, so that
+	// an instance that starts in a large fleet does not dial all others.
 	extraDials = 1
-	// dialGrace is how long a link that is not open yet may keep the next instance
-	// from being tried: many round trips, and below the time in which owners are
-	// replaced.
+	// dialGrace is how long a link may take to open before the next instance in the order is
+	// dialled as well. It covers many round trips and is shorter than busyTimeout.
 	dialGrace = 150 * time.Millisecond
 )
 
-// ownerLink is a link with what ends it.
+// ownerLink is a link together with the function that closes it.
 type ownerLink struct {
 	*link
 	cancel context.CancelFunc
 }
 
-// rankOwners returns the instances in the order in which they own a pool.
+// rankOwners returns all instances in the order in which they own a pool.
 func (c *Client) rankOwners(service string, snap *catalog.Snapshot) []string {
 	list := []catalog.Peer{c.self}
 	for id, p := range snap.Peers {
@@ -48,9 +47,9 @@
 	return ids
 }
 
-// relink opens the links that are wanted and closes the others: in the order of
-// each pool, up to the instances in touch that are wanted. Those before them
-// that are out of touch are tried again and again. The caller holds the lock.
+// relink opens and closes links so that each pool has enough reachable owners, in its order of
+// owners. Unreachable instances earlier in the order keep their links, which go on dialling. The
+// caller holds c.mu.
 func (c *Client) relink() {
 	if c.ctx == nil || c.snapshot == nil {
 		return
@@ -74,9 +73,9 @@
 	c.announceAttempts()
 }
 
-// chooseOwners returns the instances of a pool's order that are asked, and adds those
-// that need a link to wanted.
-func (c *Client) chooseOwners(ids []string, wanted map[string]string) []string {
+// chooseOwners returns the first part of a pool's order that is to be followed, and adds the other
+// instances in it to wanted, with their addresses.
+func (c *Client) chooseOwners(ids []string, addresses map[string]string) []string {
 	usable, trying := 0, 0
 	for i, id := range ids {
 		if usable == followedOwners || usable+trying >= followedOwners+extraDials {
@@ -86,7 +85,7 @@
 			usable++
 			continue
 		}
-		wanted[id] = c.snapshot.Peers[id].Address
+		addresses[id] = c.snapshot.Peers[id].Address
 		switch l := c.links[id]; {
 		case l == nil || l.trying():
 			trying++
@@ -97,7 +96,7 @@
 	return ids
 }
 
-// openLink opens a link that ends with Run or when it is cancelled.
+// openLink opens a link that runs until the context of Run ends or the link is cancelled.
 func (c *Client) openLink(id, address string) *ownerLink {
 	ctx, cancel := context.WithCancel(c.ctx)
 	l := &link{
@@ -123,7 +122,7 @@
 	}
 }
 
-// wakeRun makes the links be looked at anew.
+// wakeRun makes Run check the links.
 func (c *Client) wakeRun() {
 	select {
 	case c.wake <- struct{}{}:
@@ -131,9 +130,8 @@
 	}
 }
 
-// greetingMessages returns the messages that tell an owner what this instance has
-// running, and what it knows of requests that crash endpoints and of what endpoints say of
-// themselves.
+// greetingMessages returns what a new session begins with: the running attempts, and what this
+// instance knows of crashes, bans and the notices of endpoints.
 func (c *Client) greetingMessages() []*poolpb.FromEntry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,15 +146,14 @@
 	return out
 }
 
-// owners returns the links of a pool in order; nil stands for this instance.
+// owners returns the links to the followed owners of a pool in order; nil stands for this instance.
 func (c *Client) owners(service string) []*ownerLink {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.linksOf(service)
 }
 
-// linksOf returns the links of a pool in order; nil stands for this instance. The caller
-// holds the lock.
+// linksOf is owners for a caller that holds c.mu.
 func (c *Client) linksOf(service string) []*ownerLink {
 	var out []*ownerLink
 	for _, id := range c.followed[service] {
--- a/pool/client_migration.go
+++ b/pool/client_migration.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-// ReportSilence implements SilenceMonitor: the owner hears of it, who knows what others see.
+// ReportSilence implements SilenceMonitor. The report goes to the deciding owner, which combines it
+// with those of other instances.
 func (c *Client) ReportSilence(id, service string, silence time.Duration) {
 	if l := c.decidingLink(service); l != nil {
 		l.enqueue(suspicionMessage(id, service, silence))
@@ -13,8 +14,8 @@
 	c.local.ReportSilence(id, service, silence)
 }
 
-// decidingLink returns the link to the instance that decides for a pool, or nil when this one
-// does.
+// decidingLink returns the link to the first reachable owner of a pool, or nil if this instance
+// decides.
 func (c *Client) decidingLink(service string) *ownerLink {
 	for _, l := range c.owners(service) {
 		if l == nil {
@@ -27,7 +28,7 @@
 	return nil
 }
 
-// decidingInstance names the instance that decides for a pool.
+// decidingInstance returns the name of the instance that decides for a pool.
 func (c *Client) decidingInstance(service string) string {
 	if l := c.decidingLink(service); l != nil {
 		return l.peer
@@ -36,10 +37,10 @@
 }
 
 // OnMigrate implements SilenceMonitor.
-func (c *Client) OnMigrate(id string, move func()) (stop func()) {
+func (c *Client) OnMigrate(id string, migrate func()) (stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.migrations[id] = move
+	c.migrations[id] = migrate
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -47,20 +48,21 @@
 	}
 }
 
-// migrateAttempt has an attempt move that an owner says has to.
+// migrateAttempt migrates an attempt on the order of an owner.
 func (c *Client) migrateAttempt(id, endpoint, by string) {
 	c.mu.Lock()
-	move, r := c.migrations[id], c.attempts[id]
+	migrate, r := c.migrations[id], c.attempts[id]
 	c.mu.Unlock()
-	if move == nil || r == nil || by != c.decidingInstance(r.ask.Service) {
-		// The standby sees the same, but knows less of where there is room.
+	if migrate == nil || r == nil || by != c.decidingInstance(r.request.Service) {
+		// Only the deciding owner's order counts: a standby sees the same silence, but knows less
+		// about free capacity.
 		return
 	}
 	c.log.Info("attempt is to move", "attempt", id, "endpoint", endpoint, "by", by)
-	go move()
+	go migrate()
 }
 
-// migrateLocally has an attempt move by what this instance decides itself.
+// migrateLocally migrates an attempt on the order of the local scheduler.
 func (c *Client) migrateLocally(m migration) {
 	c.migrateAttempt(m.id, m.endpoint, c.self.ID)
 }
--- a/pool/client_notices.go
+++ b/pool/client_notices.go
@@ -9,11 +9,12 @@
 )
 
 // ExclusionReason implements notice.Guard.
-func (c *Client) ExclusionReason(instance string, born time.Time) string {
-	return c.local.settings.Notices.ExclusionReason(instance, born)
+func (c *Client) ExclusionReason(instance string, startedAt time.Time) string {
+	return c.local.settings.Notices.ExclusionReason(instance, startedAt)
 }
 
-// backoffs returns the endpoints of a service that have asked this instance for a back-off.
+// backoffs returns the endpoints of a service that asked this instance for a back-off which has not
+// ended.
 func (c *Client) backoffs(service string) []Backoff {
 	v := c.local.settings.Notices.View()
 	endpoints := v.BackedOff()
@@ -40,8 +41,8 @@
 	return out
 }
 
-// RecordAnswer implements notice.Guard: the instances that all others have sessions with tell
-// them.
+// RecordAnswer implements notice.Guard. A new notice is sent to the owners of the common pool,
+// which forward it to all instances.
 func (c *Client) RecordAnswer(a notice.Answer, s notice.Statements) {
 	if n, changed := c.local.settings.Notices.RecordAnswer(a, s); changed {
 		c.broadcast(c.commonPool(), ownerNoticeMessage(n), nil)
--- a/pool/doc.go
+++ b/pool/doc.go
@@ -1,18 +1,20 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package pool gives requests places on endpoints.
+// Package pool places requests on the endpoints of a service.
 //
-// A pool is the endpoints of one service. One instance, the pool's owner, sees
-// every request that is placed there; it models the engines (package
-// placement), holds requests that would do harm now, has the retry budget, and
-// sets endpoints aside that fail. Entries ask it over gRPC (Client, Server) and
-// dial the endpoint themselves.
+// The endpoints of one service form a pool. One instance, the pool's owner,
+// places all requests for it: it models the load of the engines (package
+// placement), queues requests that would delay others too much, enforces the
+// retry budget and ejects endpoints that fail. An instance that receives a request
+// from a caller is its entry instance: it sends a placement request to the owner
+// over gRPC (Client, Server) and connects to the chosen endpoint itself.
 //
-// The owner is a matter of quality, never of safety: an entry that gets no
-// answer in time asks the next instance in order, and places the request by what
-// it knows itself when none answers. Two owners at once place badly for a
-// moment; endpoints refuse what does not fit before it runs.
+// Correctness does not depend on the owner. An entry instance that gets no answer
+// in time asks the next instance in the order of owners, and if none answers it
+// places the request by its own view of the load. Two instances that act as owner
+// at the same time make worse placements until they agree, but endpoints reject
+// requests that don't fit before they run them.
 //
-// Services without engines need no owner: each instance places their requests
-// by what it has in flight itself.
+// A service without engines has no owner, unless one of its endpoints announces a
+// rate limit: each instance places its own requests by those that it has running.
 package pool
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -8,7 +8,7 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// grant notes a place and returns it.
+// grant records the placement of a request by a plan and returns it. The caller holds s.mu.
 func (s *Scheduler) grant(p *poolState, w *Waiter, plan *placement.Plan, now time.Time) Grant {
 	born := p.health[plan.Engine.Instance].startedAt
 	at := &attempt{
@@ -54,7 +54,7 @@
 	return g
 }
 
-// countAssignment notes that the endpoints of an attempt have a request more.
+// countAssignment counts a request at each endpoint of an attempt, for their rate limits.
 func (p *poolState) countAssignment(at *attempt, now time.Time) {
 	for _, name := range at.endpoints() {
 		if h := p.health[name]; h != nil {
@@ -63,7 +63,9 @@
 	}
 }
 
-// markProbes notes that an attempt tries endpoints that had failed.
+// markProbes makes the attempt the probe request of those of its endpoints that have failed
+// repeatedly: they get no other request until it has an outcome. Such an endpoint may have
+// restarted, so it counts as cold.
 func (p *poolState) markProbes(at *attempt, now time.Time) {
 	for _, name := range at.endpoints() {
 		h := p.health[name]
--- a/pool/link.go
+++ b/pool/link.go
@@ -16,123 +16,121 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// errLost means that the owner did not answer.
-var errLost = errors.New("owner of the pool is out of touch")
+// errLost means that the session to the owner ended before it answered.
+var errLost = errors.New("session to the owner of the pool ended")
 
-// The times of a link.
+// Intervals and timeouts of a link.
 const (
-	// idlePingInterval is how often an owner that is not asked is tried.
+	// idlePingInterval is the time between pings while no placement request is pending.
 	idlePingInterval = time.Second
-	// busyPingInterval is how often one is tried that owes an answer.
+	// busyPingInterval is the time between pings while placement requests are pending.
 	busyPingInterval = 50 * time.Millisecond
-	// busyTimeout is how long an owner that owes an answer may say nothing: some
-	// twenty round trips and a pass of the garbage collector.
+	// busyTimeout is how long the owner may send nothing while a placement request is pending; then
+	// the session is ended. It allows for many round trips and a garbage collection.
 	busyTimeout = 200 * time.Millisecond
-	// idleTimeout is how long an owner may say nothing that owes none.
+	// idleTimeout is the same limit while none is pending.
 	idleTimeout = 2500 * time.Millisecond
-	// redialPause is the pause between tries to open a link.
+	// redialPause is the pause between two tries to open the session.
 	redialPause = 300 * time.Millisecond
 	// openTimeout bounds one try.
 	openTimeout = time.Second
 )
 
-// sendQueueSize bounds the messages that wait to be sent over a link. A link that
-// takes no more is out of touch.
+// sendQueueSize bounds the messages that are queued for the owner. The session ends when the queue
+// is full.
 const sendQueueSize = 1024
 
-// Dialer opens connections to instances.
+// Dialer connects to other instances.
 type Dialer interface {
-	// Conn returns the connection to an address.
+	// Conn returns the connection to an address. It is shared and must not be closed.
 	Conn(address string) (*grpc.ClientConn, error)
 }
 
-// link is an entry's session with an owner. It is opened again until it is
-// closed.
+// link keeps a session with one owner open and reopens it when it ends.
 type link struct {
-	// peer names the owner, and address is where it is.
+	// peer is the name of the owner, and address its host and port.
 	peer    string
 	address string
 	self    entryInfo
 	dialer  Dialer
-	// greeting returns what the entry has running.
+	// greeting returns the messages that a session begins with.
 	greeting func() []*poolpb.FromEntry
-	// onChange is called when the session opens or breaks off.
+	// onChange is called when the session has opened or ended.
 	onChange func()
-	// onMigrate is called with an attempt that is to onMigrate, the endpoint that has stopped, and
-	// who says so.
+	// onMigrate is called when the owner orders the migration of an attempt. endpoint is the one
+	// that has stopped, and by names the owner.
 	onMigrate func(id, endpoint, by string)
-	// onVerdict is called with what the owner thinks of requests that crash endpoints.
+	// onVerdict is called with each verdict on a request that is suspected of crashing endpoints.
 	onVerdict func(quarantine.Verdict)
-	// onNotice is called with what endpoints say of themselves, as the owner knows.
+	// onNotice is called with each notice of an endpoint that the owner forwards.
 	onNotice func(notice.Notice)
 	log      logr.Logger
 
 	mu sync.Mutex
-	// tryingSince is when the link was made, or broke off, and the first try to open it tryingSince.
+	// tryingSince is when the present tries to open the session began: at the creation of the link,
+	// or at the end of a session that is reopened at once.
 	tryingSince time.Time
 	open        bool
-	// openedAt is when the session opened.
-	openedAt time.Time
-	// redialing is closed when it is known whether a session that broke off is open
-	// again at the first try; nil at all other times.
+	openedAt    time.Time
+	// redialing is non-nil during the first try to reopen a session, if that is made at once. It is
+	// closed when the try has succeeded or failed.
 	redialing chan struct{}
-	// out are the messages that wait to be sent; nil while there is no session, open or
-	// opening.
-	out chan *poolpb.FromEntry
-	// pending are the asks that are owed an answer, by attempt.
-	pending map[string]chan reply
-	// lastReceived is when the owner last said anything, and pinged when it was last
-	// asked to.
+	// queue has the messages to send; nil while no session is open or opening.
+	queue chan *poolpb.FromEntry
+	// pending has a channel for the owner's answer to each waiting placement request, by attempt
+	// ID.
+	pending map[string]chan placementReply
+	// lastReceived is when the owner's last message came, or when a placement request was sent
+	// while none was pending. lastPing is when the last ping was sent.
 	lastReceived time.Time
 	lastPing     time.Time
 	// seq is the number of the last ping.
 	seq int64
-	// endSession ends the session.
+	// endSession cancels the session.
 	endSession context.CancelFunc
 }
 
-// entryInfo says who an entry is.
+// entryInfo identifies an entry instance to an owner.
 type entryInfo struct {
 	entry  string
 	domain string
 }
 
-// reply is an owner's answer to an ask.
-type reply struct {
+// placementReply is an owner's answer to a placement request.
+type placementReply struct {
 	grant Grant
 	err   error
 }
 
-// usable states whether the owner can be asked.
+// usable reports whether the session is open.
 func (l *link) usable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// trying states whether the link is not open and was made, or broke off, less than tryFor
-// ago.
+// trying reports whether the session is not open, but has been opening for less than dialGrace.
 func (l *link) trying() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.open && time.Since(l.tryingSince) < dialGrace
 }
 
-// enqueue sends a message if the session is open.
+// enqueue sends a message, or drops it if there is no session.
 func (l *link) enqueue(m *poolpb.FromEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.enqueueLocked(m)
 }
 
-// enqueueLocked queues a message: while the session opens it is sent after the greeting. The
-// caller holds the lock.
+// enqueueLocked is enqueue for a caller that holds l.mu. Messages that are queued while the session
+// opens follow its greeting. It reports whether the message was queued.
 func (l *link) enqueueLocked(m *poolpb.FromEntry) bool {
-	if l.out == nil {
+	if l.queue == nil {
 		return false
 	}
 	select {
-	case l.out <- m:
+	case l.queue <- m:
 		return true
 	default:
 		l.endSession()
@@ -140,9 +138,9 @@
 	}
 }
 
-// ask asks the owner for a place.
+// ask sends a placement request and waits for the answer.
 func (l *link) ask(ctx context.Context, a *PlacementRequest) (Grant, error) {
-	c := make(chan reply, 1)
+	c := make(chan placementReply, 1)
 	l.mu.Lock()
 	ok := l.open && l.enqueueLocked(&poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Ask{
@@ -154,7 +152,7 @@
 		return Grant{}, errLost
 	}
 	if len(l.pending) == 0 {
-		// Silence counts from the first ask that is owed an answer.
+		// The busy timeout starts with the first pending request.
 		l.lastReceived = time.Now()
 	}
 	l.pending[a.ID] = c
@@ -168,7 +166,7 @@
 	}
 }
 
-// withdraw takes an ask back.
+// withdraw cancels a placement request.
 func (l *link) withdraw(a *PlacementRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,6 +179,6 @@
 			},
 		},
 	})
-	// The place may have been given at this moment.
+	// The owner may grant the request before it receives the withdrawal.
 	l.enqueueLocked(endMessage(a.ID, a.Service, Abandoned, ""))
 }
--- a/pool/link_redial.go
+++ b/pool/link_redial.go
@@ -10,22 +10,20 @@
 	"google.golang.org/grpc/status"
 )
 
-// redialWait bounds how long asks wait for a session that broke off to be open again:
-// many round trips, and below the shortest targets of callers. When all connections are
-// reset, all owners are as they were; an instance that did not wait would ask others,
-// which know less of what runs, or place alone, and start long readings on engines that
-// the owner has filled.
+// redialWait bounds how long placement requests wait for a session to be reopened; it is below the
+// shortest targets. After a reset of all connections, the owner still has its state. Requests that
+// did not wait would go to a standby, which knows less about the load, or be placed locally, and
+// long prefills would start on engines that are already full.
 const redialWait = 100 * time.Millisecond
 
-// redialsAtOnce states whether the session is to be opened again at once: the other end or the
-// network broke it off, not this end for silence, and it was open for longer than the
-// pause between two tries, so that tries don't follow each other without a pause. The
-// caller holds the lock.
+// redialsAtOnce reports whether a session that ended with err is to be reopened without a pause:
+// the owner or the network must have ended it, not a timeout at this end, and it must have been
+// open for longer than redialPause, so that redials don't form a busy loop. The caller holds l.mu.
 func (l *link) redialsAtOnce(err error) bool {
 	return status.Code(err) == codes.Unavailable && time.Since(l.openedAt) > redialPause
 }
 
-// endRedialWait ends the wait for the session. The caller holds the lock.
+// endRedialWait wakes the requests that wait in awaitRedial. The caller holds l.mu.
 func (l *link) endRedialWait() {
 	if l.redialing != nil {
 		close(l.redialing)
@@ -33,8 +31,8 @@
 	}
 }
 
-// awaitRedial waits while the session is opened again at once, and states whether the
-// owner can be asked.
+// awaitRedial waits, up to redialWait, if the session is being reopened at once. It reports whether
+// the session is open.
 func (l *link) awaitRedial(ctx context.Context) bool {
 	l.mu.Lock()
 	open, redialing := l.open, l.redialing
--- a/pool/link_session.go
+++ b/pool/link_session.go
@@ -14,10 +14,10 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// fromOwner is the entry's side of the stream to an owner.
+// fromOwner is the entry instance's end of a session.
 type fromOwner = grpc.BidiStreamingClient[poolpb.FromEntry, poolpb.FromOwner]
 
-// run keeps the session open until ctx ends.
+// run opens the session, and opens it again when it ends, until ctx ends.
 func (l *link) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := l.session(ctx)
@@ -31,7 +31,7 @@
 	}
 }
 
-// session opens the session and serves it until it breaks off.
+// session opens a session and serves it until it ends.
 func (l *link) session(ctx context.Context) error {
 	conn, err := l.dialer.Conn(l.address)
 	if err != nil {
@@ -49,7 +49,7 @@
 	if err := l.sendGreeting(stream); err != nil {
 		return err
 	}
-	// The first sign of life opens the session.
+	// The owner sends its first message only once it knows the endpoints.
 	m, err := stream.Recv()
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	return l.receive(stream)
 }
 
-// sendGreeting tells the owner who speaks and what runs.
+// sendGreeting sends the name of this instance, its running attempts and the rest of the greeting.
 func (l *link) sendGreeting(stream fromOwner) error {
 	first := []*poolpb.FromEntry{{
 		Kind: &poolpb.FromEntry_Hello{
@@ -82,42 +82,42 @@
 	return nil
 }
 
-// startQueue returns the queue of what is sent over a session that startQueue. Drop ends the
-// session.
-func (l *link) startQueue(drop context.CancelFunc) chan *poolpb.FromEntry {
+// startQueue creates the queue of messages for a session that is being opened. Calling cancel ends
+// the session.
+func (l *link) startQueue(cancel context.CancelFunc) chan *poolpb.FromEntry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.endSession = drop
-	l.out = make(chan *poolpb.FromEntry, sendQueueSize)
-	return l.out
+	l.endSession = cancel
+	l.queue = make(chan *poolpb.FromEntry, sendQueueSize)
+	return l.queue
 }
 
-// markOpen notes that the session is open.
+// markOpen marks the session as open and starts without pending requests.
 func (l *link) markOpen() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open = true
 	l.openedAt = time.Now()
 	l.lastReceived = l.openedAt
-	l.pending = make(map[string]chan reply)
+	l.pending = make(map[string]chan placementReply)
 	l.endRedialWait()
 	l.log.Info("owner in touch", "owner", l.peer)
 	l.onChange()
 }
 
-// handleEnd ends what was asked when the session has broken off, or did not open. It returns
-// whether the next try is due at once.
+// handleEnd cleans up after a session that ended or could not be opened: pending placement requests
+// fail with errLost. It reports whether to reopen the session without a pause.
 func (l *link) handleEnd(err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.out = nil
+	l.queue = nil
 	l.endRedialWait()
 	if !l.open {
 		return false
 	}
 	l.open = false
 	for _, c := range l.pending {
-		c <- reply{
+		c <- placementReply{
 			err: errLost,
 		}
 	}
@@ -136,7 +136,7 @@
 	return again
 }
 
-// send sends what is queued.
+// send sends the queued messages to the owner until ctx ends or sending fails.
 func (l *link) send(ctx context.Context, cancel func(), stream fromOwner, out <-chan *poolpb.FromEntry) {
 	for {
 		select {
@@ -145,11 +145,11 @@
 		case m := <-out:
 			err := stream.Send(m)
 			if errors.Is(err, io.EOF) {
-				// The session has broken off, and receive says why.
+				// The session has ended; receive returns the reason.
 				return
 			}
 			if err != nil {
-				// What receive says of it then is only that the session was ended.
+				// Receive would report only the cancellation.
 				l.log.Info("message to an owner lost", "owner", l.peer, "cause", err.Error())
 				cancel()
 				return
@@ -158,7 +158,7 @@
 	}
 }
 
-// receive takes the owner's messages.
+// receive handles the owner's messages until the session ends.
 func (l *link) receive(stream fromOwner) error {
 	for {
 		m, err := stream.Recv()
@@ -169,18 +169,18 @@
 	}
 }
 
-// handle takes over a message of the owner.
+// handle processes one message of the owner.
 func (l *link) handle(m *poolpb.FromOwner) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastReceived = time.Now()
 	switch k := m.GetKind().(type) {
 	case *poolpb.FromOwner_Grant:
-		l.deliver(k.Grant.GetId(), reply{
+		l.deliver(k.Grant.GetId(), placementReply{
 			grant: decodeGrant(k.Grant),
 		})
 	case *poolpb.FromOwner_Refusal:
-		l.deliver(k.Refusal.GetId(), reply{
+		l.deliver(k.Refusal.GetId(), placementReply{
 			err: &Refusal{
 				Reason:       k.Refusal.GetReason(),
 				RetryAfter:   microseconds(k.Refusal.GetAfterUs()),
@@ -197,15 +197,15 @@
 	}
 }
 
-// deliver hands a reply to the ask that waits for it. The caller holds the lock.
-func (l *link) deliver(id string, r reply) {
+// deliver passes a reply to the placement request that waits for it, if any. The caller holds l.mu.
+func (l *link) deliver(id string, r placementReply) {
 	if c, ok := l.pending[id]; ok {
 		delete(l.pending, id)
 		c <- r
 	}
 }
 
-// monitor ends a session whose owner is silent.
+// monitor pings the owner, and ends the session when the owner has been silent for too long.
 func (l *link) monitor(ctx context.Context, cancel func()) {
 	tick := time.NewTicker(busyPingInterval)
 	defer tick.Stop()
@@ -222,8 +222,8 @@
 	}
 }
 
-// checkSilence asks for a sign of life when one is due, and returns whether the owner
-// is out of touch.
+// checkSilence sends a ping if one is due. It reports whether the owner has been silent for longer
+// than the timeout.
 func (l *link) checkSilence(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pool/messages.go
+++ b/pool/messages.go
@@ -10,7 +10,8 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// encodePlacementRequest returns the message of an ask. Durations are sent in microseconds.
+// encodePlacementRequest converts a placement request to its message. Durations are sent in
+// microseconds.
 func encodePlacementRequest(a *PlacementRequest) *poolpb.Ask {
 	m := &poolpb.Ask{
 		Id:         a.ID,
@@ -48,7 +49,7 @@
 	return m
 }
 
-// decodePlacementRequest returns the ask of a message.
+// decodePlacementRequest converts a message to a placement request.
 func decodePlacementRequest(m *poolpb.Ask) PlacementRequest {
 	a := PlacementRequest{
 		ID:             m.GetId(),
@@ -86,13 +87,13 @@
 	return a
 }
 
-// microseconds returns a duration that was sent as a number.
+// microseconds converts a duration as it is sent.
 func microseconds(n int64) time.Duration {
 	return time.Duration(n) * time.Microsecond
 }
 
-// encodeStartTime returns the start of an endpoint's life as a Unix time in ms; zero when it
-// does not say.
+// encodeStartTime converts a start time of an endpoint to Unix milliseconds; the zero time is sent
+// as 0.
 func encodeStartTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -100,7 +101,7 @@
 	return t.UnixMilli()
 }
 
-// decodeStartTime returns the start of an endpoint's life that was sent as a number.
+// decodeStartTime is the inverse of encodeStartTime.
 func decodeStartTime(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
@@ -108,8 +109,8 @@
 	return time.UnixMilli(ms)
 }
 
-// encodeGrant returns the message of an attempt's grant. Reservations are not in it,
-// as the entry makes them.
+// encodeGrant converts the grant of an attempt to its message. Reservations are left out because
+// the entry instance makes them.
 func encodeGrant(id string, g *Grant) *poolpb.Grant {
 	m := &poolpb.Grant{
 		Id:       id,
@@ -130,7 +131,7 @@
 	return m
 }
 
-// decodeGrant returns the grant of a message.
+// decodeGrant converts a message to a grant.
 func decodeGrant(m *poolpb.Grant) Grant {
 	g := Grant{
 		Instance:     m.GetInstance(),
@@ -150,20 +151,20 @@
 	return g
 }
 
-// runningMessage tells an owner of an attempt that another one placed.
+// runningMessage reports a running attempt to an owner that did not place it.
 func runningMessage(r *running) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Running{
 			Running: &poolpb.Running{
-				Ask:   encodePlacementRequest(&r.ask),
-				Grant: encodeGrant(r.ask.ID, &r.grant),
+				Ask:   encodePlacementRequest(&r.request),
+				Grant: encodeGrant(r.request.ID, &r.grant),
 				Begun: r.begun,
 			},
 		},
 	}
 }
 
-// firstMessage tells an owner of the first event of an attempt.
+// firstMessage reports the first event of an attempt to an owner.
 func firstMessage(id, service string) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_First{
@@ -175,7 +176,7 @@
 	}
 }
 
-// endMessage tells an owner how an attempt ended.
+// endMessage reports the end of an attempt to an owner.
 func endMessage(id, service string, o Outcome, culprit string) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_End{
@@ -189,7 +190,7 @@
 	}
 }
 
-// suspicionMessage tells an owner of an attempt that is silent.
+// suspicionMessage reports a silent attempt to an owner.
 func suspicionMessage(id, service string, silence time.Duration) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Suspicion{
@@ -202,7 +203,7 @@
 	}
 }
 
-// migrationMessage tells an entry that an attempt is to move.
+// migrationMessage orders an entry instance to migrate an attempt.
 func migrationMessage(m *migration) *poolpb.FromOwner {
 	return &poolpb.FromOwner{
 		Kind: &poolpb.FromOwner_Move{
@@ -214,7 +215,7 @@
 	}
 }
 
-// encodeNotice returns the message of a notice.
+// encodeNotice converts a notice to its message.
 func encodeNotice(n notice.Notice) *poolpb.Notice {
 	return &poolpb.Notice{
 		Instance: n.Instance,
@@ -226,7 +227,7 @@
 	}
 }
 
-// decodeNotice returns the notice of a message.
+// decodeNotice converts a message to a notice.
 func decodeNotice(m *poolpb.Notice) notice.Notice {
 	return notice.Notice{
 		Instance:  m.GetInstance(),
@@ -238,7 +239,7 @@
 	}
 }
 
-// ownerNoticeMessage tells an owner what an endpoint says of itself.
+// ownerNoticeMessage sends the notice of an endpoint to an owner.
 func ownerNoticeMessage(n notice.Notice) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Notice{
@@ -247,7 +248,7 @@
 	}
 }
 
-// entryNoticeMessage tells an entry what an endpoint says of itself.
+// entryNoticeMessage sends the notice of an endpoint to an entry instance.
 func entryNoticeMessage(n notice.Notice) *poolpb.FromOwner {
 	return &poolpb.FromOwner{
 		Kind: &poolpb.FromOwner_Notice{
@@ -256,7 +257,7 @@
 	}
 }
 
-// crashMessage tells an owner of a crash.
+// crashMessage reports a crash to an owner.
 func crashMessage(c quarantine.Crash, now time.Time) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Crashed{
@@ -265,7 +266,8 @@
 	}
 }
 
-// ownerVerdictMessage and verdictToEntry tell the other end of a session of a verdict.
+// ownerVerdictMessage sends a verdict on a request to an owner, and entryVerdictMessage to an entry
+// instance.
 func ownerVerdictMessage(v quarantine.Verdict) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Verdict{
@@ -282,11 +284,11 @@
 	}
 }
 
-// greetingEnd is the number of the ping that ends an entry's greeting: by then it has told
-// all that it has running.
+// greetingEnd is the number of the ping that follows an entry instance's greeting: all its running
+// attempts have been reported by then.
 const greetingEnd = 0
 
-// pingMessage asks an owner for a sign of life.
+// pingMessage requests a pong from an owner.
 func pingMessage(seq int64) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Ping{
--- a/pool/server.go
+++ b/pool/server.go
@@ -16,69 +16,72 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// orphanTimeout is how long the attempts of an entry whose session broke off are
-// counted as running: an entry that lives is back by then.
+// orphanTimeout is how long the attempts of an entry instance whose session has ended still count
+// as running, so that the instance can reconnect.
 const orphanTimeout = 2 * time.Second
 
-// Server serves a Scheduler to other instances.
+// Server makes a Scheduler available to other instances, as owner or standby of its pools.
 type Server struct {
 	poolpb.UnimplementedPoolServer
 
 	scheduler *Scheduler
-	// ready is closed once the endpoints are ready.
+	// ready is closed once the scheduler knows the endpoints.
 	ready <-chan struct{}
-	// closing ends all sessions.
+	// closing is closed to end all sessions.
 	closing <-chan struct{}
 
 	mu sync.Mutex
-	// sessions are the newest ones, by entry, and cut what the ended ones had running.
+	// sessions has the newest session of each entry instance by name. orphans has the attempts of
+	// sessions that ended, until the instance is back or orphanTimeout has passed.
 	sessions map[string]*session
 	orphans  map[string][]orphanSet
 }
 
-// NewServer returns a server. Sessions begin once known is closed, and end when closing
-// is.
-func NewServer(s *Scheduler, known, closing <-chan struct{}) *Server {
+// NewServer returns a server for s. Sessions wait until ready is closed, and end when closing is
+// closed.
+func NewServer(s *Scheduler, ready, closing <-chan struct{}) *Server {
 	return &Server{
 		scheduler: s,
-		ready:     known,
+		ready:     ready,
 		closing:   closing,
 		sessions:  make(map[string]*session),
 		orphans:   make(map[string][]orphanSet),
 	}
 }
 
-// session is one entry's session at the owner.
+// session is the owner's end of a session with an entry instance.
 type session struct {
 	server *Server
 	stream grpc.BidiStreamingServer[poolpb.FromEntry, poolpb.FromOwner]
-	// entry names the instance at the other end, and stopMoves ends telling it of attempts
-	// that are to move; nil until it has said its name.
+	// entry is the name of the entry instance, and stopMigrations ends the sending of migrations to
+	// it. Both are unset until Hello arrives.
 	entry          string
 	stopMigrations func()
-	// stopNotifying ends telling it what all instances hear; nil until it has said its name.
+	// stopNotifying ends the sending of verdicts and notices; nil until Hello arrives.
 	stopNotifying func()
 
-	// replaced is closed, by replace, when another session of the entry has begun.
+	// replaced is closed by replace when the entry instance has opened another session.
 	replaced chan struct{}
 	replace  func()
 
-	// sending guards the stream, which takes one message at a time.
+	// sending serializes the sends on the stream.
 	sending sync.Mutex
 
 	mu sync.Mutex
-	// ending states that the session ends: its entry may say its name at that moment.
+	// ending is set when the session ends. Hello and placement requests that arrive later are
+	// ignored.
 	ending bool
-	// pending are the asks that wait for a place, by attempt, with what ends them.
+	// pending has the functions that cancel the waiting placement requests, by attempt ID.
 	pending map[string]context.CancelFunc
-	// attempts are what the entry has running, by id with their service.
+	// attempts has the service of each running attempt of the entry instance, by attempt ID; nil
+	// once the session has ended.
 	attempts map[string]string
 	wait     sync.WaitGroup
 }
 
 // Session implements poolpb.PoolServer.
 func (s *Server) Session(stream grpc.BidiStreamingServer[poolpb.FromEntry, poolpb.FromOwner]) error {
-	// Instances that start together come before the endpoints are known.
+	// When instances start together, others may connect before this one knows the endpoints.
 	select {
 	case <-s.ready:
 	case <-stream.Context().Done():
@@ -109,8 +112,8 @@
 	}
 }
 
-// end waits for what was asked, and forgets what runs unless the entry is back
-// in time.
+// end cancels the waiting placement requests and unregisters the session, whose running attempts
+// become orphans.
 func (x *session) end() {
 	x.mu.Lock()
 	x.ending = true
@@ -122,7 +125,7 @@
 	x.server.unregisterSession(x)
 }
 
-// receive takes the entry's messages.
+// receive handles the entry instance's messages until the session ends.
 func (x *session) receive(ctx context.Context) error {
 	for {
 		m, err := x.stream.Recv()
@@ -135,7 +138,7 @@
 	}
 }
 
-// handle takes over a message of the entry. An error ends the session.
+// handle processes one message of the entry instance. An error ends the session.
 func (x *session) handle(ctx context.Context, m *poolpb.FromEntry) error {
 	s := x.server.scheduler
 	switch k := m.GetKind().(type) {
@@ -178,14 +181,14 @@
 	return nil
 }
 
-// send sends the entry a message.
+// send sends a message to the entry instance. It may be called concurrently.
 func (x *session) send(m *poolpb.FromOwner) error {
 	x.sending.Lock()
 	defer x.sending.Unlock()
 	return x.stream.Send(m)
 }
 
-// addAttempt adds to what the entry has running. It returns false when the session has ended.
+// addAttempt adds a running attempt. It returns false if the session has ended.
 func (x *session) addAttempt(id, service string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -196,14 +199,14 @@
 	return true
 }
 
-// removeAttempt takes from what the entry has running.
+// removeAttempt removes an attempt that has ended.
 func (x *session) removeAttempt(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.attempts, id)
 }
 
-// withdraw ends an ask that waits.
+// withdraw cancels a waiting placement request.
 func (x *session) withdraw(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -212,7 +215,7 @@
 	}
 }
 
-// place answers an ask as soon as there is a place or a refusal.
+// place starts a placement, whose result is sent when the scheduler has decided.
 func (x *session) place(ctx context.Context, a PlacementRequest) {
 	ctx, cancel := context.WithCancel(ctx)
 	x.mu.Lock()
@@ -232,7 +235,7 @@
 	})
 }
 
-// reply tells the entry what became of its ask.
+// reply sends the result of a placement to the entry instance.
 func (x *session) reply(a PlacementRequest, g Grant, err error) {
 	var r *Refusal
 	switch {
@@ -258,7 +261,7 @@
 			},
 		})
 	default:
-		// The ask was withdrawn.
+		// The request was withdrawn, or the session is ending.
 		return
 	}
 	if err != nil {
--- a/pool/server_notify.go
+++ b/pool/server_notify.go
@@ -8,13 +8,14 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// notifyQueueSize bounds what waits to be told to an entry: what comes about in a second of a storm
-// of crashes. An entry that takes no more hears the rest when its next session begins.
+// notifyQueueSize bounds the verdicts and notices that are queued for an entry instance, enough for
+// a second in which many requests crash endpoints. Further changes are dropped; the next session
+// starts with the current state.
 const notifyQueueSize = 256
 
-// notifyChanges tells the entry what is thought of requests that crash endpoints, and what endpoints
-// say of themselves, now and as it changes, in order. An entry that takes nothing doesn't hold
-// up the others.
+// notifyChanges sends all verdicts on requests that crash endpoints and all notices of endpoints to
+// the entry instance, and then each change in order. The queue keeps an entry instance that reads
+// slowly from delaying the others.
 func (x *session) notifyChanges() {
 	s := &x.server.scheduler.settings
 	queue := make(chan *poolpb.FromOwner, notifyQueueSize)
@@ -39,18 +40,18 @@
 	}()
 }
 
-// enqueueNotification has the entry told of a change, unless too much waits.
+// enqueueNotification queues a change, or drops it if the queue is full.
 func (x *session) enqueueNotification(queue chan<- *poolpb.FromOwner, m *poolpb.FromOwner) {
 	select {
 	case queue <- m:
 	default:
-		x.server.scheduler.log.Info("entry not told", "entry", x.entry, "of", m.String(), "cause", "too much waits")
+		x.server.scheduler.log.Info("verdict or notice not sent", "entry", x.entry, "of", m.String(), "cause", "queue is full")
 	}
 }
 
-// notify tells the entry of one change.
+// notify sends one verdict or notice.
 func (x *session) notify(m *poolpb.FromOwner) {
 	if err := x.send(m); err != nil {
-		x.server.scheduler.log.V(1).Info("entry not told", "entry", x.entry, "of", m.String(), "cause", err.Error())
+		x.server.scheduler.log.V(1).Info("verdict or notice not sent", "entry", x.entry, "of", m.String(), "cause", err.Error())
 	}
 }
--- a/pool/server_orphans.go
+++ b/pool/server_orphans.go
@@ -7,24 +7,26 @@
 	"time"
 )
 
-// orphanSet is what an ended session had running.
+// orphanSet has the attempts that were running when a session ended.
 type orphanSet struct {
-	// attempts are its attempts by id, with their service, and mark is their orphan mark.
+	// attempts has the service of each attempt by ID. mark is the orphan mark that the scheduler
+	// gave them.
 	attempts map[string]string
 	mark     int64
 }
 
-// takeAttempts returns what the session has running, and keeps it no longer.
+// takeAttempts returns the running attempts and closes the session for further ones.
 func (x *session) takeAttempts() map[string]string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	left := x.attempts
+	attempts := x.attempts
 	x.attempts = nil
-	return left
+	return attempts
 }
 
-// register notes who is at the other end, unless the session has ended meanwhile, or its entry has
-// given it up: nobody would end then what is begun here.
+// register sets the name of the entry instance and registers the session. It does nothing if the
+// session is ending or the entry instance has cancelled it, because nothing would unregister it
+// then.
 func (x *session) register(entry string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -35,11 +37,9 @@
 	x.server.registerSession(x)
 }
 
-// registerSession notes the newest session of an entry. An older one of it has ended, even where
-// nothing showed that: what it had running is the entry's again once it says so. It is ended
-// here, too. An owner that wakes may hear of two sessions in either order; the one that lives
-// would else stand without being given a place, in one soak for 25 s until its end
-// (TestLateHello), where its entry now opens another one.
+// registerSession makes x the newest session of its entry instance. An older session is ended, and
+// its attempts become orphans until x reports them. If the owner was frozen, it may handle two
+// sessions in either order; should it end the live one here, the entry instance opens another.
 func (s *Server) registerSession(x *session) {
 	s.mu.Lock()
 	old := s.sessions[x.entry]
@@ -53,14 +53,14 @@
 	x.notifyChanges()
 }
 
-// sendMigration tells the entry of an attempt that is to move.
+// sendMigration orders the entry instance to migrate an attempt.
 func (x *session) sendMigration(m migration) {
 	if err := x.send(migrationMessage(&m)); err != nil {
-		x.server.scheduler.log.V(1).Info("move not told", "entry", x.entry, "attempt", m.id, "cause", err.Error())
+		x.server.scheduler.log.V(1).Info("migration not sent", "entry", x.entry, "attempt", m.id, "cause", err.Error())
 	}
 }
 
-// unregisterSession forgets an entry's session.
+// unregisterSession undoes registerSession and makes the attempts that were running orphans.
 func (s *Server) unregisterSession(x *session) {
 	if x.stopMigrations != nil {
 		x.stopMigrations()
@@ -76,50 +76,50 @@
 	s.orphanAttempts(x)
 }
 
-// orphanAttempts marks what a session has running. It is forgotten when the entry is back and
-// does not have it, at the latest after forgetAfter.
+// orphanAttempts marks the running attempts of an ended session as orphans. They are ended when the
+// entry instance is back without them, or after orphanTimeout.
 func (s *Server) orphanAttempts(x *session) {
-	left := x.takeAttempts()
-	if len(left) == 0 {
+	attempts := x.takeAttempts()
+	if len(attempts) == 0 {
 		return
 	}
-	s.scheduler.log.Info("session of an entry ended", "entry", x.entry, "running", len(left))
-	mark := s.scheduler.markOrphans(left)
+	s.scheduler.log.Info("session of an entry ended", "entry", x.entry, "running", len(attempts))
+	mark := s.scheduler.markOrphans(attempts)
 	s.mu.Lock()
 	s.orphans[x.entry] = append(s.orphans[x.entry], orphanSet{
-		attempts: left,
+		attempts: attempts,
 		mark:     mark,
 	})
 	s.mu.Unlock()
 	time.AfterFunc(orphanTimeout, func() { s.expireOrphans(x.entry, mark) })
 }
 
-// endMissingOrphans forgets what the entry had running before and has no more: it has said all that
-// it has. It guards against taking engines for filled, until forgetAfter, with streams
-// that have ended with the session.
+// endMissingOrphans ends the orphans that the entry instance did not report in the greeting of its
+// new session. Otherwise they would count as load until orphanTimeout.
 func (s *Server) endMissingOrphans(x *session) {
 	s.mu.Lock()
-	cut := s.orphans[x.entry]
+	sets := s.orphans[x.entry]
 	delete(s.orphans, x.entry)
 	s.mu.Unlock()
-	for _, c := range cut {
-		s.scheduler.endOrphans(c.attempts, c.mark)
+	for _, set := range sets {
+		s.scheduler.endOrphans(set.attempts, set.mark)
 	}
 }
 
-// expireOrphans ends what a session had running if its entry is not back.
+// expireOrphans ends the attempts of an ended session if the entry instance has not come back in
+// time.
 func (s *Server) expireOrphans(entry string, mark int64) {
 	s.mu.Lock()
-	i := slices.IndexFunc(s.orphans[entry], func(c orphanSet) bool { return c.mark == mark })
+	i := slices.IndexFunc(s.orphans[entry], func(set orphanSet) bool { return set.mark == mark })
 	if i < 0 {
 		s.mu.Unlock()
 		return
 	}
-	c := s.orphans[entry][i]
+	set := s.orphans[entry][i]
 	s.orphans[entry] = slices.Delete(s.orphans[entry], i, i+1)
 	if len(s.orphans[entry]) == 0 {
 		delete(s.orphans, entry)
 	}
 	s.mu.Unlock()
-	s.scheduler.endOrphans(c.attempts, c.mark)
+	s.scheduler.endOrphans(set.attempts, set.mark)
 }
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -4,59 +4,58 @@
 
 import "time"
 
-// The measures of noticing a silent endpoint.
+// Limits on the silence of a stream, after which another endpoint is sought for it.
 const (
-	// minStreamSilence is the shortest silence that counts: longer than passes that
-	// read a long prompt usually take, and early enough for another endpoint to
-	// go on before callers give up, after two seconds.
+	// minStreamSilence is the least limit. Passes that prefill a long prompt rarely take as long,
+	// and a stream can still be migrated before its caller gives up, after two seconds or more.
 	minStreamSilence = 1300 * time.Millisecond
-	// silenceGapFactor is how many of the longest pauses in time a silence lasts
-	// before it counts. Callers give up after eight.
+	// silenceGapFactor times the longest pause in time is the limit for streams with long pauses.
+	// Callers give up after eight such pauses.
 	silenceGapFactor = 4
-	// firstEventFactor times the predicted time and firstSilence is how long the
-	// first event may take.
+	// The first event may take firstEventFactor times its predicted time, plus firstEventSlack.
 	firstEventFactor = 2
 	firstEventSlack  = 700 * time.Millisecond
 )
 
-// ReplacementTimeout bounds the search for a place that replaces a silent endpoint. Longer
-// than that and the silent endpoint may as well be waited for.
+// ReplacementTimeout bounds the search for another endpoint for a silent attempt.
 const ReplacementTimeout = 300 * time.Millisecond
 
-// SilenceLimits returns how long a stream may be silent before another place is looked for,
-// and how long until its first event, by its longest pause in time and its prediction.
+// SilenceLimits returns how long a stream may be silent before another endpoint is sought for it:
+// between two events, and until the first event. Gap is the longest pause in time, and predicted
+// the predicted time to the first event.
 func SilenceLimits(gap, predicted time.Duration) (silence, first time.Duration) {
 	silence = max(minStreamSilence, silenceGapFactor*gap)
 	return silence, max(silence, firstEventFactor*predicted+firstEventSlack)
 }
 
-// ReplacedAttempt is an attempt that an ask is to replace, as it is silent.
+// ReplacedAttempt is a silent attempt that a placement request is to replace. The zero value means
+// none.
 type ReplacedAttempt struct {
-	// ID names it; empty when the ask replaces none.
+	// ID is the attempt's ID.
 	ID string
-	// SilentFor is how long it has been silent.
+	// SilentFor is how long the attempt has been silent.
 	SilentFor time.Duration
-	// Patience is how long its caller waits still before it leaves.
+	// Patience is how much longer its caller is expected to wait.
 	Patience time.Duration
 }
 
-// silenceSlack is what a sign of life may take longer than the engine's model says: the
-// way of an event, and most errors of predictions.
+// silenceSlack is how much later than the model of an engine predicts an event may come. It covers
+// the transit of the event and most prediction errors.
 const silenceSlack = 150 * time.Millisecond
 
-// refuseReplacement returns a refusal for an ask that is to replace an attempt which is silent as
-// planned: its engine reads, and is done while the caller still waits. A zero Replaced
-// is none.
+// refuseReplacement returns a refusal if the silence of the attempt to be replaced is explained by
+// the model of its engine, and the next event is expected while the caller still waits. Otherwise
+// it returns nil.
 //
-// It guards against streams that leave an engine which reads a long prompt, to be read
-// again elsewhere, and against setting that engine aside.
+// Replacing such an attempt would prefill its prompt again elsewhere, and count as a fault of an
+// engine that works.
 func (p *poolState) refuseReplacement(r ReplacedAttempt, now time.Time) *Refusal {
 	at := p.attempts[r.ID]
 	if at == nil || at.moved {
 		return nil
 	}
-	left, ok := p.expectedWait(r.ID, at, r.SilentFor, now)
-	if !ok || left+silenceSlack > r.Patience {
+	left, explained := p.expectedWait(r.ID, at, r.SilentFor, now)
+	if !explained || left+silenceSlack > r.Patience {
 		return nil
 	}
 	return &Refusal{
@@ -66,8 +65,8 @@
 	}
 }
 
-// expectedWait returns when an attempt that has been silent for a while gives a sign by the
-// model of its engines, and false when the model doesn't know of a reason for the silence.
+// expectedWait returns how long it takes until the next event of a silent attempt, by the models of
+// its engines. It returns false if no model explains the silence.
 func (p *poolState) expectedWait(id string, at *attempt, silence time.Duration, now time.Time) (time.Duration, bool) {
 	left, known := time.Duration(0), false
 	for _, name := range at.endpoints() {
@@ -75,15 +74,15 @@
 		if e == nil {
 			return 0, false
 		}
-		wait, reason := e.NextEvent(id, silence-silenceSlack, now)
+		wait, explained := e.NextEvent(id, silence-silenceSlack, now)
 		left = max(left, wait)
-		known = known || reason
+		known = known || explained
 	}
 	return left, known
 }
 
-// silenceExpected states whether an attempt that ended as silent was so for a reason that the
-// model knows.
+// silenceExpected reports whether the model explains the silence of an attempt that its entry
+// instance ended as silent.
 func (p *poolState) silenceExpected(id string, at *attempt, now time.Time) bool {
 	_, ok := p.expectedWait(id, at, minStreamSilence, now)
 	return ok
--- a/pool/stats.go
+++ b/pool/stats.go
@@ -8,53 +8,54 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// Stats are the state of one pool.
+// Stats is the state of one pool and the counts since the scheduler was created.
 type Stats struct {
-	// Endpoints is how many are known.
+	// Endpoints is the number of known endpoints.
 	Endpoints int `json:"endpoints"`
-	// Placed is how many attempts have a place.
+	// Placed is the number of running attempts.
 	Placed int `json:"placed"`
-	// Queued is how many requests wait.
+	// Queued is the number of waiting requests.
 	Queued int `json:"queued"`
-	// Predicted counts the first events that were predicted.
+	// Predicted counts the first events, whose times are always predicted.
 	Predicted int `json:"predicted"`
-	// WithinTolerance counts those that were off by a fifth of the prediction or less.
+	// WithinTolerance counts those that came within a fifth of the predicted time.
 	WithinTolerance int `json:"within"`
-	// Cold is how many endpoints are cold, or taken to be.
+	// Cold is the number of endpoints that are cold or assumed to be.
 	Cold int `json:"cold"`
-	// ColdPassedOver counts how often a decision found a cold endpoint that had been
-	// given all that it may get.
+	// ColdPassedOver counts the times at which a placement skipped a cold endpoint because it was
+	// at its limit.
 	ColdPassedOver int64 `json:"cold_passed_over"`
-	// Slow is how many endpoints are taken to work slower than their model.
+	// Slow is the number of endpoints that work more slowly than their model.
 	Slow int `json:"slow"`
-	// PaceAsked counts the questions to endpoints for their pace, and PaceChanges how
-	// often one was taken to change.
+	// PaceAsked counts the queries for an endpoint's slowdown, and PaceChanges the changes of an
+	// endpoint's slowdown.
 	PaceAsked   int `json:"pace_asked"`
 	PaceChanges int `json:"pace_changes"`
-	// Cut counts the attempts that their callers or their engines cut, Returned those of
-	// them that came back within a second, and Crowds how often many did at once.
+	// Cut counts the attempts that failed or were abandoned, Returned those of them whose callers
+	// came back within a second, and ReconnectBursts the times at which the callers of many cut
+	// streams were expected back together.
 	Cut             int `json:"cut"`
 	Returned        int `json:"returned"`
 	ReconnectBursts int `json:"crowds"`
-	// Suspected counts the suspicions of entries, Agreed the endpoints that were left out by
-	// them, Moved the attempts that were told to move, Checked the checks of endpoints, and
-	// Absent those that failed and had the endpoint left out.
+	// Suspected counts the reports of silent attempts, Confirmed the endpoints excluded because
+	// their attempts were silent, Migrated the attempts ordered to migrate, Checked the checks of
+	// endpoints, and Absent the endpoints excluded by a check of the whole pool.
 	Suspected int `json:"suspected"`
 	Confirmed int `json:"agreed"`
 	Migrated  int `json:"moved"`
 	Checked   int `json:"checked"`
 	Absent    int `json:"absent"`
-	// Limited is how many endpoints name a rate limit, PassedOver counts those that were passed
-	// over as requests were placed, as they backed off or were at their limits, and Unavailable the
-	// requests that were refused as no endpoint took any.
+	// Limited is the number of endpoints that announce a rate limit, PassedOver counts the
+	// endpoints that placements skipped because of a back-off or a rate limit, and Unavailable the
+	// requests refused because no endpoint accepted any.
 	Limited     int   `json:"limited"`
 	PassedOver  int64 `json:"passed_over"`
 	Unavailable int64 `json:"unavailable"`
-	// Routes tells what is usual for each route that had requests, and its worth.
+	// Routes has the typical request and its value, by route.
 	Routes map[string]worth.TypicalRequest `json:"routes,omitempty"`
 }
 
-// Stats returns the state of all pools by service.
+// Stats returns the state of each pool by service.
 func (s *Scheduler) Stats() map[string]Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,9 +75,9 @@
 			Cut:             p.reconnects.cuts,
 			Returned:        p.reconnects.returned,
 			ReconnectBursts: p.reconnects.bursts,
-			Suspected:       p.suspicion.suspected,
-			Confirmed:       p.suspicion.agreed,
-			Migrated:        p.suspicion.moved,
+			Suspected:       p.suspicion.reports,
+			Confirmed:       p.suspicion.excluded,
+			Migrated:        p.suspicion.migrated,
 			Checked:         p.checks.checked,
 			Absent:          p.checks.failed,
 			Limited:         p.countRateLimited(),
@@ -88,15 +89,14 @@
 	return out
 }
 
-// predictionStats are how far predictions were off.
+// predictionStats counts how well first events were predicted.
 type predictionStats struct {
 	count int
-	// within counts predictions that were met.
+	// within counts the predictions within predictionTolerance.
 	within int
 }
 
-// predictionTolerance is the relative error up to which a prediction counts as met: one that
-// is off by more may change a decision.
+// predictionTolerance is the accepted error relative to the prediction.
 const predictionTolerance = 0.2
 
 // add counts a prediction.
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -11,104 +11,106 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// The measures of suspecting an endpoint.
+// Parameters of the detection of stopped endpoints.
 const (
-	// MinSuspectSilence is the shortest silence of a stream that is suspected: passes that read
-	// prompts take as long. SuspectGapFactor is how many of its usual pauses a silence lasts
-	// before it is suspected: an engine that works at a third of its pace is slow, not dead.
+	// A stream that is silent for MinSuspectSilence and for SuspectGapFactor times its usual pause
+	// is reported as silent. Passes that prefill prompts may take MinSuspectSilence, and an engine
+	// that has become three times slower has not stopped.
 	MinSuspectSilence = 200 * time.Millisecond
 	SuspectGapFactor  = 4
-	// suspicionTTL is how long a suspicion counts that is not repeated: entries repeat it
-	// each MinSuspectSilence while the silence lasts.
+	// suspicionTTL is how long a report of silence counts. While the silence lasts, it is repeated
+	// every MinSuspectSilence.
 	suspicionTTL = 300 * time.Millisecond
-	// minSilentLateness and silentFactor times its predicted time is how much longer than
-	// predicted a first event takes that is suspected; after doubtLeast, and its predicted
-	// time once more, its endpoint gets nothing new if others are in doubt as well.
+	// Lateness is the time since the predicted first event. An attempt counts as silent once it is
+	// late by minSilentLateness and by silentLatenessFactor times its predicted time, and as late
+	// from minDoubtLateness and once its predicted time.
 	minSilentLateness    = 400 * time.Millisecond
 	silentLatenessFactor = 2
 	minDoubtLateness     = 150 * time.Millisecond
-	// longPrefillThreshold is the predicted time from which on a first event waits for a long
-	// reading, during which other streams of the engine are silent.
+	// longPrefillThreshold is the predicted time to the first event from which on an attempt counts
+	// as a long prefill, during which other streams of the engine may be silent.
 	longPrefillThreshold = 250 * time.Millisecond
-	// confirmQuorum is how many instances must suspect an endpoint for it to be set aside, and
-	// doubting how many must have some endpoint in doubt for one that a single instance
-	// doubts, and none has a sign of life of, to get nothing new. The link of a single
-	// instance is no ground for either.
+	// confirmQuorum is how many instances must have silent attempts on an endpoint for it to be
+	// excluded. An endpoint that only one instance doubts gets no new requests if doubtQuorum
+	// instances have doubts about any endpoint. Both guard against a fault in the network of a
+	// single instance.
 	confirmQuorum = 2
 	doubtQuorum   = 3
-	// evaluateInterval bounds how often the attempts are looked at.
+	// evaluateInterval is the least time between evaluations when they are triggered by placements.
 	evaluateInterval = 10 * time.Millisecond
-	// lateMigrationSpread is how long moves are spread over that are late already: their callers
-	// wait for two seconds at least, and a fourth of that has passed.
+	// lateMigrationSpread is the time over which the migrations of attempts that are late already
+	// are spread. Their callers wait for at least two seconds, of which about half a second has
+	// passed.
 	lateMigrationSpread = 600 * time.Millisecond
 )
 
-// SilenceMonitor hears of streams that are silent for longer than usual, and tells which
-// attempts are to move to another endpoint.
+// SilenceMonitor receives reports of silent streams and orders the migration of attempts to other
+// endpoints.
 type SilenceMonitor interface {
-	// ReportSilence notes the silence of an attempt.
+	// ReportSilence reports that an attempt has been silent for longer than usual.
 	ReportSilence(id, service string, silence time.Duration)
-	// OnMigrate has a function called, at any time until stop is, when an attempt is to move.
-	OnMigrate(id string, move func()) (stop func())
+	// OnMigrate registers a function that is called when the attempt has to migrate. It may be
+	// called at any time until stop is called, from another goroutine.
+	OnMigrate(id string, migrate func()) (stop func())
 }
 
-// suspicion is what attempts show of endpoints that have stopped. The zero value is ready
-// for use.
+// suspicion is the state of the detection of stopped endpoints. The zero value is ready for use.
 type suspicion struct {
-	// lookedAt is when the attempts were last looked at, and doubted are the endpoints
-	// that were in doubt then.
-	lookedAt time.Time
-	doubted  map[string]bool
-	// suspected counts suspicions, agreed the endpoints that were set aside by them, and
-	// moved the attempts that were told to move.
-	suspected int
-	agreed    int
-	moved     int
+	// evaluatedAt is the time of the last evaluation, and doubted has the endpoints that were in
+	// doubt then. They get no new requests while others are usable.
+	evaluatedAt time.Time
+	doubted     map[string]bool
+	// reports counts the reports of silence, excluded the endpoints excluded because their attempts
+	// were silent, and migrated the attempts ordered to migrate.
+	reports  int
+	excluded int
+	migrated int
 }
 
-// migration tells an entry that an attempt is to migration.
+// migration orders an entry instance to migrate an attempt.
 type migration struct {
 	entry   string
 	id      string
 	service string
-	// endpoint is the one that has stopped, and due how long until the attempt's next
-	// event is late.
+	// endpoint is the one that has stopped, and dueIn the time left until the attempt's next event
+	// is late.
 	endpoint string
-	due      time.Duration
-	// joint states that several endpoints read for it.
+	dueIn    time.Duration
+	// joint is true during a joint prefill of the attempt's prompt.
 	joint bool
 }
 
-// signal is what one attempt shows of the endpoint that answers it.
+// signal is what an attempt indicates about the health of its endpoint.
 type signal int
 
-// The signs.
+// Signals of attempts.
 const (
-	// signalNone is that of an attempt that tells nothing, or whose endpoint has a reason for
-	// its silence.
+	// signalNone indicates nothing, or a silence that the model of an engine explains.
 	signalNone signal = iota
-	// signalAlive is that of a stream whose events come.
+	// signalAlive comes from a stream whose events arrive as usual.
 	signalAlive
-	// signalLate is that of a first event that is overdue by less than a silent one.
+	// signalLate comes from an attempt whose first event is late, but not yet silent.
 	signalLate
-	// signalSilent is that of an attempt that is overdue.
+	// signalSilent comes from an attempt whose next event is long overdue.
 	signalSilent
 )
 
-// endpointSignals are the entries of the attempts on an endpoint, by what these show of it.
+// endpointSignals has the entry instances of the attempts on an endpoint, by signal. An instance
+// may have attempts with different signals.
 type endpointSignals struct {
 	silent map[string]bool
 	late   map[string]bool
 	alive  map[string]bool
 }
 
-// watched states whether the entry suspects an attempt of the ask when it is silent: its
-// stream has pauses that count, and the request an attempt left.
+// watched reports whether the entry instance reports the attempt when it is silent. It does so for
+// streams that can still be sent to another endpoint.
 func (a *PlacementRequest) watched() bool {
 	return a.Gap > 0 && !a.Retry
 }
 
-// ReportSilence notes the silence of an attempt, as its entry reports it.
+// ReportSilence records that an attempt is silent, as its entry instance reports, and evaluates the
+// endpoints of the pool.
 func (s *Scheduler) ReportSilence(id, service string, silence time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,14 +122,14 @@
 	now := s.settings.Now()
 	at.suspectedAt = now
 	at.silentSince = now.Add(-silence)
-	p.suspicion.suspected++
+	p.suspicion.reports++
 	s.evaluateSuspicions(p, service, now)
 }
 
-// evaluateSuspicions looks which endpoints have stopped, sets them aside and has their attempts move.
-// The caller holds the lock.
+// evaluateSuspicions determines which endpoints are in doubt, and verifies those on which enough
+// instances have silent attempts. The caller holds s.mu.
 func (s *Scheduler) evaluateSuspicions(p *poolState, service string, now time.Time) {
-	p.suspicion.lookedAt = now
+	p.suspicion.evaluatedAt = now
 	seen, entries := p.collectSignals(now)
 	p.suspicion.doubted = nil
 	for _, e := range p.list {
@@ -146,23 +148,23 @@
 	}
 }
 
-// evaluateIfDue does what suspect does, unless that was done just now. The caller holds
-// the lock.
+// evaluateIfDue calls evaluateSuspicions unless that was done within evaluateInterval. The caller
+// holds s.mu.
 func (s *Scheduler) evaluateIfDue(p *poolState, service string, now time.Time) {
-	if p.plain || now.Sub(p.suspicion.lookedAt) < evaluateInterval {
+	if p.plain || now.Sub(p.suspicion.evaluatedAt) < evaluateInterval {
 		return
 	}
 	s.evaluateSuspicions(p, service, now)
 }
 
-// collectSignals returns what the attempts show of each endpoint, and how many entries have some
-// endpoint in doubt.
+// collectSignals returns the signals for each endpoint, and the number of entry instances that have
+// doubts about any endpoint.
 func (p *poolState) collectSignals(now time.Time) (map[string]*endpointSignals, int) {
 	seen := make(map[string]*endpointSignals)
 	entries := make(map[string]bool)
 	for id, at := range p.attempts {
-		shown := p.signalOf(id, at, now)
-		if shown == signalNone || at.entry == "" {
+		s := p.signalOf(id, at, now)
+		if s == signalNone || at.entry == "" {
 			continue
 		}
 		t := seen[at.instance]
@@ -174,17 +176,17 @@
 			}
 			seen[at.instance] = t
 		}
-		t.note(shown, at.entry)
-		if shown != signalAlive {
+		t.note(s, at.entry)
+		if s != signalAlive {
 			entries[at.entry] = true
 		}
 	}
 	return seen, len(entries)
 }
 
-// note takes over what an entry's attempt shows.
-func (t *endpointSignals) note(shown signal, entry string) {
-	switch shown {
+// note adds the signal of an attempt of an entry instance.
+func (t *endpointSignals) note(s signal, entry string) {
+	switch s {
 	case signalSilent:
 		t.silent[entry] = true
 	case signalLate:
@@ -195,7 +197,7 @@
 	}
 }
 
-// signalOf returns what an attempt signalOf of the endpoint that answers it.
+// signalOf returns the signal of an attempt.
 func (p *poolState) signalOf(id string, at *attempt, now time.Time) signal {
 	if at.begun {
 		return p.streamSignalOf(id, at, now)
@@ -212,7 +214,7 @@
 	return signalLate
 }
 
-// streamSignalOf does what shows does for an attempt whose first event has come.
+// streamSignalOf is signalOf for an attempt whose first event has come.
 func (p *poolState) streamSignalOf(id string, at *attempt, now time.Time) signal {
 	suspected := now.Sub(at.suspectedAt) <= suspicionTTL
 	switch {
@@ -224,10 +226,11 @@
 	return signalNone
 }
 
-// silenceExplained states whether an endpoint of an attempt has a reason for its silence: by its model
-// it silenceExplained, or is in a pass that long, or a long reading there has not ended for certain.
+// silenceExplained reports whether the silence of an attempt has a cause other than a stopped
+// endpoint: by the model one of its engines prefills its prompt or is in a pass that began no later
+// than the silence, or a long prefill may be running there.
 func (p *poolState) silenceExplained(id string, at *attempt, silence time.Duration, now time.Time) bool {
-	if _, reason := p.expectedWait(id, at, silence, now); reason {
+	if _, explained := p.expectedWait(id, at, silence, now); explained {
 		return true
 	}
 	for _, name := range at.endpoints() {
@@ -236,7 +239,7 @@
 			continue
 		}
 		for _, j := range e.Jobs {
-			if p.mayRead(j, now) {
+			if p.mayPrefill(j, now) {
 				return true
 			}
 		}
@@ -244,9 +247,9 @@
 	return false
 }
 
-// mayRead states whether a long reading is under way, or not known to have ended though it
-// should have: predictions of long ones are off by half at most.
-func (p *poolState) mayRead(j *placement.Job, now time.Time) bool {
+// mayPrefill reports whether a job is a long prefill that may still be running, since it may take
+// half as long again as predicted.
+func (p *poolState) mayPrefill(j *placement.Job, now time.Time) bool {
 	at := p.attempts[j.ID]
 	if at == nil || at.begun || at.predictedFirst < longPrefillThreshold {
 		return false
@@ -254,14 +257,14 @@
 	return now.Before(at.placedAt.Add(at.predictedFirst + max(minSilentLateness, at.predictedFirst/2)))
 }
 
-// confirmed states whether independent instances confirmed that the endpoint has stopped: two
-// at least, and none has a sign of life.
+// confirmed reports whether enough instances have silent attempts on the endpoint, and none has a
+// live stream from it.
 func (t *endpointSignals) confirmed() bool {
 	return len(t.silent) >= confirmQuorum && len(t.alive) == 0
 }
 
-// inDoubt states whether the endpoint is to get nothing new for now. Entries is how many
-// have some endpoint in doubt.
+// inDoubt reports whether the endpoint should get no new requests for now. Entries is the number of
+// instances that have doubts about any endpoint.
 func (t *endpointSignals) inDoubt(entries int) bool {
 	if len(t.alive) > 0 {
 		return false
@@ -275,7 +278,7 @@
 	return n >= confirmQuorum || n > 0 && entries >= doubtQuorum
 }
 
-// doubt notes that an endpoint is in doubt.
+// doubt marks an endpoint as in doubt until the next evaluation.
 func (x *suspicion) doubt(instance string) {
 	if x.doubted == nil {
 		x.doubted = make(map[string]bool)
@@ -283,23 +286,24 @@
 	x.doubted[instance] = true
 }
 
-// handleStopped leaves an endpoint out that has handleStopped, and has its attempts move. Silent is how
-// many instances agree. The caller holds the lock.
+// handleStopped excludes an endpoint that has stopped and migrates its attempts, unless one of its
+// streams is alive. Silent is the number of instances with silent attempts there. The caller holds
+// s.mu.
 func (s *Scheduler) handleStopped(p *poolState, service, instance string, silent int, now time.Time) {
 	h := p.health[instance]
 	if h == nil || !h.usable(now) || p.hasLiveStream(instance, now) {
 		return
 	}
 	s.exclude(p, service, instance, now)
-	p.suspicion.agreed++
+	p.suspicion.excluded++
 	s.checkAll(p, service, instance, now)
 	n := s.migrateAll(p, service, instance, now)
 	s.log.Info("endpoint suspected", "service", service, "endpoint", instance, "silent_for", silent, "moved", n)
 }
 
-// handleUnreachable has the attempts of an endpoint move that instances agree they can't reach,
-// unless a stream there has a sign of life: an endpoint turns connections away that are
-// too many, too. The caller holds the lock.
+// handleUnreachable excludes an endpoint that several instances cannot connect to and migrates its
+// attempts. It does nothing if a stream from there is alive, since an overloaded endpoint refuses
+// connections, too. The caller holds s.mu.
 func (s *Scheduler) handleUnreachable(p *poolState, service, instance string, now time.Time) {
 	if p.plain || p.hasLiveStream(instance, now) {
 		return
@@ -311,8 +315,9 @@
 	}
 }
 
-// migrateAll has all attempts move that an endpoint answers or reads for, those first that
-// are due first and can still be in time. It returns how many. The caller holds the lock.
+// migrateAll orders the migration of all attempts that an endpoint serves or prefills for, and
+// returns their number. Attempts that can still be in time go first, the most urgent ones before
+// the others. The caller holds s.mu.
 func (s *Scheduler) migrateAll(p *poolState, service, instance string, now time.Time) int {
 	var out []migration
 	for id, at := range p.attempts {
@@ -325,28 +330,27 @@
 			id:       id,
 			service:  service,
 			endpoint: instance,
-			due:      at.dueIn(now),
+			dueIn:    at.dueIn(now),
 			joint:    len(at.joint) > 0 && !at.begun,
 		})
 	}
 	slices.SortFunc(out, func(a, b migration) int {
-		return cmp.Or(cmp.Compare(a.order(), b.order()), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.sortKey(), b.sortKey()), cmp.Compare(a.id, b.id))
 	})
-	p.suspicion.moved += len(out)
+	p.suspicion.migrated += len(out)
 	s.sendMigrations(out)
 	return len(out)
 }
 
-// order sorts moves: those that are due first go first, and those that are late already
-// after all others.
-func (m *migration) order() time.Duration {
-	if m.due <= 0 {
+// sortKey is the time left, or the maximum if the attempt is late already.
+func (m *migration) sortKey() time.Duration {
+	if m.dueIn <= 0 {
 		return math.MaxInt64
 	}
-	return m.due
+	return m.dueIn
 }
 
-// dueIn returns how long it is until the attempt's next event is late.
+// dueIn returns the time left until the attempt's next event is late.
 func (at *attempt) dueIn(now time.Time) time.Duration {
 	if !at.begun {
 		return at.workload.targetAt.Sub(now)
@@ -357,45 +361,45 @@
 	return at.silentSince.Add(at.workload.gap).Sub(now)
 }
 
-// sendMigrations tells the entries: at once of those that can be in time, and of those that
-// engines still read for; of the others, which are late already, one after the other, so
-// that their prompts are not all read in front of the streams of other engines. The caller
-// holds the lock.
-func (s *Scheduler) sendMigrations(moves []migration) {
+// sendMigrations sends migrations to the entry instances. Those of attempts that are not late yet,
+// or are in a joint prefill, are sent at once. The others are spread over lateMigrationSpread, so
+// that their prompts are not all prefilled at the expense of the other engines' streams. The caller
+// holds s.mu.
+func (s *Scheduler) sendMigrations(migrations []migration) {
 	atOnce := make(map[*func(migration)][]migration)
 	late := 0
-	for _, m := range moves {
-		tell := s.notifyMove[m.entry]
+	for _, m := range migrations {
+		send := s.notifyMove[m.entry]
 		switch {
-		case tell == nil:
-		case m.due > 0 || m.joint:
-			atOnce[tell] = append(atOnce[tell], m)
+		case send == nil:
+		case m.dueIn > 0 || m.joint:
+			atOnce[send] = append(atOnce[send], m)
 		default:
 			late++
-			wait := lateMigrationSpread * time.Duration(late) / time.Duration(len(moves))
-			time.AfterFunc(wait, func() { (*tell)(m) })
+			wait := lateMigrationSpread * time.Duration(late) / time.Duration(len(migrations))
+			time.AfterFunc(wait, func() { (*send)(m) })
 		}
 	}
-	for tell, list := range atOnce {
-		// An entry that does not take what it is told holds up nobody else.
+	for send, list := range atOnce {
+		// A slow entry instance must not delay the others.
 		go func() {
 			for _, m := range list {
-				(*tell)(m)
+				(*send)(m)
 			}
 		}()
 	}
 }
 
-// onMigrations has a function called with the attempts of an entry that are to move, until
-// stop is called or another function takes its place.
-func (s *Scheduler) onMigrations(entry string, tell func(migration)) (stop func()) {
+// onMigrations registers the function that sends migrations to an entry instance. It replaces an
+// earlier one, and is removed by stop.
+func (s *Scheduler) onMigrations(entry string, send func(migration)) (stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notifyMove[entry] = &tell
+	s.notifyMove[entry] = &send
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.notifyMove[entry] == &tell {
+		if s.notifyMove[entry] == &send {
 			delete(s.notifyMove, entry)
 		}
 	}
--- a/pool/types.go
+++ b/pool/types.go
@@ -7,138 +7,140 @@
 	"time"
 )
 
-// PlacementRequest is a request for a place. Durations count from when it is made, so that
-// clocks need not agree.
+// PlacementRequest asks for an endpoint for one attempt of a request. All times in it are durations
+// relative to its creation, so that the instances' clocks need not agree.
 type PlacementRequest struct {
-	// ID names one attempt of a request. No other attempt has it.
-	ID string
-	// Service names the service.
+	// ID is unique to the attempt: a request that is sent again gets another one.
+	ID      string
 	Service string
-	// Customer is who pays.
+	// Customer is the customer that the request is accounted to.
 	Customer string
-	// Rank is the priority that the customer bought, or that of the route where none is
-	// known; 0 goes first.
+	// Rank is the priority of the customer, or of the route if the customer has none; requests of
+	// rank 0 go first.
 	Rank int
-	// Route names the route, and RouteRank is its priority.
+	// Route is the route's name, and RouteRank its priority.
 	Route     string
 	RouteRank int
-	// Prompt is the length of the prompt, in tokens.
+	// Prompt is the prompt's length in tokens.
 	Prompt int
-	// Content is a hash of what the prompt consists of, the same each time that its caller
-	// asks; zero when it is not known.
+	// Content is a hash of the prompt, equal whenever the caller repeats the request; zero if it is
+	// not known.
 	Content uint64
-	// Output is the likely length of the answer, in tokens.
+	// Output is the expected length of the answer in tokens.
 	Output int
-	// Target is the time that is left until the first event would be late. It
-	// may be negative.
+	// Target is the time left until the first event is late; negative if it is late already.
 	Target time.Duration
-	// Gap is the longest pause between events of a stream in time; zero means
-	// none counts.
+	// Gap is the longest pause between two events of a stream that is still in time; zero means
+	// that pauses don't count.
 	Gap time.Duration
-	// Deadline is the time that is left in all.
+	// Deadline is the time left for the whole request.
 	Deadline time.Duration
-	// Exclude are endpoints that failed the request.
+	// Exclude lists endpoints that must not be used, such as those that failed this request and
+	// those that the entry instance knows to be leaving.
 	Exclude []string
-	// Avoid are endpoints that failed the entry's requests of late. They are
-	// used when there is no other.
+	// Avoid lists endpoints that recently failed other requests of the entry instance. They are
+	// used only if no other endpoint is usable.
 	Avoid []string
-	// DrainedDomains are the failure domains that get nothing new, as the entry knows.
+	// DrainedDomains lists the failure domains that the entry instance knows to be drained.
 	DrainedDomains []string
-	// Backoffs are the endpoints that have asked the entry for a back-off.
+	// Backoffs lists the endpoints that asked the entry instance for a back-off.
 	Backoffs []Backoff
-	// Returning states that the caller has come back after a refusal, or tries
-	// again.
+	// Returning is true if the caller tried before and was refused or got no whole answer.
 	Returning bool
-	// Elapsed is how long before Target began to count the caller first asked: a
-	// caller that has come back is late by its first try.
+	// Elapsed is the time between the caller's first try and this one. It is subtracted from
+	// Target, so that a returning caller's first event is due when that of its first try was.
 	Elapsed time.Duration
-	// Retry states that the request was sent to an endpoint before.
+	// Retry is true if the entry instance sent the request to an endpoint before. It counts against
+	// the retry budget.
 	Retry bool
-	// Replaces is the silent attempt that the ask is to replace, if any.
+	// Replaces is the silent attempt that this one would replace; its zero value means none.
 	Replaces ReplacedAttempt
-	// Resumed states that the caller has events of the stream already.
+	// Resumed is true if the caller already has events of the stream.
 	Resumed bool
-	// DueIn is the time that is left until the next event of a resumed stream would be
-	// late. It may be negative.
+	// DueIn is the time left until the next event of a resumed stream is late; negative if it is
+	// late already.
 	DueIn time.Duration
 }
 
-// Backoff is an endpoint that wants nothing from an entry.
+// Backoff is an endpoint that asked an entry instance to send nothing for a time.
 type Backoff struct {
-	// Instance names the endpoint.
+	// Instance is the endpoint's name.
 	Instance string
-	// Duration is for how long.
+	// Duration is the time left of the back-off.
 	Duration time.Duration
 }
 
-// PrefillShare is an endpoint that helps to read a prompt.
+// PrefillShare is an endpoint that prefills a part of a prompt for another one, in a joint prefill.
 type PrefillShare struct {
-	// Instance names the endpoint.
+	// Instance is the endpoint's name.
 	Instance string
 	// Address is its host and port.
 	Address string
-	// Reserved is the memory to set aside there, in tokens; zero means none.
+	// Reserved is the memory to reserve there before the request is sent, in tokens; zero means
+	// none.
 	Reserved int
-	// Reservation names the memory once it is set aside.
+	// Reservation identifies the reserved memory. The entry instance sets it.
 	Reservation string
 }
 
-// Grant is a place for a request.
+// Grant is the placement of an attempt.
 type Grant struct {
-	// Instance names the endpoint.
+	// Instance is the name of the endpoint that serves the attempt.
 	Instance string
 	// Address is its host and port.
 	Address string
-	// StartedAt is when the endpoint's life started that the place is at, as the one who
-	// decided knows it; zero when it does not say.
+	// StartedAt is the start time of the endpoint's incarnation that was chosen; zero if the
+	// endpoint does not report one.
 	StartedAt time.Time
-	// Shares are the endpoints that read the prompt together with it.
+	// Shares lists the endpoints that take part in a joint prefill of the prompt, besides Instance.
 	Shares []PrefillShare
-	// FirstEventIn is the predicted time to the first event.
+	// FirstEventIn is the predicted time from the placement to the first event.
 	FirstEventIn time.Duration
-	// Waited is how long the request was held for a better moment.
+	// Waited is how long the request was queued.
 	Waited time.Duration
-	// DecidedBy names the instance that decided.
+	// DecidedBy is the instance that placed the attempt.
 	DecidedBy string
 }
 
-// Refusal is the error of a request that gets no place.
+// Refusal is the error for a request that is not placed.
 type Refusal struct {
-	// Reason says why, in a few words.
+	// Reason is a short explanation for the caller.
 	Reason string
-	// RetryAfter is when coming back makes sense.
+	// RetryAfter is when the caller should try again.
 	RetryAfter time.Duration
-	// KeepReplaced states that the attempt which the ask was to replace goes on after that.
+	// KeepReplaced is true if the attempt in PlacementRequest.Replaces should go on rather than be
+	// replaced.
 	KeepReplaced bool
 }
 
-// Error returns the reason.
+// Error implements error.
 func (r *Refusal) Error() string {
 	return "no place: " + r.Reason
 }
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome int
 
-// The outcomes.
+// Outcomes of attempts. They are sent between instances as numbers.
 const (
-	// Served attempts have a whole answer.
+	// Served means that the whole answer was received.
 	Served Outcome = iota
-	// Failed attempts ran, or may have, and have no whole answer.
+	// Failed means that the attempt ran, or may have run, without a whole answer.
 	Failed
-	// Rejected attempts were turned away by the endpoint and did not run.
+	// Rejected means that the endpoint refused the attempt and did not run it.
 	Rejected
-	// Unreachable endpoints did not take a connection.
+	// Unreachable means that the endpoint accepted no connection.
 	Unreachable
-	// Silent endpoints stopped answering.
+	// Silent means that the endpoint stopped sending events.
 	Silent
-	// Abandoned attempts were ended by the caller.
+	// Abandoned means that the attempt was ended for no fault of the endpoint, such as by its
+	// caller.
 	Abandoned
-	// Misplaced attempts came to another endpoint at the same address.
+	// Misplaced means that another endpoint answered at the address.
 	Misplaced
 )
 
-// String returns the name of the outcome.
+// String returns the outcome's name as it is logged, or "unknown".
 func (o Outcome) String() string {
 	names := [...]string{"served", "failed", "rejected", "unreachable", "silent", "abandoned", "misplaced"}
 	if o < 0 || int(o) >= len(names) {
@@ -147,13 +149,13 @@
 	return names[o]
 }
 
-// Placer finds places for requests and hears what becomes of them.
+// Placer places requests and is notified of the progress of their attempts.
 type Placer interface {
-	// Place returns a place. The error is a *Refusal, or that of ctx.
+	// Place returns the endpoint to use. The error is a *Refusal or ctx.Err().
 	Place(ctx context.Context, a PlacementRequest) (Grant, error)
-	// First notes the first event of an attempt.
+	// First reports the first event of an attempt.
 	First(id, service string)
-	// End notes the end of an attempt. Culprit names the endpoint at fault by
-	// instance or address; empty means the one of the grant.
+	// End reports the end of an attempt. Culprit is the name or the address of the endpoint at
+	// fault; empty means the endpoint of the grant.
 	End(id, service string, o Outcome, culprit string)
 }
