--- a/pool/bench_test.go
+++ b/pool/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// newBusy returns a scheduler with a pool of engines that run so many requests each.
+// newBusy returns a scheduler for a pool of size engines, each of which runs so many requests.
 func newBusy(b *testing.B, size, running int) *pool.Scheduler {
 	b.Helper()
 	s := pool.NewScheduler(pool.Settings{
@@ -43,14 +43,8 @@
 	return s
 }
 
-// BenchmarkPlace decides on a request in pools of several sizes with some requests on
-// each engine. At 64, 150 and 1,000 engines a short prompt took 23, 61 and 534 µs before
-// the way to the engines was part of the model and 38, 67 and 576 µs with it, a long one
-// 149, 422 and 2,819 µs, and 170, 406 and 2,706 µs. With engines played forward a short one
-// takes 39, 111 and 691 µs, a long one 197, 545 and 4,096 µs (one run each, beside other work
-// on the machine). With endpoints that stop being looked for among all attempts, which are
-// silent here, a short one takes 35, 82 and 3,235 µs and at 2,000 engines 6,894 µs, a long one
-// 159, 415, 12,195 and 26,768 µs.
+// BenchmarkPlace measures one placement, of a short and of a long prompt, in pools of several
+// sizes.
 func BenchmarkPlace(b *testing.B) {
 	const running = 6
 	for _, row := range []struct {
--- a/pool/check_bound_test.go
+++ b/pool/check_bound_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// TestChecksBounded checks many endpoints, half of which don't answer: all are checked, no
-// more of them at once than the bound, within the time that this takes.
+// TestChecksBounded guards against more concurrent checks than maxConcurrentChecks, and against a
+// check of a large pool that takes too long or skips endpoints.
 func TestChecksBounded(t *testing.T) {
 	const endpoints = 1000
 	synctest.Test(t, func(t *testing.T) {
