--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -12,6 +12,7 @@
 }
 
 // adoptFor records an attempt of an entry instance. A known attempt only stops being an orphan.
+// Attempts on endpoints that are unknown, or that have restarted since, are ignored.
 func (s *Scheduler) adoptFor(a PlacementRequest, g Grant, entry string, begun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pool/check.go
+++ b/pool/check.go
@@ -269,7 +269,7 @@
 	s.wakeUp()
 }
 
-// hasLiveStream reports whether a stream from an endpoint is alive.
+// hasLiveStream reports whether a stream served by the endpoint indicates that it is alive.
 func (p *poolState) hasLiveStream(instance string, now time.Time) bool {
 	for id, at := range p.attempts {
 		if at.instance == instance && p.signalOf(id, at, now) == signalAlive {
--- a/pool/client.go
+++ b/pool/client.go
@@ -46,8 +46,8 @@
 	attempts map[string]*running
 	// migrations has the functions that migrate an attempt, by attempt ID.
 	migrations map[string]func()
-	// common is the service whose followed owners all instances have sessions with; crash reports
-	// go to them. crashes has the recent crashes that this instance saw.
+	// common is the service that pickCommon chose: crashes and notices are reported to its owners.
+	// crashes has the recent crashes that this instance saw.
 	common  string
 	crashes []quarantine.Crash
 	// wake wakes Run when links have to be checked.
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -13,17 +13,17 @@
 
 // Parameters of the detection of stopped endpoints.
 const (
-	// A stream that is silent for MinSuspectSilence and for SuspectGapFactor times its usual pause
-	// is reported as silent. Passes that prefill prompts may take MinSuspectSilence, and an engine
-	// that has become three times slower has not stopped.
+	// An entry instance reports a stream as silent after MinSuspectSilence or SuspectGapFactor
+	// times the stream's usual pause, whichever is longer. Passes that prefill prompts may take
+	// MinSuspectSilence, and an engine that has become three times slower has not stopped.
 	MinSuspectSilence = 200 * time.Millisecond
 	SuspectGapFactor  = 4
 	// suspicionTTL is how long a report of silence counts. While the silence lasts, it is repeated
 	// every MinSuspectSilence.
 	suspicionTTL = 300 * time.Millisecond
-	// Lateness is the time since the predicted first event. An attempt counts as silent once it is
-	// late by minSilentLateness and by silentLatenessFactor times its predicted time, and as late
-	// from minDoubtLateness and once its predicted time.
+	// Lateness is how much later than predicted a first event is. The attempt counts as silent from
+	// a lateness of minSilentLateness or silentLatenessFactor times the predicted time, whichever
+	// is longer, and as late from minDoubtLateness or the predicted time, whichever is longer.
 	minSilentLateness    = 400 * time.Millisecond
 	silentLatenessFactor = 2
 	minDoubtLateness     = 150 * time.Millisecond
@@ -226,9 +226,9 @@
 	return signalNone
 }
 
-// silenceExplained reports whether the silence of an attempt has a cause other than a stopped
-// endpoint: by the model one of its engines prefills its prompt or is in a pass that began no later
-// than the silence, or a long prefill may be running there.
+// silenceExplained reports whether the silence of an attempt has a likely cause other than a
+// stopped endpoint: the model has one of its engines prefill its prompt, or in a pass that began no
+// later than the silence, or another attempt's long prefill may be running there.
 func (p *poolState) silenceExplained(id string, at *attempt, silence time.Duration, now time.Time) bool {
 	if _, explained := p.expectedWait(id, at, silence, now); explained {
 		return true
--- a/pool/types.go
+++ b/pool/types.go
@@ -121,7 +121,7 @@
 // Outcome says how an attempt ended.
 type Outcome int
 
-// Outcomes of attempts. They are sent between instances as numbers.
+// Outcomes of attempts. Their numbers are part of the protocol between instances.
 const (
 	// Served means that the whole answer was received.
 	Served Outcome = iota
