--- a/pool/client.go
+++ b/pool/client.go
@@ -155,8 +155,8 @@
 
 // askOwners sends a placement request to the owners of a pool in order. The error is
 // errDecideLocally if this instance has to place the request, and errLost if the session to an
-// owner ended while the request waited there. Fallback is true if this instance is not known to be
-// the owner, so that others may place at the same time.
+// owner ended while the request waited there. Fallback is true if another instance may act as the
+// owner at the same time, because no owner before this instance was reachable from here.
 func (c *Client) askOwners(ctx context.Context, a *PlacementRequest) (g Grant, fallback bool, err error) {
 	owners := c.owners(a.Service)
 	// Pools without an owner are placed by each instance on its own, which is no fallback.
--- a/pool/client_links.go
+++ b/pool/client_links.go
@@ -73,8 +73,8 @@
 	c.announceAttempts()
 }
 
-// chooseOwners returns the first part of a pool's order that is to be followed, and adds the other
-// instances in it to wanted, with their addresses.
+// chooseOwners returns the first part of a pool's order, which is to be followed, and adds the
+// other instances in it to addresses.
 func (c *Client) chooseOwners(ids []string, addresses map[string]string) []string {
 	usable, trying := 0, 0
 	for i, id := range ids {
--- a/pool/client_links_test.go
+++ b/pool/client_links_test.go
@@ -137,7 +137,7 @@
 	f.add(0)
 	f.add(1)
 	first, second := f.nodes[0], f.nodes[1]
-	// The test does not know which of them owns the pool, so both become ready at the same time.
+	// Either instance may own the pool, so both become ready at the same time.
 	first.client.Update(f.snap)
 	second.client.Update(f.snap)
 	time.Sleep(50 * time.Millisecond)
--- a/pool/server_orphans.go
+++ b/pool/server_orphans.go
@@ -38,8 +38,8 @@
 }
 
 // registerSession makes x the newest session of its entry instance. An older session is ended, and
-// its attempts become orphans until x reports them. If the owner was frozen, it may handle two
-// sessions in either order; should it end the live one here, the entry instance opens another.
+// its attempts become orphans until x reports them. An owner that was frozen may handle two
+// sessions in either order. If that ends the live one, the entry instance opens another.
 func (s *Server) registerSession(x *session) {
 	s.mu.Lock()
 	old := s.sessions[x.entry]
--- a/pool/types.go
+++ b/pool/types.go
@@ -106,7 +106,7 @@
 type Refusal struct {
 	// Reason is a short explanation for the caller.
 	Reason string
-	// RetryAfter is when the caller should try again.
+	// RetryAfter is how long the caller should wait before it tries again.
 	RetryAfter time.Duration
 	// KeepReplaced is true if the attempt in PlacementRequest.Replaces should go on rather than be
 	// replaced.
@@ -118,7 +118,7 @@
 	return "no place: " + r.Reason
 }
 
-// Outcome says how an attempt ended.
+// Outcome is the way in which an attempt ended.
 type Outcome int
 
 // Outcomes of attempts. Their numbers are part of the protocol between instances.
