--- a/account/account.go
+++ b/account/account.go
@@ -24,25 +24,25 @@
 	InTime Cause = iota
 	// Refused ones got no place. A caller that comes back has another request.
 	Refused
-	// Gone ones were left by their callers, or ran out of time.
-	Gone
-	// Moved ones went elsewhere as their endpoint was silent.
-	Moved
-	// Failed ones had an endpoint that failed, turned them away or wasn't there.
-	Failed
+	// CallerGone ones were left by their callers, or ran out of time.
+	CallerGone
+	// Migrated ones went elsewhere as their endpoint was silent.
+	Migrated
+	// EndpointFailed ones had an endpoint that failed, turned them away or wasn't there.
+	EndpointFailed
 	// Waited ones were late after they waited for a place for a quarter of their target.
 	Waited
 	// FirstLate ones had a late first event, and PauseLate a pause that was too long.
 	FirstLate
 	PauseLate
-	// Causes is how many there are.
-	Causes
+	// CauseCount is how many there are.
+	CauseCount
 )
 
 // String returns the name of the cause.
 func (c Cause) String() string {
-	names := [Causes]string{"in time", "refused", "caller gone", "moved", "endpoint failed", "waited", "first late", "pause"}
-	if c < 0 || c >= Causes {
+	names := [CauseCount]string{"in time", "refused", "caller gone", "moved", "endpoint failed", "waited", "first late", "pause"}
+	if c < 0 || c >= CauseCount {
 		return "unknown"
 	}
 	return names[c]
@@ -63,7 +63,7 @@
 	// Prompt is the mean length of the prompts, in tokens.
 	Prompt int
 	// Counts are the requests by cause.
-	Counts [Causes]int
+	Counts [CauseCount]int
 	// Seconds are the requests that were not in time by the second of their last line,
 	// from the first line on.
 	Seconds map[int]int
@@ -78,8 +78,8 @@
 	return n
 }
 
-// line is what is read of a log line.
-type line struct {
+// logLine is what is read of a log logLine.
+type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
 	Request string    `json:"request"`
@@ -101,8 +101,8 @@
 	last   time.Time
 }
 
-// maxLine bounds a line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line, in bytes.
+const maxLineBytes = 1 << 20
 
 // Read accounts for the requests that lines tell of: a row for each kind, the shortest
 // target first.
@@ -110,26 +110,26 @@
 	requests := make(map[string]*request)
 	began := time.Time{}
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		l, ok := parse(scanner.Bytes())
+		l, ok := parseLine(scanner.Bytes())
 		if !ok {
 			continue
 		}
 		if began.IsZero() || l.Time.Before(began) {
 			began = l.Time
 		}
-		note(requests, &l)
+		addLine(requests, &l)
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, errors.Wrap(err, "log")
 	}
-	return rows(requests, began), nil
+	return countByKind(requests, began), nil
 }
 
-// parse returns a line that counts.
-func parse(text []byte) (line, bool) {
-	var l line
+// parseLine returns a line that counts.
+func parseLine(text []byte) (logLine, bool) {
+	var l logLine
 	at := bytes.IndexByte(text, '{')
 	if at < 0 || json.Unmarshal(text[at:], &l) != nil {
 		return l, false
@@ -146,8 +146,8 @@
 	return l, false
 }
 
-// note takes over a line.
-func note(requests map[string]*request, l *line) {
+// addLine takes over a line.
+func addLine(requests map[string]*request, l *logLine) {
 	r := requests[l.Request]
 	if r == nil {
 		r = &request{}
@@ -163,27 +163,27 @@
 	if l.Time.After(r.last) {
 		r.last = l.Time
 	}
-	if c := l.cause(); r.cause == InTime || c != InTime && c < r.cause {
+	if c := l.causeOfLine(); r.cause == InTime || c != InTime && c < r.cause {
 		r.cause = c
 	}
 }
 
-// waitedParts is the part of its target, as a divisor, that a late request waited for it
+// waitedDivisor is the part of its target, as a divisor, that a late request waited for it
 // to count as late for waiting.
-const waitedParts = 4
+const waitedDivisor = 4
 
-// cause returns what a line alone tells.
-func (l *line) cause() Cause {
+// causeOfLine returns what a line alone tells.
+func (l *logLine) causeOfLine() Cause {
 	switch {
 	case l.Message == "refuse":
 		return Refused
 	case l.Message == "caller gone" || l.Outcome == "abandoned":
-		return Gone
+		return CallerGone
 	case l.Outcome == "silent":
-		return Moved
+		return Migrated
 	case l.Outcome != "served":
-		return Failed
-	case l.Waited+l.First > l.Target && l.Waited > l.Target/waitedParts:
+		return EndpointFailed
+	case l.Waited+l.First > l.Target && l.Waited > l.Target/waitedDivisor:
 		return Waited
 	case l.Waited+l.First > l.Target:
 		return FirstLate
@@ -193,8 +193,8 @@
 	return InTime
 }
 
-// rows counts requests by kind.
-func rows(requests map[string]*request, began time.Time) []Row {
+// countByKind counts requests by kind.
+func countByKind(requests map[string]*request, began time.Time) []Row {
 	byKind := make(map[Kind]*Row)
 	for _, q := range requests {
 		r := byKind[q.kind]
--- a/account/account_test.go
+++ b/account/account_test.go
@@ -35,9 +35,9 @@
 		{[]string{attempt("a", "served", 0, 301, 0)}, account.FirstLate},
 		{[]string{attempt("a", "served", 80, 230, 0)}, account.Waited},
 		{[]string{attempt("a", "served", 0, 100, 201)}, account.PauseLate},
-		{[]string{attempt("a", "silent", 0, 0, 0), attempt("a", "served", 0, 100, 0)}, account.Moved},
-		{[]string{attempt("a", "failed", 0, 0, 0), attempt("a", "served", 0, 100, 0)}, account.Failed},
-		{[]string{attempt("a", "silent", 0, 0, 0), attempt("a", "abandoned", 0, 0, 0)}, account.Gone},
+		{[]string{attempt("a", "silent", 0, 0, 0), attempt("a", "served", 0, 100, 0)}, account.Migrated},
+		{[]string{attempt("a", "failed", 0, 0, 0), attempt("a", "served", 0, 100, 0)}, account.EndpointFailed},
+		{[]string{attempt("a", "silent", 0, 0, 0), attempt("a", "abandoned", 0, 0, 0)}, account.CallerGone},
 		{[]string{refused("a"), attempt("a", "served", 0, 100, 0)}, account.Refused},
 	} {
 		t.Run(row.want.String(), func(t *testing.T) {
--- a/cmd/linkmastctl/account.go
+++ b/cmd/linkmastctl/account.go
@@ -34,7 +34,7 @@
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "target\tpause\tprompt\trequests")
-	for cause := range account.Causes {
+	for cause := range account.CauseCount {
 		fmt.Fprintf(w, "\t%s", cause)
 	}
 	fmt.Fprintln(w)
--- a/cmd/linkmastctl/release_test.go
+++ b/cmd/linkmastctl/release_test.go
@@ -48,7 +48,7 @@
 				Refuse: row.away,
 			})
 			is.Equal(run(append([]string{"release", "--store", address}, row.args...)), row.code)
-			is.Equal(store.Has(platformtest.TopicPeers, "ban/1f"), row.left)
+			is.Equal(store.HasKeyPrefix(platformtest.TopicPeers, "ban/1f"), row.left)
 		})
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -183,36 +183,36 @@
 
 // setDefaults fills what the file leaves out.
 func (f *File) setDefaults() {
-	orInt64(&f.Limits.MaxBodyBytes, defaultMaxBody)
-	orDuration(&f.Limits.MaxDeadline, defaultMaxDeadline)
-	orDuration(&f.Limits.DefaultDeadline, defaultDeadline)
-	orDuration(&f.Limits.Stall, defaultStall)
-	orDuration(&f.Limits.MaxKeyValidity, defaultKeyValidity)
-	orDuration(&f.Limits.ClockBound, defaultClockBound)
+	defaultInt64(&f.Limits.MaxBodyBytes, defaultMaxBody)
+	defaultDuration(&f.Limits.MaxDeadline, defaultMaxDeadline)
+	defaultDuration(&f.Limits.DefaultDeadline, defaultDeadline)
+	defaultDuration(&f.Limits.Stall, defaultStall)
+	defaultDuration(&f.Limits.MaxKeyValidity, defaultKeyValidity)
+	defaultDuration(&f.Limits.ClockBound, defaultClockBound)
 	for i := range f.Tiers {
-		orDuration(&f.Tiers[i].MaxWait, defaultMaxWait)
+		defaultDuration(&f.Tiers[i].MaxWait, defaultMaxWait)
 	}
 	for i := range f.Models {
-		orInt(&f.Models[i].MaxOutputTokens, defaultMaxOutput)
+		defaultInt(&f.Models[i].MaxOutputTokens, defaultMaxOutput)
 	}
 	for i := range f.Endpoints {
-		orInt(&f.Endpoints[i].MaxRunning, defaultMaxRunning)
+		defaultInt(&f.Endpoints[i].MaxRunning, defaultMaxRunning)
 	}
 }
 
-func orInt64(v *int64, def int64) {
+func defaultInt64(v *int64, def int64) {
 	if *v == 0 {
 		*v = def
 	}
 }
 
-func orInt(v *int, def int) {
+func defaultInt(v *int, def int) {
 	if *v == 0 {
 		*v = def
 	}
 }
 
-func orDuration(v *Duration, def time.Duration) {
+func defaultDuration(v *Duration, def time.Duration) {
 	if *v == 0 {
 		*v = Duration(def)
 	}
--- a/config/diff.go
+++ b/config/diff.go
@@ -19,16 +19,16 @@
 	for len(x) > 0 && len(y) > 0 && x[len(x)-1] == y[len(y)-1] {
 		x, y = x[:len(x)-1], y[:len(y)-1]
 	}
-	if len(x)*len(y) > maxTable {
-		return append(marked("-", x), marked("+", y)...)
+	if len(x)*len(y) > maxTableCells {
+		return append(prefixLines("-", x), prefixLines("+", y)...)
 	}
-	return walk(x, y, table(x, y))
+	return listDifferences(x, y, lcsLengths(x, y))
 }
 
-// maxTable bounds the cells of the table of a comparison.
-const maxTable = 16 << 20
+// maxTableCells bounds the cells of the table of a comparison.
+const maxTableCells = 16 << 20
 
-func marked(sign string, lines []string) []string {
+func prefixLines(sign string, lines []string) []string {
 	out := make([]string, 0, len(lines))
 	for _, l := range lines {
 		out = append(out, sign+l)
@@ -36,9 +36,9 @@
 	return out
 }
 
-// table returns the length of the longest common subsequence of each pair of
+// lcsLengths returns the length of the longest common subsequence of each pair of
 // remainders.
-func table(x, y []string) [][]int32 {
+func lcsLengths(x, y []string) [][]int32 {
 	t := make([][]int32, len(x)+1)
 	for i := range t {
 		t[i] = make([]int32, len(y)+1)
@@ -55,8 +55,8 @@
 	return t
 }
 
-// walk lists what is not part of the longest common subsequence.
-func walk(x, y []string, t [][]int32) []string {
+// listDifferences lists what is not part of the longest common subsequence.
+func listDifferences(x, y []string, t [][]int32) []string {
 	var out []string
 	i, j := 0, 0
 	for i < len(x) && j < len(y) {
@@ -72,6 +72,6 @@
 			j++
 		}
 	}
-	out = append(out, marked("-", x[i:])...)
-	return append(out, marked("+", y[j:])...)
+	out = append(out, prefixLines("-", x[i:])...)
+	return append(out, prefixLines("+", y[j:])...)
 }
--- a/config/parse.go
+++ b/config/parse.go
@@ -128,7 +128,7 @@
 	counts := make(map[string]int)
 	var p unstable.Parser
 	p.Reset(data)
-	place := newPlaces(data)
+	place := newLineStarts(data)
 	prefix := ""
 	for p.NextExpression() {
 		e := p.Expression()
@@ -148,11 +148,11 @@
 	return lines
 }
 
-// places are the offsets at which lines begin.
-type places []int
+// lineStarts are the offsets at which lines begin.
+type lineStarts []int
 
-func newPlaces(data []byte) places {
-	p := places{0}
+func newLineStarts(data []byte) lineStarts {
+	p := lineStarts{0}
 	for i, c := range data {
 		if c == '\n' {
 			p = append(p, i+1)
@@ -162,12 +162,12 @@
 }
 
 // line returns the line, from 1, of an offset.
-func (p places) line(offset int) int {
+func (p lineStarts) line(offset int) int {
 	return sort.SearchInts(p, offset+1)
 }
 
 // keyOf returns the dotted key of an expression and its line.
-func keyOf(e *unstable.Node, place places) (string, int) {
+func keyOf(e *unstable.Node, place lineStarts) (string, int) {
 	var parts []string
 	line := 0
 	it := e.Key()
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -74,8 +74,8 @@
 		},
 	}
 	x.endpoint.SetFaults(platformtest.EndpointFaults{
-		CrashOn:    crashing,
-		CrashAfter: o.after,
+		CrashPrefix:      crashing,
+		CrashAfterEvents: o.after,
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,18 +96,18 @@
 	if !x.sameName {
 		instance += "." + strconv.Itoa(x.starts)
 	}
-	x.endpoint.Rename(instance)
+	x.endpoint.SetInstance(instance)
 	x.server = &http.Server{
 		Handler: x.endpoint,
 	}
 	go x.server.Serve(l)
-	x.world.store.Enter(platformtest.Entry{
-		Instance: instance,
-		Service:  x.service,
-		Address:  x.address,
-		Domain:   "d1",
-		Slots:    8,
-		Born:     time.Now(),
+	x.world.store.PutEndpoint(platformtest.EndpointEntry{
+		Instance:  instance,
+		Service:   x.service,
+		Address:   x.address,
+		Domain:    "d1",
+		Slots:     8,
+		StartedAt: time.Now(),
 	})
 }
 
@@ -141,7 +141,7 @@
 		return
 	}
 	if !x.sameName {
-		x.world.store.Remove(before)
+		x.world.store.DeleteEndpoint(before)
 	}
 	x.start(l)
 }
@@ -204,7 +204,7 @@
 		w.machines = append(w.machines, w.addMachine("m"+strconv.Itoa(i), o))
 	}
 	for _, name := range []string{"e1", "e2", "p1", "p2"} {
-		w.store.Remove(name)
+		w.store.DeleteEndpoint(name)
 	}
 	w.awaitAll("endpoints known", func(f figures) bool { return f.Store.Endpoints == len(w.machines) })
 	return w
@@ -371,7 +371,7 @@
 	})
 	w.assertContained(t, "/stream/x", 500)
 	w.store.SetFaults(platformtest.StoreFaults{})
-	w.await("ban in the store", func() bool { return w.store.Has(platformtest.TopicPeers, "ban/") })
+	w.await("ban in the store", func() bool { return w.store.HasKeyPrefix(platformtest.TopicPeers, "ban/") })
 }
 
 // TestBanOutlivesInstances ends all instances after a ban. Those that start then know it.
@@ -379,7 +379,7 @@
 	is := is.New(t)
 	w := newCrashWorld(t, engines())
 	w.assertContained(t, "/stream/x", 500)
-	w.await("ban in the store", func() bool { return w.store.Has(platformtest.TopicPeers, "ban/") })
+	w.await("ban in the store", func() bool { return w.store.HasKeyPrefix(platformtest.TopicPeers, "ban/") })
 	for _, g := range w.gateways {
 		g.Close()
 	}
@@ -398,7 +398,7 @@
 	w := newCrashWorld(t, engines())
 	w.assertContained(t, "/stream/x", 500)
 	w.awaitAll("ban known", func(f figures) bool { return f.Quarantine.Bans == 1 })
-	w.await("ban in the store", func() bool { return w.store.Has(platformtest.TopicPeers, "ban/") })
+	w.await("ban in the store", func() bool { return w.store.HasKeyPrefix(platformtest.TopicPeers, "ban/") })
 	before := w.attempts()
 	id := quarantine.Identify("/stream/x", "c1", []byte(crashing))
 	is.NoErr(platform.NewStore(wirehttp.Client(), w.storeAddr).EraseBan(t.Context(), id))
@@ -475,7 +475,7 @@
 	w := newWorld(t, 2)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].SetFaults(platformtest.EndpointFaults{
-			CutAfter: 1,
+			CutAfterEvents: 1,
 		})
 	}
 	for i := range 8 {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -122,7 +122,7 @@
 	t.Run("resumable", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1)
-		w.endpoints["e1"].SetFaults(platformtest.EndpointFaults{CutAfter: 4})
+		w.endpoints["e1"].SetFaults(platformtest.EndpointFaults{CutAfterEvents: 4})
 		for i := range 4 {
 			g := w.ask(0, call{id: "s" + strconv.Itoa(i), path: "/stream/", tokens: 500})
 			assertWhole(t, g)
@@ -134,7 +134,7 @@
 		is := is.New(t)
 		w := newWorld(t, 1)
 		for _, name := range []string{"e1", "e2"} {
-			w.endpoints[name].SetFaults(platformtest.EndpointFaults{CutAfter: 4})
+			w.endpoints[name].SetFaults(platformtest.EndpointFaults{CutAfterEvents: 4})
 		}
 		g := w.ask(0, call{id: "s", path: "/once/", tokens: 500})
 		is.True(g.err != nil) // a cut answer must not look whole
@@ -165,7 +165,7 @@
 	}{
 		{"reject", platformtest.EndpointFaults{Reject: true}, 0},
 		{"fail before the first event", platformtest.EndpointFaults{FailStreams: true}, 2},
-		{"fail when a stream goes on", platformtest.EndpointFaults{FailResumed: true, CutAfter: 3}, 2},
+		{"fail when a stream goes on", platformtest.EndpointFaults{FailResumed: true, CutAfterEvents: 3}, 2},
 		{"silent", platformtest.EndpointFaults{Silent: true}, 2},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -194,7 +194,7 @@
 		{"store in reach", platformtest.StoreFaults{}},
 		{"store refuses", platformtest.StoreFaults{Refuse: true}},
 		{"store silent", platformtest.StoreFaults{Silent: true}},
-		{"store slow", platformtest.StoreFaults{Slow: 700 * time.Millisecond}},
+		{"store slow", platformtest.StoreFaults{Delay: 700 * time.Millisecond}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -269,10 +269,10 @@
 		leave func(w *world)
 	}{
 		{"says so", func(w *world) { w.entry("p1", "plain", true) }},
-		{"entry removed", func(w *world) { w.store.Remove("p1") }},
+		{"entry removed", func(w *world) { w.store.DeleteEndpoint("p1") }},
 		{"entry removed and forgotten", func(w *world) {
-			w.store.Remove("p1")
-			w.store.Forget(platformtest.TopicEndpoints)
+			w.store.DeleteEndpoint("p1")
+			w.store.Compact(platformtest.TopicEndpoints)
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -403,9 +403,9 @@
 	assertWhole(t, g)
 	is.Equal(g.body, events("big", 10))
 	r := w.find("big")
-	is.True(r.Readers() != "")
+	is.True(r.Helpers() != "")
 	w.await("memory given back", func() bool {
-		return w.endpoints["e1"].Held()+w.endpoints["e2"].Held() == 0
+		return w.endpoints["e1"].ReservedTokens()+w.endpoints["e2"].ReservedTokens() == 0
 	})
 }
 
@@ -432,12 +432,12 @@
 		return func(f figures) bool { return len(f.Store.Following.Emptied) == n }
 	}
 	is.True(ask() > 0)
-	w.store.Empty("d1")
+	w.store.DrainDomain("d1")
 	w.awaitAll("the failure domain emptied", emptied(1))
 	is.Equal(ask(), 0)
-	w.store.Forget(platformtest.TopicOperator)
+	w.store.Compact(platformtest.TopicOperator)
 	is.Equal(ask(), 0)
-	w.store.Restore("d1")
+	w.store.UndrainDomain("d1")
 	w.awaitAll("the failure domain restored", emptied(0))
 	is.True(ask() > 0)
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -136,7 +136,7 @@
 
 // enter writes the entry of an endpoint in a failure domain.
 func (w *world) enter(name, service, domain string, leaving bool) {
-	w.store.Enter(platformtest.Entry{
+	w.store.PutEndpoint(platformtest.EndpointEntry{
 		Instance: name,
 		Service:  service,
 		Address:  w.addresses[name],
@@ -375,5 +375,5 @@
 	is := is.New(t)
 	is.NoErr(g.err)
 	is.Equal(g.status, http.StatusServiceUnavailable)
-	is.True(platformtest.ComesBack(g.header))
+	is.True(platformtest.HasRetryAfter(g.header))
 }
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -51,7 +51,7 @@
 		Silent: true,
 	}
 	slow := platformtest.EndpointFaults{
-		SlowOrders: 200 * time.Millisecond,
+		OrderDelay: 200 * time.Millisecond,
 	}
 	for _, row := range []struct {
 		name    string
@@ -98,7 +98,7 @@
 			"at a later endpoint",
 			func(w *world) {
 				w.events(400)
-				w.fault(platformtest.EndpointFaults{CutAfter: 5}, "e1", "e2")
+				w.fault(platformtest.EndpointFaults{CutAfterEvents: 5}, "e1", "e2")
 			},
 			call{path: "/stream/", tokens: 500, wait: 4000},
 			200 * time.Millisecond,
@@ -204,7 +204,7 @@
 func (w *world) assertNothingHeld() {
 	w.t.Helper()
 	for name, e := range w.endpoints {
-		if held := e.Held(); held > 0 {
+		if held := e.ReservedTokens(); held > 0 {
 			w.t.Errorf("endpoint %s holds %d tokens", name, held)
 		}
 	}
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -27,7 +27,7 @@
 func (w *world) limit(rate string, names ...string) {
 	for _, name := range names {
 		w.endpoints[name].SetFaults(platformtest.EndpointFaults{
-			Limit: rate,
+			RateLimit: rate,
 		})
 	}
 }
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -143,8 +143,8 @@
 			}
 			for _, name := range chosen {
 				w.endpoints[name].SetFaults(platformtest.EndpointFaults{
-					RejectOn:   "decline",
-					RetryAfter: "3",
+					RejectPrefix: "decline",
+					RetryAfter:   "3",
 				})
 			}
 			rejected := w.load("backoff", call{path: c.path, body: "decline", tokens: 500}, 4500*time.Millisecond)
@@ -161,8 +161,8 @@
 	w := newWorld(t, 3)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].SetFaults(platformtest.EndpointFaults{
-			RejectOn:   "decline",
-			RetryAfter: "3",
+			RejectPrefix: "decline",
+			RetryAfter:   "3",
 		})
 	}
 	for i := range 3 {
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -60,11 +60,11 @@
 	stream()
 	for _, e := range w.endpoints {
 		e.SetFaults(platformtest.EndpointFaults{
-			Slow: 4,
+			Slowdown: 4,
 		})
 	}
 	w.await("slow engines to be noticed", slow(2))
-	is.True(w.endpoints["e1"].Reports() > 0)
+	is.True(w.endpoints["e1"].ReportCount() > 0)
 	for _, e := range w.endpoints {
 		e.SetFaults(platformtest.EndpointFaults{})
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -193,17 +193,17 @@
 func Parse(data []byte) (*File, error) {
 	f := &File{}
 	if err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(f); err != nil {
-		return nil, explain(err)
+		return nil, describeDecodeError(err)
 	}
 	f.SetDefaults()
-	if err := f.check(); err != nil {
+	if err := f.validate(); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// explain adds the place to a decoder's error.
-func explain(err error) error {
+// describeDecodeError adds the place to a decoder's error.
+func describeDecodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		return errors.New("unknown keys:\n" + strict.String())
@@ -217,52 +217,52 @@
 
 // SetDefaults fills what is left out.
 func (f *File) SetDefaults() {
-	orText(&f.Listen, defaultListen)
-	orText(&f.PeerListen, defaultPeer)
-	orText(&f.AdminListen, defaultAdmin)
-	orText(&f.ReadyListen, defaultReady)
-	orText(&f.Strategy, Weighed)
-	orTrue(&f.LogDecisions)
-	orTrue(&f.Times.RevokeStrict)
-	orTime(&f.Times.Drain, defaultDrain)
-	orTime(&f.Times.StopWithin, defaultStop)
-	orTime(&f.Times.Watch, defaultWatch)
-	orTime(&f.Retries.Window, defaultRetryWindow)
-	orFloat(&f.Retries.Ratio, defaultRetryRatio)
-	orFloat(&f.Retries.Extra, defaultRetryExtra)
-	orFloat(&f.ProcessorShare, defaultProcessorShare)
+	defaultString(&f.Listen, defaultListen)
+	defaultString(&f.PeerListen, defaultPeer)
+	defaultString(&f.AdminListen, defaultAdmin)
+	defaultString(&f.ReadyListen, defaultReady)
+	defaultString(&f.Strategy, Weighed)
+	defaultTrue(&f.LogDecisions)
+	defaultTrue(&f.Times.RevokeStrict)
+	defaultDuration(&f.Times.Drain, defaultDrain)
+	defaultDuration(&f.Times.StopWithin, defaultStop)
+	defaultDuration(&f.Times.Watch, defaultWatch)
+	defaultDuration(&f.Retries.Window, defaultRetryWindow)
+	defaultFloat(&f.Retries.Ratio, defaultRetryRatio)
+	defaultFloat(&f.Retries.Extra, defaultRetryExtra)
+	defaultFloat(&f.ProcessorShare, defaultProcessorShare)
 	if f.Times.WatchBytesPerSecond == 0 {
 		f.Times.WatchBytesPerSecond = defaultWatchBytes
 	}
 }
 
-func orText(v *string, def string) {
+func defaultString(v *string, def string) {
 	if *v == "" {
 		*v = def
 	}
 }
 
-func orTrue(v **bool) {
+func defaultTrue(v **bool) {
 	if *v == nil {
 		yes := true
 		*v = &yes
 	}
 }
 
-func orFloat(v *float64, def float64) {
+func defaultFloat(v *float64, def float64) {
 	if *v == 0 {
 		*v = def
 	}
 }
 
-func orTime(v *config.Duration, def time.Duration) {
+func defaultDuration(v *config.Duration, def time.Duration) {
 	if *v == 0 {
 		*v = config.Duration(def)
 	}
 }
 
-// check returns an error that names all that is wrong.
-func (f *File) check() error {
+// validate returns an error that names all that is wrong.
+func (f *File) validate() error {
 	var wrong []string
 	need := func(name, v string) {
 		if v == "" {
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -36,7 +36,7 @@
 
 // fail changes what goes wrong with an endpoint. Requests that crash it always do.
 func (e *endpoint) fail(f platformtest.EndpointFaults) {
-	f.CrashOn = crashBody
+	f.CrashPrefix = crashBody
 	e.SetFaults(f)
 }
 
--- a/soak/emptied.go
+++ b/soak/emptied.go
@@ -40,7 +40,7 @@
 	w.mu.Lock()
 	w.emptied[i].to = time.Now()
 	w.mu.Unlock()
-	w.store.Restore(domain)
+	w.store.UndrainDomain(domain)
 }
 
 // beginEmptying asks for a failure domain to be emptied, and returns the index of the
@@ -53,7 +53,7 @@
 			return 0, false
 		}
 	}
-	w.store.Empty(domain)
+	w.store.DrainDomain(domain)
 	w.emptied = append(w.emptied, emptying{
 		domain: domain,
 		from:   time.Now(),
--- a/soak/judge_end.go
+++ b/soak/judge_end.go
@@ -18,7 +18,7 @@
 				Detail:  fmt.Sprintf("endpoint %s still runs %d requests", e.Name(), n),
 			})
 		}
-		if n := e.Held(); n > 0 {
+		if n := e.ReservedTokens(); n > 0 {
 			out = append(out, Violation{
 				Promise: "memory is given back",
 				Detail:  fmt.Sprintf("endpoint %s still holds %d tokens", e.Name(), n),
--- a/soak/play.go
+++ b/soak/play.go
@@ -92,7 +92,7 @@
 var storeFaults = map[string]platformtest.StoreFaults{
 	"store refuses":      {Refuse: true},
 	"store silent":       {Silent: true},
-	"store slow":         {Slow: storeDelay},
+	"store slow":         {Delay: storeDelay},
 	"store loses writes": {LoseWrites: true},
 }
 
@@ -113,10 +113,10 @@
 var endpointFaults = map[string]platformtest.EndpointFaults{
 	"endpoint rejects":       {Reject: true},
 	"endpoint fails":         {Fail: true},
-	"endpoint cuts streams":  {CutAfter: cutAfter},
+	"endpoint cuts streams":  {CutAfterEvents: cutAfter},
 	"endpoint silent":        {Silent: true},
 	"endpoint loses answers": {LoseAnswer: true},
-	"endpoint slow":          {Slow: slowTimes},
+	"endpoint slow":          {Slowdown: slowTimes},
 }
 
 // storeLinks are the kinds of link between an instance and the store.
@@ -149,8 +149,8 @@
 	case "hangup":
 		p.signal(syscall.SIGHUP, false)
 	case "store forgets":
-		w.store.Forget(platformtest.TopicEndpoints)
-		w.store.Forget(platformtest.TopicOperator)
+		w.store.Compact(platformtest.TopicEndpoints)
+		w.store.Compact(platformtest.TopicOperator)
 	case "endpoint leaves":
 		w.leave(e, s.For)
 	case saysLeaving:
@@ -234,10 +234,10 @@
 func (w *World) leave(e *endpoint, after time.Duration) {
 	w.enter(e, true)
 	time.Sleep(after)
-	w.store.Remove(e.Name())
+	w.store.DeleteEndpoint(e.Name())
 	w.mu.Lock()
 	w.version++
-	e.Rename(fmt.Sprintf("%s.%d", e.Name(), w.version))
+	e.SetInstance(fmt.Sprintf("%s.%d", e.Name(), w.version))
 	w.mu.Unlock()
 	w.enter(e, false)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -116,7 +116,7 @@
 			(*runs)[0].Target = "/else/"
 		}},
 		{"key passed on", "keys stay here", func(_ *Exchange, runs *[]platformtest.Run) {
-			(*runs)[0].Header = platformtest.LeakedKey("c1")
+			(*runs)[0].Header = platformtest.RunHeaderWithKey("c1")
 		}},
 		{"key taken away", "keys that were taken away are refused", func(x *Exchange, _ *[]platformtest.Run) { x.Key = "gone" }},
 		{"ran late", "nothing runs after its time", func(_ *Exchange, runs *[]platformtest.Run) {
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -26,9 +26,9 @@
 
 // statementFaults are the statements that an endpoint makes for the time of a step.
 var statementFaults = map[string]platformtest.EndpointFaults{
-	"endpoint names a limit":       {Limit: fmt.Sprint(statedRate)},
+	"endpoint names a limit":       {RateLimit: fmt.Sprint(statedRate)},
 	"endpoint asks for a back-off": {Reject: true, RetryAfter: fmt.Sprint(statedBackoff.Seconds())},
-	"endpoint says no number":      {Limit: "few", Reject: true, RetryAfter: "soon"},
+	"endpoint says no number":      {RateLimit: "few", Reject: true, RetryAfter: "soon"},
 }
 
 // The bounds that operators state.
@@ -106,7 +106,7 @@
 	var out []Violation
 	told := make(map[int]time.Time)
 	for _, a := range all {
-		if !a.Said.Leaving {
+		if !a.Faults.Leaving {
 			continue
 		}
 		first, known := told[a.instance]
@@ -139,7 +139,7 @@
 func (w *World) judgeBackoffs(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	for i, asked := range all {
-		if !asked.Said.Reject || asked.Said.RetryAfter != statementFaults["endpoint asks for a back-off"].RetryAfter {
+		if !asked.Faults.Reject || asked.Faults.RetryAfter != statementFaults["endpoint asks for a back-off"].RetryAfter {
 			continue
 		}
 		end := asked.At.Add(statedBackoff)
@@ -162,7 +162,7 @@
 // judgeLimits checks that an endpoint that names a rate limit got no more than that allows from
 // all instances together.
 func (w *World) judgeLimits(e *endpoint, all []arrival) []Violation {
-	limited := func(a arrival) bool { return a.Said.Limit == fmt.Sprint(statedRate) }
+	limited := func(a arrival) bool { return a.Faults.RateLimit == fmt.Sprint(statedRate) }
 	var out []Violation
 	since := time.Time{}
 	for i, last := range all {
--- a/soak/statements_test.go
+++ b/soak/statements_test.go
@@ -18,9 +18,9 @@
 	for i := range n {
 		out = append(out, arrival{
 			Arrival: platformtest.Arrival{
-				ID:   fmt.Sprint(i),
-				At:   begin.Add(time.Duration(i) * every),
-				Said: f,
+				ID:     fmt.Sprint(i),
+				At:     begin.Add(time.Duration(i) * every),
+				Faults: f,
 			},
 		})
 	}
--- a/soak/world.go
+++ b/soak/world.go
@@ -202,14 +202,14 @@
 	w.mu.Lock()
 	born := e.born
 	w.mu.Unlock()
-	w.store.Enter(platformtest.Entry{
-		Instance: e.Name(),
-		Service:  e.service,
-		Address:  e.proxy.Address,
-		Domain:   e.domain,
-		Slots:    endpointSlots,
-		Leaving:  leaving,
-		Born:     born,
+	w.store.PutEndpoint(platformtest.EndpointEntry{
+		Instance:  e.Name(),
+		Service:   e.service,
+		Address:   e.proxy.Address,
+		Domain:    e.domain,
+		Slots:     endpointSlots,
+		Leaving:   leaving,
+		StartedAt: born,
 	})
 }
 
