--- a/account/account.go
+++ b/account/account.go
@@ -15,27 +15,33 @@
 	"github.com/go-faster/errors"
 )
 
-// Cause is what became of a request.
+// Cause is the result of a request: that it was in time, or why not.
 type Cause int
 
-// The causes, of which the first that holds counts.
+// The causes. A request that is not in time has the first of the other causes that one of its
+// lines shows.
 const (
-	// InTime requests had their first event and all pauses in time, at the first attempt.
+	// InTime means that the first event and all pauses were in time in the only attempt.
 	InTime Cause = iota
-	// Refused ones got no place. A caller that comes back has another request.
+	// Refused means that the request was not placed. If the caller sends it again under another
+	// ID, that is another request.
 	Refused
-	// CallerGone ones were left by their callers, or ran out of time.
+	// CallerGone means that the caller closed the connection or the request ran out of time.
 	CallerGone
-	// Migrated ones went elsewhere as their endpoint was silent.
+	// Migrated means that the request was sent to another endpoint because the first one was
+	// silent.
 	Migrated
-	// EndpointFailed ones had an endpoint that failed, turned them away or wasn't there.
+	// EndpointFailed means that an endpoint failed, rejected the request or could not be
+	// reached.
 	EndpointFailed
-	// Waited ones were late after they waited for a place for a quarter of their target.
+	// Waited means that the first event was late and that the request had waited for a placement
+	// for more than a quarter of its target.
 	Waited
-	// FirstLate ones had a late first event, and PauseLate a pause that was too long.
+	// FirstLate means that the first event was late for another reason, and PauseLate that a
+	// pause was too long.
 	FirstLate
 	PauseLate
-	// CauseCount is how many there are.
+	// CauseCount is the number of causes.
 	CauseCount
 )
 
@@ -48,28 +54,28 @@
 	return names[c]
 }
 
-// Kind is a kind of requests.
+// Kind is the kind of a request.
 type Kind struct {
-	// Target is within what time the first event is in time; zero when only refusals
-	// are known.
+	// Target is the time within which the first event is in time; zero if no line of the request
+	// states it.
 	Target time.Duration
-	// Gap is the longest pause in time; zero means that none counts.
+	// Gap is the longest pause that is in time; zero means no limit.
 	Gap time.Duration
 }
 
-// Row counts the requests of a kind.
+// Row contains the counts for the requests of one kind.
 type Row struct {
 	Kind Kind
 	// Prompt is the mean length of the prompts, in tokens.
 	Prompt int
-	// Counts are the requests by cause.
+	// Counts are the numbers of requests by cause.
 	Counts [CauseCount]int
-	// Seconds are the requests that were not in time by the second of their last line,
-	// from the first line on.
+	// Seconds are the numbers of requests that were not in time, by the second of their last
+	// line, counted from the first line of the log.
 	Seconds map[int]int
 }
 
-// Total returns how many requests the row counts.
+// Total returns the number of requests in the row.
 func (r *Row) Total() int {
 	n := 0
 	for _, c := range r.Counts {
@@ -78,7 +84,7 @@
 	return n
 }
 
-// logLine is what is read of a log logLine.
+// logLine contains the fields of a log line that the package uses.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
@@ -93,7 +99,7 @@
 	Outcome string    `json:"outcome"`
 }
 
-// request is what is known of a request.
+// request accumulates the lines of a request.
 type request struct {
 	kind   Kind
 	prompt int
@@ -101,11 +107,11 @@
 	last   time.Time
 }
 
-// maxLineBytes bounds a line, in bytes.
+// maxLineBytes is the maximum length of a line.
 const maxLineBytes = 1 << 20
 
-// Read accounts for the requests that lines tell of: a row for each kind, the shortest
-// target first.
+// Read reads a log and returns one row for each kind of requests, with the shortest target
+// first.
 func Read(in io.Reader) ([]Row, error) {
 	requests := make(map[string]*request)
 	began := time.Time{}
@@ -127,7 +133,7 @@
 	return countByKind(requests, began), nil
 }
 
-// parseLine returns a line that counts.
+// parseLine decodes a line. It returns false for a line that the package ignores.
 func parseLine(text []byte) (logLine, bool) {
 	var l logLine
 	at := bytes.IndexByte(text, '{')
@@ -146,7 +152,7 @@
 	return l, false
 }
 
-// addLine takes over a line.
+// addLine adds a line to its request.
 func addLine(requests map[string]*request, l *logLine) {
 	r := requests[l.Request]
 	if r == nil {
@@ -168,11 +174,11 @@
 	}
 }
 
-// waitedDivisor is the part of its target, as a divisor, that a late request waited for it
-// to count as late for waiting.
+// waitedDivisor is the fraction of its target, as a divisor, that a late request must have
+// waited for its cause to be Waited.
 const waitedDivisor = 4
 
-// causeOfLine returns what a line alone tells.
+// causeOfLine returns the cause that the line shows.
 func (l *logLine) causeOfLine() Cause {
 	switch {
 	case l.Message == "refuse":
@@ -193,7 +199,7 @@
 	return InTime
 }
 
-// countByKind counts requests by kind.
+// countByKind returns one row for each kind of requests, sorted by target and gap.
 func countByKind(requests map[string]*request, began time.Time) []Row {
 	byKind := make(map[Kind]*Row)
 	for _, q := range requests {
--- a/account/account_test.go
+++ b/account/account_test.go
@@ -13,19 +13,20 @@
 	"github.com/linkmast/linkmast/account"
 )
 
-// attempt returns the line of an attempt at a request with a target of 300 ms and pauses
-// of 200 ms.
+// attempt returns the log line of an attempt whose request has a target of 300 ms for the first
+// event and of 200 ms for pauses.
 func attempt(request, outcome string, waited, first, pause int) string {
 	return fmt.Sprintf(`3.1 node-a {"time":"2026-01-01T00:00:02Z","msg":"attempt","request":%q,"prompt":5000,"target_ms":300,`+
 		`"gap_ms":200,"waited_ms":%d,"first_ms":%d,"longest_gap_ms":%d,"outcome":%q}`, request, waited, first, pause, outcome)
 }
 
-// refused returns the line of a refusal.
+// refused returns the log line of a refusal.
 func refused(request string) string {
 	return fmt.Sprintf(`{"time":"2026-01-01T00:00:00Z","msg":"refuse","attempt":"%s.node-a.1","prompt":5000}`, request)
 }
 
-// TestCauses finds the cause of each request from its lines.
+// TestCauses guards against a wrong cause of a request, and against errors on lines that are not
+// JSON.
 func TestCauses(t *testing.T) {
 	for _, row := range []struct {
 		lines []string
@@ -53,14 +54,14 @@
 	}
 }
 
-// TestSeconds counts those that were not in time by the second.
+// TestSeconds guards against wrong seconds of the requests that were not in time.
 func TestSeconds(t *testing.T) {
 	is := is.New(t)
 	rows, err := account.Read(strings.NewReader(strings.Join([]string{
 		refused("a"), attempt("b", "served", 0, 400, 0), attempt("c", "served", 0, 100, 0),
 	}, "\n")))
 	is.NoErr(err)
-	is.Equal(len(rows), 2) // of a refusal alone the target is not known
+	is.Equal(len(rows), 2) // a refusal doesn't state the target
 	is.Equal(rows[0].Seconds, map[int]int{0: 1})
 	is.Equal(rows[1].Seconds, map[int]int{2: 1})
 }
--- a/config/check.go
+++ b/config/check.go
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// sha256Hex is the length of a SHA-256 hash in hex.
+// sha256Hex is the length of a hexadecimal SHA-256 hash.
 const sha256Hex = 64
 
-// maxPromptTokens is the longest prompt that any model may declare.
+// maxPromptTokens is the highest maximum length of a prompt that a model may declare.
 const maxPromptTokens = 16 << 20
 
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/-]{0,63}$`)
 
-// checker collects what is wrong with a file.
+// checker collects the problems of a file.
 type checker struct {
 	data []byte
-	// lines is nil until the first problem, as most files have none.
+	// lines maps paths to lines; it is nil until the first problem, because most files have
+	// none.
 	lines    map[string]int
 	problems []Problem
 }
 
-// add notes a problem at a path. The line of the nearest enclosing table is
-// used when the path itself stands nowhere in the file.
+// add records a problem at a path. If the path doesn't occur in the file, the problem gets the
+// line of the nearest enclosing table.
 func (c *checker) add(path, format string, args ...any) {
 	if c.lines == nil {
 		c.lines = scanLines(c.data)
@@ -52,7 +53,8 @@
 	})
 }
 
-// ids collects the ids of a table and notes the malformed and the doubled.
+// ids returns the IDs of a table's entries. It records a problem for each malformed or duplicate
+// ID.
 func (c *checker) ids(table string, n int, id func(int) string) map[string]bool {
 	seen := make(map[string]bool, n)
 	for i := range n {
@@ -61,7 +63,7 @@
 		case !idPattern.MatchString(v):
 			c.add(path, "id %q must be 1 to 64 letters, digits, dots, slashes, dashes or underscores", v)
 		case seen[v]:
-			c.add(path, "id %q stands twice", v)
+			c.add(path, "id %q is used more than once", v)
 		default:
 			seen[v] = true
 		}
@@ -69,7 +71,7 @@
 	return seen
 }
 
-// ref notes a name that stands for nothing.
+// ref records a problem if a name is not among the known ones.
 func (c *checker) ref(path, what, name string, known map[string]bool) {
 	if !known[name] {
 		c.add(path, "names %s %q, which does not exist", what, name)
@@ -90,7 +92,7 @@
 
 func (c *checker) check(f *File) {
 	if f.Format != Format {
-		c.add("format", "is %d, this version judges format %d", f.Format, Format)
+		c.add("format", "is %d, this version supports format %d", f.Format, Format)
 	}
 	c.limits(&f.Limits)
 	regions := c.ids("regions", len(f.Regions), func(i int) string { return f.Regions[i].ID })
@@ -132,7 +134,7 @@
 		c.notNegative(path, float64(t.Rank))
 		c.positive(fmt.Sprintf("tiers[%d].max_wait", i), float64(t.MaxWait))
 		if ranks[t.Rank] {
-			c.add(path, "rank %d stands twice", t.Rank)
+			c.add(path, "rank %d is used more than once", t.Rank)
 		}
 		ranks[t.Rank] = true
 	}
@@ -155,10 +157,10 @@
 		}
 		for _, k := range cu.KeySHA256 {
 			if _, err := hex.DecodeString(k); err != nil || len(k) != sha256Hex || k != strings.ToLower(k) {
-				c.add(path+".key_sha256", "%q is no SHA-256 hash in lower-case hex", k)
+				c.add(path+".key_sha256", "%q is not a SHA-256 hash in lower-case hex", k)
 			}
 			if other, ok := holder[k]; ok {
-				c.add(path+".key_sha256", "the key of customer %q stands again", other)
+				c.add(path+".key_sha256", "the key of customer %q is used more than once", other)
 			}
 			holder[k] = cu.ID
 		}
@@ -183,7 +185,7 @@
 		path := fmt.Sprintf("adapters[%d]", i)
 		c.ref(path+".model", "model", a.Model, models)
 		if models[a.ID] {
-			c.add(path+".id", "is the id of a model too")
+			c.add(path+".id", "is also the id of a model")
 		}
 	}
 	return c.ids("adapters", len(f.Adapters), func(i int) string { return f.Adapters[i].ID })
@@ -198,10 +200,10 @@
 		c.ref(path+".failure_domain", "failure domain", e.FailureDomain, domains)
 		c.positive(path+".max_running", float64(e.MaxRunning))
 		if _, _, err := net.SplitHostPort(e.Address); err != nil {
-			c.add(path+".address", "%q is no host and port", e.Address)
+			c.add(path+".address", "%q is not a host and port", e.Address)
 		}
 		if other, ok := at[e.Address]; ok {
-			c.add(path+".address", "is the address of %q too", other)
+			c.add(path+".address", "is also the address of endpoint %q", other)
 		}
 		at[e.Address] = e.ID
 		switch e.Kind {
@@ -220,29 +222,29 @@
 	c.positive(path+".memory_bytes", float64(e.MemoryBytes))
 	c.positive(path+".prefill_tokens_per_second", e.PrefillTokensPerSecond)
 	if e.Service != "" {
-		c.add(path+".service", "an engine is part of no plain service")
+		c.add(path+".service", "an engine must not name a plain service")
 	}
 	for _, a := range e.Adapters {
 		c.ref(path+".adapters", "adapter", a, adapters)
 	}
 	for _, m := range f.Models {
 		if m.ID == e.Model && m.KVBytesPerToken > 0 && e.MemoryBytes < m.KVBytesPerToken {
-			c.add(path+".memory_bytes", "holds not one token of model %q", m.ID)
+			c.add(path+".memory_bytes", "is too small for one token of model %q", m.ID)
 		}
 	}
 }
 
 func (c *checker) plain(path string, e *Endpoint) {
 	if !idPattern.MatchString(e.Service) || strings.Contains(e.Service, "/") {
-		c.add(path+".service", "a plain endpoint names its service, without slashes")
+		c.add(path+".service", "a plain endpoint must name its service, without slashes")
 	}
 	if e.Model != "" || e.MemoryBytes != 0 {
-		c.add(path+".model", "a plain service has no model and no KV memory")
+		c.add(path+".model", "a plain endpoint must not have a model or KV memory")
 	}
 }
 
-// Wait returns how long a request of rank may wait before it counts as one
-// rank higher.
+// Wait returns how long a request of the given rank may wait before it counts as one rank
+// higher. It returns the default for a rank without a tier.
 func (f *File) Wait(rank int) time.Duration {
 	for _, t := range f.Tiers {
 		if t.Rank == rank {
--- a/config/config.go
+++ b/config/config.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Format is the number of the file format that this package judges.
+// Format is the version of the file format that this package accepts.
 const Format = 1
 
-// MaxBytes is the largest file that is accepted, in bytes.
+// MaxBytes is the maximum size of a file.
 const MaxBytes = 8 << 20
 
 // Duration is a time.Duration written as text, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads the form of time.ParseDuration.
+// UnmarshalText parses the text with time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -25,26 +25,26 @@
 	return nil
 }
 
-// MarshalText writes the form of time.Duration.String.
+// MarshalText formats the duration with time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// File is a whole configuration.
+// File is a complete configuration.
 type File struct {
-	// Format is the number of the file format, 1.
+	// Format is the version of the file format, 1.
 	Format int `toml:"format"`
-	// Limits bound every request.
+	// Limits apply to every request.
 	Limits Limits `toml:"limits"`
-	// Regions are named by the failure domains.
+	// Regions are the regions of the failure domains.
 	Regions []Region `toml:"regions"`
-	// FailureDomains are named by the endpoints.
+	// FailureDomains are the failure domains of the endpoints.
 	FailureDomains []FailureDomain `toml:"failure_domains"`
 	// Tiers are the priorities that customers buy.
 	Tiers []Tier `toml:"tiers"`
-	// Customers are the callers.
+	// Customers are the callers with their keys.
 	Customers []Customer `toml:"customers"`
-	// Models are what engines serve.
+	// Models are the models that engines serve.
 	Models []Model `toml:"models"`
 	// Adapters are variants of models.
 	Adapters []Adapter `toml:"adapters"`
@@ -52,119 +52,119 @@
 	Endpoints []Endpoint `toml:"endpoints"`
 }
 
-// Limits bound every request. A zero value means the default.
+// Limits apply to every request. Zero selects the default.
 type Limits struct {
-	// MaxBodyBytes bounds a request body; the default is 16 MiB.
+	// MaxBodyBytes is the maximum size of a request's body; the default is 16 MiB.
 	MaxBodyBytes int64 `toml:"max_body_bytes"`
-	// MaxDeadline bounds the time a request may take; the default is 15m.
+	// MaxDeadline is the maximum time for a request; the default is 15m.
 	MaxDeadline Duration `toml:"max_deadline"`
-	// DefaultDeadline holds where a caller names none; the default is 2m.
+	// DefaultDeadline is the time for a request whose caller states none; the default is 2m.
 	DefaultDeadline Duration `toml:"default_deadline"`
-	// Stall is the longest silence of an endpoint; the default is 3s.
+	// Stall is how long an endpoint may stay silent during an attempt before the attempt is
+	// cancelled; the default is 3s.
 	Stall Duration `toml:"stall"`
-	// MaxKeyValidity bounds how long a once-only key is valid; the default
-	// is 1h. It stays below the retention of the platform's log.
+	// MaxKeyValidity is the maximum time for which an idempotency key is valid; the default is
+	// 1h. It must be shorter than the retention of the platform's log.
 	MaxKeyValidity Duration `toml:"max_key_validity"`
-	// ClockBound is how far the clocks of instances may differ; the default
-	// is 2s.
+	// ClockBound is the maximum difference between the clocks of instances; the default is 2s.
 	ClockBound Duration `toml:"clock_bound"`
 }
 
 // Region is a group of failure domains.
 type Region struct {
-	// ID names the region.
+	// ID identifies the region.
 	ID string `toml:"id"`
 }
 
 // FailureDomain is a set of instances that fail together.
 type FailureDomain struct {
-	// ID names the failure domain.
+	// ID identifies the failure domain.
 	ID string `toml:"id"`
-	// Region names the region that it is part of.
+	// Region is the ID of its region.
 	Region string `toml:"region"`
 }
 
 // Tier is a priority that customers buy.
 type Tier struct {
-	// ID names the tier.
+	// ID identifies the tier.
 	ID string `toml:"id"`
 	// Rank orders the tiers; rank 0 is served first.
 	Rank int `toml:"rank"`
-	// MaxWait is the age at which a queued request counts as one rank
-	// higher; the default is 20s.
+	// MaxWait is how long a request may wait in the queue before it counts as one rank higher;
+	// the default is 20s.
 	MaxWait Duration `toml:"max_wait"`
 }
 
 // Customer is a caller with its keys and limits.
 type Customer struct {
-	// ID names the customer.
+	// ID identifies the customer.
 	ID string `toml:"id"`
-	// Tier is the highest tier that the customer bought.
+	// Tier is the ID of the highest tier that the customer bought.
 	Tier string `toml:"tier"`
 	// KeySHA256 are the SHA-256 hashes of the customer's keys, in lower-case hex.
 	KeySHA256 []string `toml:"key_sha256"`
-	// RequestsPerSecond bounds the rate; zero means no bound.
+	// RequestsPerSecond is the maximum rate of requests; zero means no limit.
 	RequestsPerSecond float64 `toml:"requests_per_second"`
-	// Concurrency bounds the requests in flight; zero means no bound.
+	// Concurrency is the maximum number of requests in flight; zero means no limit.
 	Concurrency int `toml:"concurrency"`
 }
 
-// Model is what engines serve.
+// Model is a model that engines serve.
 type Model struct {
-	// ID names the model.
+	// ID identifies the model.
 	ID string `toml:"id"`
 	// Version is the version of the weights that endpoints should load.
 	Version string `toml:"version"`
-	// KVBytesPerToken is the memory that one token of context takes.
+	// KVBytesPerToken is the KV memory for one token of context.
 	KVBytesPerToken int64 `toml:"kv_bytes_per_token"`
-	// MaxPromptTokens bounds a prompt.
+	// MaxPromptTokens is the maximum length of a prompt.
 	MaxPromptTokens int `toml:"max_prompt_tokens"`
-	// MaxOutputTokens bounds an answer; the default is 4096.
+	// MaxOutputTokens is the maximum length of an answer; the default is 4096.
 	MaxOutputTokens int `toml:"max_output_tokens"`
 }
 
 // Adapter is a variant of a model.
 type Adapter struct {
-	// ID names the adapter; callers use it as a model name.
+	// ID identifies the adapter; callers use it as a model name.
 	ID string `toml:"id"`
-	// Model names the model that it changes.
+	// Model is the ID of the model that it modifies.
 	Model string `toml:"model"`
 }
 
-// Kind tells engines and plain services apart.
+// Kind distinguishes engines from plain services.
 type Kind string
 
-// The kinds of endpoint.
+// The kinds of endpoints.
 const (
-	// KindEngine is a model engine.
+	// KindEngine is an engine that serves a model.
 	KindEngine Kind = "engine"
-	// KindPlain is a plain service.
+	// KindPlain is an endpoint of a plain service.
 	KindPlain Kind = "plain"
 )
 
-// Endpoint is an engine or a plain service.
+// Endpoint is an engine or an endpoint of a plain service.
 type Endpoint struct {
-	// ID names the endpoint.
+	// ID identifies the endpoint.
 	ID string `toml:"id"`
 	// Kind is "engine" or "plain".
 	Kind Kind `toml:"kind"`
 	// Address is the host and port.
 	Address string `toml:"address"`
-	// FailureDomain names where the endpoint runs.
+	// FailureDomain is the ID of the endpoint's failure domain.
 	FailureDomain string `toml:"failure_domain"`
-	// Model names the model that an engine serves.
+	// Model is the ID of the model that an engine serves.
 	Model string `toml:"model"`
-	// Adapters names the adapters that an engine should hold.
+	// Adapters are the IDs of the adapters that an engine should have loaded.
 	Adapters []string `toml:"adapters"`
-	// MemoryBytes is an engine's KV memory.
+	// MemoryBytes is the size of an engine's KV memory.
 	MemoryBytes int64 `toml:"memory_bytes"`
-	// PrefillTokensPerSecond is an engine's rated prefill speed.
+	// PrefillTokensPerSecond is an engine's nominal prefill rate.
 	PrefillTokensPerSecond float64 `toml:"prefill_tokens_per_second"`
-	// MaxRunning bounds the attempts at once; the default is 64.
+	// MaxRunning is the maximum number of attempts at the same time; the default is 64.
 	MaxRunning int `toml:"max_running"`
-	// ChecksOrders states whether the endpoint checks fences.
+	// ChecksOrders reports whether the endpoint rejects orders with a stale fence.
 	ChecksOrders bool `toml:"checks_orders"`
-	// Service names the plain service that a plain endpoint is part of.
+	// Service is the plain service that a plain endpoint belongs to.
 	Service string `toml:"service"`
 }
 
@@ -181,7 +181,7 @@
 	defaultMaxRunning  = 64
 )
 
-// setDefaults fills what the file leaves out.
+// setDefaults replaces zero values by the defaults.
 func (f *File) setDefaults() {
 	defaultInt64(&f.Limits.MaxBodyBytes, defaultMaxBody)
 	defaultDuration(&f.Limits.MaxDeadline, defaultMaxDeadline)
--- a/config/diff.go
+++ b/config/diff.go
@@ -6,11 +6,10 @@
 	"strings"
 )
 
-// Diff returns the lines that differ between two files, "-" before those of
-// the first and "+" before those of the second, by a longest common
-// subsequence. Beginnings and ends that are alike are left out first, which
-// keeps the table small for the usual small change; when what is left is too
-// large for the table, all of it is listed.
+// Diff returns the lines that differ between two files, with "-" before those of a and "+"
+// before those of b. It skips the common beginning and the common end, and compares the
+// remaining lines by their longest common subsequence. If these are too many for that, it
+// returns all of them.
 func Diff(a, b string) []string {
 	x, y := strings.Split(a, "\n"), strings.Split(b, "\n")
 	for len(x) > 0 && len(y) > 0 && x[0] == y[0] {
@@ -25,9 +24,10 @@
 	return listDifferences(x, y, lcsLengths(x, y))
 }
 
-// maxTableCells bounds the cells of the table of a comparison.
+// maxTableCells is the maximum number of cells in the table of subsequence lengths.
 const maxTableCells = 16 << 20
 
+// prefixLines returns the lines with a sign before each.
 func prefixLines(sign string, lines []string) []string {
 	out := make([]string, 0, len(lines))
 	for _, l := range lines {
@@ -36,8 +36,8 @@
 	return out
 }
 
-// lcsLengths returns the length of the longest common subsequence of each pair of
-// remainders.
+// lcsLengths returns a table whose cell [i][j] is the length of the longest common subsequence
+// of x[i:] and y[j:].
 func lcsLengths(x, y []string) [][]int32 {
 	t := make([][]int32, len(x)+1)
 	for i := range t {
@@ -55,7 +55,7 @@
 	return t
 }
 
-// listDifferences lists what is not part of the longest common subsequence.
+// listDifferences returns the lines that are not part of the longest common subsequence.
 func listDifferences(x, y []string, t [][]int32) []string {
 	var out []string
 	i, j := 0, 0
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// FuzzParse holds that no file breaks the reader, and that a file that is
-// accepted can be indexed.
+// FuzzParse guards against panics on malformed files, and against accepted files that can't be
+// indexed.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte("format = 1"))
--- a/config/parse.go
+++ b/config/parse.go
@@ -13,13 +13,13 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem is an invalid value or key in a file.
 type Problem struct {
-	// Line is the line of the file, from 1; zero where no line is to blame.
+	// Line is the line in the file, counted from 1; zero if the problem has no line.
 	Line int
-	// Path names the value, such as "customers[2].tier".
+	// Path is the path of the value, such as "customers[2].tier".
 	Path string
-	// Reason says what is wrong.
+	// Reason describes the problem.
 	Reason string
 }
 
@@ -28,13 +28,13 @@
 	return fmt.Sprintf("line %d: %s: %s", p.Line, p.Path, p.Reason)
 }
 
-// Invalid lists all that is wrong with a file.
+// Invalid is the error for a file with problems.
 type Invalid struct {
-	// Problems are ordered by line.
+	// Problems are sorted by line.
 	Problems []Problem
 }
 
-// Error returns a line for each problem.
+// Error returns one line for each problem.
 func (e *Invalid) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
@@ -43,8 +43,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads and checks a file. It returns an *Invalid that lists all that is
-// wrong when the file is refused.
+// Parse decodes and checks a file. The error of a rejected file is an *Invalid with all problems
+// that were found.
 func Parse(data []byte) (*File, error) {
 	if len(data) > MaxBytes {
 		return nil, invalid(0, "file", fmt.Sprintf("is %d bytes, the limit is %d", len(data), MaxBytes))
@@ -59,7 +59,7 @@
 				Problems: problems,
 			}
 		}
-		// Unknown keys stop the strict decoder's error, not its work.
+		// The decoder reports unknown keys only after it has decoded the rest of the file.
 	}
 	f.setDefaults()
 	c := checker{
@@ -90,8 +90,8 @@
 	}
 }
 
-// decodeProblems turns a decoder's error into problems. It returns false when
-// the file could not be read to its end.
+// decodeProblems converts a decoder's error to problems. It returns false if the error is not
+// about unknown keys, because the decoder then has not decoded the whole file.
 func decodeProblems(err error) ([]Problem, bool) {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -101,9 +101,9 @@
 		}
 		return out, true
 	}
-	var one *toml.DecodeError
-	if errors.As(err, &one) {
-		return []Problem{decodeProblem(one, one.Error())}, false
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		return []Problem{decodeProblem(decodeErr, decodeErr.Error())}, false
 	}
 	return invalid(0, "file", err.Error()).Problems, false
 }
@@ -121,18 +121,18 @@
 	}
 }
 
-// scanLines returns the line of each table and key, by path. A file that does
-// not scan yields what was read so far.
+// scanLines returns the line of each table and key, by path. If the file has a syntax error, it
+// returns those before the error.
 func scanLines(data []byte) map[string]int {
 	lines := make(map[string]int)
 	counts := make(map[string]int)
 	var p unstable.Parser
 	p.Reset(data)
-	place := newLineStarts(data)
+	starts := newLineStarts(data)
 	prefix := ""
 	for p.NextExpression() {
 		e := p.Expression()
-		name, line := keyOf(e, place)
+		name, line := keyOf(e, starts)
 		switch e.Kind {
 		case unstable.Table:
 			prefix = name + "."
@@ -148,7 +148,7 @@
 	return lines
 }
 
-// lineStarts are the offsets at which lines begin.
+// lineStarts are the offsets at which the lines of a file start.
 type lineStarts []int
 
 func newLineStarts(data []byte) lineStarts {
@@ -161,13 +161,13 @@
 	return p
 }
 
-// line returns the line, from 1, of an offset.
+// line returns the line of an offset, counted from 1.
 func (p lineStarts) line(offset int) int {
 	return sort.SearchInts(p, offset+1)
 }
 
 // keyOf returns the dotted key of an expression and its line.
-func keyOf(e *unstable.Node, place lineStarts) (string, int) {
+func keyOf(e *unstable.Node, starts lineStarts) (string, int) {
 	var parts []string
 	line := 0
 	it := e.Key()
@@ -175,7 +175,7 @@
 		n := it.Node()
 		parts = append(parts, string(n.Data))
 		if line == 0 {
-			line = place.line(int(n.Raw.Offset))
+			line = starts.line(int(n.Raw.Offset))
 		}
 	}
 	return strings.Join(parts, "."), line
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// valid is a small file without faults.
+// valid is a small valid file.
 const valid = `format = 1
 [limits]
 max_deadline = "10m"
@@ -52,6 +52,7 @@
 service = "lots"
 `
 
+// TestParseAccepts guards against the rejection of a valid file and against missing defaults.
 func TestParseAccepts(t *testing.T) {
 	is := is.New(t)
 	f, err := Parse([]byte(valid))
@@ -60,6 +61,8 @@
 	is.Equal(len(f.Endpoints), 2)
 }
 
+// TestParseRefuses guards against the acceptance of invalid files, and against problems that
+// have a wrong line or are not all reported.
 func TestParseRefuses(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -68,18 +71,18 @@
 		reason   string
 	}{
 		{"unknown key", `rank = 0`, "rank = 0\ncolour = 1", 12, "unknown key"},
-		{"dangling tier", `tier = "gold"`, `tier = "tin"`, 14, `tier "tin", which does not exist`},
-		{"dangling domain", `failure_domain = "d1"`, `failure_domain = "d9"`, 27, `failure domain "d9"`},
-		{"dangling model", "id = \"m1-desk\"\nmodel = \"m1\"", "id = \"m1-desk\"\nmodel = \"m2\"", 22, `model "m2"`},
-		{"doubled id", `id = "s1"`, `id = "e1"`, 32, "stands twice"},
-		{"doubled address", `10.0.0.2`, `10.0.0.1`, 34, "is the address of"},
+		{"unknown tier", `tier = "gold"`, `tier = "tin"`, 14, `tier "tin", which does not exist`},
+		{"unknown failure domain", `failure_domain = "d1"`, `failure_domain = "d9"`, 27, `failure domain "d9"`},
+		{"unknown model", "id = \"m1-desk\"\nmodel = \"m1\"", "id = \"m1-desk\"\nmodel = \"m2\"", 22, `model "m2"`},
+		{"duplicate id", `id = "s1"`, `id = "e1"`, 32, "is used more than once"},
+		{"duplicate address", `10.0.0.2`, `10.0.0.1`, 34, "is also the address of"},
 		{"upper-case hash", `"aaaa`, `"AAAA`, 15, "lower-case hex"},
-		{"no address", `address = "10.0.0.1:8000"`, `address = "10.0.0.1"`, 26, "no host and port"},
+		{"address without a port", `address = "10.0.0.1:8000"`, `address = "10.0.0.1"`, 26, "not a host and port"},
 		{"no memory", `memory_bytes = 400000000`, `memory_bytes = 0`, 29, "above zero"},
-		{"less than a token", `memory_bytes = 400000000`, `memory_bytes = 1000`, 29, "holds not one token"},
-		{"other format", `format = 1`, `format = 2`, 1, "judges format 1"},
+		{"memory for less than one token", `memory_bytes = 400000000`, `memory_bytes = 1000`, 29, "is too small for one token"},
+		{"other format", `format = 1`, `format = 2`, 1, "supports format 1"},
 		{"unknown kind", `kind = "plain"`, `kind = "odd"`, 33, `must be "engine" or "plain"`},
-		{"default above bound", `max_deadline = "10m"`, `max_deadline = "1m"`, 2, "above max_deadline"},
+		{"default above maximum", `max_deadline = "10m"`, `max_deadline = "1m"`, 2, "above max_deadline"},
 		{"not TOML", `[limits]`, `[limits`, 2, "toml"},
 		{"negative duration", `max_deadline = "10m"`, `max_deadline = "-1m"`, 3, "above zero"},
 	} {
@@ -100,13 +103,14 @@
 	})
 }
 
-// wantProblem fails unless the file is refused with a problem at the line.
+// wantProblem fails the test unless the file is rejected with a problem that has the given line
+// and contains the given reason.
 func wantProblem(t *testing.T, text string, line int, reason string) {
 	t.Helper()
 	_, err := Parse([]byte(text))
 	var v *Invalid
 	if !errors.As(err, &v) {
-		t.Fatalf("not refused: %v", err)
+		t.Fatalf("file was not rejected, error is %v", err)
 	}
 	for _, p := range v.Problems {
 		if p.Line == line && strings.Contains(p.Reason, reason) {
@@ -116,8 +120,8 @@
 	t.Fatalf("no problem %q at line %d in:\n%v", reason, line, err)
 }
 
-// TestLinesOfLargeFile would not end in time if finding a line took as long as
-// the file: reading the lines of 10 000 endpoints once took 100 seconds.
+// TestLinesOfLargeFile guards against a time for finding the lines that grows with the square of
+// the file's size.
 func TestLinesOfLargeFile(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(valid)
@@ -131,6 +135,8 @@
 	wantProblem(t, b.String(), lines, "must not be below zero")
 }
 
+// TestAuthenticate guards against a valid key that is rejected, and against the acceptance of
+// similar keys or of the key's hash.
 func TestAuthenticate(t *testing.T) {
 	is := is.New(t)
 	sum := sha256.Sum256([]byte("key-desk"))
@@ -147,6 +153,7 @@
 	}
 }
 
+// TestDiff guards against missing or wrong lines in the difference of two files.
 func TestDiff(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Diff("a\nb\nc\nd", "a\nx\nc\nd"), []string{"-b", "+x"})
--- a/config/view.go
+++ b/config/view.go
@@ -8,9 +8,8 @@
 	"encoding/hex"
 )
 
-// View is a file indexed for lookup. It never changes once built.
+// View provides lookups in a file. It is immutable.
 type View struct {
-	// File is the file as read.
 	File *File
 	// Generation is the log offset at which the file was accepted.
 	Generation int64
@@ -24,7 +23,7 @@
 	regions   map[string]string
 }
 
-// NewView indexes a file that Parse returned.
+// NewView returns a view of a file that Parse has returned.
 func NewView(f *File, generation int64) *View {
 	v := &View{
 		File:       f,
@@ -62,15 +61,14 @@
 	v.customers[c.ID] = c
 	for _, k := range c.KeySHA256 {
 		var sum [sha256.Size]byte
-		// Parse has checked the form of the hash.
+		// Parse has checked that the hash is valid.
 		_, _ = hex.Decode(sum[:], []byte(k))
 		v.keys[sum] = c
 	}
 }
 
-// Authenticate returns the customer that holds key. The key is hashed before
-// it is looked up, so the time taken tells nothing about stored keys; the
-// last comparison takes constant time.
+// Authenticate returns the customer that has the key. It looks the key up by its hash and
+// compares the hashes in constant time, so that the duration reveals nothing about stored keys.
 func (v *View) Authenticate(key string) (*Customer, bool) {
 	sum := sha256.Sum256([]byte(key))
 	c, ok := v.keys[sum]
@@ -85,20 +83,20 @@
 	return nil, false
 }
 
-// Tier returns a tier by id.
+// Tier returns the tier with the given ID.
 func (v *View) Tier(id string) (*Tier, bool) {
 	t, ok := v.tiers[id]
 	return t, ok
 }
 
-// Customer returns a customer by id.
+// Customer returns the customer with the given ID.
 func (v *View) Customer(id string) (*Customer, bool) {
 	c, ok := v.customers[id]
 	return c, ok
 }
 
-// Model returns the model of a name that may be a model's or an adapter's,
-// and the adapter's id if it is one.
+// Model returns the model with the given name. If the name is that of an adapter, it returns the
+// adapter's model and the adapter's ID.
 func (v *View) Model(name string) (m *Model, adapter string, ok bool) {
 	if a, isAdapter := v.adapters[name]; isAdapter {
 		return v.models[a.Model], a.ID, true
@@ -107,13 +105,13 @@
 	return m, "", ok
 }
 
-// Endpoint returns an endpoint by id.
+// Endpoint returns the endpoint with the given ID.
 func (v *View) Endpoint(id string) (*Endpoint, bool) {
 	e, ok := v.endpoints[id]
 	return e, ok
 }
 
-// Region returns the region of a failure domain.
+// Region returns the region of a failure domain; empty if the domain doesn't exist.
 func (v *View) Region(domain string) string {
 	return v.regions[domain]
 }
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Ran states whether a request ran at an endpoint.
+// Ran states whether a request ran on an endpoint.
 type Ran string
 
-// The three answers to whether a request ran.
+// The values of Ran.
 const (
 	// NotRun means that no endpoint started the request and none will.
 	NotRun Ran = "not_run"
@@ -24,10 +24,10 @@
 	DidRun Ran = "ran"
 )
 
-// Code is the stable name of a refusal or failure.
+// Code is the stable code of an error.
 type Code string
 
-// The codes that callers can receive.
+// The codes of errors.
 const (
 	CodeBadRequest     Code = "bad_request"
 	CodeTooLarge       Code = "too_large"
@@ -53,22 +53,23 @@
 	CodeInternal       Code = "internal"
 )
 
-// MediaType is the content type of the wire form.
+// MediaType is the content type of an encoded Error.
 const MediaType = "application/problem+json"
 
-// Error is a refusal or failure on its way to a caller.
+// Error is an error that a caller receives.
 type Error struct {
-	// Code names the refusal.
+	// Code is the stable code of the error.
 	Code Code
 	// Status is the HTTP status code.
 	Status int
 	// Ran states whether the request ran.
 	Ran Ran
-	// Detail explains the refusal to a person.
+	// Detail explains the error to a person.
 	Detail string
-	// Field names the part of the input that was refused, if one was.
+	// Field is the part of the input that was rejected, if any.
 	Field string
-	// RetryAfter is when coming back makes sense; zero where it does not.
+	// RetryAfter is how long the caller should wait before it retries; zero means that the
+	// answer doesn't state it.
 	RetryAfter time.Duration
 }
 
@@ -77,7 +78,7 @@
 	return fmt.Sprintf("%s (%s): %s", e.Code, e.Ran, e.Detail)
 }
 
-// New returns a refusal of a request that did not run.
+// New returns the error for a request that did not run.
 func New(code Code, status int, detail string) *Error {
 	return &Error{
 		Code:   code,
@@ -87,21 +88,21 @@
 	}
 }
 
-// Bad returns the refusal of an input field.
+// Bad returns the error for a rejected input field.
 func Bad(field, detail string) *Error {
 	e := New(CodeBadRequest, http.StatusBadRequest, detail)
 	e.Field = field
 	return e
 }
 
-// Busy returns a refusal that names when to come back.
+// Busy returns an error that states when the caller may retry.
 func Busy(code Code, detail string, after time.Duration) *Error {
 	e := New(code, http.StatusServiceUnavailable, detail)
 	e.RetryAfter = after
 	return e
 }
 
-// body is the wire form of an Error.
+// body is the JSON encoding of an Error.
 type body struct {
 	Type       string  `json:"type"`
 	Title      string  `json:"title"`
@@ -114,7 +115,7 @@
 	Request    string  `json:"request_id,omitempty"`
 }
 
-// Marshal returns the wire form of e for the given request id.
+// Marshal returns the JSON encoding of e for the request with the given ID.
 func (e *Error) Marshal(request string) []byte {
 	b := body{
 		Type:       "about:blank",
@@ -134,7 +135,7 @@
 	return out
 }
 
-// Write sends e as the whole answer to a request.
+// Write sends e as the complete answer to a request.
 func (e *Error) Write(w http.ResponseWriter, request string) {
 	w.Header().Set("Content-Type", MediaType)
 	if e.RetryAfter > 0 {
@@ -142,11 +143,11 @@
 		w.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
 	w.WriteHeader(e.Status)
-	// The caller may have gone; there is nobody left to tell.
+	// An error means that the caller has closed the connection.
 	_, _ = w.Write(e.Marshal(request))
 }
 
-// Parse reads the wire form. It returns false when data is not one.
+// Parse decodes the JSON encoding of an Error. It returns false if data is not such an encoding.
 func Parse(data []byte) (*Error, bool) {
 	var b body
 	if err := json.Unmarshal(data, &b); err != nil || b.Code == "" {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package settings holds the settings of one process: where it runs, where it
-// listens, and where it finds the platform. They are a small TOML file, apart
-// from the configuration that operators publish. Nothing is read from the
-// environment.
+// Package settings holds the settings of one process: where it runs, where it listens, and where
+// it finds the platform's services. They are read from a TOML file that is separate from the
+// configuration that operators publish. The package doesn't read environment variables.
 package settings
 
 import (
@@ -20,133 +19,132 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// File is the settings of one process.
+// File contains the settings of one process.
 type File struct {
-	// ID names the instance. It is the id on the platform's list.
+	// ID is the instance's ID in the platform's list of instances.
 	ID string `toml:"id"`
 	// Region is the region that the instance runs in.
 	Region string `toml:"region"`
 	// FailureDomain is the failure domain that the instance runs in.
 	FailureDomain string `toml:"failure_domain"`
-	// Listen is where callers connect; the default is "127.0.0.1:8080".
+	// Listen is the address for callers; the default is "127.0.0.1:8080".
 	Listen string `toml:"listen"`
-	// PeerListen is where other instances connect; the default is
-	// "127.0.0.1:8081".
+	// PeerListen is the address for other instances; the default is "127.0.0.1:8081".
 	PeerListen string `toml:"peer_listen"`
-	// AdminListen is where operators connect; the default is "127.0.0.1:8082".
+	// AdminListen is the address for operators; the default is "127.0.0.1:8082".
 	AdminListen string `toml:"admin_listen"`
-	// ReadyListen is where a balancer asks whether an instance on a platform
-	// with a store is ready; the default is "127.0.0.1:8083".
+	// ReadyListen is the address for the readiness checks of a load balancer; the default is
+	// "127.0.0.1:8083". It is used only on a platform with a store.
 	ReadyListen string `toml:"ready_listen"`
-	// FirstStart states that all instances start for the first time, so that it
-	// takes a moment until they know each other.
+	// FirstStart is set if all instances are starting at the same time, so that their entries
+	// appear in the store only gradually.
 	FirstStart bool `toml:"first_start"`
-	// ProcessorShare is the part of a processor core that the instance has; the
-	// default is 1. Instances with more of it carry more.
+	// ProcessorShare is the number of processor cores that the instance may use; the default is
+	// 1. Instances with more take a larger part of the work.
 	ProcessorShare float64 `toml:"processor_share"`
-	// LinkMbps is the speed of the instance's link in Mbit/s; zero means that it
-	// does not bind.
+	// LinkMbps is the speed of the instance's network link in Mbit/s; zero means that the link
+	// doesn't limit the instance's capacity.
 	LinkMbps float64 `toml:"link_mbps"`
-	// Retries bounds how many requests are sent to endpoints again.
+	// Retries limits how many requests are sent to endpoints again.
 	Retries Retries `toml:"retries"`
-	// Cold bounds what endpoints get that have just started.
+	// Cold limits the requests that are sent to endpoints that have just started.
 	Cold Cold `toml:"cold"`
-	// Worth says what answers are worth to who pays for them.
+	// Worth determines the values of answers.
 	Worth worth.Settings `toml:"worth"`
-	// Peers are peer addresses of instances, asked at a start: on a platform with a
-	// log while that does not answer, on one with a store at each start, so that few
-	// instances read it. They should be the same ones at all instances and may have
-	// this one among them; some may be gone. None is needed.
+	// Peers are the peer addresses of instances that a starting instance contacts. On a platform
+	// with a log it asks them for the list of instances while the platform doesn't provide it,
+	// and for the configuration while it knows no other instances. On a platform with a store it
+	// asks them for instances to follow, so that few instances read the store. All instances
+	// should use the same addresses, which may include their own and those of stopped instances.
+	// The list may be empty.
 	Peers []string `toml:"peers"`
-	// Strategy is "weighed" (the default) or "naive", the baseline.
+	// Strategy is "weighed", which is the default, or "naive".
 	Strategy string `toml:"strategy"`
-	// LogDecisions states whether a line is written for each decision; the
-	// default is true.
+	// LogDecisions determines whether each placement decision is logged; the default is true.
 	LogDecisions *bool `toml:"log_decisions"`
-	// Platform is where the platform's services are.
+	// Platform contains the addresses of the platform's services.
 	Platform Platform `toml:"platform"`
-	// TLS are the keys for connections between instances; without them the
-	// connections are in the clear.
+	// TLS contains the files for connections between instances; if it is empty, these are not
+	// encrypted.
 	TLS TLS `toml:"tls"`
-	// Times are the measures that operators may want to change.
+	// Times contains intervals, time limits and a traffic limit.
 	Times Times `toml:"times"`
 }
 
-// Platform is where the platform's services are, each as host and port.
+// Platform contains the addresses of the platform's services, each as host and port.
 type Platform struct {
 	// Log is the append-only log.
 	Log string `toml:"log"`
 	// Instances is the list of instances.
 	Instances string `toml:"instances"`
-	// Weights is the weight store. Without it endpoints are left as they are.
+	// Weights is the weight store. If it is empty, endpoints keep their models and adapters.
 	Weights string `toml:"weights"`
-	// Store is the platform's store of configurations and endpoints. With it
-	// the instance takes both from there, and none of the others is used.
+	// Store is the platform's store of configurations and endpoints. If it is set, the other
+	// services are not used.
 	Store string `toml:"store"`
 }
 
-// Retries bounds how many requests are sent to endpoints again, for each service
-// and over all instances: in any window at most Ratio of the requests plus Extra.
+// Retries limits how many requests are sent to endpoints again, for each service and over all
+// instances: in any window at most Ratio times the number of requests, plus Extra.
 type Retries struct {
-	// Ratio is the part of the requests; the default is 0.1.
+	// Ratio is a fraction of the requests; the default is 0.1.
 	Ratio float64 `toml:"ratio"`
-	// Extra is how many more; the default is 10.
+	// Extra is a number of requests; the default is 10.
 	Extra float64 `toml:"extra"`
 	// Window is the length of the window; the default is 10s.
 	Window config.Duration `toml:"window"`
 }
 
-// Cold bounds what an endpoint that is cold gets in any second, over all instances:
-// Overage times the rate that the configuration says such an endpoint bears, plus Slack.
+// Cold limits the requests that a cold endpoint receives in any second from all instances
+// together: Overage times the configured rate of a cold endpoint, plus Slack.
 type Cold struct {
-	// Overage is a factor of the rate; zero means that there is no bound.
+	// Overage is a factor of the rate; zero means that there is no limit.
 	Overage float64 `toml:"overage"`
 	// Slack is a number of requests.
 	Slack float64 `toml:"slack"`
 }
 
-// TLS are the files for mutual authentication between instances.
+// TLS contains the files for mutual authentication between instances. Either all of them are set
+// or none.
 type TLS struct {
-	// Certificate is the instance's certificate, in PEM.
+	// Certificate is the file with the instance's certificate, in PEM.
 	Certificate string `toml:"certificate"`
-	// Key is the certificate's private key, in PEM.
+	// Key is the file with the certificate's private key, in PEM.
 	Key string `toml:"key"`
-	// Authorities are the certificates that sign those of peers, in PEM.
+	// Authorities is the file with the certificates of the authorities that sign those of peers,
+	// in PEM.
 	Authorities string `toml:"authorities"`
 }
 
-// Times are the measures that operators may want to change. A zero value means
-// the default.
+// Times contains intervals, time limits and a traffic limit. Zero selects the default.
 type Times struct {
-	// Drain is how long a stopping instance goes on taking requests, because
-	// the balancer goes on sending; the default is 5s.
+	// Drain is how long a stopping instance still accepts requests, because the load balancer
+	// takes some time to stop sending them; the default is 5s.
 	Drain config.Duration `toml:"drain"`
-	// StopWithin bounds a planned stop; the default is 15m.
+	// StopWithin is the maximum time for a planned stop; the default is 15m.
 	StopWithin config.Duration `toml:"stop_within"`
-	// Revoke is how soon keys that were taken away must be refused. Zero means
-	// that there is no bound.
+	// Revoke is the time after which a revoked key must be refused; zero means no limit.
 	Revoke config.Duration `toml:"revoke"`
-	// RevokeStrict states that Revoke binds instances that are out of touch, too:
-	// one that can't tell for that long whether a key still holds refuses requests
-	// with keys. The default is true; if false it serves on by the newest
-	// configuration that it knows.
+	// RevokeStrict determines what an instance does with requests that have a key if its
+	// configuration is so old that it can't guarantee Revoke. If true, which is the default, it
+	// refuses them; if false, it serves them by the newest configuration that it has.
 	RevokeStrict *bool `toml:"revoke_strict"`
-	// Watch is how often owners tell of their endpoints; the default is 200ms.
+	// Watch is the interval at which owners send summaries of their endpoints; the default is
+	// 200ms.
 	Watch config.Duration `toml:"watch"`
-	// WatchBytesPerSecond bounds what the instance hears of others' endpoints,
-	// if need be by hearing it less often; the default is 4000. The size of
-	// docs/CAPACITY.md takes 750.
+	// WatchBytesPerSecond limits the summaries that the instance receives of other instances'
+	// endpoints. If necessary, it requests them less often than Watch. The default is 4000.
 	WatchBytesPerSecond int `toml:"watch_bytes_per_second"`
-	// Probe is how often peers are probed; the default is 500ms.
+	// Probe is the interval at which peers are probed; the default is 500ms.
 	Probe config.Duration `toml:"probe"`
-	// Sweep is how often endpoints are compared with leases; the default is 1s.
+	// Sweep is the interval at which the status of each endpoint is compared with its leases;
+	// the default is 1s.
 	Sweep config.Duration `toml:"sweep"`
-	// Confirm is how long a lease goes unheard of before its holder is asked;
-	// the default is 3s. The size of docs/CAPACITY.md takes 30s.
+	// Confirm is how long after its last confirmation the holder of a lease is asked about it;
+	// the default is 3s.
 	Confirm config.Duration `toml:"confirm"`
-	// RepeatConfiguration is the age at which the configuration is written to
-	// the log again; the default is 4h. It must be below half of the log's
-	// retention.
+	// RepeatConfiguration is the age at which the configuration is written to the log again; the
+	// default is 4h. It must be less than half of the log's retention.
 	RepeatConfiguration config.Duration `toml:"repeat_configuration"`
 }
 
@@ -170,13 +168,13 @@
 
 // The strategies.
 const (
-	// Weighed is the strategy of package policy.
+	// Weighed selects policy.Weighed.
 	Weighed = "weighed"
-	// Naive is the baseline: a random endpoint, in order of arrival.
+	// Naive selects policy.Naive, the baseline for comparisons.
 	Naive = "naive"
 )
 
-// Read reads and checks a file.
+// Read reads the settings from a file and checks them.
 func Read(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -189,7 +187,8 @@
 	return f, nil
 }
 
-// Parse reads and checks settings. The error names all that is wrong.
+// Parse decodes settings and checks them. The error names all unknown keys, the first value that
+// can't be decoded, or all invalid values.
 func Parse(data []byte) (*File, error) {
 	f := &File{}
 	if err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(f); err != nil {
@@ -202,20 +201,20 @@
 	return f, nil
 }
 
-// describeDecodeError adds the place to a decoder's error.
+// describeDecodeError returns an error that contains the position of a decoding error.
 func describeDecodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		return errors.New("unknown keys:\n" + strict.String())
 	}
-	var one *toml.DecodeError
-	if errors.As(err, &one) {
-		return errors.New(one.String())
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		return errors.New(decodeErr.String())
 	}
 	return err
 }
 
-// SetDefaults fills what is left out.
+// SetDefaults replaces zero values by the defaults.
 func (f *File) SetDefaults() {
 	defaultString(&f.Listen, defaultListen)
 	defaultString(&f.PeerListen, defaultPeer)
@@ -261,7 +260,7 @@
 	}
 }
 
-// validate returns an error that names all that is wrong.
+// validate returns an error that lists all invalid values.
 func (f *File) validate() error {
 	var wrong []string
 	need := func(name, v string) {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -18,6 +18,7 @@
 instances = "10.0.0.1:7001"
 `
 
+// TestParse guards against missing defaults.
 func TestParse(t *testing.T) {
 	is := is.New(t)
 	f, err := Parse([]byte(valid))
@@ -29,6 +30,8 @@
 	is.True(*f.Times.RevokeStrict)
 }
 
+// TestParseRefuses guards against the acceptance of invalid settings, and against errors that
+// don't name all of them.
 func TestParseRefuses(t *testing.T) {
 	for _, c := range []struct {
 		name, old, new, reason string
@@ -36,9 +39,9 @@
 		{"no id", `id = "n1"`, ``, "id is missing"},
 		{"no log", `log = "10.0.0.1:7000"`, ``, "platform.log must be a host and port"},
 		{"unknown key", `region`, "colour = 1\nregion", "colour"},
-		{"no duration", `[platform]`, "[times]\ndrain = \"soon\"\n[platform]", "drain"},
+		{"malformed duration", `[platform]`, "[times]\ndrain = \"soon\"\n[platform]", "drain"},
 		{"negative", `[platform]`, "[times]\ndrain = \"-1s\"\n[platform]", "times.drain"},
-		{"half of the keys", `[platform]`, "[tls]\nkey = \"k\"\n[platform]", "tls needs"},
+		{"incomplete TLS files", `[platform]`, "[tls]\nkey = \"k\"\n[platform]", "tls needs"},
 		{"unknown strategy", `region`, "strategy = \"odd\"\nregion", "strategy"},
 		{"not TOML", `[platform]`, "[platform", "2"},
 	} {
@@ -57,8 +60,8 @@
 	})
 }
 
-// TestParseStore reads settings of an instance on a platform with a store: it
-// needs neither log nor list.
+// TestParseStore guards against the rejection of settings without a log and a list of instances
+// on a platform with a store, and against the acceptance of invalid values.
 func TestParseStore(t *testing.T) {
 	const store = `id = "n1"
 region = "r1"
@@ -78,7 +81,7 @@
 revoke_strict = false
 stop_within = "8s"
 `
-	t.Run("right", func(t *testing.T) {
+	t.Run("valid", func(t *testing.T) {
 		is := is.New(t)
 		f, err := Parse([]byte(store))
 		is.NoErr(err)
@@ -95,11 +98,11 @@
 	}{
 		{"no port", `10.0.0.1:7000`, `10.0.0.1`, "platform.store must be a host and port"},
 		{"negative share", `processor_share = 0.4`, `processor_share = -1`, "processor_share must not be below zero"},
-		{"worth that rises", `[retries]`, "[worth]\nroutes = [1, 2]\n[retries]", "worth.routes must be above zero"},
+		{"increasing worth of routes", `[retries]`, "[worth]\nroutes = [1, 2]\n[retries]", "worth.routes must be above zero"},
 		{"negative budget", `extra = 100`, `extra = -1`, "retries.extra must not be below zero"},
 		{"negative overage", `overage = 1.5`, `overage = -1.5`, "cold.overage must not be below zero"},
 		{"negative slack", `slack = 5`, `slack = -5`, "cold.slack must not be below zero"},
-		{"strictness is no text", `revoke_strict = false`, `revoke_strict = "no"`, "revoke_strict"},
+		{"strictness is a string", `revoke_strict = false`, `revoke_strict = "no"`, "revoke_strict"},
 		{"negative time", `5000ms`, `-1s`, "times.revoke must not be below zero"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
