--- a/entry/answers.go
+++ b/entry/answers.go
@@ -294,9 +294,9 @@
 
 // callerWriter sends an answer to the caller.
 type callerWriter struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	headed  bool
+	w        http.ResponseWriter
+	control  *http.ResponseController
+	headSent bool
 }
 
 // writeTimeout bounds how long a caller may take to accept a piece of its
@@ -311,7 +311,7 @@
 }
 
 func (c *callerWriter) Head(status int, contentType string) error {
-	c.headed = true
+	c.headSent = true
 	c.w.Header().Set("Content-Type", contentType)
 	c.w.WriteHeader(status)
 	return nil
@@ -330,9 +330,9 @@
 // teeWriter keeps an answer while it is sent. A caller that goes away does not
 // end it.
 type teeWriter struct {
-	caller *callerWriter
-	kept   *keptAnswer
-	gone   bool
+	caller     *callerWriter
+	kept       *keptAnswer
+	callerGone bool
 }
 
 func (t *teeWriter) Head(status int, contentType string) error {
@@ -346,11 +346,11 @@
 	if err := t.kept.Write(data); err != nil {
 		return err
 	}
-	if t.gone {
+	if t.callerGone {
 		return nil
 	}
 	if err := t.caller.Write(data); err != nil {
-		t.gone = true
+		t.callerGone = true
 	}
 	return nil
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -26,7 +26,7 @@
 		if fail != nil {
 			return fail
 		}
-		if fail = cmp.Or(e.expired(ctx, j), e.checkBan(j)); fail != nil {
+		if fail = cmp.Or(e.checkExpired(ctx, j), e.checkBan(j)); fail != nil {
 			e.release(h, owner.NotStarted, 0)
 			return fail
 		}
@@ -99,7 +99,7 @@
 		return true, p
 	}
 	e.release(h, owner.Failed, 0)
-	if fail := e.expired(ctx, j); fail != nil {
+	if fail := e.checkExpired(ctx, j); fail != nil {
 		return false, fail
 	}
 	p := &problem.Error{
--- a/entry/complete.go
+++ b/entry/complete.go
@@ -25,8 +25,8 @@
 	token(text string) error
 	// end takes the end of a whole answer.
 	end(u usage) error
-	// begun states whether the caller has received part of the answer.
-	begun() bool
+	// started states whether the caller has received part of the answer.
+	started() bool
 	// restart forgets what the caller has not received yet.
 	restart()
 }
@@ -77,7 +77,7 @@
 	j := s.job
 	// The last look at the clock before the dispatch: a process that was
 	// paused since must not start what is no longer wanted.
-	if fail := cmp.Or(e.expired(ctx, j), e.checkBan(j)); fail != nil {
+	if fail := cmp.Or(e.checkExpired(ctx, j), e.checkBan(j)); fail != nil {
 		e.disband(t, owner.NotStarted)
 		return false, fail
 	}
@@ -112,28 +112,28 @@
 		Reason:   err.Error(),
 	})
 	e.parts.Log.Info("attempt failed", "request", j.id, "attempt", lead.attempt, "endpoint", lead.endpoint,
-		"identity", j.history.Identity.String(), "cause", err.Error(), "started", r.started)
+		"identity", j.history.Identity.String(), "cause", err.Error(), "started", r.engineAnswered)
 	s.exclude = append(s.exclude, lead.endpoint)
 	var re *engine.RunError
-	if errors.As(err, &re) && re.Ran == problem.NotRun && !r.started {
+	if errors.As(err, &re) && re.Ran == problem.NotRun && !r.engineAnswered {
 		j.dispatches--
 		e.disband(r.team, owner.NotStarted)
-		if fail := e.expired(ctx, j); fail != nil {
+		if fail := e.checkExpired(ctx, j); fail != nil {
 			return false, fail
 		}
 		fail := problem.Busy(problem.CodeNoEndpoint, "the endpoint did not start the request", defaultRetryAfter)
 		fail.Ran = j.runState()
 		return true, fail
 	}
-	e.abort(r.team)
-	if fail := e.expired(ctx, j); fail != nil {
+	e.cancelAll(r.team)
+	if fail := e.checkExpired(ctx, j); fail != nil {
 		return false, fail
 	}
 	if !errors.Is(err, errCallerWrite) {
-		e.reportBroken(j, r.began, r.team.all()...)
+		e.reportBroken(j, r.startedAt, r.team.all()...)
 	}
-	fail := failureProblem(err, r.started)
-	return j.mayRetry() && !r.out.begun(), fail
+	fail := failureProblem(err, r.engineAnswered)
+	return j.mayRetry() && !r.out.started(), fail
 }
 
 // failureProblem returns the answer to a request whose attempt failed.
@@ -174,15 +174,15 @@
 	out   sink
 	check engine.Check
 
-	// began is when it was dispatched.
-	began time.Time
-	// started is true when the engine has sent something.
-	started bool
-	resumes int
-	first   time.Time
-	last    time.Time
-	tokens  int
-	usage   usage
+	// startedAt is when it was dispatched.
+	startedAt time.Time
+	// engineAnswered is true when the engine has sent something.
+	engineAnswered bool
+	resumes        int
+	first          time.Time
+	last           time.Time
+	tokens         int
+	usage          usage
 }
 
 // do dispatches the attempt and relays its answer.
@@ -193,7 +193,7 @@
 	defer w.stop()
 	client := r.entry.parts.Endpoints.Engine(r.team.lead.Address)
 	r.job.dispatches++
-	r.began = steady.Now()
+	r.startedAt = steady.Now()
 	r.entry.metrics.add("dispatches", 1)
 	stream, err := client.Run(ctx, r.attempt())
 	for {
@@ -231,7 +231,7 @@
 func (r *run) resumable(ctx context.Context, err error) bool {
 	var re *engine.RunError
 	refused := errors.As(err, &re)
-	return ctx.Err() == nil && !refused && !errors.Is(err, errCallerWrite) && r.started && r.resumes < maxResumes
+	return ctx.Err() == nil && !refused && !errors.Is(err, errCallerWrite) && r.engineAnswered && r.resumes < maxResumes
 }
 
 // relay passes an answer on until its end.
@@ -247,7 +247,7 @@
 			return err
 		}
 		w.reset()
-		r.started = true
+		r.engineAnswered = true
 		fresh, err := r.check.Accept(k)
 		if err != nil {
 			return err
@@ -270,20 +270,20 @@
 	r.tokens++
 	if r.tokens == 1 {
 		r.first = r.last
-		r.firstToken()
+		r.reportFirstToken()
 	}
 	if err := r.out.token(k.Text); err != nil {
 		return errors.Wrap(errCallerWrite, err.Error())
 	}
-	if r.out.begun() {
+	if r.out.started() {
 		// No other attempt will need it.
 		r.job.prompt = ""
 	}
 	return nil
 }
 
-// firstToken tells the owner of a long prompt that its prefill is done.
-func (r *run) firstToken() {
+// reportFirstToken tells the owner of a long prompt that its prefill is done.
+func (r *run) reportFirstToken() {
 	if r.job.class() < policy.Long {
 		return
 	}
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -19,7 +19,7 @@
 }
 
 // enterQuarantine gives a request leave to run, or refuses it.
-func (e *Entry) enterQuarantine(j *job) (leave func(), fail *problem.Error) {
+func (e *Entry) enterQuarantine(j *job) (release func(), fail *problem.Error) {
 	if e.parts.Quarantine == nil {
 		return func() {}, nil
 	}
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -61,7 +61,7 @@
 // lease finds an endpoint for one part of a request and gets a lease on it.
 func (e *Entry) lease(ctx context.Context, s *leaseSearch, w policy.Work) (*heldLease, *problem.Error) {
 	for {
-		if err := e.expired(ctx, s.job); err != nil {
+		if err := e.checkExpired(ctx, s.job); err != nil {
 			return nil, err
 		}
 		if s.leases >= maxLeases {
@@ -74,16 +74,16 @@
 		if again {
 			continue
 		}
-		if err := e.expired(ctx, s.job); err != nil {
+		if err := e.checkExpired(ctx, s.job); err != nil {
 			return nil, err
 		}
 		return nil, s.refusal()
 	}
 }
 
-// expired returns the final answer to a request whose time is over or whose
+// checkExpired returns the final answer to a request whose time is over or whose
 // caller has gone.
-func (e *Entry) expired(ctx context.Context, j *job) *problem.Error {
+func (e *Entry) checkExpired(ctx context.Context, j *job) *problem.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		p := problem.New(problem.CodeCancelled, statusClosed, "the caller has gone")
@@ -113,7 +113,7 @@
 // true when another try makes sense.
 func (e *Entry) leaseOnce(ctx context.Context, s *leaseSearch, w policy.Work) (*heldLease, bool) {
 	j := s.job
-	c := e.fleet.choose(j.group(), &w, j.hit, s.exclude, steady.Now())
+	c := e.fleet.choose(j.group(), &w, j.hitRate, s.exclude, steady.Now())
 	if c.Index < 0 {
 		return nil, s.restart(ctx)
 	}
@@ -184,7 +184,7 @@
 // logDecision writes the line of a routing decision.
 func (e *Entry) logDecision(j *job, attempt, by string, c choice) {
 	e.parts.Log.Info("route", "request", j.id, "attempt", attempt, "customer", j.customer.ID, "tier", j.tier.ID,
-		"class", className(j), "model", j.group(), "prompt_tokens", j.tokens, "endpoint", c.endpoint, "owner", by,
+		"class", className(j), "model", j.group(), "prompt_tokens", j.promptTokens, "endpoint", c.endpoint, "owner", by,
 		"estimate_ms", c.Estimate.Milliseconds(), "candidates", c.estimates, "usable", c.usable, "reason", string(c.Reason))
 	e.traces.add(j.id, Event{
 		What:       "route",
@@ -221,7 +221,7 @@
 		s.exclude = append(s.exclude, endpoint)
 		return s.pastDeadline < maxPastDeadline
 	case owner.RefusedSilent:
-		e.parts.Suspect(by)
+		e.parts.ReportFailure(by)
 	case owner.RefusedNotOwner, owner.RefusedStopping:
 		// The views of who owns what differ for a moment.
 		backOff(ctx, s.leases)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -47,8 +47,8 @@
 	Members func() *member.View
 	// Leaser returns the leaser on an instance.
 	Leaser func(i instances.Instance) (owner.Leaser, error)
-	// Suspect notes a failed exchange with an instance.
-	Suspect func(id string)
+	// ReportFailure notes a failed exchange with an instance.
+	ReportFailure func(id string)
 	// Endpoints makes the adapters to endpoints.
 	Endpoints owner.Endpoints
 	// Claimer claims keys.
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// keptRequests is how many requests can be explained.
-const keptRequests = 4096
+// maxTraces is how many requests can be explained.
+const maxTraces = 4096
 
 // Event is one step of a request's path.
 type Event struct {
@@ -57,7 +57,7 @@
 func newTraces() *traces {
 	return &traces{
 		byID:  make(map[string]*Trace),
-		order: make([]string, keptRequests),
+		order: make([]string, maxTraces),
 	}
 }
 
@@ -69,7 +69,7 @@
 		Tier:     j.tier.ID,
 		Class:    className(j),
 		Model:    j.group(),
-		Tokens:   j.tokens,
+		Tokens:   j.promptTokens,
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -65,7 +65,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	groups := make(map[string]*group)
-	places := make(map[string]position)
+	positions := make(map[string]position)
 	for i := range v.File.Endpoints {
 		e := &v.File.Endpoints[i]
 		name := e.Model
@@ -77,18 +77,18 @@
 			g = &group{}
 			groups[name] = g
 		}
-		c, heard := f.carryOver(e)
-		c.Excluded = leaving(m, e.Address)
+		c, updatedAt := f.carryOver(e)
+		c.Excluded = isLeaving(m, e.Address)
 		c.Delay = f.delay(e.FailureDomain, v.Region(e.FailureDomain))
-		places[e.ID] = position{
+		positions[e.ID] = position{
 			group: g,
 			index: len(g.candidates),
 		}
 		g.candidates = append(g.candidates, c)
-		g.updatedAt = append(g.updatedAt, heard)
+		g.updatedAt = append(g.updatedAt, updatedAt)
 	}
 	f.groups = groups
-	f.positions = places
+	f.positions = positions
 }
 
 // carryOver returns the candidate of an endpoint with what was heard of it.
@@ -99,18 +99,18 @@
 		},
 		Hash: xxhash.Sum64String(e.ID),
 	}
-	var heard time.Time
+	var updatedAt time.Time
 	if old, ok := f.positions[e.ID]; ok {
 		c = old.group.candidates[old.index]
-		heard = old.group.updatedAt[old.index]
+		updatedAt = old.group.updatedAt[old.index]
 	}
-	if heard.IsZero() {
+	if updatedAt.IsZero() {
 		c.Slots = e.MaxRunning
 	}
 	c.MaxRunning = e.MaxRunning
 	c.Rate = e.PrefillTokensPerSecond
 	c.Memory = e.MemoryBytes
-	return c, heard
+	return c, updatedAt
 }
 
 func (f *fleet) delay(domain, region string) time.Duration {
@@ -123,9 +123,9 @@
 	return otherRegionDelay
 }
 
-// leaving states whether the platform's list says that the endpoint instance
-// at an address is leaving.
-func leaving(m *member.View, address string) bool {
+// isLeaving states whether the platform's list says that the endpoint instance
+// at an address is isLeaving.
+func isLeaving(m *member.View, address string) bool {
 	i, ok := m.Endpoint(address)
 	return ok && i.State != instances.Live
 }
@@ -175,7 +175,7 @@
 
 // choose picks an endpoint for work and notes it as pending there. Those in
 // skip are left out.
-func (f *fleet) choose(name string, w *policy.Work, hit float64, skip []string, now time.Time) choice {
+func (f *fleet) choose(name string, w *policy.Work, hit float64, exclude []string, now time.Time) choice {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	g := f.groups[name]
@@ -186,11 +186,11 @@
 			},
 		}
 	}
-	barred := g.exclude(skip, now)
+	excluded := g.exclude(exclude, now)
 	d := policy.Choose(f.strategy, w, hit, g.candidates, now)
 	c := choice{
 		Decision: d,
-		usable:   len(g.candidates) - len(barred),
+		usable:   len(g.candidates) - len(excluded),
 	}
 	if d.Index >= 0 {
 		c.estimates = candidateEstimates(w, d.Index, g.candidates, now)
@@ -204,7 +204,7 @@
 		chosen.PendingLeases++
 		chosen.Update()
 	}
-	for _, i := range barred {
+	for _, i := range excluded {
 		g.candidates[i].Excluded = false
 	}
 	return c
@@ -212,8 +212,8 @@
 
 // exclude leaves out what is in skip, and marks as unknown what was not heard of
 // for long. It returns what was barred here.
-func (g *group) exclude(skip []string, now time.Time) []int {
-	var barred []int
+func (g *group) exclude(endpoints []string, now time.Time) []int {
+	var excluded []int
 	for i := range g.candidates {
 		c := &g.candidates[i]
 		if c.Known && now.Sub(g.updatedAt[i]) > maxSummaryAge {
@@ -224,12 +224,12 @@
 			}
 			c.Update()
 		}
-		if !c.Excluded && slices.Contains(skip, c.Endpoint) {
+		if !c.Excluded && slices.Contains(endpoints, c.Endpoint) {
 			c.Excluded = true
-			barred = append(barred, i)
+			excluded = append(excluded, i)
 		}
 	}
-	return barred
+	return excluded
 }
 
 // candidateEstimates returns the choice and the next candidates with their estimates.
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -14,8 +14,8 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// endpointsOf returns a fleet of n engines of which nothing was heard yet.
-func endpointsOf(n int) *fleet {
+// newTestFleet returns a fleet of n engines of which nothing was heard yet.
+func newTestFleet(n int) *fleet {
 	f := newFleet(policy.Weighed{}, "r1", "d1")
 	file := &config.File{}
 	for i := range n {
@@ -34,13 +34,13 @@
 	return f
 }
 
-// TestSpread checks that requests that come at one moment spread over the
+// TestChooseSpreadsLoad checks that requests that come at one moment spread over the
 // endpoints, whether or not anything was heard of these.
-func TestSpread(t *testing.T) {
+func TestChooseSpreadsLoad(t *testing.T) {
 	for _, known := range []bool{false, true} {
 		t.Run(fmt.Sprintf("known %v", known), func(t *testing.T) {
 			is := is.New(t)
-			f := endpointsOf(3)
+			f := newTestFleet(3)
 			now := time.Now()
 			if known {
 				var s []policy.Summary
--- a/entry/http.go
+++ b/entry/http.go
@@ -150,13 +150,13 @@
 		if fail != nil {
 			return fail
 		}
-		j.hit = e.hitRates.expect(j.customer.ID, j.class())
-		return e.admitted(w, r, j, func(ctx context.Context, out Writer) *problem.Error {
-			s := newResponseFormat(j.id, j.modelName(), chat)
+		j.hitRate = e.hitRates.expect(j.customer.ID, j.class())
+		return e.runAdmitted(w, r, j, func(ctx context.Context, out Writer) *problem.Error {
+			format := newResponseFormat(j.id, j.modelName(), chat)
 			if !stream {
-				return e.complete(ctx, j, newWholeSink(out, s))
+				return e.complete(ctx, j, newWholeSink(out, format))
 			}
-			sink := newStreamSink(out, s)
+			sink := newStreamSink(out, format)
 			fail := e.complete(ctx, j, sink)
 			return e.failAfterStart(sink, fail)
 		})
@@ -166,7 +166,7 @@
 // failAfterStart tells a caller that has part of its answer that there is no
 // more, in the stream itself.
 func (e *Entry) failAfterStart(s failer, p *problem.Error) *problem.Error {
-	if p == nil || !s.begun() {
+	if p == nil || !s.started() {
 		return p
 	}
 	e.metrics.add("cut", 1)
@@ -179,15 +179,15 @@
 	}
 }
 
-// admitted checks the customer's limits and, for a request with a key, that it
+// runAdmitted checks the customer's limits and, for a request with a key, that it
 // runs at most once. Then it runs f.
-func (e *Entry) admitted(w http.ResponseWriter, r *http.Request, j *job, f func(context.Context, Writer) *problem.Error) *problem.Error {
+func (e *Entry) runAdmitted(w http.ResponseWriter, r *http.Request, j *job, f func(context.Context, Writer) *problem.Error) *problem.Error {
 	e.traces.begin(j)
-	leave, fail := e.enterQuarantine(j)
+	release, fail := e.enterQuarantine(j)
 	if fail != nil {
 		return fail
 	}
-	defer leave()
+	defer release()
 	ctx, cancel := context.WithTimeout(r.Context(), steady.Until(j.deadline))
 	defer cancel()
 	giveBack, refusal := e.parts.Borrower.Acquire(ctx, j.customer.ID, limit.Quota{
@@ -195,27 +195,27 @@
 		Concurrency: j.customer.Concurrency,
 	})
 	if refusal != nil {
-		return limited(refusal)
+		return limitProblem(refusal)
 	}
 	defer giveBack()
 	e.budget.earn()
 	caller := newCallerWriter(w)
-	if j.claim != nil {
-		return ended(e.once(ctx, j, caller, f))
+	if j.keyClaim != nil {
+		return abortIfReported(e.once(ctx, j, caller, f))
 	}
-	return ended(f(ctx, caller))
+	return abortIfReported(f(ctx, caller))
 }
 
-// ended drops a failure that the caller has been told of in its stream. The
+// abortIfReported drops a failure that the caller has been told of in its stream. The
 // connection is broken off, so that nobody takes the answer for whole.
-func ended(p *problem.Error) *problem.Error {
+func abortIfReported(p *problem.Error) *problem.Error {
 	if p != nil && p.Status == 0 {
 		panic(http.ErrAbortHandler)
 	}
 	return p
 }
 
-func limited(r *limit.Refusal) *problem.Error {
+func limitProblem(r *limit.Refusal) *problem.Error {
 	code, detail := problem.CodeRateLimited, "the customer's rate is used up"
 	if r.Concurrency {
 		code, detail = problem.CodeConcurrency, "the customer's requests in flight are used up"
@@ -247,7 +247,7 @@
 		ContentType: r.Header.Get("Content-Type"),
 		Body:        data,
 	}
-	return e.admitted(w, r, j, func(ctx context.Context, out Writer) *problem.Error {
+	return e.runAdmitted(w, r, j, func(ctx context.Context, out Writer) *problem.Error {
 		return e.callPlain(ctx, j, c, out)
 	})
 }
--- a/entry/input.go
+++ b/entry/input.go
@@ -182,9 +182,9 @@
 
 func (j *job) setPrompt(prompt string) *problem.Error {
 	j.prompt = prompt
-	j.tokens = engine.Tokens(len(prompt))
-	if j.tokens > j.model.MaxPromptTokens {
-		return problem.Bad("prompt", "has "+strconv.Itoa(j.tokens)+" tokens, the model takes "+
+	j.promptTokens = engine.Tokens(len(prompt))
+	if j.promptTokens > j.model.MaxPromptTokens {
+		return problem.Bad("prompt", "has "+strconv.Itoa(j.promptTokens)+" tokens, the model takes "+
 			strconv.Itoa(j.model.MaxPromptTokens))
 	}
 	if blocks := engine.Blocks(j.model.ID+"/"+j.adapter, prompt, prefixBlocks); len(blocks) > 0 {
@@ -327,7 +327,7 @@
 		p.Field = HeaderKeyValid
 		return p
 	}
-	j.claim = &claim.Claim{
+	j.keyClaim = &claim.Claim{
 		Key:        claim.KeyOf(j.customer.ID, key),
 		Request:    j.id,
 		ValidUntil: valid,
--- a/entry/job.go
+++ b/entry/job.go
@@ -29,13 +29,13 @@
 	deadline time.Time
 	// once is true when the request must not be repeated.
 	once bool
-	// claim is set when the caller gave a key.
-	claim *claim.Claim
-	// hit is the part of the prompt expected to be cached.
-	hit float64
+	// keyClaim is set when the caller gave a key.
+	keyClaim *claim.Claim
+	// hitRate is the part of the prompt expected to be cached.
+	hitRate float64
 	// prefix is a hash of the prompt's beginning.
-	prefix uint64
-	tokens int
+	prefix       uint64
+	promptTokens int
 	// history has its identity, which is the same for all tries of the request, at any instance,
 	// and what its attempts showed.
 	history quarantine.RequestHistory
@@ -63,7 +63,7 @@
 		Customer: j.customer.ID,
 		Rank:     j.tier.Rank,
 		MaxWait:  time.Duration(j.tier.MaxWait),
-		Prompt:   (j.tokens + n - 1) / n,
+		Prompt:   (j.promptTokens + n - 1) / n,
 		Output:   j.output,
 		Prefix:   j.prefix,
 		Arrived:  j.arrived,
@@ -85,5 +85,5 @@
 
 // class returns the class of the whole prompt.
 func (j *job) class() policy.Class {
-	return policy.ClassOf(j.tokens)
+	return policy.ClassOf(j.promptTokens)
 }
--- a/entry/once.go
+++ b/entry/once.go
@@ -27,12 +27,12 @@
 // runs to its end also when its caller goes away, because that caller, or
 // another with the same key, will come back for the answer.
 func (e *Entry) once(ctx context.Context, j *job, caller *callerWriter, f func(context.Context, Writer) *problem.Error) *problem.Error {
-	j.claim.Instance = e.settings.Self.ID
+	j.keyClaim.Instance = e.settings.Self.ID
 	// The answer is kept from before the claim, so that whoever finds the claim
 	// finds the answer.
 	k := e.Answers.open(j.id)
 	waiting, cancel := context.WithTimeout(ctx, claimTimeout)
-	winner, err := e.parts.Claimer.Claim(waiting, *j.claim)
+	winner, err := e.parts.Claimer.Claim(waiting, *j.keyClaim)
 	cancel()
 	if err != nil {
 		k.finish(errNoAnswer)
@@ -52,7 +52,7 @@
 	case fail == nil:
 		k.finish(nil)
 	case j.dispatches == 0:
-		e.parts.Claimer.FreeLater(*j.claim)
+		e.parts.Claimer.FreeLater(*j.keyClaim)
 		k.finish(errRefusedBeforeRun)
 	default:
 		k.finish(errNoAnswer)
@@ -78,7 +78,7 @@
 	p := problem.New(problem.CodeKeyUsed, http.StatusConflict,
 		"a request with this key was accepted before, and its answer can't be had: "+err.Error())
 	p.Ran = problem.MayHaveRun
-	if caller.headed {
+	if caller.headSent {
 		p.Status = 0
 	}
 	return p
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -58,32 +58,32 @@
 
 // streamSink sends each token as a server-sent event.
 type streamSink struct {
-	out    Writer
-	shape  responseFormat
-	before []byte
-	buf    []byte
-	headed bool
+	out         Writer
+	format      responseFormat
+	framePrefix []byte
+	buf         []byte
+	headSent    bool
 }
 
 func newStreamSink(out Writer, s responseFormat) *streamSink {
 	return &streamSink{
-		out:    out,
-		shape:  s,
-		before: s.frame(),
+		out:         out,
+		format:      s,
+		framePrefix: s.frame(),
 	}
 }
 
-func (s *streamSink) begun() bool {
-	return s.headed
+func (s *streamSink) started() bool {
+	return s.headSent
 }
 
 func (s *streamSink) restart() {}
 
 func (s *streamSink) start() error {
-	if s.headed {
+	if s.headSent {
 		return nil
 	}
-	s.headed = true
+	s.headSent = true
 	return s.out.Head(http.StatusOK, "text/event-stream")
 }
 
@@ -97,9 +97,9 @@
 
 // event puts one token's event into the buffer.
 func (s *streamSink) event(text, reason string) {
-	s.buf = append(s.buf[:0], s.before...)
+	s.buf = append(s.buf[:0], s.framePrefix...)
 	s.buf = appendString(s.buf, text)
-	if s.shape.chat {
+	if s.format.chat {
 		s.buf = append(s.buf, '}')
 	}
 	s.buf = append(s.buf, `,"finish_reason":`...)
@@ -122,7 +122,7 @@
 // fail tells a caller that has part of the answer that there is no more.
 func (s *streamSink) fail(p *problem.Error) {
 	b := []byte("event: error\ndata: {\"error\":")
-	b = append(b, p.Marshal(s.shape.id)...)
+	b = append(b, p.Marshal(s.format.id)...)
 	b = append(b, "}\n\n"...)
 	// The caller may have gone; there is nobody left to tell.
 	_ = s.out.Write(b)
@@ -130,21 +130,21 @@
 
 // wholeSink sends the answer as one JSON object.
 type wholeSink struct {
-	out    Writer
-	shape  responseFormat
-	text   []byte
-	headed bool
+	out      Writer
+	format   responseFormat
+	text     []byte
+	headSent bool
 }
 
 func newWholeSink(out Writer, s responseFormat) *wholeSink {
 	return &wholeSink{
-		out:   out,
-		shape: s,
+		out:    out,
+		format: s,
 	}
 }
 
-func (s *wholeSink) begun() bool {
-	return s.headed
+func (s *wholeSink) started() bool {
+	return s.headSent
 }
 
 func (s *wholeSink) restart() {
@@ -158,15 +158,15 @@
 
 func (s *wholeSink) end(u usage) error {
 	b := []byte(`{"id":`)
-	b = appendString(b, s.shape.id)
+	b = appendString(b, s.format.id)
 	b = append(b, `,"object":"`...)
-	b = append(b, s.shape.object(false)...)
+	b = append(b, s.format.object(false)...)
 	b = append(b, `","created":`...)
-	b = strconv.AppendInt(b, s.shape.created, 10)
+	b = strconv.AppendInt(b, s.format.created, 10)
 	b = append(b, `,"model":`...)
-	b = appendString(b, s.shape.model)
+	b = appendString(b, s.format.model)
 	b = append(b, `,"choices":[{"index":0,`...)
-	if s.shape.chat {
+	if s.format.chat {
 		b = append(b, `"message":{"role":"assistant","content":`...)
 		b = appendString(b, string(s.text))
 		b = append(b, '}')
@@ -179,7 +179,7 @@
 	b = append(b, `}],"usage":`...)
 	b = appendUsage(b, u)
 	b = append(b, "}\n"...)
-	s.headed = true
+	s.headSent = true
 	if err := s.out.Head(http.StatusOK, "application/json"); err != nil {
 		return err
 	}
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -17,24 +17,24 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// leaser is an owner that grants everything. It notes what became of its leases.
-type leaser struct {
+// recordingLeaser is an owner that grants everything. It notes what became of its leases.
+type recordingLeaser struct {
 	outcomes []owner.Outcome
 }
 
 // Acquire implements owner.Leaser.
-func (l *leaser) Acquire(context.Context, owner.Request, func(time.Duration)) (owner.Grant, error) {
+func (l *recordingLeaser) Acquire(context.Context, owner.Request, func(time.Duration)) (owner.Grant, error) {
 	return owner.Grant{}, nil
 }
 
 // Release implements owner.Leaser.
-func (l *leaser) Release(_ context.Context, r owner.Release) error {
+func (l *recordingLeaser) Release(_ context.Context, r owner.Release) error {
 	l.outcomes = append(l.outcomes, r.Outcome)
 	return nil
 }
 
-// engineTeam returns a job with a lease on an engine that nothing was sent to yet.
-func engineTeam(l *leaser) (*leaseSearch, *team) {
+// newTestTeam returns a job with a lease on an engine that nothing was sent to yet.
+func newTestTeam(l *recordingLeaser) (*leaseSearch, *team) {
 	return &leaseSearch{
 			job: &job{
 				deadline: steady.Now().Add(time.Hour),
@@ -49,17 +49,17 @@
 		}
 }
 
-// TestLeaseOverSuspension suspends the machine between the grant of a lease and its use. The lease
+// TestLeaseExpiresDuringSuspension suspends the machine between the grant of a lease and its use. The lease
 // lapsed meanwhile and may be another attempt's: it is given back unused, and another is asked for.
-func TestLeaseOverSuspension(t *testing.T) {
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := &leaser{}
+		l := &recordingLeaser{}
 		e := New(Settings{}, Parts{
 			Log: logr.Discard(),
 		})
-		s, granted := engineTeam(l)
+		s, granted := newTestTeam(l)
 		m.Suspend(3 * time.Second)
 		again, fail := e.attempt(t.Context(), s, granted, nil)
 		synctest.Wait()
@@ -89,18 +89,18 @@
 			e := New(Settings{}, Parts{
 				Log: logr.Discard(),
 			})
-			e.fleet = endpointsOf(1)
-			hear := func() {
+			e.fleet = newTestFleet(1)
+			sendSummary := func() {
 				e.UpdateSummaries([]policy.Summary{{
 					Endpoint: "e1",
 					Slots:    64,
 					Free:     1 << 30,
 				}})
 			}
-			hear()
+			sendSummary()
 			m.Suspend(row.suspended)
 			if row.heard {
-				hear()
+				sendSummary()
 			}
 			e.fleet.choose("m1", &policy.Work{
 				Prompt:   100,
--- a/entry/team.go
+++ b/entry/team.go
@@ -102,7 +102,7 @@
 		if t != nil {
 			return t, nil
 		}
-		if gone := e.expired(ctx, s.job); gone != nil {
+		if gone := e.checkExpired(ctx, s.job); gone != nil {
 			return nil, gone
 		}
 		if s.pastDeadline > 0 {
@@ -238,8 +238,8 @@
 	}
 }
 
-// abort ends an attempt that may run.
-func (e *Entry) abort(t *team) {
+// cancelAll ends an attempt that may run.
+func (e *Entry) cancelAll(t *team) {
 	for _, h := range t.all() {
 		e.cancel(h, owner.Failed)
 	}
--- a/fleet/vnode_test.go
+++ b/fleet/vnode_test.go
@@ -290,7 +290,7 @@
 		Configuration: n.rollout.View,
 		Members:       n.member.View,
 		Leaser:        n.leaser,
-		Suspect:       n.member.ReportFailure,
+		ReportFailure: n.member.ReportFailure,
 		Endpoints:     n,
 		Claimer:       n.claimer,
 		Borrower:      n.borrow,
--- a/node/node.go
+++ b/node/node.go
@@ -218,7 +218,7 @@
 		Configuration: n.rollout.View,
 		Members:       n.member.View,
 		Leaser:        n.peers.leaser,
-		Suspect:       n.member.ReportFailure,
+		ReportFailure: n.member.ReportFailure,
 		Endpoints:     adapters,
 		Claimer:       n.claimer,
 		Borrower:      n.borrower,
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -36,12 +36,12 @@
 	// history has its identity, which is the same for all tries of the request, at any instance,
 	// and what its attempts showed.
 	history quarantine.RequestHistory
-	// once states that it may run at one endpoint only, whatever its route says.
-	once bool
+	// singleEndpoint states that it may run at one endpoint only, whatever its route says.
+	singleEndpoint bool
 	// sends counts the endpoints that the request was sent to.
 	sends int
-	// ran states that one of them may have run it.
-	ran bool
+	// mayHaveRun states that one of them may have run it.
+	mayHaveRun bool
 	// exclude are the endpoints that failed the request.
 	exclude []string
 	// out is the caller's side of the answer.
@@ -54,27 +54,27 @@
 
 // admit checks a request against the configuration in force and reads it.
 func (l *Relay) admit(h RequestHead, r *http.Request, arrived time.Time) (*job, *refusal) {
-	common, returns := l.timeouts.observe(h.Wait)
-	known := l.awaitConfiguration(r.Context(), h.Wait, common)
-	if known == nil {
+	firstTry, returning := l.timeouts.observe(h.Wait)
+	snapshot := l.awaitConfiguration(r.Context(), h.Wait, firstTry)
+	if snapshot == nil {
 		return nil, unavailable("no configuration yet", l.retryAfterOutage(h.Wait))
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
-	rt := known.Table.Match(r.Host, path)
+	rt := snapshot.Table.Match(r.Host, path)
 	if rt == nil {
-		return l.refuseUnknown("no route", http.StatusNotFound, h, known.Table)
+		return l.refuseUnknown("no route", http.StatusNotFound, h, snapshot.Table)
 	}
-	j := newJob(h, r, rt, known.Table, arrived)
-	if returns {
+	j := newJob(h, r, rt, snapshot.Table, arrived)
+	if returning {
 		j.spent = timeSpent(h.Wait, rt)
 	}
 	if j.requiresKey {
 		if late := l.tooOldForKeys(h.Wait); late != nil {
 			return nil, late
 		}
-		c, ok := known.Table.Customer(h.Key)
+		c, ok := snapshot.Table.Customer(h.Key)
 		if !ok {
-			return l.refuseUnknown("unknown key", http.StatusUnauthorized, h, known.Table)
+			return l.refuseUnknown("unknown key", http.StatusUnauthorized, h, snapshot.Table)
 		}
 		j.customer, j.rank = c.ID, c.Rank
 	}
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -16,10 +16,10 @@
 type answer struct {
 	w     http.ResponseWriter
 	flush *http.ResponseController
-	// begun states that the head was sent.
-	begun bool
-	// events is what the caller has of a stream.
-	events streamProgress
+	// headSent states that the head was sent.
+	headSent bool
+	// progress is what the caller has of a stream.
+	progress streamProgress
 	// err is why the caller takes no more; nil while it does.
 	err error
 }
@@ -29,15 +29,15 @@
 	return &answer{
 		w:     w,
 		flush: http.NewResponseController(w),
-		events: streamProgress{
+		progress: streamProgress{
 			last: j.head.LastEvent,
 		},
 	}
 }
 
-// head sends the head of an endpoint's answer. A negative length means that the
+// sendHead sends the sendHead of an endpoint's answer. A negative length means that the
 // body's end is told by the transfer.
-func (a *answer) head(res *http.Response, length int64) {
+func (a *answer) sendHead(res *http.Response, length int64) {
 	h := a.w.Header()
 	for name, values := range forwardedHeader(res.Header) {
 		h[name] = values
@@ -52,7 +52,7 @@
 		}
 	}
 	a.w.WriteHeader(res.StatusCode)
-	a.begun = true
+	a.headSent = true
 }
 
 // write sends a piece of the body, unless the caller takes no more.
@@ -69,25 +69,25 @@
 	if res.StatusCode == http.StatusNoContent || res.StatusCode == http.StatusNotModified {
 		length = -1
 	}
-	a.head(res, length)
+	a.sendHead(res, length)
 	a.write(data)
 }
 
 // stream sends events, the first time with the head.
 func (a *answer) stream(res *http.Response, data []byte) {
-	if !a.begun {
-		a.head(res, -1)
+	if !a.headSent {
+		a.sendHead(res, -1)
 	}
 	if len(data) > 0 {
 		a.write(data)
-		a.events.observe(data)
+		a.progress.observe(data)
 	}
 	if a.err == nil {
 		a.err = a.flush.Flush()
 	}
 }
 
-// gone states that the caller takes no more.
-func (a *answer) gone() bool {
+// callerGone states that the caller takes no more.
+func (a *answer) callerGone() bool {
 	return a.err != nil
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -40,8 +40,8 @@
 	outcome pool.Outcome
 	// culprit is the endpoint at fault, if it is not that of the grant.
 	culprit string
-	// final states that the caller has a whole answer.
-	final bool
+	// answered states that the caller has a whole answer.
+	answered bool
 	// brokenOff states that the endpoint brokenOff its answer off.
 	brokenOff bool
 	// unsent states that nothing was sent, as the endpoint had become one that gets nothing new.
@@ -99,9 +99,9 @@
 		Instance:  t.grant.Instance,
 		Customer:  j.customer,
 		Wait:      j.left(),
-		LastEvent: j.out.events.last,
+		LastEvent: j.out.progress.last,
 		Rank:      j.rank,
-		Readers:   t.grant.Shares,
+		Shares:    t.grant.Shares,
 	}
 	t.relay.parts.Wire.Outgoing(h, call)
 	fresh := maxIdleOnce
@@ -153,15 +153,15 @@
 // handleNoAnswer judges an attempt without the head of an answer.
 func (t *attempt) handleNoAnswer(err error, w *watch) result {
 	var e *upstream.Error
-	var barred *excludedError
-	if errors.As(err, &barred) {
+	var excluded *excludedError
+	if errors.As(err, &excluded) {
 		t.job.sends--
 		t.relay.Metrics.add("places_declined")
 		return result{
 			outcome: pool.Abandoned,
 			unsent:  true,
-			culprit: barred.endpoint,
-			reason:  barred.Error(),
+			culprit: excluded.endpoint,
+			reason:  excluded.Error(),
 		}
 	}
 	if errors.As(err, &e) && !e.Sent {
@@ -171,7 +171,7 @@
 			reason:  "endpoint can't be reached: " + e.Err.Error(),
 		}
 	}
-	t.job.ran = true
+	t.job.mayHaveRun = true
 	return t.handleBroken(err, w)
 }
 
@@ -191,7 +191,7 @@
 	case t.job.left() <= 0:
 		res.reason = "out of time"
 		res.outcome = pool.Abandoned
-	case t.job.out.gone():
+	case t.job.out.callerGone():
 		res.outcome = pool.Abandoned
 		res.reason = "caller gone"
 	default:
@@ -208,7 +208,7 @@
 	if head.NotRun {
 		return t.handleRejection(x, head)
 	}
-	j.ran = true
+	j.mayHaveRun = true
 	success := res.StatusCode >= http.StatusOK && res.StatusCode < http.StatusMultipleChoices
 	if success && j.route.Kind == route.Streaming {
 		return t.relayStream(x, w)
--- a/relay/configuration.go
+++ b/relay/configuration.go
@@ -30,14 +30,14 @@
 // too long for a caller that waits for the given time, or ctx ends, it returns what
 // there is, which may be nil. A wait of zero means that the caller does not say. Common
 // states that others have named the same time, so that this is its first try.
-func (l *Relay) awaitConfiguration(ctx context.Context, wait time.Duration, common bool) *catalog.Snapshot {
+func (l *Relay) awaitConfiguration(ctx context.Context, wait time.Duration, firstTry bool) *catalog.Snapshot {
 	if known, ok := l.usableSnapshot(); ok {
 		return known
 	}
-	held := l.configWaiters.Add(1)
+	waiters := l.configWaiters.Add(1)
 	defer l.configWaiters.Add(-1)
 	until := steady.Now()
-	if !common && held <= maxConfigWaiters {
+	if !firstTry && waiters <= maxConfigWaiters {
 		until = until.Add(time.Duration(configWaitShare * float64(wait)))
 	}
 	for {
@@ -78,8 +78,8 @@
 	if l.settings.MaxAge == 0 {
 		return nil
 	}
-	age, known := l.parts.Age()
-	if known && age < l.settings.MaxAge {
+	age, ok := l.parts.Age()
+	if ok && age < l.settings.MaxAge {
 		return nil
 	}
 	return unavailable("configuration is too old", l.retryAfterOutage(wait))
@@ -102,14 +102,14 @@
 // return at once. All of it lies within what the caller heeds; else all that are told
 // more return at the same moment, which doubled the load for seconds after an outage.
 func (l *Relay) retryAfterOutage(wait time.Duration) time.Duration {
-	lasts, known := l.parts.Age()
+	delay, known := l.parts.Age()
 	if !known {
-		lasts = steady.Since(l.startedAt)
+		delay = steady.Since(l.startedAt)
 	}
-	lasts = max(lasts, minOutage)
+	delay = max(delay, minOutage)
 	if wait > 0 {
-		heeded := time.Duration(heededRetryShare * float64(wait))
-		lasts = min(lasts, heeded/2)
+		maxDelay := time.Duration(heededRetryShare * float64(wait))
+		delay = min(delay, maxDelay/2)
 	}
-	return lasts + rand.N(max(lasts, 1))
+	return delay + rand.N(max(delay, 1))
 }
--- a/relay/configuration_test.go
+++ b/relay/configuration_test.go
@@ -14,8 +14,8 @@
 	"github.com/linkmast/linkmast/catalog"
 )
 
-// TestAwaitKnown looks how long a request waits for the first configuration and its age.
-func TestAwaitKnown(t *testing.T) {
+// TestAwaitConfiguration looks how long a request waits for the first configuration and its age.
+func TestAwaitConfiguration(t *testing.T) {
 	const never = time.Hour
 	for _, row := range []struct {
 		name string
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestAwaitKnownBounded lets more requests come than may wait: the others are answered
+// TestConfigWaitersBounded lets more requests come than may wait: the others are answered
 // at once.
-func TestAwaitKnownBounded(t *testing.T) {
+func TestConfigWaitersBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := New(Settings{}, Parts{
@@ -89,8 +89,8 @@
 	})
 }
 
-// TestAfterOutage looks when callers are told to come back.
-func TestAfterOutage(t *testing.T) {
+// TestRetryAfterOutage looks when callers are told to come back.
+func TestRetryAfterOutage(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		// age is that of the configuration, if known; up is how long the instance
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -16,7 +16,7 @@
 
 // enterQuarantine gives a request leave to run, or refuses it. It has not run under its present name,
 // and says so.
-func (l *Relay) enterQuarantine(j *job) (leave func(), ref *refusal) {
+func (l *Relay) enterQuarantine(j *job) (release func(), ref *refusal) {
 	if l.parts.Quarantine == nil {
 		return func() {}, nil
 	}
@@ -25,7 +25,7 @@
 		l.Metrics.add("refused_quarantine")
 		return nil, unavailable(quarantine.BannedDetail, after)
 	}
-	j.once = p.SingleEndpoint
+	j.singleEndpoint = p.SingleEndpoint
 	return p.Release, nil
 }
 
@@ -49,7 +49,7 @@
 	if l.parts.Quarantine == nil {
 		return
 	}
-	if res.final && res.outcome == pool.Served {
+	if res.answered && res.outcome == pool.Served {
 		l.parts.Quarantine.ReportAnswered(t.job.history.Identity)
 		return
 	}
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -22,8 +22,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// ledger notes what is reported of requests, and answers as it is told to.
-type ledger struct {
+// fakeGuard notes what is reported of requests, and answers as it is told to.
+type fakeGuard struct {
 	suspected bool
 	barred    bool
 
@@ -33,7 +33,7 @@
 }
 
 // Admit implements quarantine.Guard.
-func (l *ledger) Admit(quarantine.Identity) (quarantine.Admission, time.Duration, bool) {
+func (l *fakeGuard) Admit(quarantine.Identity) (quarantine.Admission, time.Duration, bool) {
 	return quarantine.Admission{
 		SingleEndpoint: l.suspected,
 		Release:        func() {},
@@ -41,30 +41,30 @@
 }
 
 // BanRemaining implements quarantine.Guard.
-func (l *ledger) BanRemaining(quarantine.Identity) (time.Duration, bool) {
+func (l *fakeGuard) BanRemaining(quarantine.Identity) (time.Duration, bool) {
 	return time.Minute, l.barred
 }
 
 // Suspected implements quarantine.Guard.
-func (l *ledger) Suspected(quarantine.Identity) bool { return l.suspected }
+func (l *fakeGuard) Suspected(quarantine.Identity) bool { return l.suspected }
 
 // ReportCrash implements quarantine.Guard.
-func (l *ledger) ReportCrash(c quarantine.Crash) {
+func (l *fakeGuard) ReportCrash(c quarantine.Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashes = append(l.crashes, c)
 }
 
 // ReportAnswered implements quarantine.Guard.
-func (l *ledger) ReportAnswered(quarantine.Identity) {
+func (l *fakeGuard) ReportAnswered(quarantine.Identity) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.served++
 }
 
-// judged returns a relay that goes by a ledger, and to which only the endpoints that are given
+// newCrashTest returns a relay that goes by a ledger, and to which only the endpoints that are given
 // are there, with an attempt at e1 that e2 reads for.
-func judged(l *ledger, there ...string) (*Relay, *attempt) {
+func newCrashTest(l *fakeGuard, there ...string) (*Relay, *attempt) {
 	r := New(Settings{}, Parts{
 		Quarantine: l,
 		Check: func(_ context.Context, address string) error {
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestJudge ends attempts in all ways, with endpoints that have ended or not.
-func TestJudge(t *testing.T) {
+// TestReportOutcome ends attempts in all ways, with endpoints that have ended or not.
+func TestReportOutcome(t *testing.T) {
 	all := []string{"e1", "e2"}
 	cut := result{
 		outcome:        pool.Failed,
@@ -131,17 +131,17 @@
 		{"who should read for it was gone before", blamed, []string{"e1"}, 10 * time.Millisecond, "", 0},
 		{"failed by its endpoint", result{outcome: pool.Failed, status: http.StatusInternalServerError}, nil, time.Second, "", 0},
 		{"its caller left", result{outcome: pool.Abandoned}, nil, time.Second, "", 0},
-		{"answered", result{outcome: pool.Served, final: true}, nil, time.Second, "", 1},
-		{"its endpoint's failure passed on", result{outcome: pool.Failed, final: true}, nil, time.Second, "", 0},
+		{"answered", result{outcome: pool.Served, answered: true}, nil, time.Second, "", 1},
+		{"its endpoint's failure passed on", result{outcome: pool.Failed, answered: true}, nil, time.Second, "", 0},
 	} {
 		for _, suspected := range []bool{false, true} {
 			t.Run(row.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					l := &ledger{
+					l := &fakeGuard{
 						suspected: suspected,
 					}
-					r, attempt := judged(l, row.there...)
+					r, attempt := newCrashTest(l, row.there...)
 					time.Sleep(row.took)
 					r.reportOutcome(attempt, row.res)
 					if suspected {
@@ -164,15 +164,15 @@
 	}
 }
 
-// TestBefore has a try make attempts of which some break off: each such one names the one before
+// TestPreviousAttempt has a try make attempts of which some break off: each such one names the one before
 // it, past those that were turned away.
-func TestBefore(t *testing.T) {
+func TestPreviousAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := &ledger{
+		l := &fakeGuard{
 			suspected: true,
 		}
-		r, attempt := judged(l)
+		r, attempt := newCrashTest(l)
 		cut := result{
 			outcome:        pool.Failed,
 			connectionLost: true,
@@ -192,8 +192,8 @@
 	})
 }
 
-// TestSettle lets a suspected request wait before its next attempt, and no other.
-func TestSettle(t *testing.T) {
+// TestWaitSettled lets a suspected request wait before its next attempt, and no other.
+func TestWaitSettled(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		suspected bool
@@ -204,7 +204,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r, attempt := judged(&ledger{
+				r, attempt := newCrashTest(&fakeGuard{
 					suspected: row.suspected,
 				})
 				r.reportOutcome(attempt, result{
@@ -220,9 +220,9 @@
 	}
 }
 
-// TestBannedMeanwhile looks what a request is told that was banned on its way: that it has not
+// TestBanDuringRequest looks what a request is told that was banned on its way: that it has not
 // run and when to come back, or only that it failed.
-func TestBannedMeanwhile(t *testing.T) {
+func TestBanDuringRequest(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		ran    bool
@@ -233,10 +233,10 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			r, attempt := judged(&ledger{
+			r, attempt := newCrashTest(&fakeGuard{
 				barred: true,
 			})
-			attempt.job.ran = row.ran
+			attempt.job.mayHaveRun = row.ran
 			attempt.job.deadline = steady.Now().Add(time.Minute)
 			ref := r.checkBan(attempt.job)
 			is.Equal(ref.status, row.status)
@@ -245,11 +245,11 @@
 	}
 }
 
-// TestOnce sends a request to one endpoint only whose ban is over, although its route allows
+// TestSingleEndpointAfterBan sends a request to one endpoint only whose ban is over, although its route allows
 // two.
-func TestOnce(t *testing.T) {
+func TestSingleEndpointAfterBan(t *testing.T) {
 	is := is.New(t)
-	r, attempt := judged(&ledger{
+	r, attempt := newCrashTest(&fakeGuard{
 		suspected: true,
 	})
 	j := attempt.job
@@ -258,7 +258,7 @@
 	is.True(ref == nil)
 	defer leave()
 	j.out = newAnswer(nil, j)
-	j.ran, j.sends = true, 1
+	j.mayHaveRun, j.sends = true, 1
 	j.deadline = steady.Now().Add(time.Minute)
 	again, _ := r.retryOrGiveUp(t.Context(), j, attempt, result{
 		outcome:        pool.Failed,
--- a/relay/excluded.go
+++ b/relay/excluded.go
@@ -37,13 +37,13 @@
 
 // checkExcluded returns an endpoint if it must get nothing new. Born is when its start began; zero
 // when it does not say.
-func (l *Relay) checkExcluded(instance string, born time.Time) *excludedError {
+func (l *Relay) checkExcluded(instance string, startedAt time.Time) *excludedError {
 	reason := ""
 	switch {
 	case l.parts.Snapshot().Unavailable(instance):
 		reason = "it is leaving or its failure domain is emptied"
 	case l.parts.Notices != nil:
-		reason = l.parts.Notices.ExclusionReason(instance, born)
+		reason = l.parts.Notices.ExclusionReason(instance, startedAt)
 	}
 	if reason == "" {
 		return nil
--- a/relay/excluded_test.go
+++ b/relay/excluded_test.go
@@ -16,23 +16,23 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// declining is a notice.Guard that declines some endpoints.
-type declining map[string]string
+// excludingGuard is a notice.Guard that declines some endpoints.
+type excludingGuard map[string]string
 
-func (declining) RecordAnswer(notice.Answer, notice.Statements) {}
+func (excludingGuard) RecordAnswer(notice.Answer, notice.Statements) {}
 
-func (d declining) ExclusionReason(instance string, _ time.Time) string { return d[instance] }
+func (d excludingGuard) ExclusionReason(instance string, _ time.Time) string { return d[instance] }
 
-// newDeclining returns a relay that knows which endpoints decline requests.
-func newDeclining(d declining) *Relay {
+// newExcludingRelay returns a relay that knows which endpoints decline requests.
+func newExcludingRelay(d excludingGuard) *Relay {
 	return New(Settings{}, Parts{
 		Snapshot: func() *catalog.Snapshot { return &catalog.Snapshot{} },
 		Notices:  d,
 	})
 }
 
-func TestBarred(t *testing.T) {
-	l := newDeclining(declining{"e1": "it leaves"})
+func TestFindExcluded(t *testing.T) {
+	l := newExcludingRelay(excludingGuard{"e1": "it leaves"})
 	for _, c := range []struct {
 		name  string
 		grant pool.Grant
@@ -52,11 +52,11 @@
 	}
 }
 
-// TestBarredBeforeSending has an endpoint decline requests once a request has a place there: it
+// TestExcludedBeforeSending has an endpoint decline requests once a request has a place there: it
 // goes to another one, and counts for neither attempts nor failures.
-func TestBarredBeforeSending(t *testing.T) {
+func TestExcludedBeforeSending(t *testing.T) {
 	is := is.New(t)
-	l := newDeclining(declining{"e1": "it leaves"})
+	l := newExcludingRelay(excludingGuard{"e1": "it leaves"})
 	j := &job{
 		route:    &route.Route{Kind: route.Unsafe, MaxAttempts: 1},
 		deadline: time.Now().Add(time.Second),
@@ -72,25 +72,27 @@
 	res := x.handleNoAnswer(&upstream.Error{Err: l.findExcluded(&x.grant)}, nil)
 	is.Equal(res.outcome, pool.Abandoned)
 	is.Equal(j.sends, 0)
-	is.True(!j.ran)
+	is.True(!j.mayHaveRun)
 	again, _ := l.retryOrGiveUp(t.Context(), j, x, res)
 	is.True(again)
 	is.Equal(j.exclude, []string{"e1"})
 }
 
-// hearing is a notice.Guard that keeps the answers that it heard.
-type hearing struct {
-	declining
-	heard []notice.Answer
+// recordingNotices is a notice.Guard that keeps the answers that it heard.
+type recordingNotices struct {
+	excludingGuard
+	answers []notice.Answer
 }
 
-func (h *hearing) RecordAnswer(a notice.Answer, _ notice.Statements) { h.heard = append(h.heard, a) }
+func (h *recordingNotices) RecordAnswer(a notice.Answer, _ notice.Statements) {
+	h.answers = append(h.answers, a)
+}
 
-// TestHearAnswers looks which answers on a connection are heard: not that of another endpoint, and
+// TestReportNotice looks which answers on a connection are heard: not that of another endpoint, and
 // without a time of sending that of an earlier request.
-func TestHearAnswers(t *testing.T) {
+func TestReportNotice(t *testing.T) {
 	is := is.New(t)
-	h := &hearing{}
+	h := &recordingNotices{}
 	x := &attempt{
 		relay:     New(Settings{}, Parts{Notices: h}),
 		job:       &job{head: RequestHead{ID: "r"}},
@@ -98,10 +100,10 @@
 		startedAt: time.Now(),
 	}
 	x.reportNotice(http.StatusMisdirectedRequest, AnswerHead{}, true)
-	is.Equal(len(h.heard), 0)
+	is.Equal(len(h.answers), 0)
 	x.reportNotice(http.StatusOK, AnswerHead{}, false)
 	x.reportNotice(http.StatusServiceUnavailable, AnswerHead{}, true)
-	is.Equal(len(h.heard), 2)
-	is.True(h.heard[0].SentAt.IsZero())
-	is.Equal(h.heard[1].SentAt, x.startedAt)
+	is.Equal(len(h.answers), 2)
+	is.True(h.answers[0].SentAt.IsZero())
+	is.Equal(h.answers[1].SentAt, x.startedAt)
 }
--- a/relay/header_test.go
+++ b/relay/header_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestPassed looks that what concerns a single connection is not passed on.
-func TestPassed(t *testing.T) {
+// TestForwardedHeader looks that what concerns a single connection is not passed on.
+func TestForwardedHeader(t *testing.T) {
 	is := is.New(t)
 	h := http.Header{}
 	h.Set("Connection", "close, X-Hop")
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -49,7 +49,7 @@
 // giveUp is the final answer to a request that has no endpoint's answer.
 func (j *job) giveUp(reason string, after time.Duration) *refusal {
 	switch {
-	case !j.ran:
+	case !j.mayHaveRun:
 		return unavailable(reason, after)
 	case j.left() <= 0:
 		return &refusal{
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -117,12 +117,12 @@
 		l.refuse(w, head, refusal)
 		return
 	}
-	leave, refusal := l.enterQuarantine(j)
+	release, refusal := l.enterQuarantine(j)
 	if refusal != nil {
 		l.refuse(w, head, refusal)
 		return
 	}
-	defer leave()
+	defer release()
 	ctx, cancel := context.WithTimeout(r.Context(), j.left())
 	defer cancel()
 	l.serve(ctx, j, w)
--- a/relay/reserve_test.go
+++ b/relay/reserve_test.go
@@ -13,32 +13,32 @@
 	"github.com/matryer/is"
 )
 
-// deafMemory is engines that don't answer.
-type deafMemory struct {
-	asked atomic.Int64
+// unresponsiveMemory is engines that don't answer.
+type unresponsiveMemory struct {
+	calls atomic.Int64
 }
 
 // Reserve implements Memory.
-func (m *deafMemory) Reserve(ctx context.Context, _, _ string, _ int, _ time.Duration) error {
-	m.asked.Add(1)
+func (m *unresponsiveMemory) Reserve(ctx context.Context, _, _ string, _ int, _ time.Duration) error {
+	m.calls.Add(1)
 	<-ctx.Done()
 	return ctx.Err()
 }
 
 // Free implements Memory.
-func (m *deafMemory) Free(ctx context.Context, _, _ string) error {
-	m.asked.Add(1)
+func (m *unresponsiveMemory) Free(ctx context.Context, _, _ string) error {
+	m.calls.Add(1)
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// TestReleaseAtOnce looks that all engines are told at once that their memory is free,
+// TestFreeAllInParallel looks that all engines are told at once that their memory is free,
 // though none of them answers.
-func TestReleaseAtOnce(t *testing.T) {
+func TestFreeAllInParallel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const engines = 16
-		m := &deafMemory{}
+		m := &unresponsiveMemory{}
 		h := &reservations{
 			memory: m,
 		}
@@ -49,7 +49,7 @@
 		}
 		began := time.Now()
 		h.freeAll()
-		is.Equal(m.asked.Load(), int64(engines))
+		is.Equal(m.calls.Load(), int64(engines))
 		is.Equal(time.Since(began), reserveTimeout)
 	})
 }
--- a/relay/resume.go
+++ b/relay/resume.go
@@ -13,7 +13,7 @@
 // instance does not say when it was cut; the owner of the pool may know.
 func (j *job) resumes() (bool, time.Duration) {
 	gap := j.route.GapTarget
-	e := &j.out.events
+	e := &j.out.progress
 	if gap == 0 || e.last == "" {
 		return false, 0
 	}
--- a/relay/resume_test.go
+++ b/relay/resume_test.go
@@ -40,14 +40,14 @@
 					},
 					arrived: time.Now(),
 					out: &answer{
-						events: streamProgress{
+						progress: streamProgress{
 							last: row.had,
 						},
 					},
 				}
 				time.Sleep(100 * time.Millisecond)
 				if row.got {
-					j.out.events.observe([]byte("id: 13\n\n"))
+					j.out.progress.observe([]byte("id: 13\n\n"))
 				}
 				time.Sleep(100 * time.Millisecond)
 				resumes, due := j.resumes()
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestWatchSaysWhenDue looks that a silent stream which has begun is asked a place for by
+// TestReplacementDueIn looks that a silent stream which has begun is asked a place for by
 // its next event, and one that has not by its first.
-func TestWatchSaysWhenDue(t *testing.T) {
+func TestReplacementDueIn(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		begun bool
@@ -72,18 +72,18 @@
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				k := &keeper{
+				k := &refusingPlacer{
 					err: errors.New("none"),
 				}
-				w := watched(t, k)
+				w := newTestWatch(t, k)
 				if row.begun {
 					w.recordActivity()
 				}
 				time.Sleep(5 * time.Second)
 				w.end()
-				is.True(len(k.asks) > 0)
-				is.Equal(k.asks[0].Resumed, row.begun)
-				is.Equal(k.asks[0].DueIn, row.due)
+				is.True(len(k.requests) > 0)
+				is.Equal(k.requests[0].Resumed, row.begun)
+				is.Equal(k.requests[0].DueIn, row.due)
 			})
 		})
 	}
--- a/relay/serve.go
+++ b/relay/serve.go
@@ -37,13 +37,13 @@
 	case errors.Is(ctx.Err(), context.Canceled):
 		l.Metrics.add("caller_gone")
 		l.parts.Log.Info("caller gone", "request", j.head.ID, "route", j.route.Name, "ms", took.Milliseconds(),
-			"sends", j.sends, "begun", j.out.begun)
+			"sends", j.sends, "begun", j.out.headSent)
 		panic(http.ErrAbortHandler)
-	case j.out.begun:
+	case j.out.headSent:
 		// The answer must not look whole.
 		l.Metrics.add("cut_off")
 		l.parts.Log.Info("answer cut off", "request", j.head.ID, "route", j.route.Name, "reason", final.reason,
-			"ms", took.Milliseconds(), "sends", j.sends, "events", j.out.events.count)
+			"ms", took.Milliseconds(), "sends", j.sends, "events", j.out.progress.count)
 		panic(http.ErrAbortHandler)
 	case j.failure != nil:
 		l.Metrics.add("failed_by_endpoint")
@@ -78,7 +78,7 @@
 		j.exclude = append(j.exclude, b.endpoint)
 		return true, nil
 	}
-	if j.requiresKey && !j.ran {
+	if j.requiresKey && !j.mayHaveRun {
 		if late := l.tooOldForKeys(j.left()); late != nil {
 			l.releasePlacement(p)
 			return false, late
@@ -123,7 +123,7 @@
 // handleResult decides what follows an attempt. A place that was found for another one
 // is used or given back.
 func (l *Relay) handleResult(ctx context.Context, j *job, t *attempt, res result) (again bool, final *refusal) {
-	if !res.final {
+	if !res.answered {
 		again, final = l.retryOrGiveUp(ctx, j, t, res)
 	}
 	switch {
@@ -180,11 +180,11 @@
 	switch {
 	case ctx.Err() != nil:
 		return false, j.giveUp("out of time", 0)
-	case j.ran && (j.once || !j.route.Idempotent()):
+	case j.mayHaveRun && (j.singleEndpoint || !j.route.Idempotent()):
 		return false, j.giveUp(res.reason, 0)
 	case res.unsent, res.outcome == pool.Unreachable && len(j.exclude) <= maxUnreachable:
 		return true, nil
-	case j.out.begun && res.brokenOff && len(j.exclude) <= maxResumes:
+	case j.out.headSent && res.brokenOff && len(j.exclude) <= maxResumes:
 		// The endpoint broke its run off; it no longer counts.
 		return true, nil
 	case j.attemptsLeft() > 0:
@@ -210,7 +210,7 @@
 		"endpoint", t.grant.Instance, "by", t.grant.DecidedBy, "readers", len(t.grant.Shares),
 		"waited_ms", t.grant.Waited.Milliseconds(), "first_predicted_ms", t.grant.FirstEventIn.Milliseconds(),
 		"first_ms", t.firstAfter.Milliseconds(), "ms", steady.Since(t.startedAt).Milliseconds(),
-		"outcome", res.outcome.String(), "reason", res.reason, "status", res.status, "events", j.out.events.count,
+		"outcome", res.outcome.String(), "reason", res.reason, "status", res.status, "events", j.out.progress.count,
 		"longest_gap_ms", t.longestGap.Milliseconds(), "target_ms", j.route.Target.Milliseconds(),
 		"gap_ms", j.route.GapTarget.Milliseconds())
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return t.handleBroken(err, w)
 		}
-		if out.gone() {
+		if out.callerGone() {
 			return t.handleBroken(errCallerGone, w)
 		}
 	}
@@ -59,14 +59,14 @@
 func (t *attempt) streamEnd(x *upstream.Exchange, rest []byte) result {
 	x.Whole()
 	out := t.job.out
-	if !out.begun || len(rest) > 0 {
+	if !out.headSent || len(rest) > 0 {
 		out.stream(x.Response, rest)
 	}
 	t.recordFirstEvent()
 	return result{
-		outcome: pool.Served,
-		final:   true,
-		status:  x.Response.StatusCode,
+		outcome:  pool.Served,
+		answered: true,
+		status:   x.Response.StatusCode,
 	}
 }
 
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestNoteEvents(t *testing.T) {
+func TestStreamProgress(t *testing.T) {
 	is := is.New(t)
 	e := streamProgress{
 		last: "4",
--- a/relay/suspicion.go
+++ b/relay/suspicion.go
@@ -23,11 +23,11 @@
 
 // subscribeMigrations has the attempt move when the owner of the pool says so.
 func (w *watch) subscribeMigrations() {
-	s := w.try.relay.parts.Suspicions
+	s := w.attempt.relay.parts.Suspicions
 	if s == nil {
 		return
 	}
-	w.stopMigrations = s.OnMigrate(w.try.request.ID, w.migrate)
+	w.stopMigrations = s.OnMigrate(w.attempt.request.ID, w.migrate)
 }
 
 // unsubscribe ends what listen and notePause began. The caller holds the lock.
@@ -43,7 +43,7 @@
 // observePause learns the usual pause between events from one that has ended, and suspects
 // the next when it lasts for much longer. The caller holds the lock.
 func (w *watch) observePause(now time.Time) {
-	if w.try.relay.parts.Suspicions == nil || w.stopped.Err() != nil {
+	if w.attempt.relay.parts.Suspicions == nil || w.stopped.Err() != nil {
 		return
 	}
 	if w.hasEvents {
@@ -78,7 +78,7 @@
 		return
 	}
 	if (silence-w.suspectAfter())%pool.MinSuspectSilence < timerTolerance {
-		t := w.try
+		t := w.attempt
 		t.relay.Metrics.add("suspicions")
 		t.relay.parts.Suspicions.ReportSilence(t.request.ID, t.request.Service, silence)
 	}
@@ -100,7 +100,7 @@
 	if gone || !begun {
 		return
 	}
-	w.try.relay.Metrics.add("moves")
+	w.attempt.relay.Metrics.add("moves")
 	w.replace()
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/relay/suspicion_test.go
+++ b/relay/suspicion_test.go
@@ -16,28 +16,28 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// suspecter keeps the suspicions, and what has the attempt move.
-type suspecter struct {
+// recordingMonitor keeps the suspicions, and what has the attempt move.
+type recordingMonitor struct {
 	at      []time.Time
 	silence []time.Duration
-	move    func()
+	migrate func()
 }
 
 // ReportSilence implements pool.SilenceMonitor.
-func (s *suspecter) ReportSilence(_, _ string, silence time.Duration) {
+func (s *recordingMonitor) ReportSilence(_, _ string, silence time.Duration) {
 	s.at = append(s.at, time.Now())
 	s.silence = append(s.silence, silence)
 }
 
 // OnMigrate implements pool.SilenceMonitor.
-func (s *suspecter) OnMigrate(_ string, move func()) func() {
-	s.move = move
-	return func() { s.move = nil }
+func (s *recordingMonitor) OnMigrate(_ string, move func()) func() {
+	s.migrate = move
+	return func() { s.migrate = nil }
 }
 
-// suspected returns the watch of a stream of pauses of a second, and what ends when the
+// newMonitoredWatch returns the watch of a stream of pauses of a second, and what ends when the
 // attempt does.
-func suspected(t *testing.T, placer pool.Placer, s *suspecter) (*watch, context.Context) {
+func newMonitoredWatch(t *testing.T, placer pool.Placer, s *recordingMonitor) (*watch, context.Context) {
 	l := &Relay{
 		Metrics: newMetrics(),
 		parts: Parts{
@@ -70,9 +70,9 @@
 	return a.watch(t.Context(), cancel), ctx
 }
 
-// TestSuspectsSilence looks when a stream is suspected: after four of its usual pauses, or
+// TestReportSilence looks when a stream is suspected: after four of its usual pauses, or
 // 200 ms, and again while it is silent; never before its first event.
-func TestSuspectsSilence(t *testing.T) {
+func TestReportSilence(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		pause  time.Duration
@@ -86,8 +86,8 @@
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := &suspecter{}
-				w, _ := suspected(t, &keeper{err: errors.New("none")}, s)
+				s := &recordingMonitor{}
+				w, _ := newMonitoredWatch(t, &refusingPlacer{err: errors.New("none")}, s)
 				for range row.events {
 					time.Sleep(row.pause)
 					w.recordActivity()
@@ -117,22 +117,22 @@
 	}
 }
 
-// finder finds a place.
-type finder struct {
-	keeper
+// grantingPlacer finds a place.
+type grantingPlacer struct {
+	refusingPlacer
 }
 
 // Place implements pool.Placer.
-func (f *finder) Place(_ context.Context, a pool.PlacementRequest) (pool.Grant, error) {
-	f.asks = append(f.asks, a)
+func (f *grantingPlacer) Place(_ context.Context, a pool.PlacementRequest) (pool.Grant, error) {
+	f.requests = append(f.requests, a)
 	return pool.Grant{
 		Instance: "e1",
 	}, nil
 }
 
-// TestMoves looks what an attempt does that is to move: it leaves with a place if it has
+// TestMigrate looks what an attempt does that is to move: it leaves with a place if it has
 // begun, at once if not, and stays while there is no place for its stream.
-func TestMoves(t *testing.T) {
+func TestMigrate(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		begun bool
@@ -148,22 +148,22 @@
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				var placer pool.Placer = &keeper{err: errors.New("none")}
+				var placer pool.Placer = &refusingPlacer{err: errors.New("none")}
 				if row.found {
-					placer = &finder{}
+					placer = &grantingPlacer{}
 				}
-				s := &suspecter{}
-				w, ctx := suspected(t, placer, s)
+				s := &recordingMonitor{}
+				w, ctx := newMonitoredWatch(t, placer, s)
 				if row.begun {
 					w.recordActivity()
 				}
 				time.Sleep(50 * time.Millisecond)
-				s.move()
+				s.migrate()
 				is.Equal(ctx.Err() != nil, row.ends)
 				is.Equal(w.expired(), row.ends)
 				next := w.end()
 				is.Equal(next != nil, row.next)
-				is.True(s.move == nil) // nothing moves an attempt that has ended
+				is.True(s.migrate == nil) // nothing moves an attempt that has ended
 			})
 		})
 	}
--- a/relay/timeouts.go
+++ b/relay/timeouts.go
@@ -14,8 +14,8 @@
 type timeoutTracker struct {
 	mu   sync.Mutex
 	seen map[time.Duration]struct{}
-	// share is the recent part of the requests whose time others have named.
-	share float64
+	// repeatShare is the recent part of the requests whose time others have named.
+	repeatShare float64
 }
 
 // The measures of knowing callers by the time that they name.
@@ -34,21 +34,21 @@
 
 // observe remembers the time that a request names. Common states whether another one has
 // named the same, and returns whether the request is known to come back.
-func (w *timeoutTracker) observe(wait time.Duration) (common, returns bool) {
+func (w *timeoutTracker) observe(wait time.Duration) (repeated, returning bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, common = w.seen[wait]
+	_, repeated = w.seen[wait]
 	value := 0.0
-	if common {
+	if repeated {
 		value = 1
 	}
-	w.share += shareWeight * (value - w.share)
-	if common {
+	w.repeatShare += shareWeight * (value - w.repeatShare)
+	if repeated {
 		return true, false
 	}
 	if w.seen == nil || len(w.seen) >= maxTimeouts {
 		w.seen = make(map[time.Duration]struct{})
 	}
 	w.seen[wait] = struct{}{}
-	return false, w.share >= minRepeatShare
+	return false, w.repeatShare >= minRepeatShare
 }
--- a/relay/timeouts_test.go
+++ b/relay/timeouts_test.go
@@ -15,9 +15,9 @@
 // firstTry is the time that first tries name in these tests.
 const firstTry = 10 * time.Second
 
-// TestWaitsLearnAnew looks that what callers name that come back does not keep the
+// TestTimeoutsForgotten looks that what callers name that come back does not keep the
 // waits of first tries from being learned later.
-func TestWaitsLearnAnew(t *testing.T) {
+func TestTimeoutsForgotten(t *testing.T) {
 	is := is.New(t)
 	var w timeoutTracker
 	for i := range 3 * maxTimeouts {
@@ -29,8 +29,8 @@
 	is.True(common)
 }
 
-// TestReturns looks whether callers are known to come back by the time that they name.
-func TestReturns(t *testing.T) {
+// TestDetectReturningCallers looks whether callers are known to come back by the time that they name.
+func TestDetectReturningCallers(t *testing.T) {
 	t.Run("first tries name the same", func(t *testing.T) {
 		is := is.New(t)
 		var w timeoutTracker
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestMissing looks how much less than the route allows callers name.
-func TestMissing(t *testing.T) {
+// TestTimeSpent looks how much less than the route allows callers name.
+func TestTimeSpent(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		wait    time.Duration
--- a/relay/types.go
+++ b/relay/types.go
@@ -48,8 +48,8 @@
 	LastEvent string
 	// Rank is the request's priority; 0 goes first.
 	Rank int
-	// Readers are the endpoints that read the prompt together with this one.
-	Readers []pool.PrefillShare
+	// Shares are the endpoints that read the prompt together with this one.
+	Shares []pool.PrefillShare
 }
 
 // AnswerHead is what an endpoint's answer says of itself.
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -23,10 +23,10 @@
 // watch ends an attempt whose endpoint is silent, once there is another place:
 // without one the silent endpoint is the best there is.
 type watch struct {
-	try    *attempt
-	cancel func()
-	// limit is the silence after which another place is looked for.
-	limit time.Duration
+	attempt *attempt
+	cancel  func()
+	// silenceLimit is the silence after which another place is looked for.
+	silenceLimit time.Duration
 	// stopped ends the search for a place.
 	stopped context.Context
 	stop    func()
@@ -53,8 +53,8 @@
 // one more endpoint are watched: nothing is won by ending another one early.
 func (t *attempt) watch(ctx context.Context, cancel func()) *watch {
 	w := &watch{
-		try:    t,
-		cancel: cancel,
+		attempt: t,
+		cancel:  cancel,
 	}
 	w.stopped, w.stop = context.WithCancel(ctx)
 	r := t.job.route
@@ -62,7 +62,7 @@
 		return w
 	}
 	limit, first := pool.SilenceLimits(r.GapTarget, t.grant.FirstEventIn)
-	w.limit = limit
+	w.silenceLimit = limit
 	w.lastActivity = time.Now()
 	// The timer may end before it is kept.
 	w.mu.Lock()
@@ -79,7 +79,7 @@
 	if w.stopped.Err() != nil || w.next != nil {
 		return
 	}
-	t := w.try
+	t := w.attempt
 	a := t.relay.newPlacementRequest(t.job)
 	a.Exclude = append(a.Exclude[:len(a.Exclude):len(a.Exclude)], t.grant.Instance)
 	a.Replaces = w.describeSilence()
@@ -104,14 +104,14 @@
 
 // describeSilence describes the attempt. The caller holds the lock.
 func (w *watch) describeSilence() pool.ReplacedAttempt {
-	r := w.try.job.route
+	r := w.attempt.job.route
 	patience := placement.Patience(r.Target, r.GapTarget)
 	if w.hasEvents {
 		patience = placement.Patience(0, r.GapTarget)
 	}
 	silence := time.Since(w.lastActivity)
 	return pool.ReplacedAttempt{
-		ID:        w.try.request.ID,
+		ID:        w.attempt.request.ID,
 		SilentFor: silence,
 		Patience:  patience - silence,
 	}
@@ -123,7 +123,7 @@
 	if errors.As(err, &r) && r.KeepReplaced {
 		return r.RetryAfter
 	}
-	return w.limit
+	return w.silenceLimit
 }
 
 // recordActivity notes a sign of life.
@@ -131,7 +131,7 @@
 	if w.timer == nil {
 		return
 	}
-	w.timer.Reset(w.limit)
+	w.timer.Reset(w.silenceLimit)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
--- a/relay/watch_test.go
+++ b/relay/watch_test.go
@@ -16,31 +16,31 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// keeper refuses each place with an error and notes what it was asked.
-type keeper struct {
-	err  error
-	asks []pool.PlacementRequest
-	at   []time.Time
+// refusingPlacer refuses each place with an error and notes what it was asked.
+type refusingPlacer struct {
+	err      error
+	requests []pool.PlacementRequest
+	at       []time.Time
 }
 
 // Place implements pool.Placer.
-func (k *keeper) Place(_ context.Context, a pool.PlacementRequest) (pool.Grant, error) {
-	k.asks = append(k.asks, a)
+func (k *refusingPlacer) Place(_ context.Context, a pool.PlacementRequest) (pool.Grant, error) {
+	k.requests = append(k.requests, a)
 	k.at = append(k.at, time.Now())
 	return pool.Grant{}, k.err
 }
 
 // First implements pool.Placer.
-func (k *keeper) First(string, string) {}
+func (k *refusingPlacer) First(string, string) {}
 
 // End implements pool.Placer.
-func (k *keeper) End(string, string, pool.Outcome, string) {}
+func (k *refusingPlacer) End(string, string, pool.Outcome, string) {}
 
-// TestWatchLooksAgain lets a stream of pauses of 200 ms be silent, before its first event
+// TestWatchRetriesSearch lets a stream of pauses of 200 ms be silent, before its first event
 // and after it. The watch says which attempt it is to replace, for how long it has been
 // silent and how long its caller will wait, and looks again when the owner says, or else
 // after the usual silence of 1.3 s.
-func TestWatchLooksAgain(t *testing.T) {
+func TestWatchRetriesSearch(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		err   error
@@ -59,16 +59,16 @@
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				k := &keeper{err: row.err}
-				w := watched(t, k)
+				k := &refusingPlacer{err: row.err}
+				w := newTestWatch(t, k)
 				if row.begun {
 					w.recordActivity()
 				}
 				began := time.Now()
 				time.Sleep(5 * time.Second)
 				w.end()
-				is.True(len(k.asks) >= 2)
-				r := k.asks[0].Replaces
+				is.True(len(k.requests) >= 2)
+				r := k.requests[0].Replaces
 				is.Equal(r.ID, "attempt")
 				is.Equal(r.SilentFor, row.first)
 				is.Equal(r.Patience, row.left)
@@ -79,8 +79,8 @@
 	}
 }
 
-// watched returns the watch of an attempt with a first event predicted after a second.
-func watched(t *testing.T, placer pool.Placer) *watch {
+// newTestWatch returns the watch of an attempt with a first event predicted after a second.
+func newTestWatch(t *testing.T, placer pool.Placer) *watch {
 	l := &Relay{
 		parts: Parts{
 			Placer: placer,
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return t.handleBroken(err, w)
 	}
-	if j.out.begun {
+	if j.out.headSent {
 		// A stream is continued only by a stream.
 		return result{
 			outcome: pool.Failed,
@@ -35,9 +35,9 @@
 		return t.keepFailure(x, data)
 	}
 	r := result{
-		outcome: pool.Served,
-		final:   true,
-		status:  x.Response.StatusCode,
+		outcome:  pool.Served,
+		answered: true,
+		status:   x.Response.StatusCode,
 	}
 	if !success {
 		r.outcome = pool.Failed
@@ -85,12 +85,12 @@
 // the request, as its caller has the beginning.
 func (t *attempt) relayLarge(x *upstream.Exchange, begin []byte, r result) result {
 	out := t.job.out
-	out.head(x.Response, x.Response.ContentLength)
+	out.sendHead(x.Response, x.Response.ContentLength)
 	out.write(begin)
 	if _, err := io.Copy(out.w, x.Response.Body); err != nil {
-		r.final = false
+		r.answered = false
 		r.outcome = pool.Failed
-		r.connectionLost = !out.gone()
+		r.connectionLost = !out.callerGone()
 		r.reason = "large answer broke off: " + err.Error()
 		t.job.disallowRetries()
 		return r
