--- a/relay/admit.go
+++ b/relay/admit.go
@@ -12,7 +12,7 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// job is one request on its way.
+// job holds the state of one request while the relay serves it.
 type job struct {
 	head     RequestHead
 	route    *route.Route
@@ -27,32 +27,34 @@
 	body     []byte
 	arrived  time.Time
 	deadline time.Time
-	// spent is how long before it arrived its caller first asked; zero at a first
-	// try, and when that is not known.
+	// spent is the time between the caller's first try and the arrival of this one; zero for a
+	// first try or if unknown.
 	spent time.Duration
-	// requiresKey states that the request needs a key.
+	// requiresKey states that the route accepts only requests with a customer's key.
 	requiresKey bool
 
-	// history has its identity, which is the same for all tries of the request, at any instance,
-	// and what its attempts showed.
+	// history holds the request's identity, which is the same for all its tries at any
+	// instance, and its failed attempts.
 	history quarantine.RequestHistory
-	// singleEndpoint states that it may run at one endpoint only, whatever its route says.
+	// singleEndpoint states that only one endpoint may run the request, even on an idempotent
+	// route, because its ban has just ended.
 	singleEndpoint bool
-	// sends counts the endpoints that the request was sent to.
+	// sends counts the attempts that may have reached an endpoint.
 	sends int
-	// mayHaveRun states that one of them may have run it.
+	// mayHaveRun states that an endpoint may have run the request.
 	mayHaveRun bool
-	// exclude are the endpoints that failed the request.
+	// exclude lists the ids of the endpoints that must not get the request again.
 	exclude []string
-	// out is the caller's side of the answer.
+	// out writes the answer to the caller.
 	out *answer
-	// next is a place that was found for the next attempt.
+	// next is the placement for the next attempt, if one was found during the last.
 	next *nextPlacement
-	// failure is an endpoint's own failure, for when no other can be had.
+	// failure is an endpoint's own error answer. The caller gets it if no other attempt
+	// succeeds.
 	failure *failure
 }
 
-// admit checks a request against the configuration in force and reads it.
+// admit matches a request to a route and customer and reads its body.
 func (l *Relay) admit(h RequestHead, r *http.Request, arrived time.Time) (*job, *refusal) {
 	firstTry, returning := l.timeouts.observe(h.Wait)
 	snapshot := l.awaitConfiguration(r.Context(), h.Wait, firstTry)
@@ -90,7 +92,7 @@
 	return j, nil
 }
 
-// newJob returns a request on its way by a route.
+// newJob returns the job of a request on route rt.
 func newJob(h RequestHead, r *http.Request, rt *route.Route, t *route.Table, arrived time.Time) *job {
 	return &job{
 		head:        h,
@@ -106,12 +108,13 @@
 	}
 }
 
-// firstTryTolerance is how much less than the route's time a caller may name at its
-// first try.
+// firstTryTolerance is how far below the route's timeout a caller's timeout may be at its first
+// try.
 const firstTryTolerance = 100 * time.Millisecond
 
-// timeSpent returns how much less than the route's time a caller names: what it has spent
-// already if it has come back. It is zero for one that names as much.
+// timeSpent returns how far a returning caller's timeout is below the route's timeout, which is
+// the time it has already spent. It returns zero if the caller sends none or about the route's
+// timeout.
 func timeSpent(wait time.Duration, rt *route.Route) time.Duration {
 	if wait <= 0 || wait >= rt.Timeout-firstTryTolerance {
 		return 0
@@ -119,8 +122,8 @@
 	return rt.Timeout - wait
 }
 
-// timeLimit returns the time that a request has on a route when its caller waits for
-// so long; zero means that the caller does not say.
+// timeLimit returns the time that a request has in total: the caller's timeout, or defaultWait
+// if it sends none, bounded by the route's timeout.
 func timeLimit(wait time.Duration, rt *route.Route) time.Duration {
 	if wait == 0 {
 		wait = defaultWait
@@ -131,8 +134,8 @@
 	return wait
 }
 
-// refuseUnknown refuses a request that the configuration in force does not allow,
-// unless that configuration is too old to say so.
+// refuseUnknown refuses a request whose route or key the configuration does not contain. If the
+// configuration is too old to be sure of that, the answer is 503.
 func (l *Relay) refuseUnknown(reason string, status int, h RequestHead, t *route.Table) (*job, *refusal) {
 	if late := l.tooOld(h.Wait); late != nil {
 		return nil, late
@@ -144,7 +147,7 @@
 	}
 }
 
-// attemptsLeft returns how many endpoints the request may still be sent to.
+// attemptsLeft returns how many more endpoints the request may be sent to.
 func (j *job) attemptsLeft() int {
 	return j.route.MaxAttempts - j.sends
 }
@@ -154,5 +157,5 @@
 	return steady.Until(j.deadline)
 }
 
-// defaultWait is how long a caller is taken to wait that does not say.
+// defaultWait is the timeout of a caller that sends none.
 const defaultWait = 30 * time.Second
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -9,22 +9,22 @@
 	"github.com/go-faster/errors"
 )
 
-// errCallerGone ends an attempt whose caller takes no more.
-var errCallerGone = errors.New("caller takes no more")
+// errCallerGone ends an attempt whose caller no longer accepts the answer.
+var errCallerGone = errors.New("caller no longer accepts the answer")
 
-// answer is the caller's side of a request.
+// answer writes the answer to the caller.
 type answer struct {
 	w     http.ResponseWriter
 	flush *http.ResponseController
-	// headSent states that the head was sent.
+	// headSent states that the status and header were sent.
 	headSent bool
-	// progress is what the caller has of a stream.
+	// progress tracks which events of a stream the caller has received.
 	progress streamProgress
-	// err is why the caller takes no more; nil while it does.
+	// err is the error of the first failed write to the caller; nil before.
 	err error
 }
 
-// newAnswer returns the answer to a request, of which nothing was sent yet.
+// newAnswer returns an answer of which nothing was sent yet.
 func newAnswer(w http.ResponseWriter, j *job) *answer {
 	return &answer{
 		w:     w,
@@ -35,8 +35,8 @@
 	}
 }
 
-// sendHead sends the sendHead of an endpoint's answer. A negative length means that the
-// body's end is told by the transfer.
+// sendHead sends the status and header of an endpoint's answer. A negative length means that no
+// Content-Length is set.
 func (a *answer) sendHead(res *http.Response, length int64) {
 	h := a.w.Header()
 	for name, values := range forwardedHeader(res.Header) {
@@ -45,7 +45,7 @@
 	if length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	// Without an entry net/http would add what the endpoint did not send.
+	// Without these entries net/http would add headers that the endpoint did not send.
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, ok := h[name]; !ok {
 			h[name] = nil
@@ -55,7 +55,7 @@
 	a.headSent = true
 }
 
-// write sends a piece of the body, unless the caller takes no more.
+// write sends a part of the body. It does nothing after a failed write.
 func (a *answer) write(data []byte) {
 	if a.err != nil {
 		return
@@ -63,7 +63,7 @@
 	_, a.err = a.w.Write(data)
 }
 
-// send sends a whole answer.
+// send sends a complete answer.
 func (a *answer) send(res *http.Response, data []byte) {
 	length := int64(len(data))
 	if res.StatusCode == http.StatusNoContent || res.StatusCode == http.StatusNotModified {
@@ -73,7 +73,7 @@
 	a.write(data)
 }
 
-// stream sends events, the first time with the head.
+// stream sends complete events, after the head if that was not sent yet.
 func (a *answer) stream(res *http.Response, data []byte) {
 	if !a.headSent {
 		a.sendHead(res, -1)
@@ -87,7 +87,7 @@
 	}
 }
 
-// callerGone states that the caller takes no more.
+// callerGone reports whether a write to the caller has failed.
 func (a *answer) callerGone() bool {
 	return a.err != nil
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -17,54 +17,58 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// attempt is one attempt at an endpoint.
+// attempt is one try of a request at one endpoint.
 type attempt struct {
 	relay   *Relay
 	job     *job
 	request pool.PlacementRequest
 	grant   pool.Grant
 
-	// caller ends when the caller goes or its time is over.
+	// caller is done when the caller disconnects or the request's time is over.
 	caller context.Context
-	// next is the place of the next attempt, when this one was ended for it.
+	// next is the placement of the next attempt, if this one was cancelled in favor of it.
 	next      *nextPlacement
 	startedAt time.Time
-	// firstAfter is the time to the first sign of an answer; zero before.
+	// firstAfter is the time until the first event, or until an answer that is not a stream was
+	// read; zero before.
 	firstAfter time.Duration
 	// longestGap is the longest pause between events so far.
 	longestGap time.Duration
 }
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	outcome pool.Outcome
-	// culprit is the endpoint at fault, if it is not that of the grant.
+	// culprit is the endpoint at fault; empty if it is the one of the grant.
 	culprit string
-	// answered states that the caller has a whole answer.
+	// answered states that the caller has received a complete answer.
 	answered bool
-	// brokenOff states that the endpoint brokenOff its answer off.
+	// brokenOff states that the connection failed before the answer was complete, and neither
+	// the caller, the deadline nor the relay ended it.
 	brokenOff bool
-	// unsent states that nothing was sent, as the endpoint had become one that gets nothing new.
+	// unsent states that nothing was sent, because an endpoint of the grant was excluded after
+	// the placement.
 	unsent bool
-	// connectionLost states that the connection ended before the answer did.
+	// connectionLost states that the connection to the endpoint ended before the answer was
+	// complete.
 	connectionLost bool
-	// status is that of the endpoint's answer; zero without one.
+	// status is the status of the endpoint's answer; zero if there was none.
 	status int
-	// reason says why there is no whole answer, for the log and the caller.
+	// reason explains why there is no complete answer, for the log and the caller.
 	reason string
 }
 
-// The ages up to which a connection is used again. A request that must not run
-// twice is lost when its endpoint closes the connection at that moment.
+// Limits on how long a reused connection may have been idle. If the endpoint closes an idle
+// connection just as a request is sent, a request that is not idempotent can't be retried.
 const (
-	// maxIdleIdempotent leaves it to the idle time that the endpoint names, or that
-	// of package upstream, which is shorter.
+	// maxIdleIdempotent exceeds the idle time that the endpoint names and that of package
+	// upstream, so those decide.
 	maxIdleIdempotent = time.Minute
-	// maxIdleOnce is well below that idle time.
+	// maxIdleOnce is well below the idle timeouts of endpoints.
 	maxIdleOnce = time.Second
 )
 
-// run sends the request and passes the answer on.
+// run reserves the memory that the grant names, sends the request and forwards the answer.
 func (t *attempt) run(ctx context.Context) result {
 	t.startedAt = steady.Now()
 	t.caller = ctx
@@ -83,7 +87,7 @@
 	defer func() { t.next = watch.end() }()
 	x, err := t.relay.parts.Upstream.Do(ctx, request)
 	if err != nil {
-		// The watch looks at the job; it ends before the job changes.
+		// The watch reads the job, so it has to end before the job changes.
 		watch.end()
 		return t.handleNoAnswer(err, watch)
 	}
@@ -91,7 +95,7 @@
 	return t.handleAnswer(x, watch)
 }
 
-// buildRequest builds what is sent.
+// buildRequest returns the request for the endpoint and counts it as sent.
 func (t *attempt) buildRequest() upstream.Request {
 	j := t.job
 	h := j.header.Clone()
@@ -132,9 +136,9 @@
 	}
 }
 
-// reportNotice takes over what an answer says of its endpoint, also one that is not the request's own but
-// that of an earlier one on the same connection. A misdirected request was answered by another
-// endpoint.
+// reportNotice records the notice that an answer carries about its endpoint. Own is false if
+// the answer belongs to an earlier request on the same connection. A misdirected request was
+// answered by another endpoint, so its notice is ignored.
 func (t *attempt) reportNotice(status int, head AnswerHead, own bool) {
 	if t.relay.parts.Notices == nil || status == http.StatusMisdirectedRequest {
 		return
@@ -150,7 +154,8 @@
 	t.relay.parts.Notices.RecordAnswer(a, head.Notice)
 }
 
-// handleNoAnswer judges an attempt without the head of an answer.
+// handleNoAnswer returns the result of an attempt that failed before the head of an answer
+// arrived.
 func (t *attempt) handleNoAnswer(err error, w *watch) result {
 	var e *upstream.Error
 	var excluded *excludedError
@@ -175,7 +180,7 @@
 	return t.handleBroken(err, w)
 }
 
-// handleBroken judges an attempt whose answer broke off.
+// handleBroken returns the result of an attempt that failed after the request was sent.
 func (t *attempt) handleBroken(err error, w *watch) result {
 	res := result{
 		outcome: pool.Failed,
@@ -200,7 +205,7 @@
 	return res
 }
 
-// handleAnswer passes an answer on, or judges one that is no use to the caller.
+// handleAnswer forwards an answer to the caller, unless the endpoint did not run the request.
 func (t *attempt) handleAnswer(x *upstream.Exchange, w *watch) result {
 	j := t.job
 	res := x.Response
@@ -216,9 +221,9 @@
 	return t.relayWhole(x, w, success)
 }
 
-// handleRejection judges an answer that says that the request did not run.
+// handleRejection returns the result of an attempt whose endpoint did not run the request.
 func (t *attempt) handleRejection(x *upstream.Exchange, head AnswerHead) result {
-	// What is left of the answer decides only whether the connection is kept.
+	// Reading the rest of the answer allows the connection to be reused.
 	if _, err := io.Copy(io.Discard, io.LimitReader(x.Response.Body, maxRejection)); err == nil {
 		x.Whole()
 	}
@@ -235,10 +240,11 @@
 	return r
 }
 
-// maxRejection bounds how much of a rejection is read, in bytes.
+// maxRejection bounds how much of a rejection's body is read, in bytes.
 const maxRejection = 64 << 10
 
-// recordFirstEvent notes the recordFirstEvent sign of an answer; later ones change nothing.
+// recordFirstEvent reports the first sign of an answer to the placer and the metrics. Later
+// calls do nothing.
 func (t *attempt) recordFirstEvent() {
 	if t.firstAfter > 0 {
 		return
@@ -250,7 +256,8 @@
 	}
 }
 
-// excluded returns the endpoints that the request must not be sent to again.
+// excluded returns the id of the endpoint that must not get the request again: the one at fault
+// if it took part in the attempt, else the one of the grant.
 func (t *attempt) excluded(res result) []string {
 	if res.culprit == "" || res.culprit == t.grant.Address {
 		return []string{t.grant.Instance}
--- a/relay/body.go
+++ b/relay/body.go
@@ -7,22 +7,23 @@
 	"net/http"
 )
 
-// The bounds of a request's body.
+// Limits on the body of a request.
 const (
-	// defaultMaxBody bounds it where the configuration does not, in bytes.
+	// defaultMaxBody applies if the configuration sets no limit, in bytes.
 	defaultMaxBody = 16 << 20
-	// maxDiscard bounds how much of one that is too large is read, in bytes.
+	// maxDiscard bounds how much of a body above the limit is read and discarded, in bytes.
 	maxDiscard = 8 << 20
 )
 
-// read reads the body. It returns a refusal when that is too large or cut short.
+// read reads the body into the job. It returns a refusal if the body exceeds the limit or is
+// cut short.
 func (j *job) read(r *http.Request) *refusal {
 	limit := j.table.Limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBody
 	}
 	if r.ContentLength > limit {
-		// A caller that still sends would not hear the answer.
+		// A caller that is still sending might not read the answer.
 		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxDiscard))
 		return tooLarge()
 	}
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// tooLarge returns the refusal of a body above the bound.
+// tooLarge returns the refusal of a body above the limit.
 func tooLarge() *refusal {
 	return &refusal{
 		status: http.StatusRequestEntityTooLarge,
--- a/relay/configuration.go
+++ b/relay/configuration.go
@@ -11,25 +11,25 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// The measures of a request that comes to an instance that knows no configuration.
+// Handling of requests while there is no usable configuration.
 const (
-	// configWaitShare is the part of its caller's time that a request may wait here which
-	// has no further try. The rest is for the answer.
+	// configWaitShare is the fraction of the caller's timeout for which a request may wait for
+	// a configuration. The rest is left for the answer.
 	configWaitShare = 0.4
-	// maxConfigWaiters bounds the requests that wait: some seconds of a busy instance's, each
-	// with a few kilobytes.
+	// maxConfigWaiters bounds the number of requests that wait for a configuration, and so the
+	// memory that they hold.
 	maxConfigWaiters = 256
-	// configPollInterval is how often it is looked whether there is a configuration.
+	// configPollInterval is the interval between checks for a configuration.
 	configPollInterval = 10 * time.Millisecond
 )
 
-// awaitConfiguration returns what is known as soon as there is a configuration, with its age
-// if that decides whether requests with keys are served. When there is none it returns
-// at once for a caller at its first try, who does better to come back, and holds the
-// request of a caller that has come back and may have no further try. When this takes
-// too long for a caller that waits for the given time, or ctx ends, it returns what
-// there is, which may be nil. A wait of zero means that the caller does not say. Common
-// states that others have named the same time, so that this is its first try.
+// awaitConfiguration returns the catalog's snapshot, which is nil while there is no
+// configuration. With StrictKeys a configuration is usable only once its age is known.
+//
+// If there is no usable configuration, a request waits for one for a share of its caller's
+// timeout, as its caller may have no further try. A first try, a request without a timeout and
+// one beyond maxConfigWaiters do not wait. FirstTry states that other requests have named the
+// same timeout.
 func (l *Relay) awaitConfiguration(ctx context.Context, wait time.Duration, firstTry bool) *catalog.Snapshot {
 	if known, ok := l.usableSnapshot(); ok {
 		return known
@@ -53,18 +53,16 @@
 	}
 }
 
-// usableSnapshot returns what is known, and whether it is enough to decide on requests.
+// usableSnapshot returns the catalog's snapshot and whether it suffices to decide on requests.
 func (l *Relay) usableSnapshot() (*catalog.Snapshot, bool) {
 	known := l.parts.Snapshot()
 	_, aged := l.parts.Age()
 	return known, known != nil && (aged || !l.settings.StrictKeys)
 }
 
-// tooOldForKeys returns a refusal when a request with a key, whose caller waits for the
-// given time, must not be served because the key may have been taken away since. Where
-// the operator does not ask for that, the newest known configuration serves on, however
-// old: with the store away for 8 s and a bound of 5 s this serves the 4 s that were
-// refused before.
+// tooOldForKeys returns a refusal for a request that needs a key if StrictKeys is set and the
+// configuration has reached MaxAge, as the key may have been revoked since. Wait is the
+// caller's timeout.
 func (l *Relay) tooOldForKeys(wait time.Duration) *refusal {
 	if !l.settings.StrictKeys {
 		return nil
@@ -72,8 +70,8 @@
 	return l.tooOld(wait)
 }
 
-// tooOld returns a refusal when the configuration in force may be an older one than
-// the newest, so that what it does not know may exist.
+// tooOld returns a refusal if the configuration has reached MaxAge or its age is unknown, as a
+// newer one may contain what this one does not. Wait is the caller's timeout.
 func (l *Relay) tooOld(wait time.Duration) *refusal {
 	if l.settings.MaxAge == 0 {
 		return nil
@@ -85,22 +83,20 @@
 	return unavailable("configuration is too old", l.retryAfterOutage(wait))
 }
 
-// minOutage is the shortest time that an outage is taken to last on: longer than
-// the start of an instance, and short enough for callers that wait for seconds. A
-// caller has few retries: one that comes back into the same outage is lost. With
-// 0.3 s, 166 requests were refused in the 1.4 s after the loss of all instances,
-// most of them twice.
+// minOutage is the shortest assumed remaining time of an outage. It is longer than the start of
+// an instance, because a caller that returns during the same outage wastes one of its few
+// tries.
 const minOutage = 1500 * time.Millisecond
 
-// heededRetryShare is the part of the time left to them up to which callers of the platform
-// wait as they are told.
+// heededRetryShare is the fraction of its remaining time that a caller is willing to wait
+// before a retry. A longer Retry-After is cut to this.
 const heededRetryShare = 1.0 / 3
 
-// retryAfterOutage returns when a caller that waits for the given time may come back to an
-// instance that knows too little: after as long as it has known too little so far, as
-// what has lasted long is likely to last on, and up to twice that, so that not all
-// return at once. All of it lies within what the caller heeds; else all that are told
-// more return at the same moment, which doubled the load for seconds after an outage.
+// retryAfterOutage returns when a caller with the given timeout may return to an instance whose
+// configuration is missing or too old. The outage is assumed to last as long again as it has
+// lasted so far. Up to the same time is added at random, so that callers do not all return at
+// once. The result is below heededRetryShare of the timeout, because callers cut longer times
+// to that and would then return together.
 func (l *Relay) retryAfterOutage(wait time.Duration) time.Duration {
 	delay, known := l.parts.Age()
 	if !known {
--- a/relay/configuration_test.go
+++ b/relay/configuration_test.go
@@ -14,28 +14,30 @@
 	"github.com/linkmast/linkmast/catalog"
 )
 
-// TestAwaitConfiguration looks how long a request waits for the first configuration and its age.
+// TestAwaitConfiguration guards against requests that fail although a configuration is about to
+// arrive, and against first tries that wait for one.
 func TestAwaitConfiguration(t *testing.T) {
 	const never = time.Hour
 	for _, row := range []struct {
 		name string
 		wait time.Duration
-		// known and aged are when the configuration and its age are known.
+		// known is when the configuration arrives, and aged when its age becomes known.
 		known time.Duration
 		aged  time.Duration
-		// common states that another request has named the same wait.
+		// common states that another request has named the same timeout.
 		common bool
 		strict bool
+		// want is the expected wait, and served whether a snapshot is returned.
 		want   time.Duration
 		served bool
 	}{
-		{"known at once", time.Second, 0, 0, false, true, 0, true},
-		{"known soon", 10 * time.Second, time.Second, 0, false, true, time.Second, true},
-		{"age comes later", 10 * time.Second, 0, time.Second, false, true, time.Second, true},
+		{"configuration available", time.Second, 0, 0, false, true, 0, true},
+		{"configuration arrives later", 10 * time.Second, time.Second, 0, false, true, time.Second, true},
+		{"age arrives later", 10 * time.Second, 0, time.Second, false, true, time.Second, true},
 		{"age does not matter", 10 * time.Second, 0, never, false, false, 0, true},
-		{"not in time", 10 * time.Second, never, 0, false, true, 4 * time.Second, false},
-		{"first try", 10 * time.Second, never, 0, true, true, 0, false},
-		{"caller does not say", 0, never, 0, false, true, 0, false},
+		{"no configuration in time", 10 * time.Second, never, 0, false, true, 4 * time.Second, false},
+		{"first try does not wait", 10 * time.Second, never, 0, true, true, 0, false},
+		{"no timeout", 0, never, 0, false, true, 0, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -62,8 +64,8 @@
 	}
 }
 
-// TestConfigWaitersBounded lets more requests come than may wait: the others are answered
-// at once.
+// TestConfigWaitersBounded guards against unbounded memory: requests beyond maxConfigWaiters
+// must return at once.
 func TestConfigWaitersBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -89,12 +91,13 @@
 	})
 }
 
-// TestRetryAfterOutage looks when callers are told to come back.
+// TestRetryAfterOutage guards against callers that return during the same outage, or all at
+// once.
 func TestRetryAfterOutage(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// age is that of the configuration, if known; up is how long the instance
-		// has run.
+		// age is the age of the configuration if known is set, and up how long the instance has
+		// run.
 		age   time.Duration
 		known bool
 		up    time.Duration
@@ -104,8 +107,8 @@
 		{"just started", 0, false, 0, time.Minute, minOutage},
 		{"started in an outage", 0, false, 4 * time.Second, time.Minute, 4 * time.Second},
 		{"old configuration", 6 * time.Second, true, time.Hour, time.Minute, 6 * time.Second},
-		{"caller heeds no more", 6 * time.Second, true, time.Hour, 12 * time.Second, 2 * time.Second},
-		{"caller does not say", 0, false, 0, 0, minOutage},
+		{"cut to the caller's limit", 6 * time.Second, true, time.Hour, 12 * time.Second, 2 * time.Second},
+		{"no timeout", 0, false, 0, 0, minOutage},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -122,7 +125,7 @@
 					is.True(row.wait == 0 || after <= row.wait/3)
 					seen[after] = true
 				}
-				is.True(len(seen) > 50) // they don't come back together
+				is.True(len(seen) > 50) // the times are spread out
 			})
 		})
 	}
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -10,12 +10,13 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// helperBlameDelay is how much later than its request the answer comes that blames an endpoint
-// which helped to read: one that had ended before is blamed within a round trip.
+// helperBlameDelay is the time after which a rejection that blames another endpoint of the
+// joint prefill is taken as that endpoint's crash. An endpoint that was down before is blamed
+// within a round trip.
 const helperBlameDelay = 300 * time.Millisecond
 
-// enterQuarantine gives a request leave to run, or refuses it. It has not run under its present name,
-// and says so.
+// enterQuarantine admits a request to run, or refuses it while its identity is banned or being
+// retested. The caller calls release when the request has ended.
 func (l *Relay) enterQuarantine(j *job) (release func(), ref *refusal) {
 	if l.parts.Quarantine == nil {
 		return func() {}, nil
@@ -29,9 +30,8 @@
 	return p.Release, nil
 }
 
-// checkBan returns the final answer to a request that was checkBan meanwhile, or nil. It guards
-// against the rest of its attempts: those that wait for a place, and those that follow one
-// that broke off.
+// checkBan returns the final answer to a request whose identity was banned after its admission,
+// or nil. It stops attempts that wait for a placement and retries after a failed attempt.
 func (l *Relay) checkBan(j *job) *refusal {
 	if l.parts.Quarantine == nil {
 		return nil
@@ -43,8 +43,8 @@
 	return j.giveUp(quarantine.BannedDetail, after)
 }
 
-// reportOutcome reports what an attempt shows of its request: a whole answer, or that its endpoint,
-// or one that read for it, has ended.
+// reportOutcome reports to the quarantine that an attempt was answered, or that an endpoint
+// that worked on it may have crashed.
 func (l *Relay) reportOutcome(t *attempt, res result) {
 	if l.parts.Quarantine == nil {
 		return
@@ -65,7 +65,7 @@
 	})
 }
 
-// suspects returns the addresses of the endpoints that may have ended under an attempt.
+// suspects returns the addresses of the endpoints that may have crashed during an attempt.
 func (t *attempt) suspects(res result) []string {
 	switch {
 	case res.connectionLost || res.outcome == pool.Silent:
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// addresses returns those of the endpoints that work on an attempt, its own first.
+// addresses returns the addresses of the endpoints that work on an attempt, the one of the
+// grant first.
 func (t *attempt) addresses() []string {
 	out := []string{t.grant.Address}
 	for _, r := range t.grant.Shares {
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -22,10 +22,10 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// fakeGuard notes what is reported of requests, and answers as it is told to.
+// fakeGuard is a quarantine.Guard that records reports and gives fixed answers.
 type fakeGuard struct {
 	suspected bool
-	barred    bool
+	banned    bool
 
 	mu      sync.Mutex
 	crashes []quarantine.Crash
@@ -37,12 +37,12 @@
 	return quarantine.Admission{
 		SingleEndpoint: l.suspected,
 		Release:        func() {},
-	}, time.Minute, !l.barred
+	}, time.Minute, !l.banned
 }
 
 // BanRemaining implements quarantine.Guard.
 func (l *fakeGuard) BanRemaining(quarantine.Identity) (time.Duration, bool) {
-	return time.Minute, l.barred
+	return time.Minute, l.banned
 }
 
 // Suspected implements quarantine.Guard.
@@ -62,13 +62,13 @@
 	l.served++
 }
 
-// newCrashTest returns a relay that goes by a ledger, and to which only the endpoints that are given
-// are there, with an attempt at e1 that e2 reads for.
-func newCrashTest(l *fakeGuard, there ...string) (*Relay, *attempt) {
+// newCrashTest returns a relay with a guard and an attempt at endpoint e1 with e2 as a helper
+// of its joint prefill. Only the endpoints in reachable accept connections.
+func newCrashTest(l *fakeGuard, reachable ...string) (*Relay, *attempt) {
 	r := New(Settings{}, Parts{
 		Quarantine: l,
 		Check: func(_ context.Context, address string) error {
-			if slices.Contains(there, address) {
+			if slices.Contains(reachable, address) {
 				return nil
 			}
 			return errors.New("refused")
@@ -96,7 +96,8 @@
 	}
 }
 
-// TestReportOutcome ends attempts in all ways, with endpoints that have ended or not.
+// TestReportOutcome guards against missed crashes and against crashes that are reported for
+// endpoints that still run.
 func TestReportOutcome(t *testing.T) {
 	all := []string{"e1", "e2"}
 	cut := result{
@@ -108,31 +109,31 @@
 		culprit: "e2",
 	}
 	for _, row := range []struct {
-		name  string
-		res   result
-		there []string
+		name      string
+		res       result
+		reachable []string
 		// took is how long the attempt lasted.
 		took time.Duration
-		// crashed is the endpoint whose end is reported; empty for none. The other one, of e1 and
-		// e2, is told with it.
+		// crashed is the endpoint whose crash must be reported, with the other of e1 and e2 in
+		// OtherEndpoints; empty for none.
 		crashed string
 		served  int
 	}{
-		{"broke off, its endpoint is gone", cut, []string{"e2"}, time.Second, "e1", 0},
-		{"broke off, who read for it is gone", cut, []string{"e1"}, time.Second, "e2", 0},
-		{"broke off, none is there", cut, nil, time.Second, "e1", 0},
-		{"broke off, all are there", cut, all, time.Second, "", 0},
-		{"silent, its endpoint is gone", result{outcome: pool.Silent}, []string{"e2"}, time.Second, "e1", 0},
-		{"silent, none is there", result{outcome: pool.Silent}, nil, time.Second, "e1", 0},
-		{"silent, all are there", result{outcome: pool.Silent}, all, time.Second, "", 0},
-		{"never reached", result{outcome: pool.Unreachable}, nil, time.Second, "", 0},
-		{"turned away", result{outcome: pool.Rejected}, nil, time.Second, "", 0},
-		{"who read for it ended meanwhile", blamed, []string{"e1"}, time.Second, "e2", 0},
-		{"who should read for it was gone before", blamed, []string{"e1"}, 10 * time.Millisecond, "", 0},
-		{"failed by its endpoint", result{outcome: pool.Failed, status: http.StatusInternalServerError}, nil, time.Second, "", 0},
-		{"its caller left", result{outcome: pool.Abandoned}, nil, time.Second, "", 0},
+		{"broke off, endpoint down", cut, []string{"e2"}, time.Second, "e1", 0},
+		{"broke off, helper down", cut, []string{"e1"}, time.Second, "e2", 0},
+		{"broke off, both down", cut, nil, time.Second, "e1", 0},
+		{"broke off, both up", cut, all, time.Second, "", 0},
+		{"silent, endpoint down", result{outcome: pool.Silent}, []string{"e2"}, time.Second, "e1", 0},
+		{"silent, both down", result{outcome: pool.Silent}, nil, time.Second, "e1", 0},
+		{"silent, both up", result{outcome: pool.Silent}, all, time.Second, "", 0},
+		{"unreachable", result{outcome: pool.Unreachable}, nil, time.Second, "", 0},
+		{"rejected", result{outcome: pool.Rejected}, nil, time.Second, "", 0},
+		{"helper ended during the attempt", blamed, []string{"e1"}, time.Second, "e2", 0},
+		{"helper was down before", blamed, []string{"e1"}, 10 * time.Millisecond, "", 0},
+		{"error answer", result{outcome: pool.Failed, status: http.StatusInternalServerError}, nil, time.Second, "", 0},
+		{"caller disconnected", result{outcome: pool.Abandoned}, nil, time.Second, "", 0},
 		{"answered", result{outcome: pool.Served, answered: true}, nil, time.Second, "", 1},
-		{"its endpoint's failure passed on", result{outcome: pool.Failed, answered: true}, nil, time.Second, "", 0},
+		{"error answer forwarded", result{outcome: pool.Failed, answered: true}, nil, time.Second, "", 0},
 	} {
 		for _, suspected := range []bool{false, true} {
 			t.Run(row.name, func(t *testing.T) {
@@ -141,11 +142,11 @@
 					l := &fakeGuard{
 						suspected: suspected,
 					}
-					r, attempt := newCrashTest(l, row.there...)
+					r, attempt := newCrashTest(l, row.reachable...)
 					time.Sleep(row.took)
 					r.reportOutcome(attempt, row.res)
 					if suspected {
-						is.Equal(len(l.crashes) > 0, row.crashed != "") // known before the next attempt
+						is.Equal(len(l.crashes) > 0, row.crashed != "") // reported before the next attempt starts
 					}
 					synctest.Wait()
 					is.Equal(l.served, row.served)
@@ -164,8 +165,8 @@
 	}
 }
 
-// TestPreviousAttempt has a try make attempts of which some break off: each such one names the one before
-// it, past those that were turned away.
+// TestPreviousAttempt guards against a wrong chain of crashes: each names the last failed
+// attempt before it and skips rejected ones.
 func TestPreviousAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -192,15 +193,16 @@
 	})
 }
 
-// TestWaitSettled lets a suspected request wait before its next attempt, and no other.
+// TestWaitSettled guards against a suspected request that runs again before the other instances
+// know of its crash.
 func TestWaitSettled(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		suspected bool
 		waits     time.Duration
 	}{
-		{"suspected before", true, quarantine.SettleDelay},
-		{"its first crash", false, 0},
+		{"suspected", true, quarantine.SettleDelay},
+		{"first crash", false, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -220,8 +222,7 @@
 	}
 }
 
-// TestBanDuringRequest looks what a request is told that was banned on its way: that it has not
-// run and when to come back, or only that it failed.
+// TestBanDuringRequest guards against a 503 for a request that may have run when it is banned.
 func TestBanDuringRequest(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -234,7 +235,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			r, attempt := newCrashTest(&fakeGuard{
-				barred: true,
+				banned: true,
 			})
 			attempt.job.mayHaveRun = row.ran
 			attempt.job.deadline = steady.Now().Add(time.Minute)
@@ -245,8 +246,8 @@
 	}
 }
 
-// TestSingleEndpointAfterBan sends a request to one endpoint only whose ban is over, although its route allows
-// two.
+// TestSingleEndpointAfterBan guards against a request that crashes a second endpoint right
+// after its ban has ended.
 func TestSingleEndpointAfterBan(t *testing.T) {
 	is := is.New(t)
 	r, attempt := newCrashTest(&fakeGuard{
@@ -254,9 +255,9 @@
 	})
 	j := attempt.job
 	j.route.Resumable = true
-	leave, ref := r.enterQuarantine(j)
+	release, ref := r.enterQuarantine(j)
 	is.True(ref == nil)
-	defer leave()
+	defer release()
 	j.out = newAnswer(nil, j)
 	j.mayHaveRun, j.sends = true, 1
 	j.deadline = steady.Now().Add(time.Minute)
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,16 +1,15 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package relay takes requests from callers to endpoints and their answers
-// back, byte for byte.
+// Package relay forwards requests from callers to endpoints and streams the answers back
+// unchanged.
 //
-// The path of a request: its route and customer follow from the configuration
-// in force, its place from a pool.Placer; the relay sends it to the endpoint and
-// passes the answer on. What surely did not run, or may run again, is sent to
-// another endpoint within the route's bound and the pool's budget. A stream that
-// breaks off is continued at another endpoint after the last whole event that
-// its caller has.
+// The configuration in force determines a request's route and customer, and a pool.Placer
+// assigns the request to an endpoint. If the request certainly did not run, or is safe to run
+// again, the relay retries it at another endpoint, within the route's number of attempts and
+// the pool's retry budget. A stream that breaks off is resumed at another endpoint after the
+// last complete event that its caller has received.
 //
-// 503 is answered only when nothing of the request can have run; 502 and 504
-// say nothing about that. An answer that can't be completed is cut off, so that
-// it never looks whole.
+// The relay answers 503 only if no part of the request can have run; 502 and 504 leave that
+// open. If it can't complete an answer that it has begun, it closes the connection, so that the
+// caller does not take the answer for complete.
 package relay
--- a/relay/excluded.go
+++ b/relay/excluded.go
@@ -9,20 +9,21 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// excludedError is an endpoint that must get nothing new.
+// excludedError reports an endpoint that must not get new requests.
 type excludedError struct {
 	endpoint string
 	reason   string
 }
 
-// Error returns the endpoint and the reason.
+// Error returns a message with the endpoint's id and the reason.
 func (e *excludedError) Error() string {
 	return fmt.Sprintf("endpoint %s gets nothing new: %s", e.endpoint, e.reason)
 }
 
-// findExcluded returns an endpoint of a grant that must get nothing new, or nil for none: it may
-// have begun to leave, or its failure domain been emptied, while the request waited, or
-// the one who placed it may know less.
+// findExcluded returns an error if an endpoint of the grant must not get new requests, else
+// nil. The endpoint may have started to leave or its failure domain may have been drained
+// during the wait for the placement, or the instance that placed the request did not know of it
+// yet.
 func (l *Relay) findExcluded(g *pool.Grant) *excludedError {
 	if e := l.checkExcluded(g.Instance, g.StartedAt); e != nil {
 		return e
@@ -35,8 +36,8 @@
 	return nil
 }
 
-// checkExcluded returns an endpoint if it must get nothing new. Born is when its start began; zero
-// when it does not say.
+// checkExcluded returns an error if an endpoint must not get new requests, else nil. StartedAt
+// is the start time of the endpoint's incarnation; zero if unknown.
 func (l *Relay) checkExcluded(instance string, startedAt time.Time) *excludedError {
 	reason := ""
 	switch {
--- a/relay/excluded_test.go
+++ b/relay/excluded_test.go
@@ -16,14 +16,14 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// excludingGuard is a notice.Guard that declines some endpoints.
+// excludingGuard is a notice.Guard with a fixed exclusion reason for each excluded endpoint.
 type excludingGuard map[string]string
 
 func (excludingGuard) RecordAnswer(notice.Answer, notice.Statements) {}
 
 func (d excludingGuard) ExclusionReason(instance string, _ time.Time) string { return d[instance] }
 
-// newExcludingRelay returns a relay that knows which endpoints decline requests.
+// newExcludingRelay returns a relay whose notices exclude some endpoints.
 func newExcludingRelay(d excludingGuard) *Relay {
 	return New(Settings{}, Parts{
 		Snapshot: func() *catalog.Snapshot { return &catalog.Snapshot{} },
@@ -31,6 +31,8 @@
 	})
 }
 
+// TestFindExcluded guards against requests to an excluded endpoint, also as a helper of a joint
+// prefill.
 func TestFindExcluded(t *testing.T) {
 	l := newExcludingRelay(excludingGuard{"e1": "it leaves"})
 	for _, c := range []struct {
@@ -39,8 +41,8 @@
 		want  string
 	}{
 		{"none", pool.Grant{Instance: "e0"}, ""},
-		{"the one that answers", pool.Grant{Instance: "e1"}, "e1"},
-		{"one that reads", pool.Grant{Instance: "e0", Shares: []pool.PrefillShare{{Instance: "e2"}, {Instance: "e1"}}}, "e1"},
+		{"endpoint of the grant", pool.Grant{Instance: "e1"}, "e1"},
+		{"helper", pool.Grant{Instance: "e0", Shares: []pool.PrefillShare{{Instance: "e2"}, {Instance: "e1"}}}, "e1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := l.findExcluded(&c.grant)
@@ -52,8 +54,8 @@
 	}
 }
 
-// TestExcludedBeforeSending has an endpoint decline requests once a request has a place there: it
-// goes to another one, and counts for neither attempts nor failures.
+// TestExcludedBeforeSending guards against a request that fails, or uses up an attempt, because
+// its endpoint was excluded after the placement.
 func TestExcludedBeforeSending(t *testing.T) {
 	is := is.New(t)
 	l := newExcludingRelay(excludingGuard{"e1": "it leaves"})
@@ -78,7 +80,7 @@
 	is.Equal(j.exclude, []string{"e1"})
 }
 
-// recordingNotices is a notice.Guard that keeps the answers that it heard.
+// recordingNotices is a notice.Guard that records the answers reported to it.
 type recordingNotices struct {
 	excludingGuard
 	answers []notice.Answer
@@ -88,8 +90,8 @@
 	h.answers = append(h.answers, a)
 }
 
-// TestReportNotice looks which answers on a connection are heard: not that of another endpoint, and
-// without a time of sending that of an earlier request.
+// TestReportNotice guards against a notice that is recorded for the wrong endpoint, or with the
+// send time of another request.
 func TestReportNotice(t *testing.T) {
 	is := is.New(t)
 	h := &recordingNotices{}
--- a/relay/header_test.go
+++ b/relay/header_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// TestForwardedHeader looks that what concerns a single connection is not passed on.
+// TestForwardedHeader guards against forwarding headers that apply to a single connection.
 func TestForwardedHeader(t *testing.T) {
 	is := is.New(t)
 	h := http.Header{}
@@ -20,5 +20,5 @@
 	h.Set("Model", "m")
 	got := forwardedHeader(h)
 	is.Equal(got, http.Header{"Model": {"m"}})
-	is.Equal(h.Get("X-Hop"), "1") // the caller's header stays
+	is.Equal(h.Get("X-Hop"), "1") // the caller's header is unchanged
 }
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Metrics are the relay's counters and histograms.
+// Metrics holds the relay's counters and histograms.
 type Metrics struct {
-	// Vars has them all by name.
+	// Vars holds all of them by name.
 	Vars *expvar.Map
 
-	// first has the times to the first event of streams, and whole those to the
-	// end of answers.
+	// first observes the times to the first event of streams, and whole those to the end of
+	// answers.
 	first *histogram
 	whole *histogram
 }
 
-// newMetrics returns metrics that have counted nothing.
+// newMetrics returns metrics with all counts at zero.
 func newMetrics() *Metrics {
 	m := &Metrics{
 		Vars:  new(expvar.Map).Init(),
@@ -31,7 +31,7 @@
 	return m
 }
 
-// add counts an event by its name.
+// add increments the counter of a name.
 func (m *Metrics) add(name string) {
 	m.Vars.Add(name, 1)
 }
@@ -41,12 +41,11 @@
 	m.Vars.Add("refused_"+strconv.Itoa(status), 1)
 }
 
-// bounds are the upper bounds of a histogram's buckets, in ms. Each is 2 or 2.5
-// times the one before, so that a latency is known within that factor.
+// bounds are the upper bounds of a histogram's buckets, in milliseconds.
 var bounds = [...]int64{1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 20000}
 
-// histogram counts durations by bucket; each counter has those above the bound
-// before and up to the one that it is named for.
+// histogram counts durations in buckets. The counts are not cumulative: each covers the
+// durations above the previous bound up to its own.
 type histogram struct {
 	vars *expvar.Map
 }
@@ -58,7 +57,7 @@
 	}
 }
 
-// observe counts a duration.
+// observe counts a duration in its bucket.
 func (h *histogram) observe(d time.Duration) {
 	ms := d.Milliseconds()
 	for _, b := range bounds {
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// refusal is a final answer of the relay's own.
+// refusal is an error answer of the relay itself.
 type refusal struct {
 	status int
 	// reason is the body of the answer.
 	reason string
-	// after is when the caller may come back; zero when that is not said.
+	// after is when the caller may retry; zero sets no time.
 	after time.Duration
 }
 
-// defaultRetryAfter is when a caller may come back whose request found no endpoint: its
-// instance knows of others by then.
+// defaultRetryAfter is when a caller may retry after a refusal that names no time, because the
+// instance usually knows of other endpoints by then.
 const defaultRetryAfter = 300 * time.Millisecond
 
-// unavailable returns a refusal of a request that did not run.
+// unavailable returns a refusal with status 503 for a request that did not run.
 func unavailable(reason string, after time.Duration) *refusal {
 	return &refusal{
 		status: http.StatusServiceUnavailable,
@@ -29,7 +29,7 @@
 	}
 }
 
-// refuse sends a final answer of the relay's own.
+// refuse sends and logs a refusal.
 func (l *Relay) refuse(w http.ResponseWriter, h RequestHead, r *refusal) {
 	l.Metrics.refused(r.status)
 	version := int64(0)
@@ -42,11 +42,12 @@
 	l.parts.Wire.Refusal(w.Header(), h.ID, r.after)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(r.status)
-	// The caller may have gone; there is nobody left to tell.
+	// A failed write means that the caller has disconnected.
 	_, _ = w.Write([]byte(r.reason + "\n"))
 }
 
-// giveUp is the final answer to a request that has no endpoint's answer.
+// giveUp returns the refusal of a request that no endpoint answered: 503 if it did not run, 504
+// if its time is over, else 502.
 func (j *job) giveUp(reason string, after time.Duration) *refusal {
 	switch {
 	case !j.mayHaveRun:
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -18,69 +18,73 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// Settings are the measures of a Relay.
+// Settings configures a Relay.
 type Settings struct {
-	// Self names the instance; it becomes part of the names of attempts.
+	// Self is the id of this instance. It becomes part of the ids of attempts.
 	Self string
-	// MaxAge is how old the configuration may be to say what does not exist; zero
-	// means any age.
+	// MaxAge is the age from which the configuration no longer proves that a route or key does
+	// not exist. The relay then answers 503 instead of 404 or 401. Zero means no limit.
 	MaxAge time.Duration
-	// StrictKeys states that requests with a key are refused as well once the
-	// configuration is older than that.
+	// StrictKeys makes the relay answer 503 to every request that needs a key while the
+	// configuration has reached MaxAge, as the key may have been revoked since.
 	StrictKeys bool
 }
 
-// Parts are what a Relay works with.
+// Parts holds the dependencies of a Relay.
 type Parts struct {
-	// Snapshot returns what is known from the store; nil while nothing is.
+	// Snapshot returns the current state of the catalog, or nil while there is no
+	// configuration.
 	Snapshot func() *catalog.Snapshot
-	// Age returns how old the configuration in force may be.
+	// Age returns an upper bound on the age of the configuration in force. It returns false
+	// before the store was first read.
 	Age func() (time.Duration, bool)
-	// Placer finds places.
+	// Placer assigns requests to endpoints.
 	Placer pool.Placer
-	// Suspicions hears of silent streams and says which attempts are to move; nil means
-	// that each is watched by itself.
+	// Suspicions receives reports of silent streams and calls back when an attempt has to
+	// migrate. If it is nil, each stream is handled on its own.
 	Suspicions pool.SilenceMonitor
-	// Quarantine keeps requests from endpoints that crash these; nil means that none is kept.
+	// Quarantine bans requests that crash endpoints. Nil disables it.
 	Quarantine quarantine.Guard
-	// Check opens a connection to an endpoint that broke an answer off, to see whether it
-	// has ended; needed with Quarantine.
+	// Check opens a connection to an endpoint that broke off an answer, to find out whether it
+	// has ended. It is required with Quarantine.
 	Check quarantine.Checker
-	// Notices hears what endpoints say of themselves in answers, and keeps requests from those
-	// that want none; nil means that nobody does.
+	// Notices records the notices that endpoints put into their answers and returns which
+	// endpoints take no requests for now. Nil disables it.
 	Notices notice.Guard
-	// Wire reads and writes headers.
+	// Wire reads and writes the platform's headers.
 	Wire Wire
-	// Memory reserves memory.
+	// Memory reserves engine memory for joint prefills.
 	Memory Memory
-	// Upstream is the connections to endpoints.
+	// Upstream holds the connections to endpoints.
 	Upstream *upstream.Pool
-	// Log gets a line for each decision.
+	// Log receives one line per decision.
 	Log logr.Logger
 }
 
-// Relay serves callers. It is an http.Handler.
+// Relay forwards callers' requests to endpoints. It is an http.Handler.
 type Relay struct {
-	// Metrics counts what the relay does.
+	// Metrics holds the relay's counters and histograms.
 	Metrics *Metrics
 
 	settings Settings
 	parts    Parts
-	// counter is the number of the last attempt.
+	// counter numbers the placement requests.
 	counter  atomic.Uint64
 	stopping atomic.Bool
-	// inFlight counts the requests that are being served, and held those that wait
-	// for a first configuration.
+	// inFlight counts the requests that are being served, and configWaiters those that wait for
+	// a usable configuration.
 	inFlight      atomic.Int64
 	configWaiters atomic.Int64
-	// detector looks for crashes; needed with a quarantine.
+	// detector finds out whether a failed attempt crashed its endpoint. It is used only with a
+	// quarantine.
 	detector *quarantine.Detector
-	// timeouts are the times that callers name, and began is when the relay was made.
+	// timeouts tracks the timeouts that callers send, and startedAt is when the relay was
+	// created.
 	timeouts  timeoutTracker
 	startedAt time.Time
 }
 
-// New returns a relay.
+// New returns a Relay that is ready to serve.
 func New(s Settings, p Parts) *Relay {
 	l := &Relay{
 		Metrics:   newMetrics(),
@@ -92,13 +96,13 @@
 	return l
 }
 
-// Stop makes the relay ask callers to use another connection for their next
-// request.
+// Stop makes the relay answer later requests with "Connection: close", so that callers open
+// their next connection to another instance.
 func (l *Relay) Stop() {
 	l.stopping.Store(true)
 }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests that are being served.
 func (l *Relay) InFlight() int64 {
 	return l.inFlight.Load()
 }
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -11,22 +11,22 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// The times of reservations.
+// Timing of reservations.
 const (
-	// reservationTTL is how long memory is set aside without being renewed. It is
-	// what a dead instance keeps from others, and what an order that is
-	// carried out late takes; below the two seconds that count.
+	// reservationTTL is how long a reservation lasts without a renewal. It bounds how long
+	// memory stays blocked after this instance crashes, or after an engine acts late on a
+	// request to reserve.
 	reservationTTL = 1900 * time.Millisecond
-	// renewInterval leaves time for three lost renewals.
+	// renewInterval allows three renewals in a row to be lost.
 	renewInterval = 450 * time.Millisecond
-	// reserveTimeout bounds one order: several round trips.
+	// reserveTimeout bounds one call to an engine.
 	reserveTimeout = 250 * time.Millisecond
 )
 
-// maxReserveAttempts is how often an order is given.
+// maxReserveAttempts is the number of tries to make or renew one reservation.
 const maxReserveAttempts = 2
 
-// reservations is the memory that is set aside for an attempt.
+// reservations holds the memory reservations of an attempt.
 type reservations struct {
 	memory Memory
 	items  []reservation
@@ -34,21 +34,21 @@
 	done   sync.WaitGroup
 }
 
-// reservation is one reservation.
+// reservation is the memory of one engine, reserved under a name, in tokens.
 type reservation struct {
 	address string
 	name    string
 	tokens  int
 }
 
-// reserve sets aside the memory that the grant names, all or nothing, and keeps
-// it until it is freed.
+// reserve reserves the memory that the grant names, all or nothing, and renews it in the
+// background until free is called.
 func (t *attempt) reserve(ctx context.Context) (*reservations, error) {
 	h := &reservations{
 		memory: t.relay.parts.Memory,
 		cancel: func() {},
 	}
-	// The grant is shared with those who keep account of it.
+	// The slice is shared with the placer, which must not see the changes.
 	t.grant.Shares = slices.Clone(t.grant.Shares)
 	for i, r := range t.grant.Shares {
 		if r.Reserved == 0 {
@@ -74,7 +74,7 @@
 	return h, nil
 }
 
-// reserveAll gives the order for each reservation.
+// reserveAll makes all reservations in parallel.
 func (h *reservations) reserveAll(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, r := range h.items {
@@ -83,7 +83,7 @@
 	return g.Wait()
 }
 
-// reserveOne gives the order for a reservation.
+// reserveOne makes or renews one reservation.
 func (h *reservations) reserveOne(ctx context.Context, r reservation) error {
 	var err error
 	for range maxReserveAttempts {
@@ -97,7 +97,7 @@
 	return err
 }
 
-// renew keeps the reservations.
+// renew renews the reservations until ctx is done.
 func (h *reservations) renew(ctx context.Context) {
 	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
@@ -108,30 +108,29 @@
 		case <-tick.C:
 		}
 		for _, r := range h.items {
-			// A renewal that fails is tried again at the next tick; the engine
-			// ends the request if all fail.
+			// A failed renewal is repeated at the next tick. If all fail, the engine ends the
+			// request.
 			h.done.Go(func() { _ = h.reserveOne(ctx, r) })
 		}
 	}
 }
 
-// free gives the memory back.
+// free releases the memory in the background.
 func (h *reservations) free() {
 	h.cancel()
 	if len(h.items) == 0 {
 		return
 	}
 	go func() {
-		// No renewal may come after the order that ends the reservation.
+		// A renewal after the release would reserve the memory again.
 		h.done.Wait()
 		h.freeAll()
 	}()
 }
 
-// freeAll gives the orders that end the reservations, all at once: given one by one, the
-// memory of sixteen engines of which some don't answer came back after seconds, and the
-// request waited as long for its next place. One that gets lost costs the memory until
-// it lapses.
+// freeAll releases all reservations in parallel, so that engines that do not respond do not
+// delay the release on the others. A release that is lost blocks the memory until the
+// reservation expires.
 func (h *reservations) freeAll() {
 	ctx, cancel := context.WithTimeout(context.Background(), reserveTimeout)
 	defer cancel()
--- a/relay/reserve_test.go
+++ b/relay/reserve_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// unresponsiveMemory is engines that don't answer.
+// unresponsiveMemory is a Memory whose engines never respond.
 type unresponsiveMemory struct {
 	calls atomic.Int64
 }
@@ -32,8 +32,8 @@
 	return ctx.Err()
 }
 
-// TestFreeAllInParallel looks that all engines are told at once that their memory is free,
-// though none of them answers.
+// TestFreeAllInParallel guards against engines that do not respond delaying the release on the
+// others.
 func TestFreeAllInParallel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/relay/resume.go
+++ b/relay/resume.go
@@ -8,9 +8,10 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// resumes states whether the caller has events of its stream, and returns the time left
-// until the next one would be late. A caller that takes a stream up again with another
-// instance does not say when it was cut; the owner of the pool may know.
+// resumes reports whether the caller already has events of its stream, and the time until the
+// next event is late, which may be negative. If the caller received its events from another
+// instance, the time counts from the arrival of the request. Without a gap target resumes
+// returns false.
 func (j *job) resumes() (bool, time.Duration) {
 	gap := j.route.GapTarget
 	e := &j.out.progress
--- a/relay/resume_test.go
+++ b/relay/resume_test.go
@@ -13,12 +13,12 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// TestResumes looks how long a stream has that goes on elsewhere, by what its caller has.
+// TestResumes guards against a wrong due time for the next event of a resumed stream.
 func TestResumes(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// had is the last event that the caller had when it came, got states that it got
-		// another one here 100 ms ago, and gap is the longest pause.
+		// had is the last event that the caller received elsewhere, got states that it received
+		// another here 100 ms ago, and gap is the route's gap target.
 		had     string
 		got     bool
 		gap     time.Duration
@@ -26,10 +26,10 @@
 		due     time.Duration
 	}{
 		{"no event", "", false, 250 * time.Millisecond, false, 0},
-		{"taken up with another instance", "12", false, 250 * time.Millisecond, true, 50 * time.Millisecond},
+		{"resumed from another instance", "12", false, 250 * time.Millisecond, true, 50 * time.Millisecond},
 		{"broke off here", "", true, 250 * time.Millisecond, true, 150 * time.Millisecond},
-		{"taken up, and broke off here", "12", true, 250 * time.Millisecond, true, 150 * time.Millisecond},
-		{"no pause counts", "", true, 0, false, 0},
+		{"resumed and broke off here", "12", true, 250 * time.Millisecond, true, 150 * time.Millisecond},
+		{"no gap target", "", true, 0, false, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestReplacementDueIn looks that a silent stream which has begun is asked a place for by
-// its next event, and one that has not by its first.
+// TestReplacementDueIn guards against a placement request for a silent stream that lacks the
+// due time of its next event, or has one before the first event.
 func TestReplacementDueIn(t *testing.T) {
 	for _, row := range []struct {
 		name  string
--- a/relay/serve.go
+++ b/relay/serve.go
@@ -14,7 +14,7 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// serve sends the request to endpoints until it is answered or given up.
+// serve makes attempts until the request is answered or given up.
 func (l *Relay) serve(ctx context.Context, j *job, w http.ResponseWriter) {
 	j.out = newAnswer(w, j)
 	for {
@@ -27,7 +27,8 @@
 	}
 }
 
-// finish ends the answer to the caller.
+// finish records how the request ended and sends the final answer if there is one. It panics
+// with http.ErrAbortHandler to close the connection of an incomplete answer.
 func (l *Relay) finish(ctx context.Context, j *job, w http.ResponseWriter, final *refusal) {
 	took := steady.Since(j.arrived)
 	switch {
@@ -40,14 +41,14 @@
 			"sends", j.sends, "begun", j.out.headSent)
 		panic(http.ErrAbortHandler)
 	case j.out.headSent:
-		// The answer must not look whole.
+		// The caller must not take the answer for complete.
 		l.Metrics.add("cut_off")
 		l.parts.Log.Info("answer cut off", "request", j.head.ID, "route", j.route.Name, "reason", final.reason,
 			"ms", took.Milliseconds(), "sends", j.sends, "events", j.out.progress.count)
 		panic(http.ErrAbortHandler)
 	case j.failure != nil:
 		l.Metrics.add("failed_by_endpoint")
-		l.parts.Log.Info("endpoint's failure passed on", "request", j.head.ID, "route", j.route.Name,
+		l.parts.Log.Info("endpoint's error answer forwarded", "request", j.head.ID, "route", j.route.Name,
 			"reason", final.reason, "status", j.failure.response.StatusCode)
 		j.out.send(j.failure.response, j.failure.body)
 	default:
@@ -55,8 +56,9 @@
 	}
 }
 
-// attempt finds a place and sends the request there once. It returns true when
-// another attempt makes sense, else the final answer, nil once it was sent.
+// attempt finds a placement and sends the request there once. It returns true if another
+// attempt should follow, else the refusal to send, which is nil if the caller has a complete
+// answer.
 func (l *Relay) attempt(ctx context.Context, j *job) (again bool, final *refusal) {
 	j.history.WaitSettled(ctx)
 	if ref := l.checkBan(j); ref != nil {
@@ -97,7 +99,8 @@
 	return l.handleResult(ctx, j, t, res)
 }
 
-// findPlacement returns the findPlacement that was found during the last attempt, or a new one.
+// findPlacement returns the placement that was found during the last attempt, or requests a new
+// one.
 func (l *Relay) findPlacement(ctx context.Context, j *job) (*nextPlacement, error) {
 	if p := j.next; p != nil {
 		j.next = nil
@@ -115,13 +118,13 @@
 	}, nil
 }
 
-// releasePlacement gives up a place to which nothing was sent.
+// releasePlacement returns a placement to which nothing was sent.
 func (l *Relay) releasePlacement(p *nextPlacement) {
 	l.parts.Placer.End(p.request.ID, p.request.Service, pool.Abandoned, "")
 }
 
-// handleResult decides what follows an attempt. A place that was found for another one
-// is used or given back.
+// handleResult decides whether another attempt follows. It keeps the placement that was found
+// during this one for the next attempt, or releases it.
 func (l *Relay) handleResult(ctx context.Context, j *job, t *attempt, res result) (again bool, final *refusal) {
 	if !res.answered {
 		again, final = l.retryOrGiveUp(ctx, j, t, res)
@@ -136,7 +139,7 @@
 	return again, final
 }
 
-// newPlacementRequest describes the request to the pool.
+// newPlacementRequest returns a placement request for the next attempt of a job.
 func (l *Relay) newPlacementRequest(j *job) pool.PlacementRequest {
 	a := pool.PlacementRequest{
 		ID:        j.head.ID + "." + l.settings.Self + "." + strconv.FormatUint(l.counter.Add(1), 36),
@@ -161,7 +164,7 @@
 	return a
 }
 
-// placementFailure is the final answer to a request without a place.
+// placementFailure returns the refusal of a request that got no placement.
 func (j *job) placementFailure(ctx context.Context, err error) *refusal {
 	var r *pool.Refusal
 	if errors.As(err, &r) {
@@ -173,8 +176,8 @@
 	return j.giveUp(err.Error(), defaultRetryAfter)
 }
 
-// retryOrGiveUp decides what follows an attempt without a whole answer: another one, or the
-// final answer.
+// retryOrGiveUp decides what follows an attempt without a complete answer: it returns true for
+// another attempt, else the refusal to send.
 func (l *Relay) retryOrGiveUp(ctx context.Context, j *job, t *attempt, res result) (bool, *refusal) {
 	j.exclude = append(j.exclude, t.excluded(res)...)
 	switch {
@@ -185,7 +188,7 @@
 	case res.unsent, res.outcome == pool.Unreachable && len(j.exclude) <= maxUnreachable:
 		return true, nil
 	case j.out.headSent && res.brokenOff && len(j.exclude) <= maxResumes:
-		// The endpoint broke its run off; it no longer counts.
+		// A resumed stream may exceed the route's number of attempts.
 		return true, nil
 	case j.attemptsLeft() > 0:
 		return true, nil
@@ -193,14 +196,16 @@
 	return false, j.giveUp(res.reason, defaultRetryAfter)
 }
 
-// The bounds of attempts that the route's bound does not count: those that
-// reached no endpoint, and those that continue a stream whose endpoint is gone.
+// Limits on retries beyond the route's number of attempts, each compared with the number of
+// excluded endpoints.
 const (
+	// maxUnreachable applies after an attempt that could not connect.
 	maxUnreachable = 4
-	maxResumes     = 3
+	// maxResumes applies after a stream broke off.
+	maxResumes = 3
 )
 
-// logAttempt writes the line of an attempt.
+// logAttempt counts and logs the outcome of an attempt.
 func (l *Relay) logAttempt(j *job, t *attempt, res result) {
 	l.Metrics.add("attempts_" + res.outcome.String())
 	age, _ := l.parts.Age()
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -11,11 +11,11 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// streamBuffer is how much of a stream is read at once, in bytes: several events.
+// streamBuffer is the size of a read from a stream, in bytes. It holds several events.
 const streamBuffer = 4 << 10
 
-// relayStream passes the events of a relayStream on as they come. Only whole events are
-// passed on, so that another endpoint can continue after any of them.
+// relayStream forwards events as they arrive. It forwards only complete events, so that another
+// endpoint can resume the stream after any of them.
 func (t *attempt) relayStream(x *upstream.Exchange, w *watch) result {
 	out := t.job.out
 	buf := make([]byte, streamBuffer)
@@ -46,7 +46,8 @@
 	}
 }
 
-// recordGap keeps the longest pause between events.
+// recordGap updates the longest pause between events. Last is when the previous events arrived;
+// zero before the first.
 func (t *attempt) recordGap(last *time.Time) {
 	now := time.Now()
 	if !last.IsZero() {
@@ -55,7 +56,7 @@
 	*last = now
 }
 
-// streamEnd ends a stream that its endpoint ended.
+// streamEnd forwards what is left of a stream after its endpoint ended it.
 func (t *attempt) streamEnd(x *upstream.Exchange, rest []byte) result {
 	x.Whole()
 	out := t.job.out
@@ -70,7 +71,7 @@
 	}
 }
 
-// wholeEvents returns the length of the whole events at the start of data.
+// wholeEvents returns the length of the complete events at the start of data.
 func wholeEvents(data []byte) int {
 	end := bytes.LastIndex(data, []byte("\n\n"))
 	if end < 0 {
@@ -79,20 +80,20 @@
 	return end + 2
 }
 
-// streamProgress is what a caller has of a stream.
+// streamProgress tracks which events of a stream the caller has received.
 type streamProgress struct {
-	// last is the id of the last event; it begins as what the caller had
-	// before.
+	// last is the id of the last event. It starts as the id that the caller sent to resume a
+	// stream.
 	last  string
 	count int
-	// at is when the caller got the last event; zero before the first one.
+	// at is when the relay sent the last event; zero before the first.
 	at time.Time
 }
 
-// idField begins the line with an event's id (HTML Standard, 9.2).
+// idField starts the line with an event's id (HTML Standard, section 9.2).
 var idField = []byte("id:")
 
-// observe takes over events that the caller got.
+// observe records the events in data.
 func (e *streamProgress) observe(data []byte) {
 	for _, line := range bytes.Split(data, []byte("\n")) {
 		value, ok := bytes.CutPrefix(line, idField)
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -8,16 +8,17 @@
 	"github.com/matryer/is"
 )
 
+// TestWholeEvents guards against forwarding a part of an event.
 func TestWholeEvents(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		data string
 		want int
 	}{
-		{"nothing", "", 0},
-		{"part", "id: 1\ndata: x\n", 0},
+		{"empty", "", 0},
+		{"incomplete", "id: 1\ndata: x\n", 0},
 		{"one", "id: 1\ndata: x\n\n", 15},
-		{"one and a part", "id: 1\ndata: x\n\nid: 2", 15},
+		{"one and an incomplete one", "id: 1\ndata: x\n\nid: 2", 15},
 		{"two", "id: 1\n\nid: 2\n\n", 14},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -27,6 +28,7 @@
 	}
 }
 
+// TestStreamProgress guards against resuming a stream after the wrong event.
 func TestStreamProgress(t *testing.T) {
 	is := is.New(t)
 	e := streamProgress{
--- a/relay/suspicion.go
+++ b/relay/suspicion.go
@@ -8,20 +8,20 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// The measures of suspecting a silent stream.
+// Parameters of reporting a silent stream.
 const (
-	// pauseWeight is the weight of one more pause in a stream's usual one: the last four
-	// count for two thirds, so that one long pass does not make a pause usual.
+	// pauseWeight is the weight of the latest pause in the moving average. It is low enough
+	// that a single long pause does not dominate.
 	pauseWeight = 0.25
-	// timerTolerance is how much later than set a timer may end, in each pool.MinSuspectSilence of the
-	// silence: with more, this instance stood still, and not the endpoint.
+	// timerTolerance is how late the timer may fire. If it fires later, this instance was
+	// stalled, and the silence says nothing about the endpoint.
 	timerTolerance = 100 * time.Millisecond
-	// migrateRetry is when another place is looked for again after there was none for a
-	// stream whose endpoint has stopped.
+	// migrateRetry is the delay before another search for a placement for a stream that has to
+	// migrate.
 	migrateRetry = 200 * time.Millisecond
 )
 
-// subscribeMigrations has the attempt move when the owner of the pool says so.
+// subscribeMigrations makes the attempt migrate when the pool's owner requests it.
 func (w *watch) subscribeMigrations() {
 	s := w.attempt.relay.parts.Suspicions
 	if s == nil {
@@ -30,7 +30,8 @@
 	w.stopMigrations = s.OnMigrate(w.attempt.request.ID, w.migrate)
 }
 
-// unsubscribe ends what listen and notePause began. The caller holds the lock.
+// unsubscribe undoes subscribeMigrations and stops the timer of observePause. The caller holds
+// the lock.
 func (w *watch) unsubscribe() {
 	if w.stopMigrations != nil {
 		w.stopMigrations()
@@ -40,8 +41,8 @@
 	}
 }
 
-// observePause learns the usual pause between events from one that has ended, and suspects
-// the next when it lasts for much longer. The caller holds the lock.
+// observePause adds the pause that has just ended to the moving average and restarts the timer
+// that reports the next one if it becomes too long. The caller holds the lock.
 func (w *watch) observePause(now time.Time) {
 	if w.attempt.relay.parts.Suspicions == nil || w.stopped.Err() != nil {
 		return
@@ -60,16 +61,18 @@
 	w.suspectTimer.Reset(w.suspectAfter())
 }
 
-// suspectAfter returns the silence that is suspected.
+// suspectAfter returns the length of a silence that is reported.
 func (w *watch) suspectAfter() time.Duration {
 	return max(pool.MinSuspectSilence, pool.SuspectGapFactor*w.meanPause)
 }
 
-// suspect tells the owner of the pool that the stream is silent, and again while it is.
+// suspect reports to the pool's owner that the stream is silent, and repeats this while the
+// silence lasts.
 func (w *watch) suspect() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped.Err() != nil || w.next != nil || w.abandoned {
+		// An event arrived as the timer fired.
 		return
 	}
 	silence := time.Since(w.lastActivity)
@@ -85,19 +88,19 @@
 	w.suspectTimer.Reset(pool.MinSuspectSilence)
 }
 
-// migrate has the attempt leave its endpoint, which has stopped. A stream that has begun
-// leaves once it has another place. One that has not waits for its place better without
-// the engines that it keeps.
+// migrate makes the attempt leave its endpoint, which has stopped. A stream with events first
+// searches for another placement and stays if there is none. An attempt without events ends at
+// once, which frees its engines, and the request is placed again.
 func (w *watch) migrate() {
 	w.mu.Lock()
-	gone := w.stopped.Err() != nil || w.next != nil || w.abandoned
+	ended := w.stopped.Err() != nil || w.next != nil || w.abandoned
 	begun := w.hasEvents
-	if !gone && !begun {
+	if !ended && !begun {
 		w.abandoned = true
 		w.cancel()
 	}
 	w.mu.Unlock()
-	if gone || !begun {
+	if ended || !begun {
 		return
 	}
 	w.attempt.relay.Metrics.add("moves")
--- a/relay/suspicion_test.go
+++ b/relay/suspicion_test.go
@@ -16,7 +16,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// recordingMonitor keeps the suspicions, and what has the attempt move.
+// recordingMonitor is a pool.SilenceMonitor that records reports and the callback for
+// migrations.
 type recordingMonitor struct {
 	at      []time.Time
 	silence []time.Duration
@@ -35,8 +36,8 @@
 	return func() { s.migrate = nil }
 }
 
-// newMonitoredWatch returns the watch of a stream of pauses of a second, and what ends when the
-// attempt does.
+// newMonitoredWatch returns the watch of a stream with a gap target of one second, and a
+// context that ends when the watch cancels the attempt.
 func newMonitoredWatch(t *testing.T, placer pool.Placer, s *recordingMonitor) (*watch, context.Context) {
 	l := &Relay{
 		Metrics: newMetrics(),
@@ -70,8 +71,9 @@
 	return a.watch(t.Context(), cancel), ctx
 }
 
-// TestReportSilence looks when a stream is suspected: after four of its usual pauses, or
-// 200 ms, and again while it is silent; never before its first event.
+// TestReportSilence guards against silences that are reported too early, too late or only once:
+// the first report is due after four usual pauses, but at least 200 ms, and none before the
+// first event.
 func TestReportSilence(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -117,7 +119,7 @@
 	}
 }
 
-// grantingPlacer finds a place.
+// grantingPlacer grants each placement request.
 type grantingPlacer struct {
 	refusingPlacer
 }
@@ -130,20 +132,21 @@
 	}, nil
 }
 
-// TestMigrate looks what an attempt does that is to move: it leaves with a place if it has
-// begun, at once if not, and stays while there is no place for its stream.
+// TestMigrate guards against a migration that ends a stream without another placement, or that
+// keeps an attempt without events.
 func TestMigrate(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		begun bool
 		found bool
-		// ends states that the attempt ends at once, and next that it has a place then.
+		// ends states that the attempt ends at once, and next that it has another placement
+		// then.
 		ends bool
 		next bool
 	}{
-		{"stream with a place", true, true, true, true},
-		{"stream without a place", true, false, false, false},
-		{"no event yet", false, true, true, false},
+		{"stream, placement found", true, true, true, true},
+		{"stream, no placement", true, false, false, false},
+		{"no event", false, true, true, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -163,7 +166,7 @@
 				is.Equal(w.expired(), row.ends)
 				next := w.end()
 				is.Equal(next != nil, row.next)
-				is.True(s.migrate == nil) // nothing moves an attempt that has ended
+				is.True(s.migrate == nil) // the subscription has ended
 			})
 		})
 	}
--- a/relay/timeouts.go
+++ b/relay/timeouts.go
@@ -7,33 +7,32 @@
 	"time"
 )
 
-// timeoutTracker knows which times callers name at their first try. Where those are the same for
-// many requests, a caller that comes back is known by what is left of its time. Where
-// callers name all kinds of times from the start, nothing tells who has come back. This
-// needs no configuration. The zero value is ready for use.
+// timeoutTracker distinguishes returning callers from first tries by their timeouts. First
+// tries usually name one of a few timeouts, whereas a returning caller names what is left of
+// its own. If the timeouts of first tries all differ, no caller is taken as returning. The zero
+// value is ready for use.
 type timeoutTracker struct {
 	mu   sync.Mutex
 	seen map[time.Duration]struct{}
-	// repeatShare is the recent part of the requests whose time others have named.
+	// repeatShare is the moving average of the fraction of requests whose timeout was seen
+	// before.
 	repeatShare float64
 }
 
-// The measures of knowing callers by the time that they name.
+// Parameters of a timeoutTracker.
 const (
-	// maxTimeouts bounds the times that are remembered. There are a few for each route;
-	// what callers name that come back fills the rest, and then all are learned anew.
+	// maxTimeouts bounds the remembered timeouts. Those of returning callers fill it up in
+	// time; then all are forgotten.
 	maxTimeouts = 256
-	// shareWeight is the weight of one more request in the share.
+	// shareWeight is the weight of the latest request in repeatShare.
 	shareWeight = 1.0 / 16
-	// minRepeatShare is the share from which on a time that no other request has named
-	// tells that its caller has come back. It is reached by six first tries that name
-	// the same time and kept while half of the callers come back; times that are
-	// spread over some seconds agree by chance in one of twenty.
+	// minRepeatShare is the value of repeatShare from which a new timeout marks a returning
+	// caller.
 	minRepeatShare = 0.3
 )
 
-// observe remembers the time that a request names. Common states whether another one has
-// named the same, and returns whether the request is known to come back.
+// observe records the timeout of a request. Repeated states that an earlier request had the
+// same timeout, which marks a first try, and returning that the caller has probably come back.
 func (w *timeoutTracker) observe(wait time.Duration) (repeated, returning bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/relay/timeouts_test.go
+++ b/relay/timeouts_test.go
@@ -12,11 +12,11 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// firstTry is the time that first tries name in these tests.
+// firstTry is the timeout of first tries in these tests.
 const firstTry = 10 * time.Second
 
-// TestTimeoutsForgotten looks that what callers name that come back does not keep the
-// waits of first tries from being learned later.
+// TestTimeoutsForgotten guards against returning callers' timeouts that fill the table, so that
+// those of first tries are no longer learned.
 func TestTimeoutsForgotten(t *testing.T) {
 	is := is.New(t)
 	var w timeoutTracker
@@ -29,9 +29,10 @@
 	is.True(common)
 }
 
-// TestDetectReturningCallers looks whether callers are known to come back by the time that they name.
+// TestDetectReturningCallers guards against returning callers that are not detected, and
+// against first tries that are taken for returning ones.
 func TestDetectReturningCallers(t *testing.T) {
-	t.Run("first tries name the same", func(t *testing.T) {
+	t.Run("first tries share a timeout", func(t *testing.T) {
 		is := is.New(t)
 		var w timeoutTracker
 		for range 7 {
@@ -41,7 +42,7 @@
 		_, returns := w.observe(7123 * time.Millisecond)
 		is.True(returns)
 	})
-	t.Run("half of the callers have come back", func(t *testing.T) {
+	t.Run("half of the callers return", func(t *testing.T) {
 		is := is.New(t)
 		var w timeoutTracker
 		for i := range 200 {
@@ -53,7 +54,7 @@
 			}
 		}
 	})
-	t.Run("first tries name all kinds of times", func(t *testing.T) {
+	t.Run("first tries differ", func(t *testing.T) {
 		is := is.New(t)
 		var w timeoutTracker
 		r := rand.New(rand.NewPCG(1, 1))
@@ -63,11 +64,12 @@
 				known++
 			}
 		}
-		is.True(known < 20) // all but the first when each other time counts
+		is.True(known < 20) // without minRepeatShare each new timeout would count
 	})
 }
 
-// TestTimeSpent looks how much less than the route allows callers name.
+// TestTimeSpent guards against a wrong estimate of the time that a returning caller has already
+// spent.
 func TestTimeSpent(t *testing.T) {
 	for _, row := range []struct {
 		name    string
@@ -76,11 +78,11 @@
 		want    time.Duration
 	}{
 		{"first try", 10 * time.Second, 10 * time.Second, 0},
-		{"a little less than the route's time", 9950 * time.Millisecond, 10 * time.Second, 0},
-		{"more than the route's time", 4 * time.Second, 2 * time.Second, 0},
-		{"has come back", 7 * time.Second, 10 * time.Second, 3 * time.Second},
-		{"does not say", 0, 10 * time.Second, 0},
-		{"route without a time", 10 * time.Second, 0, 0},
+		{"slightly below the route's timeout", 9950 * time.Millisecond, 10 * time.Second, 0},
+		{"above the route's timeout", 4 * time.Second, 2 * time.Second, 0},
+		{"returning", 7 * time.Second, 10 * time.Second, 3 * time.Second},
+		{"no timeout", 0, 10 * time.Second, 0},
+		{"route without a timeout", 10 * time.Second, 0, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			got := timeSpent(row.wait, &route.Route{
--- a/relay/types.go
+++ b/relay/types.go
@@ -11,78 +11,80 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// RequestHead is what a caller's request says of itself.
+// RequestHead holds what the relay reads from the header of a caller's request.
 type RequestHead struct {
-	// ID names the request; endpoints repeat it in their answers.
+	// ID identifies the request. Endpoints repeat it in their answers.
 	ID string
-	// Key is the caller's key; empty without one.
+	// Key is the caller's API key; empty if the request has none.
 	Key string
-	// Wait is how long the caller waits for the answer; zero when it does not
-	// say.
+	// Wait is how long the caller waits for the answer; zero if it does not say.
 	Wait time.Duration
-	// PromptTokens is the length of the prompt.
+	// PromptTokens is the length of the prompt in tokens.
 	PromptTokens int
-	// Content is a hash of the parts that the prompt consists of; zero when the caller
-	// does not name them.
+	// Content is a hash of the list of parts that make up the prompt; zero if the caller sends
+	// no such list.
 	Content uint64
-	// OutputTokens bounds the answer.
+	// OutputTokens is the upper bound of the answer's length in tokens.
 	OutputTokens int
-	// LikelyOutput is the caller's own estimate of the answer's length; zero
-	// without one.
+	// LikelyOutput is the caller's estimate of the answer's length in tokens; zero if it sends
+	// none.
 	LikelyOutput int
-	// LastEvent is the last event that the caller has of a stream that it
-	// continues.
+	// LastEvent is the id of the last event that the caller has received of a stream that it
+	// resumes; empty otherwise.
 	LastEvent string
 }
 
-// OutgoingHead is what an endpoint is told of a request beyond what its caller sent.
+// OutgoingHead holds what the relay adds to the header of a request for an endpoint.
 type OutgoingHead struct {
-	// Instance is the endpoint that is meant; any other refuses the request.
+	// Instance is the id of the endpoint that the request is for. An endpoint with another id
+	// refuses the request.
 	Instance string
-	// Customer is who pays; empty on public routes.
+	// Customer is the id of the customer; empty on public routes.
 	Customer string
-	// Wait is the time that is left.
+	// Wait is the time left until the request's deadline.
 	Wait time.Duration
-	// LastEvent is the last event that the caller has of a stream that is
-	// continued; empty otherwise.
+	// LastEvent is the id of the last event that the caller has received of a resumed stream;
+	// empty otherwise.
 	LastEvent string
-	// Rank is the request's priority; 0 goes first.
+	// Rank is the request's priority; 0 is the highest.
 	Rank int
-	// Shares are the endpoints that read the prompt together with this one.
+	// Shares lists the other endpoints of a joint prefill, with the memory reserved on each.
 	Shares []pool.PrefillShare
 }
 
-// AnswerHead is what an endpoint's answer says of itself.
+// AnswerHead holds what the relay reads from the header of an endpoint's answer.
 type AnswerHead struct {
-	// ID names the request that the answer belongs to.
+	// ID identifies the request that the answer is for.
 	ID string
-	// NotRun states that the request did not run and will not.
+	// NotRun states that the request did not run and will not run.
 	NotRun bool
-	// Culprit is the address of the endpoint at fault; empty when it is not
-	// said.
+	// Culprit is the address of the endpoint that caused the failure; empty if the answer names
+	// none.
 	Culprit string
 	// Signed states that the answer carries the endpoint's proof of origin.
 	Signed bool
-	// Notice is what the endpoint says of itself.
+	// Notice holds the endpoint's statements about itself, such as a back-off or that it is
+	// leaving.
 	Notice notice.Statements
 }
 
-// Wire is how callers and endpoints write what the types of this package hold.
+// Wire converts between HTTP headers and the types of this package.
 type Wire interface {
-	// Head reads the head of a caller's request.
+	// Head reads the header of a caller's request.
 	Head(r *http.Request) RequestHead
-	// Outgoing sets what an endpoint is told; h holds the caller's header.
+	// Outgoing adds c to h, which holds the caller's header.
 	Outgoing(h http.Header, c OutgoingHead)
-	// Answer reads the head of an endpoint's answer.
+	// Answer reads the header of an endpoint's answer.
 	Answer(res *http.Response) AnswerHead
-	// Refusal sets when a caller may come back.
+	// Refusal sets the request's id and when the caller may retry; zero sets no time.
 	Refusal(h http.Header, id string, after time.Duration)
 }
 
 // Memory reserves memory on engines.
 type Memory interface {
-	// Reserve sets memory aside, or renews what is set aside under the name.
+	// Reserve reserves memory for a number of tokens on the engine at an address. A reservation
+	// of the same name is renewed. It expires after hold.
 	Reserve(ctx context.Context, address, name string, tokens int, hold time.Duration) error
-	// Free gives it back.
+	// Free releases the reservation of a name.
 	Free(ctx context.Context, address, name string) error
 }
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -14,43 +14,46 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// nextPlacement is a nextPlacement for the next attempt, found before the present one is ended.
+// nextPlacement is a placement for the next attempt.
 type nextPlacement struct {
 	request pool.PlacementRequest
 	grant   pool.Grant
 }
 
-// watch ends an attempt whose endpoint is silent, once there is another place:
-// without one the silent endpoint is the best there is.
+// watch monitors an attempt and cancels it if its endpoint is silent and another placement is
+// available. Without another placement the attempt continues.
 type watch struct {
 	attempt *attempt
 	cancel  func()
-	// silenceLimit is the silence after which another place is looked for.
+	// silenceLimit is the silence after which the watch searches for another placement.
 	silenceLimit time.Duration
-	// stopped ends the search for a place.
+	// stopped is done when the watch ends. It also cancels a search for a placement.
 	stopped context.Context
 	stop    func()
 
 	mu sync.Mutex
-	// lastActivity is when the last sign of life came, and begun states that it was an event.
+	// lastActivity is when the last event arrived, or when the watch started. hasEvents states
+	// that an event has arrived.
 	lastActivity time.Time
 	hasEvents    bool
-	// timer ends with the silence; nil for an attempt that is not watched.
+	// timer fires when the silence has reached its limit; nil if the attempt is not watched.
 	timer *time.Timer
-	// next is the place that the attempt was ended for.
+	// next is the placement for which the attempt was cancelled.
 	next *nextPlacement
-	// abandoned states that it was ended without one, as its endpoint has stopped.
+	// abandoned states that the attempt was cancelled without another placement, because its
+	// endpoint has stopped.
 	abandoned bool
-	// meanPause is the meanPause pause between events, and early ends with the silence that is
-	// suspected; nil where nobody hears of suspicions.
+	// meanPause is the moving average of the pauses between events. suspectTimer fires when the
+	// current pause has to be reported; nil without a SilenceMonitor and before the first
+	// event.
 	meanPause    time.Duration
 	suspectTimer *time.Timer
-	// stopMigrations ends that the owner of the pool may have the attempt move.
+	// stopMigrations ends the subscription to migrations; nil without one.
 	stopMigrations func()
 }
 
-// watch starts the watch of an attempt. Only streams that can be continued at
-// one more endpoint are watched: nothing is won by ending another one early.
+// watch starts the watch of an attempt. It watches only streams that another endpoint may
+// resume, because cancelling any other attempt early gains nothing.
 func (t *attempt) watch(ctx context.Context, cancel func()) *watch {
 	w := &watch{
 		attempt: t,
@@ -64,7 +67,7 @@
 	limit, first := pool.SilenceLimits(r.GapTarget, t.grant.FirstEventIn)
 	w.silenceLimit = limit
 	w.lastActivity = time.Now()
-	// The timer may end before it is kept.
+	// The timer may fire before the field is set.
 	w.mu.Lock()
 	w.timer = time.AfterFunc(first, w.replace)
 	w.mu.Unlock()
@@ -72,7 +75,8 @@
 	return w
 }
 
-// replace looks for another place and ends the attempt when there is one.
+// replace searches for another placement and cancels the attempt if there is one. Otherwise it
+// schedules the next search.
 func (w *watch) replace() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,7 +106,8 @@
 	w.cancel()
 }
 
-// describeSilence describes the attempt. The caller holds the lock.
+// describeSilence describes the silent attempt for a placement request. The caller holds the
+// lock.
 func (w *watch) describeSilence() pool.ReplacedAttempt {
 	r := w.attempt.job.route
 	patience := placement.Patience(r.Target, r.GapTarget)
@@ -117,7 +122,7 @@
 	}
 }
 
-// nextSearchDelay returns when to look for another place again after there was none.
+// nextSearchDelay returns the delay until the next search after one that failed with err.
 func (w *watch) nextSearchDelay(err error) time.Duration {
 	var r *pool.Refusal
 	if errors.As(err, &r) && r.KeepReplaced {
@@ -126,7 +131,7 @@
 	return w.silenceLimit
 }
 
-// recordActivity notes a sign of life.
+// recordActivity records the arrival of events and restarts the timers.
 func (w *watch) recordActivity() {
 	if w.timer == nil {
 		return
@@ -140,8 +145,8 @@
 	w.hasEvents = true
 }
 
-// end ends the watch. It returns the place for the next attempt if the endpoint
-// was given up for it.
+// end stops the watch. It returns the placement for the next attempt if the attempt was
+// cancelled for it, else nil. It may be called more than once.
 func (w *watch) end() *nextPlacement {
 	w.stop()
 	if w.timer == nil {
@@ -154,7 +159,7 @@
 	return w.next
 }
 
-// expired states that the attempt was ended for silence.
+// expired reports whether the watch has cancelled the attempt.
 func (w *watch) expired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/relay/watch_test.go
+++ b/relay/watch_test.go
@@ -16,7 +16,7 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// refusingPlacer refuses each place with an error and notes what it was asked.
+// refusingPlacer records each placement request and refuses it with err.
 type refusingPlacer struct {
 	err      error
 	requests []pool.PlacementRequest
@@ -36,25 +36,24 @@
 // End implements pool.Placer.
 func (k *refusingPlacer) End(string, string, pool.Outcome, string) {}
 
-// TestWatchRetriesSearch lets a stream of pauses of 200 ms be silent, before its first event
-// and after it. The watch says which attempt it is to replace, for how long it has been
-// silent and how long its caller will wait, and looks again when the owner says, or else
-// after the usual silence of 1.3 s.
+// TestWatchRetriesSearch guards against a silent stream that does not search for another
+// placement again, describes its silence wrongly, or ignores the delay that the pool's owner
+// asks for.
 func TestWatchRetriesSearch(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		err   error
 		begun bool
-		// first is the silence at the first look, left what the caller waits then, and
-		// again the time until the second look.
+		// first is the silence at the first search, left how long the caller still waits then,
+		// and again the time until the second search.
 		first time.Duration
 		left  time.Duration
 		again time.Duration
 	}{
-		{"kept", &pool.Refusal{KeepReplaced: true, RetryAfter: 400 * time.Millisecond}, true, 1300 * time.Millisecond, 700 * time.Millisecond, 400 * time.Millisecond},
+		{"told to keep", &pool.Refusal{KeepReplaced: true, RetryAfter: 400 * time.Millisecond}, true, 1300 * time.Millisecond, 700 * time.Millisecond, 400 * time.Millisecond},
 		{"refused", &pool.Refusal{RetryAfter: 400 * time.Millisecond}, true, 1300 * time.Millisecond, 700 * time.Millisecond, 1300 * time.Millisecond},
 		{"no answer", errors.New("none"), true, 1300 * time.Millisecond, 700 * time.Millisecond, 1300 * time.Millisecond},
-		{"kept before the first event", &pool.Refusal{KeepReplaced: true, RetryAfter: time.Second}, false, 2700 * time.Millisecond, 3300 * time.Millisecond, time.Second},
+		{"told to keep before the first event", &pool.Refusal{KeepReplaced: true, RetryAfter: time.Second}, false, 2700 * time.Millisecond, 3300 * time.Millisecond, time.Second},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -79,7 +78,8 @@
 	}
 }
 
-// newTestWatch returns the watch of an attempt with a first event predicted after a second.
+// newTestWatch returns the watch of a stream with a gap target of 200 ms whose first event is
+// predicted after one second.
 func newTestWatch(t *testing.T, placer pool.Placer) *watch {
 	l := &Relay{
 		parts: Parts{
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -11,12 +11,11 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// maxWhole is the size, in bytes, up to which an answer is read whole before it is
-// passed on, so that one that breaks off can be replaced.
+// maxWhole is the size, in bytes, up to which an answer is buffered before it is forwarded, so
+// that a broken one can be retried.
 const maxWhole = 1 << 20
 
-// relayWhole passes on an answer that is no stream. Success states that its status is
-// one of success.
+// relayWhole forwards an answer that is not a stream. Success states that its status is 2xx.
 func (t *attempt) relayWhole(x *upstream.Exchange, w *watch, success bool) result {
 	j := t.job
 	data, err := io.ReadAll(io.LimitReader(x.Response.Body, maxWhole+1))
@@ -24,7 +23,7 @@
 		return t.handleBroken(err, w)
 	}
 	if j.out.headSent {
-		// A stream is continued only by a stream.
+		// Only another stream can continue a stream.
 		return result{
 			outcome: pool.Failed,
 			status:  x.Response.StatusCode,
@@ -52,7 +51,7 @@
 	return t.relayLarge(x, data, r)
 }
 
-// keepFailure keeps an endpoint's own failure for when no other answer can be had.
+// keepFailure keeps an endpoint's own error answer in case all other attempts fail.
 func (t *attempt) keepFailure(x *upstream.Exchange, data []byte) result {
 	x.Whole()
 	t.job.failure = &failure{
@@ -66,23 +65,23 @@
 	}
 }
 
-// mayRetry states whether a request that an endpoint ran and failed may be sent to
-// another one.
+// mayRetry reports whether a request may be sent to another endpoint after one ran it and
+// failed.
 func (j *job) mayRetry() bool {
 	return j.route.Idempotent() && j.attemptsLeft() > 0 && j.left() > retryLeft
 }
 
-// failure is an endpoint's answer that says that it failed.
+// failure is an endpoint's own error answer.
 type failure struct {
 	response *http.Response
 	body     []byte
 }
 
-// retryLeft is the time that a further attempt needs to make sense.
+// retryLeft is the least remaining time for which a retry is worthwhile.
 const retryLeft = 100 * time.Millisecond
 
-// relayLarge passes on an answer that is too relayLarge to be held. One that breaks off ends
-// the request, as its caller has the beginning.
+// relayLarge forwards an answer that is too large to buffer. If it breaks off, the request
+// can't be retried, because the caller already has a part of it.
 func (t *attempt) relayLarge(x *upstream.Exchange, begin []byte, r result) result {
 	out := t.job.out
 	out.sendHead(x.Response, x.Response.ContentLength)
@@ -99,7 +98,7 @@
 	return r
 }
 
-// disallowRetries makes the request end with this attempt.
+// disallowRetries uses up the route's number of attempts.
 func (j *job) disallowRetries() {
 	j.sends = max(j.sends, j.route.MaxAttempts)
 }
