--- a/entry/answers.go
+++ b/entry/answers.go
@@ -15,38 +15,40 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// maxAnswerBytes bounds one answer that is kept.
+// maxAnswerBytes bounds the size of an answer that is kept.
 const maxAnswerBytes = 4 << 20
 
-// maxKeptAnswers bounds the answers that are kept.
+// maxKeptAnswers is the number of answers from which a new one replaces the oldest that has
+// ended.
 const maxKeptAnswers = 4096
 
-// errRefusedBeforeRun is the answer to a request that was refused before it ran. Its key
-// is free, or will be soon.
+// errRefusedBeforeRun is the outcome of a request that was refused before it ran. Its key
+// becomes free for another request.
 var errRefusedBeforeRun = errors.New("the request with this key was refused before it ran")
 
-// errNoAnswer is an answer that is not, or no longer, there.
+// errNoAnswer is the error of an answer that does not exist or is no longer kept.
 var errNoAnswer = errors.New("the answer is not there")
 
 // Attacher fetches answers from other instances.
 type Attacher interface {
-	// Attach passes on the answer to a request that an instance runs or keeps.
+	// Attach copies the answer to a request from the instance that runs it or keeps its answer.
+	// It returns when the answer is complete.
 	Attach(ctx context.Context, instance, request string, out Writer) error
 }
 
-// AnswerChunk is a piece of an answer on its way between instances.
+// AnswerChunk is a message of the stream in which an instance sends an answer to another.
 type AnswerChunk = claimpb.AttachChunk
 
-// Writer takes an answer as it is sent to a caller.
+// Writer receives an answer that is written piece by piece.
 type Writer interface {
-	// Head takes the status and content type. It comes first.
+	// Head sets the status and content type. It is called once, before Write.
 	Head(status int, contentType string) error
-	// Write takes a piece of the body and sends it on.
+	// Write takes the next piece of the body. A Writer that sends it does so at once.
 	Write(data []byte) error
 }
 
-// Answers keeps the answers to requests with a key, for those that are sent
-// again.
+// Answers keeps the answers to requests with an idempotency key, so that a repeated request
+// gets the same answer.
 type Answers struct {
 	claimpb.UnimplementedAnswersServer
 
@@ -56,7 +58,8 @@
 	kept map[string]*keptAnswer
 }
 
-// keptAnswer is an answer that may still grow.
+// keptAnswer is an answer that may still be incomplete. Changed is closed and replaced at each
+// change.
 type keptAnswer struct {
 	mu          sync.Mutex
 	status      int
@@ -75,7 +78,7 @@
 	}
 }
 
-// open starts to keep the answer to a request.
+// open adds an empty answer for a request and removes expired ones.
 func (a *Answers) open(request string) *keptAnswer {
 	k := &keptAnswer{
 		changed: make(chan struct{}),
@@ -87,8 +90,8 @@
 	return k
 }
 
-// expire forgets answers that ended long ago, and the oldest when there are too
-// many. The caller holds the lock.
+// expire removes the answers that ended more than keep ago, and the oldest ended one if there
+// are too many. The caller holds the lock.
 func (a *Answers) expire(now time.Time) {
 	var oldest string
 	var at time.Time
@@ -109,7 +112,7 @@
 	}
 }
 
-// get returns the answer to a request.
+// get returns the answer to a request, and false if there is none.
 func (a *Answers) get(request string) (*keptAnswer, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -127,8 +130,8 @@
 	return nil
 }
 
-// Write implements Writer. An answer that is too long to be kept can't be
-// attached to any more; its first caller gets it all the same.
+// Write implements Writer. If the answer gets too large it can no longer be copied, but Write
+// returns no error, so that its own caller still gets all of it.
 func (k *keptAnswer) Write(data []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -141,7 +144,7 @@
 	return nil
 }
 
-// finish notes that nothing more comes: nil after a whole answer.
+// finish marks the answer as ended; outcome is nil if it is complete.
 func (k *keptAnswer) finish(outcome error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -163,7 +166,7 @@
 	k.changed = make(chan struct{})
 }
 
-// copyTo passes the answer on from its start, as it grows.
+// copyTo writes the answer from its start to out and follows it until it ends.
 func (k *keptAnswer) copyTo(ctx context.Context, out Writer) error {
 	sent := 0
 	headed := false
@@ -195,8 +198,8 @@
 	}
 }
 
-// CopyTo passes on the answer to a request of this instance, from its start and
-// as it grows.
+// CopyTo writes the answer to a request of this instance from its start to out and follows it
+// until it ends.
 func (a *Answers) CopyTo(ctx context.Context, request string, out Writer) error {
 	k, ok := a.get(request)
 	if !ok {
@@ -223,7 +226,7 @@
 	})
 }
 
-// chunkWriter sends an answer to another instance.
+// chunkWriter is a Writer that sends an answer to another instance.
 type chunkWriter struct {
 	out grpc.ServerStreamingServer[claimpb.AttachChunk]
 }
@@ -241,19 +244,18 @@
 	})
 }
 
-// Instances gives connections to instances.
+// Instances provides connections to other instances.
 type Instances interface {
 	// ConnTo returns the connection to an instance.
 	ConnTo(instance string) (*grpc.ClientConn, error)
 }
 
-// Remote attaches to answers of other instances over gRPC. It implements
-// Attacher.
+// Remote fetches answers from other instances over gRPC. It implements Attacher.
 type Remote struct {
 	instances Instances
 }
 
-// NewRemote returns an attacher over connections.
+// NewRemote returns a Remote that uses the connections of i.
 func NewRemote(i Instances) *Remote {
 	return &Remote{
 		instances: i,
@@ -292,15 +294,14 @@
 	}
 }
 
-// callerWriter sends an answer to the caller.
+// callerWriter is a Writer that sends an answer to the caller.
 type callerWriter struct {
 	w        http.ResponseWriter
 	control  *http.ResponseController
 	headSent bool
 }
 
-// writeTimeout bounds how long a caller may take to accept a piece of its
-// answer.
+// writeTimeout bounds the time that a caller may take to accept a piece of its answer.
 const writeTimeout = 30 * time.Second
 
 func newCallerWriter(w http.ResponseWriter) *callerWriter {
@@ -327,8 +328,8 @@
 	return c.control.Flush()
 }
 
-// teeWriter keeps an answer while it is sent. A caller that goes away does not
-// end it.
+// teeWriter is a Writer that sends an answer to the caller and keeps it. A failed write to the
+// caller is no error.
 type teeWriter struct {
 	caller     *callerWriter
 	kept       *keptAnswer
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -7,21 +7,20 @@
 	"time"
 )
 
-// The measures of retries.
+// Limits on retries.
 const (
-	// retryShare is how many retries each request adds to the budget.
+	// retryShare is the number of retries that each request adds to the budget.
 	retryShare = 0.1
-	// retryBurst bounds what the budget can hold, and is what it starts with.
+	// retryBurst is the maximum and the initial value of the budget, in retries.
 	retryBurst = 20.0
-	// maxDispatches bounds the attempts of one request that may have reached
-	// an endpoint.
+	// maxDispatches bounds the attempts of one request that may have reached an endpoint.
 	maxDispatches = 3
-	// maxLeases bounds how often one request asks for a lease.
+	// maxLeases bounds the leases that are requested for one request.
 	maxLeases = 12
 )
 
-// budget bounds retries to a share of the requests, so that the loss of many
-// endpoints does not multiply the load.
+// budget limits retries to a fraction of the requests, so that the loss of many endpoints does
+// not multiply the load.
 type budget struct {
 	mu     sync.Mutex
 	tokens float64
@@ -33,14 +32,14 @@
 	}
 }
 
-// earn adds a request's share.
+// earn adds the share of one request.
 func (b *budget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+retryShare, retryBurst)
 }
 
-// spend takes one retry. It is false when there is none left.
+// spend takes one retry from the budget. It returns false if none is left.
 func (b *budget) spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,7 +50,7 @@
 	return true
 }
 
-// pauses are the least waits before each further try for a lease.
+// Limits on the back-off between tries, before randomization.
 const (
 	minBackOff = 5 * time.Millisecond
 	maxBackOff = 200 * time.Millisecond
--- a/entry/call.go
+++ b/entry/call.go
@@ -15,7 +15,7 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// callPlain makes one call of a plain service.
+// callPlain calls a plain service until it answers, or returns the final error.
 func (e *Entry) callPlain(ctx context.Context, j *job, c plain.Call, out Writer) *problem.Error {
 	s := &leaseSearch{
 		job: j,
@@ -45,17 +45,17 @@
 	}
 }
 
-// callOnce dispatches a call.
+// callOnce sends a call to the endpoint of a lease. It ends the lease if the call was answered.
 func (e *Entry) callOnce(ctx context.Context, j *job, h *heldLease, c plain.Call) (plain.Answer, error) {
 	j.dispatches++
 	e.metrics.add("dispatches", 1)
 	c.Instance = h.Instance
-	began := steady.Now()
+	startedAt := steady.Now()
 	a, err := e.parts.Endpoints.Plain(h.Address).Call(ctx, c)
 	if err != nil {
 		var ce *plain.CallError
 		if ctx.Err() == nil && (!errors.As(err, &ce) || ce.Ran != problem.NotRun) {
-			e.reportBroken(j, began, h)
+			e.reportBroken(j, startedAt, h)
 		}
 		return a, err
 	}
@@ -69,16 +69,16 @@
 	return a, nil
 }
 
-// writeAnswer passes a whole answer on.
+// writeAnswer forwards a complete answer to the caller.
 func writeAnswer(a plain.Answer, out Writer) *problem.Error {
-	// The call has run; a caller that went away changes nothing.
+	// The call has run, so it does not fail if the caller has disconnected.
 	_ = out.Head(a.Status, a.ContentType)
 	_ = out.Write(a.Body)
 	return nil
 }
 
-// handleCallFailure takes over the failure of a call. It states whether another may be
-// made.
+// handleCallFailure logs a failed call and ends its lease. It returns whether another call may
+// be made, and the answer to the caller if none is made.
 func (e *Entry) handleCallFailure(ctx context.Context, s *leaseSearch, h *heldLease, err error) (bool, *problem.Error) {
 	j := s.job
 	s.exclude = append(s.exclude, h.endpoint)
--- a/entry/complete.go
+++ b/entry/complete.go
@@ -19,19 +19,19 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// sink is where the tokens of an answer go.
+// sink writes the tokens of an answer to the caller.
 type sink interface {
-	// token takes the next token.
+	// token writes the next token.
 	token(text string) error
-	// end takes the end of a whole answer.
+	// end completes the answer.
 	end(u usage) error
-	// started states whether the caller has received part of the answer.
+	// started reports whether a part of the answer has been sent to the caller.
 	started() bool
-	// restart forgets what the caller has not received yet.
+	// restart discards the tokens that have not been sent to the caller yet.
 	restart()
 }
 
-// usage is what an answer took.
+// usage holds the token counts of an answer and its finish reason.
 type usage struct {
 	prompt int
 	cached int
@@ -39,17 +39,17 @@
 	reason string
 }
 
-// errCallerWrite is a caller that can't be written to.
+// errCallerWrite is the error of an answer that can't be written to the caller.
 var errCallerWrite = errors.New("the caller does not take the answer")
 
-// errStalled is an endpoint that went silent.
+// errStalled is the error of an attempt that the watchdog cancelled.
 var errStalled = errors.New("the endpoint went silent")
 
-// maxResumes is how often one attempt's stream is taken up again.
+// maxResumes is the number of times that the stream of one attempt may be resumed.
 const maxResumes = 3
 
-// complete runs a job until it has a whole answer, or returns its final
-// refusal or failure.
+// complete makes attempts until one delivers a complete answer to out. It returns nil then,
+// else the final error.
 func (e *Entry) complete(ctx context.Context, j *job, out sink) *problem.Error {
 	s := &leaseSearch{
 		job: j,
@@ -71,12 +71,12 @@
 	}
 }
 
-// attempt runs one attempt. It states whether another one may be made after
-// the failure that it returns.
+// attempt runs one attempt on the endpoints of a team. If it fails, it returns the error for
+// the caller and whether another attempt may be made.
 func (e *Entry) attempt(ctx context.Context, s *leaseSearch, t *team, out sink) (bool, *problem.Error) {
 	j := s.job
-	// The last look at the clock before the dispatch: a process that was
-	// paused since must not start what is no longer wanted.
+	// Check the deadline and the lease immediately before the dispatch, because the process may
+	// have been suspended since the lease was granted.
 	if fail := cmp.Or(e.checkExpired(ctx, j), e.checkBan(j)); fail != nil {
 		e.disband(t, owner.NotStarted)
 		return false, fail
@@ -98,7 +98,8 @@
 	return e.handleOutcome(ctx, s, run, err)
 }
 
-// handleOutcome takes over the outcome of an attempt.
+// handleOutcome ends the leases of an attempt and logs its failure. It returns whether another
+// attempt may be made, and the error for the caller if none is made.
 func (e *Entry) handleOutcome(ctx context.Context, s *leaseSearch, r *run, err error) (bool, *problem.Error) {
 	j, lead := s.job, r.team.lead
 	if err == nil {
@@ -136,7 +137,8 @@
 	return j.mayRetry() && !r.out.started(), fail
 }
 
-// failureProblem returns the answer to a request whose attempt failed.
+// failureProblem returns the error for the caller of a request that may have run. Started
+// states that the engine has sent a part of the answer.
 func failureProblem(err error, started bool) *problem.Error {
 	ran := problem.MayHaveRun
 	if started {
@@ -166,7 +168,7 @@
 	return p
 }
 
-// run is one attempt on its way.
+// run holds the state of one attempt.
 type run struct {
 	entry *Entry
 	job   *job
@@ -174,9 +176,9 @@
 	out   sink
 	check engine.Check
 
-	// startedAt is when it was dispatched.
+	// startedAt is when the attempt was dispatched.
 	startedAt time.Time
-	// engineAnswered is true when the engine has sent something.
+	// engineAnswered states that the engine has sent a part of the answer.
 	engineAnswered bool
 	resumes        int
 	first          time.Time
@@ -185,7 +187,8 @@
 	usage          usage
 }
 
-// do dispatches the attempt and relays its answer.
+// do dispatches the attempt and forwards its answer. A broken stream is resumed at the same
+// engine.
 func (r *run) do(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -208,7 +211,7 @@
 	}
 }
 
-// attempt returns what the engine is asked for.
+// attempt returns the attempt in the form that is sent to the engine.
 func (r *run) attempt() engine.Attempt {
 	lead := r.team.lead
 	a := engine.Attempt{
@@ -227,16 +230,16 @@
 	return a
 }
 
-// resumable states whether the stream may be taken up where it broke.
+// resumable reports whether the stream may be resumed after err.
 func (r *run) resumable(ctx context.Context, err error) bool {
 	var re *engine.RunError
 	refused := errors.As(err, &re)
 	return ctx.Err() == nil && !refused && !errors.Is(err, errCallerWrite) && r.engineAnswered && r.resumes < maxResumes
 }
 
-// relay passes an answer on until its end.
+// relay forwards the chunks of a stream to the sink until the end of the answer.
 func (r *run) relay(stream engine.Stream, w *watchdog) error {
-	// Closing lets go of the connection; what failed is known by then.
+	// An error of Close does not affect the answer.
 	defer func() { _ = stream.Close() }()
 	for {
 		k, err := stream.Next()
@@ -264,7 +267,7 @@
 	}
 }
 
-// forwardToken hands one token to the caller.
+// forwardToken writes one token to the sink.
 func (r *run) forwardToken(k engine.Chunk) error {
 	r.last = steady.Now()
 	r.tokens++
@@ -276,20 +279,21 @@
 		return errors.Wrap(errCallerWrite, err.Error())
 	}
 	if r.out.started() {
-		// No other attempt will need it.
+		// The request can't be sent to another endpoint any more, so free the prompt's memory.
 		r.job.prompt = ""
 	}
 	return nil
 }
 
-// reportFirstToken tells the owner of a long prompt that its prefill is done.
+// reportFirstToken reports to the owners of all leases of a long prompt that its prefill is
+// done.
 func (r *run) reportFirstToken() {
 	if r.job.class() < policy.Long {
 		return
 	}
 	for _, h := range r.team.all() {
 		r.entry.runInBackground(func(ctx context.Context) {
-			// The owner goes on estimating when it does not hear of it.
+			// If the report is lost, the owner keeps using its estimate.
 			_ = h.leaser.Release(ctx, owner.Release{
 				Attempt:  h.attempt,
 				Endpoint: h.endpoint,
@@ -312,7 +316,7 @@
 	return nil
 }
 
-// tokenInterval returns the mean time between tokens.
+// tokenInterval returns the mean time between tokens; zero for fewer than two.
 func (r *run) tokenInterval() time.Duration {
 	if r.tokens < 2 {
 		return 0
@@ -320,7 +324,7 @@
 	return r.last.Sub(r.first) / time.Duration(r.tokens-1)
 }
 
-// finishAttempt takes over a whole answer.
+// finishAttempt records a complete answer and ends the leases of its attempt.
 func (e *Entry) finishAttempt(r *run) {
 	e.reportServed(r.job)
 	e.hitRates.observe(r.job.customer.ID, r.job.class(), r.usage.cached, r.usage.prompt)
@@ -336,7 +340,7 @@
 	}
 }
 
-// watchdog cancels an attempt whose endpoint is silent for too long.
+// watchdog cancels an attempt if its endpoint sends nothing for longer than a limit.
 type watchdog struct {
 	limit   time.Duration
 	timer   *time.Timer
@@ -362,7 +366,7 @@
 	w.timer.Stop()
 }
 
-// cause returns errStalled for an error that the watchdog brought about.
+// cause returns errStalled if the watchdog has caused err, else err.
 func (w *watchdog) cause(err error) error {
 	if err != nil && w.stalled.Load() {
 		return errStalled
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -10,7 +10,8 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// setHistory notes what a request is setHistory by, whatever its try is named and wherever it comes.
+// setHistory sets the identity of the request, which is the same for all its tries at any
+// instance.
 func (j *job) setHistory(r *http.Request, body []byte) {
 	j.history = quarantine.RequestHistory{
 		Identity: quarantine.Identify(r.RequestURI, j.customer.ID, body),
@@ -18,7 +19,8 @@
 	}
 }
 
-// enterQuarantine gives a request leave to run, or refuses it.
+// enterQuarantine admits a request to run, or refuses it while its identity is banned or being
+// retested. The caller calls release when the request has ended.
 func (e *Entry) enterQuarantine(j *job) (release func(), fail *problem.Error) {
 	if e.parts.Quarantine == nil {
 		return func() {}, nil
@@ -31,9 +33,8 @@
 	return p.Release, nil
 }
 
-// checkBan returns the final answer to a request that was banned meanwhile, or nil. It guards
-// against the rest of its attempts: those that wait for a lease, and those that follow one that
-// broke off.
+// checkBan returns the final answer to a request whose identity was banned after its admission,
+// or nil. It stops attempts that wait for a lease and retries after a failed attempt.
 func (e *Entry) checkBan(j *job) *problem.Error {
 	if e.parts.Quarantine == nil {
 		return nil
@@ -45,7 +46,7 @@
 	return e.banProblem(j, after)
 }
 
-// banProblem returns the refusal of a request that banProblem endpoints.
+// banProblem returns the refusal of a request that is banned because it crashes endpoints.
 func (e *Entry) banProblem(j *job, after time.Duration) *problem.Error {
 	e.metrics.add("refused_quarantine", 1)
 	p := problem.Busy(problem.CodeCrashes, quarantine.BannedDetail, after)
@@ -53,8 +54,8 @@
 	return p
 }
 
-// reportBroken has the endpoints of an attempt looked at that reportBroken off, or whose endpoint is silent.
-func (e *Entry) reportBroken(j *job, began time.Time, leases ...*heldLease) {
+// reportBroken has the crash detector check the endpoints of a failed attempt.
+func (e *Entry) reportBroken(j *job, startedAt time.Time, leases ...*heldLease) {
 	if e.parts.Quarantine == nil {
 		return
 	}
@@ -64,21 +65,21 @@
 	}
 	e.detector.AttemptFailed(&j.history, quarantine.FailedAttempt{
 		Attempt:   leases[0].attempt,
-		StartedAt: began,
+		StartedAt: startedAt,
 		Endpoints: addresses,
 		Suspects:  addresses,
 	})
 }
 
-// reportServed notes a whole answer.
+// reportServed reports a complete answer to the quarantine.
 func (e *Entry) reportServed(j *job) {
 	if e.parts.Quarantine != nil {
 		e.parts.Quarantine.ReportAnswered(j.history.Identity)
 	}
 }
 
-// mayRetry states whether a request may be sent to another endpoint after one that may have run
-// it.
+// mayRetry reports whether a request may be sent to another endpoint after one that may have
+// run it.
 func (j *job) mayRetry() bool {
 	return !j.once && !j.singleAttempt && j.dispatches < maxDispatches
 }
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -16,49 +16,49 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// heldLease is a lease with what it is for.
+// heldLease is a lease together with the attempt and endpoint that it is for.
 type heldLease struct {
 	owner.Grant
 	attempt  string
 	endpoint string
 	leaser   owner.Leaser
-	// startBy is when the lease lapses unless it was used.
+	// startBy is when the lease expires if the attempt has not been dispatched.
 	startBy time.Time
 }
 
-// leaseSearch is the state of looking for a lease for one request.
+// leaseSearch holds the state of the search for leases for one request.
 type leaseSearch struct {
 	job     *job
 	exclude []string
-	// leases counts the leases that were asked for.
+	// leases counts the leases that were requested.
 	leases int
-	// impatient counts the refusals for lack of patience.
+	// impatient counts the refusals because the wait would exceed the request's patience.
 	impatient int
-	// restarted is true once the refusals were forgotten.
+	// restarted states that exclude was cleared once to try the endpoints again.
 	restarted bool
-	// pastDeadline counts the refusals for the deadline.
+	// pastDeadline counts the refusals because the deadline can't be met.
 	pastDeadline int
-	// last is the refusal to tell the caller in the end.
+	// last is the refusal that determines the final answer; nil before the first.
 	last *owner.Refusal
-	// minRetryAfter is the least time after which coming back makes sense.
+	// minRetryAfter is the shortest non-zero RetryAfter of all refusals; zero without one.
 	minRetryAfter time.Duration
 }
 
-// maxPastDeadline is how many endpoints are asked that can't meet the deadline. The
-// first is the one with the least estimate, so the others hardly can.
+// maxPastDeadline is the number of endpoints that may refuse because of the deadline before the
+// search ends. The first one has the lowest estimate, so further ones are unlikely to meet it.
 const maxPastDeadline = 2
 
-// maxImpatient is how often a request goes elsewhere rather than wait.
+// maxImpatient is the number of refusals for patience after which a request accepts any wait.
 const maxImpatient = 2
 
-// patienceSlack is how much more than at the next best candidate a request
-// waits before it goes there.
+// patienceSlack is added to the estimates in patience, so that small errors do not send a
+// request elsewhere.
 const patienceSlack = 30 * time.Millisecond
 
-// defaultRetryAfter is when to come back when nothing better is known.
+// defaultRetryAfter is sent to the caller if no refusal names a time.
 const defaultRetryAfter = time.Second
 
-// lease finds an endpoint for one part of a request and gets a lease on it.
+// lease chooses an endpoint for a request, or for one share of it, and acquires a lease on it.
 func (e *Entry) lease(ctx context.Context, s *leaseSearch, w policy.Work) (*heldLease, *problem.Error) {
 	for {
 		if err := e.checkExpired(ctx, s.job); err != nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// checkExpired returns the final answer to a request whose time is over or whose
-// caller has gone.
+// checkExpired returns the final answer to a request whose deadline has passed or whose caller
+// has disconnected, else nil.
 func (e *Entry) checkExpired(ctx context.Context, j *job) *problem.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -98,10 +98,10 @@
 	return nil
 }
 
-// statusClosed is the status that is noted when the caller has gone.
+// statusClosed is the status that is recorded if the caller has disconnected.
 const statusClosed = 499
 
-// runState states what is known of a request that has no answer.
+// runState reports whether an endpoint may have run a request that has no answer.
 func (j *job) runState() problem.Ran {
 	if j.dispatches > 0 {
 		return problem.MayHaveRun
@@ -109,8 +109,8 @@
 	return problem.NotRun
 }
 
-// leaseOnce chooses an endpoint and asks its owner. It returns no lease and
-// true when another try makes sense.
+// leaseOnce chooses an endpoint and requests a lease from its owner. Without a lease it returns
+// whether another try is worthwhile.
 func (e *Entry) leaseOnce(ctx context.Context, s *leaseSearch, w policy.Work) (*heldLease, bool) {
 	j := s.job
 	c := e.fleet.choose(j.group(), &w, j.hitRate, s.exclude, steady.Now())
@@ -121,17 +121,16 @@
 	attempt := attemptID(j.id, s.leases)
 	endpoint, ok := j.view.Endpoint(c.endpoint)
 	if !ok {
-		// The endpoint came with a configuration that is newer than the
-		// request.
+		// The choice is based on a newer configuration than the request's.
 		s.exclude = append(s.exclude, c.endpoint)
 		return nil, true
 	}
-	by, ok := e.parts.Members().RegionalOwner(c.endpoint, j.view.Region(endpoint.FailureDomain))
+	ownerInstance, ok := e.parts.Members().RegionalOwner(c.endpoint, j.view.Region(endpoint.FailureDomain))
 	if !ok {
 		return nil, false
 	}
-	e.logDecision(j, attempt, by.ID, c)
-	leaser, err := e.parts.Leaser(by)
+	e.logDecision(j, attempt, ownerInstance.ID, c)
+	leaser, err := e.parts.Leaser(ownerInstance)
 	if err != nil {
 		s.exclude = append(s.exclude, c.endpoint)
 		return nil, true
@@ -157,11 +156,11 @@
 		}, false
 	}
 	e.Registry.remove(attempt)
-	return nil, e.handleRefusal(ctx, s, c.endpoint, by.ID, attempt, err)
+	return nil, e.handleRefusal(ctx, s, c.endpoint, ownerInstance.ID, attempt, err)
 }
 
-// restart forgets once which endpoints refused, after a pause, when there is
-// none left to ask.
+// restart clears the excluded endpoints after a back-off, once per search, when no endpoint is
+// left. It returns false if another try is not worthwhile.
 func (s *leaseSearch) restart(ctx context.Context) bool {
 	if len(s.exclude) == 0 || s.restarted || s.pastDeadline > 0 {
 		return false
@@ -172,8 +171,9 @@
 	return true
 }
 
-// patience returns how long a request waits at its choice: not much longer
-// than it expects to elsewhere.
+// patience returns the wait at the chosen endpoint above which its owner should refuse the
+// lease: slightly more than the estimate of the next best endpoint, or than twice the
+// chosen one's estimate if that is longer. Without another endpoint it returns zero, which means no limit.
 func patience(d policy.Decision) time.Duration {
 	if d.Alternative > time.Hour {
 		return 0
@@ -181,34 +181,35 @@
 	return max(d.Alternative, 2*d.Estimate) + patienceSlack
 }
 
-// logDecision writes the line of a routing decision.
-func (e *Entry) logDecision(j *job, attempt, by string, c choice) {
+// logDecision logs and traces the choice of an endpoint.
+func (e *Entry) logDecision(j *job, attempt, ownerID string, c choice) {
 	e.parts.Log.Info("route", "request", j.id, "attempt", attempt, "customer", j.customer.ID, "tier", j.tier.ID,
-		"class", className(j), "model", j.group(), "prompt_tokens", j.promptTokens, "endpoint", c.endpoint, "owner", by,
+		"class", className(j), "model", j.group(), "prompt_tokens", j.promptTokens, "endpoint", c.endpoint, "owner", ownerID,
 		"estimate_ms", c.Estimate.Milliseconds(), "candidates", c.estimates, "usable", c.usable, "reason", string(c.Reason))
 	e.traces.add(j.id, Event{
 		What:       "route",
 		Attempt:    attempt,
 		Endpoint:   c.endpoint,
-		Owner:      by,
+		Owner:      ownerID,
 		Reason:     string(c.Reason),
 		Candidates: c.estimates,
 	})
 }
 
-// handleRefusal takes over a refusal. It states whether another try makes sense.
-func (e *Entry) handleRefusal(ctx context.Context, s *leaseSearch, endpoint, by, attempt string, err error) bool {
+// handleRefusal logs and records the refusal of a lease. It returns whether another try is
+// worthwhile.
+func (e *Entry) handleRefusal(ctx context.Context, s *leaseSearch, endpoint, ownerID, attempt string, err error) bool {
 	var r *owner.Refusal
 	if !errors.As(err, &r) {
 		return ctx.Err() == nil
 	}
-	e.parts.Log.Info("lease refused", "request", s.job.id, "attempt", attempt, "endpoint", endpoint, "owner", by,
+	e.parts.Log.Info("lease refused", "request", s.job.id, "attempt", attempt, "endpoint", endpoint, "owner", ownerID,
 		"code", string(r.Code), "detail", r.Detail)
 	e.traces.add(s.job.id, Event{
 		What:     "lease refused",
 		Attempt:  attempt,
 		Endpoint: endpoint,
-		Owner:    by,
+		Owner:    ownerID,
 		Reason:   string(r.Code) + ": " + r.Detail,
 	})
 	s.recordRefusal(r)
@@ -221,9 +222,9 @@
 		s.exclude = append(s.exclude, endpoint)
 		return s.pastDeadline < maxPastDeadline
 	case owner.RefusedSilent:
-		e.parts.ReportFailure(by)
+		e.parts.ReportFailure(ownerID)
 	case owner.RefusedNotOwner, owner.RefusedStopping:
-		// The views of who owns what differ for a moment.
+		// The instances' views of the owners differ for a moment.
 		backOff(ctx, s.leases)
 		return true
 	}
@@ -231,7 +232,8 @@
 	return true
 }
 
-// recordRefusal keeps the refusal that tells the caller most.
+// recordRefusal updates the refusal and the retry time for the final answer. A refusal because
+// of the deadline takes precedence.
 func (s *leaseSearch) recordRefusal(r *owner.Refusal) {
 	if s.last == nil || r.Code == owner.RefusedDeadline {
 		s.last = r
@@ -241,7 +243,7 @@
 	}
 }
 
-// refusal returns the final answer to a request that found no lease.
+// refusal returns the final answer to a request that got no lease.
 func (s *leaseSearch) refusal() *problem.Error {
 	after := s.minRetryAfter
 	if after == 0 {
@@ -255,7 +257,7 @@
 	return p
 }
 
-// backOff waits before another try, longer each time and spread out.
+// backOff sleeps before another try. The time doubles with n up to a limit and is randomized.
 func backOff(ctx context.Context, n int) {
 	d := min(minBackOff<<min(n, 10), maxBackOff)
 	select {
@@ -264,12 +266,12 @@
 	}
 }
 
-// release tells the owner of a lease what became of it, and holds the attempt
-// no longer.
+// release removes the attempt from the registry and reports its outcome to the owner of the
+// lease in the background. Step is the mean time between tokens; zero if unknown.
 func (e *Entry) release(h *heldLease, o owner.Outcome, step time.Duration) {
 	e.Registry.remove(h.attempt)
 	e.runInBackground(func(ctx context.Context) {
-		// An owner that does not hear of it asks.
+		// If the report is lost, the owner asks this instance.
 		_ = h.leaser.Release(ctx, owner.Release{
 			Attempt:  h.attempt,
 			Endpoint: h.endpoint,
@@ -279,8 +281,9 @@
 	})
 }
 
-// cancel ends an attempt at its engine. When that can't be had, the owner of
-// the endpoint does it: nobody holds the attempt any more.
+// cancel cancels an attempt at its engine and releases its lease in the background. If the
+// engine can't be reached, the owner cancels the attempt, because no instance holds it any
+// more.
 func (e *Entry) cancel(h *heldLease, o owner.Outcome) {
 	e.Registry.remove(h.attempt)
 	e.runInBackground(func(ctx context.Context) {
@@ -291,7 +294,7 @@
 			}
 			backOff(ctx, try)
 		}
-		// An owner that does not hear of it asks.
+		// If the report is lost, the owner asks this instance.
 		_ = h.leaser.Release(ctx, owner.Release{
 			Attempt:  h.attempt,
 			Endpoint: h.endpoint,
@@ -300,5 +303,5 @@
 	})
 }
 
-// maxCancelAttempts is how often an entry tries to cancel an attempt itself.
+// maxCancelAttempts is the number of tries to cancel an attempt at its engine.
 const maxCancelAttempts = 3
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -2,12 +2,13 @@
 
 // Package entry serves callers.
 //
-// The path of a request: its customer is known by its key, its size by its
-// prompt, and its limits by what was lent to this instance. The entry chooses
-// an endpoint by what the endpoints' owners last told, asks the owner for a
-// lease, runs the attempt on the endpoint itself, and relays the answer. What
-// surely did not run, or may run again, is tried elsewhere within a budget.
+// The entry authenticates the customer by its key, estimates the size of the request from its
+// prompt, and applies the customer's limits with the quota that was lent to this instance. It
+// chooses an endpoint by the latest summaries from the endpoints' owners, acquires a lease from
+// the owner, runs the attempt on the endpoint and forwards the answer. If the request certainly
+// did not run, or is safe to run again, the entry retries it at another endpoint within a retry
+// budget.
 //
-// A request that was admitted finishes or fails by its deadline, and gets its
-// final answer as soon as it is given up.
+// An admitted request is answered or fails by its deadline. The caller gets the final answer as
+// soon as the entry gives the request up.
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -25,52 +25,51 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// Settings are the measures of an Entry.
+// Settings configures an Entry.
 type Settings struct {
-	// Self is the instance's own entry in the list of instances.
+	// Self is this instance, as in the list of instances.
 	Self instances.Instance
-	// Strategy is how endpoints are chosen; the default is policy.Weighed.
+	// Strategy chooses endpoints; the default is policy.Weighed.
 	Strategy policy.Strategy
-	// KeepAnswers is how long answers to requests with a key are kept; the
-	// default is 1m.
+	// KeepAnswers is how long answers to requests with an idempotency key are kept after their
+	// end; the default is 1m.
 	KeepAnswers time.Duration
 }
 
 const defaultKeepAnswers = time.Minute
 
-// Parts are what an Entry works with.
+// Parts holds the dependencies of an Entry.
 type Parts struct {
-	// Configuration returns the configuration in force; nil while there is
-	// none.
+	// Configuration returns the configuration in force, or nil while there is none.
 	Configuration func() *config.View
-	// Members returns what is known of the instances.
+	// Members returns the current view of the instances.
 	Members func() *member.View
-	// Leaser returns the leaser on an instance.
+	// Leaser returns the leaser of the owner on an instance.
 	Leaser func(i instances.Instance) (owner.Leaser, error)
-	// ReportFailure notes a failed exchange with an instance.
+	// ReportFailure reports a failed exchange with an instance to the membership.
 	ReportFailure func(id string)
-	// Endpoints makes the adapters to endpoints.
+	// Endpoints creates the clients of endpoints.
 	Endpoints owner.Endpoints
-	// Claimer claims keys.
+	// Claimer claims idempotency keys.
 	Claimer *claim.Claimer
-	// Borrower spends customers' allowance.
+	// Borrower checks requests against customers' quotas.
 	Borrower *limit.Borrower
-	// Quarantine keeps requests from endpoints that crash these, and Check opens a connection to
-	// an endpoint whose answer broke off, to see whether it has ended. Nil means that none is
-	// kept.
+	// Quarantine bans requests that crash endpoints; nil disables it. Check opens a connection
+	// to an endpoint whose attempt failed, to find out whether it has ended; it is required
+	// with Quarantine.
 	Quarantine quarantine.Guard
 	Check      quarantine.Checker
 	// Attach fetches the answer to a request from the instance that runs it.
 	Attach Attacher
-	// Log gets a line for each decision.
+	// Log receives one line per decision.
 	Log logr.Logger
 }
 
-// Entry serves callers.
+// Entry accepts callers' requests and runs them on endpoints.
 type Entry struct {
-	// Registry is the attempts that the instance holds.
+	// Registry holds the ids of the attempts that this instance holds.
 	Registry *Registry
-	// Answers are the answers to requests with a key.
+	// Answers keeps the answers to requests with an idempotency key.
 	Answers *Answers
 
 	settings    Settings
@@ -84,12 +83,12 @@
 	incarnation string
 	counter     atomic.Uint64
 	stopping    atomic.Bool
-	// inFlight counts requests and what is left to do after them.
+	// inFlight counts requests and the background work that follows them.
 	inFlight atomic.Int64
 }
 
-// New returns an entry. It serves once Rebuild was called with a
-// configuration.
+// New returns an entry. It chooses endpoints only after a call of Rebuild with a configuration
+// in force.
 func New(s Settings, p Parts) *Entry {
 	if s.Strategy == nil {
 		s.Strategy = policy.Weighed{}
@@ -113,7 +112,8 @@
 	return e
 }
 
-// newIncarnation returns a name that no other start of any instance has.
+// newIncarnation returns a random name for this start of the process, which makes request ids
+// unique.
 func newIncarnation() string {
 	var b [8]byte
 	// crypto/rand.Read never fails.
@@ -121,24 +121,24 @@
 	return strconv.FormatUint(binary.LittleEndian.Uint64(b[:]), 36)
 }
 
-// newID returns an id that no other request has.
+// newID returns a unique request id.
 func (e *Entry) newID() string {
 	return e.incarnation + "-" + strconv.FormatUint(e.counter.Add(1), 36)
 }
 
-// Rebuild takes over a change of the configuration or of the instances.
+// Rebuild applies a change of the configuration or of the instances.
 func (e *Entry) Rebuild() {
 	if v := e.parts.Configuration(); v != nil {
 		e.fleet.rebuild(v, e.parts.Members())
 	}
 }
 
-// UpdateSummaries takes over summaries of endpoints.
+// UpdateSummaries applies new summaries of endpoints.
 func (e *Entry) UpdateSummaries(summaries []policy.Summary) {
 	e.fleet.updateSummaries(summaries, steady.Now())
 }
 
-// Ready states whether the entry can serve, and if not, why.
+// Ready reports whether the entry can serve, and if not, why.
 func (e *Entry) Ready() (bool, string) {
 	switch {
 	case e.stopping.Load():
@@ -151,13 +151,13 @@
 	return true, ""
 }
 
-// Stop takes the entry out of service. Requests are still served for as long
-// as the balancer sends them, so that none is cut.
+// Stop makes Ready return false. The entry still serves the requests that the load balancer
+// sends until it notices.
 func (e *Entry) Stop() {
 	e.stopping.Store(true)
 }
 
-// Wait returns when no request is in flight, or ctx ends.
+// Wait blocks until InFlight is zero. It returns the error of ctx if that ends first.
 func (e *Entry) Wait(ctx context.Context) error {
 	tick := time.NewTicker(waitInterval)
 	defer tick.Stop()
@@ -171,12 +171,13 @@
 	return nil
 }
 
-// InFlight returns how many requests, and errands after them, are left.
+// InFlight returns the number of requests and background tasks that are not finished.
 func (e *Entry) InFlight() int64 {
 	return e.inFlight.Load()
 }
 
-// runInBackground runs f after its request, and keeps a planned stop waiting for it.
+// runInBackground runs f in a goroutine that Wait waits for. The context of f ends after
+// backgroundTimeout.
 func (e *Entry) runInBackground(f func(ctx context.Context)) {
 	e.inFlight.Add(1)
 	go func() {
@@ -187,18 +188,18 @@
 	}()
 }
 
-// The times of stopping and of errands.
+// Timing of Wait and of background tasks.
 const (
 	waitInterval      = 10 * time.Millisecond
 	backgroundTimeout = 3 * time.Second
 )
 
-// Explain returns what happened to a request.
+// Explain returns the trace of a request, and false if it is unknown or no longer kept.
 func (e *Entry) Explain(id string) (Trace, bool) {
 	return e.traces.get(id)
 }
 
-// metrics are the entry's counters. They are published by the instance.
+// metrics holds the entry's counters.
 type metrics struct {
 	vars *expvar.Map
 }
@@ -213,24 +214,25 @@
 	m.vars.Add(name, n)
 }
 
-// Metrics returns the entry's counters.
+// Metrics returns the entry's counters by name.
 func (e *Entry) Metrics() *expvar.Map {
 	return e.metrics.vars
 }
 
-// hitRates learns, for each customer, which part of its prompts was cached.
+// hitRates estimates which fraction of a customer's prompts is cached, per class of prompt
+// length.
 type hitRates struct {
 	mu   sync.Mutex
 	rate map[hitKey]float64
 }
 
-// hitKey is what a cached part is learned for.
+// hitKey identifies an estimate.
 type hitKey struct {
 	customer string
 	class    policy.Class
 }
 
-// hitRateWeight is the weight of a new observation.
+// hitRateWeight is the weight of the latest observation in the moving average.
 const hitRateWeight = 0.1
 
 func newHitRates() *hitRates {
@@ -239,8 +241,8 @@
 	}
 }
 
-// expect returns the part of a customer's prompt that is likely cached on the
-// endpoints that its prefix belongs to.
+// expect returns the fraction of a customer's prompt that is expected to be cached on the
+// endpoints to which its prefix is assigned.
 func (h *hitRates) expect(customer string, c policy.Class) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -250,7 +252,7 @@
 	}]
 }
 
-// observe takes over what an answer showed.
+// observe updates the estimate with the cached and total prompt tokens of an answer.
 func (h *hitRates) observe(customer string, c policy.Class, cached, prompt int) {
 	if prompt == 0 {
 		return
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// maxTraces is how many requests can be explained.
+// maxTraces is the number of requests whose traces are kept.
 const maxTraces = 4096
 
-// Event is one step of a request's path.
+// Event is one step in the handling of a request.
 type Event struct {
-	// At is when it happened.
+	// At is the time of the step.
 	At time.Time `json:"at"`
-	// What names the step.
+	// What names the step, for example "route" or "lease refused".
 	What string `json:"what"`
-	// Attempt is the attempt's id.
+	// Attempt is the attempt's id; empty if the step belongs to none.
 	Attempt string `json:"attempt,omitempty"`
-	// Endpoint is where the step took place.
+	// Endpoint is the id of the endpoint involved, if any.
 	Endpoint string `json:"endpoint,omitempty"`
-	// Owner is the instance that owns the endpoint.
+	// Owner is the id of the instance that owns the endpoint, if that was asked for a lease.
 	Owner string `json:"owner,omitempty"`
-	// Reason says why.
+	// Reason explains the step.
 	Reason string `json:"reason,omitempty"`
-	// Candidates are the choices with their estimates.
+	// Candidates holds the estimates of the first candidates of a routing decision.
 	Candidates []CandidateEstimate `json:"candidates,omitempty"`
 }
 
-// Trace is what happened to a request.
+// Trace records the handling of a request.
 type Trace struct {
 	// Request is the request's id.
 	Request string `json:"request"`
-	// Customer, Tier, Class and Model are what the request was.
+	// Customer is the customer's id.
 	Customer string `json:"customer"`
-	// Tier is the tier that held.
+	// Tier is the id of the tier that the request was served in.
 	Tier string `json:"tier"`
-	// Class is the class of prompt length.
+	// Class is the class of the prompt's length, or "plain" for a plain service.
 	Class string `json:"class"`
-	// Model is the model or plain service.
+	// Model is the id of the model, or "service:" and the name of the plain service.
 	Model string `json:"model"`
-	// Tokens is the length of the prompt.
+	// Tokens is the length of the prompt in tokens.
 	Tokens int `json:"tokens"`
-	// Events are the steps in order.
+	// Events holds the steps in order.
 	Events []Event `json:"events"`
 }
 
-// traces keeps the latest requests.
+// traces keeps the traces of the latest requests. Order is a ring of their ids.
 type traces struct {
 	mu    sync.Mutex
 	byID  map[string]*Trace
@@ -61,7 +61,7 @@
 	}
 }
 
-// begin starts a story, in the place of the oldest.
+// begin adds a trace, which replaces the oldest.
 func (s *traces) begin(j *job) {
 	st := &Trace{
 		Request:  j.id,
@@ -79,7 +79,7 @@
 	s.byID[j.id] = st
 }
 
-// add adds a step.
+// add appends a step to the trace of a request, with the current time.
 func (s *traces) add(id string, e Event) {
 	e.At = time.Now()
 	s.mu.Lock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// get returns a copy of a story.
+// get returns a copy of the trace of a request, and false if it is not kept.
 func (s *traces) get(id string) (Trace, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,7 @@
 	return out, true
 }
 
-// className returns the class of a job's prompt; plain calls have their own.
+// className returns the class of a job's prompt, or "plain" for a plain service.
 func className(j *job) string {
 	if j.service != "" {
 		return "plain"
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -15,11 +15,10 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// maxSummaryAge is how old a summary may be before its endpoint counts as
-// unknown.
+// maxSummaryAge is the age from which a summary is ignored and its endpoint counts as unknown.
 const maxSummaryAge = 3 * time.Second
 
-// fleet is what the entry knows of the endpoints.
+// fleet holds the candidates for requests, with the latest summaries of their owners.
 type fleet struct {
 	strategy policy.Strategy
 	region   string
@@ -30,13 +29,14 @@
 	positions map[string]position
 }
 
-// group is the endpoints of one model or plain service.
+// group holds the endpoints of one model or plain service. updatedAt has the arrival times of
+// the candidates' summaries; zero if none has arrived.
 type group struct {
 	candidates []policy.Candidate
 	updatedAt  []time.Time
 }
 
-// position is where an endpoint stands in its group.
+// position locates an endpoint in its group.
 type position struct {
 	group *group
 	index int
@@ -52,15 +52,15 @@
 	}
 }
 
-// otherDomainDelay and otherRegionDelay are the delays that are assumed towards other
-// failure domains and regions.
+// otherDomainDelay and otherRegionDelay are the assumed network delays to endpoints in other
+// failure domains of the region and in other regions.
 const (
 	otherDomainDelay = 500 * time.Microsecond
 	otherRegionDelay = 50 * time.Millisecond
 )
 
-// rebuild takes over the configuration and the list of instances. What was
-// heard of endpoints that stay is kept.
+// rebuild applies the configuration and the list of instances. It keeps the summaries of
+// endpoints that remain.
 func (f *fleet) rebuild(v *config.View, m *member.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,7 +91,8 @@
 	f.positions = positions
 }
 
-// carryOver returns the candidate of an endpoint with what was heard of it.
+// carryOver returns the candidate of an endpoint with its latest summary and the arrival time
+// of that.
 func (f *fleet) carryOver(e *config.Endpoint) (policy.Candidate, time.Time) {
 	c := policy.Candidate{
 		Summary: policy.Summary{
@@ -123,14 +124,15 @@
 	return otherRegionDelay
 }
 
-// isLeaving states whether the platform's list says that the endpoint instance
-// at an address is isLeaving.
+// isLeaving reports whether the platform's list of instances has the endpoint at an address in
+// a state other than live.
 func isLeaving(m *member.View, address string) bool {
 	i, ok := m.Endpoint(address)
 	return ok && i.State != instances.Live
 }
 
-// updateSummaries takes over summaries.
+// updateSummaries replaces the summaries of endpoints and resets what was added to them for
+// requests since.
 func (f *fleet) updateSummaries(summaries []policy.Summary, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,18 +153,19 @@
 	}
 }
 
-// choice is a decision with what is needed to act on it.
+// choice is a decision with the details to act on it and to log it.
 type choice struct {
 	policy.Decision
-	// endpoint is the endpoint's id.
+	// endpoint is the id of the chosen endpoint.
 	endpoint string
-	// usable is how many candidates there were.
+	// usable is the number of endpoints in the group less those that were excluded for this
+	// request only.
 	usable int
-	// estimates are the estimates of the first candidates, for the log.
+	// estimates holds the estimates of the first candidates, for the log.
 	estimates []CandidateEstimate
 }
 
-// CandidateEstimate is a candidate as a decision saw it.
+// CandidateEstimate is a candidate and its estimate at the time of a decision.
 type CandidateEstimate struct {
 	// Endpoint is the endpoint's id.
 	Endpoint string `json:"endpoint"`
@@ -170,11 +173,11 @@
 	EstimateMs int64 `json:"estimate_ms"`
 }
 
-// maxEstimates bounds the candidates that a decision line lists.
+// maxEstimates bounds the number of estimates per decision in the log.
 const maxEstimates = 3
 
-// choose picks an endpoint for work and notes it as pending there. Those in
-// skip are left out.
+// choose picks an endpoint for w from the named group and counts w as pending there. It never
+// picks an endpoint in exclude. Index is -1 if no endpoint is usable.
 func (f *fleet) choose(name string, w *policy.Work, hit float64, exclude []string, now time.Time) choice {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -210,8 +213,8 @@
 	return c
 }
 
-// exclude leaves out what is in skip, and marks as unknown what was not heard of
-// for long. It returns what was barred here.
+// exclude marks the candidates in endpoints as excluded and returns the indexes of those that
+// were not marked before. It also marks candidates whose summary is too old as unknown.
 func (g *group) exclude(endpoints []string, now time.Time) []int {
 	var excluded []int
 	for i := range g.candidates {
@@ -232,7 +235,8 @@
 	return excluded
 }
 
-// candidateEstimates returns the choice and the next candidates with their estimates.
+// candidateEstimates returns the estimates of the chosen candidate and of the usable ones that
+// follow it in cs, at most maxEstimates.
 func candidateEstimates(w *policy.Work, chosen int, cs []policy.Candidate, now time.Time) []CandidateEstimate {
 	p := policy.Priority(w.RankAt(now), w.Class())
 	out := make([]CandidateEstimate, 0, maxEstimates)
@@ -249,7 +253,7 @@
 	return out
 }
 
-// memories returns the memories of the endpoints of a group that may get work,
+// memories returns the KV memory of the endpoints of a group that are not excluded, in bytes,
 // largest first.
 func (f *fleet) memories(name string) []int64 {
 	f.mu.Lock()
@@ -269,7 +273,7 @@
 	return out
 }
 
-// size returns how many endpoints a group has.
+// size returns the number of endpoints in a group.
 func (f *fleet) size(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -14,7 +14,7 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// newTestFleet returns a fleet of n engines of which nothing was heard yet.
+// newTestFleet returns a fleet of n engines without summaries.
 func newTestFleet(n int) *fleet {
 	f := newFleet(policy.Weighed{}, "r1", "d1")
 	file := &config.File{}
@@ -34,8 +34,8 @@
 	return f
 }
 
-// TestChooseSpreadsLoad checks that requests that come at one moment spread over the
-// endpoints, whether or not anything was heard of these.
+// TestChooseSpreadsLoad guards against simultaneous requests that all go to one endpoint, with
+// and without summaries.
 func TestChooseSpreadsLoad(t *testing.T) {
 	for _, known := range []bool{false, true} {
 		t.Run(fmt.Sprintf("known %v", known), func(t *testing.T) {
--- a/entry/http.go
+++ b/entry/http.go
@@ -15,10 +15,10 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// servicePath is the path below which plain services are called.
+// servicePath is the path prefix of calls to plain services.
 const servicePath = "/services/"
 
-// Handler serves callers.
+// Handler returns the handler of callers' requests.
 func (e *Entry) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) {
@@ -39,7 +39,8 @@
 	return mux
 }
 
-// serve knows the customer, and hands its request to f.
+// serve authenticates the customer and calls f, which handles the request. It sends the error
+// that f returns.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, f func(http.ResponseWriter, *http.Request, *job) *problem.Error) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -60,7 +61,7 @@
 	fail.Write(w, j.id)
 }
 
-// recordRefusal notes the final answer to a request without one.
+// recordRefusal counts, logs and traces the error that ends a request.
 func (e *Entry) recordRefusal(j *job, p *problem.Error) {
 	e.metrics.add("refused_"+string(p.Code), 1)
 	customer := ""
@@ -78,10 +79,10 @@
 // bearer is the scheme of the Authorization header.
 const bearer = "Bearer "
 
-// notReadyRetry is when to come back to an instance that has no configuration.
+// notReadyRetry is when a caller may retry at an instance without a configuration.
 const notReadyRetry = 2 * time.Second
 
-// identify finds the customer by its key.
+// identify sets the configuration of the job and finds the customer by the API key.
 func (e *Entry) identify(r *http.Request, j *job) *problem.Error {
 	j.view = e.parts.Configuration()
 	if j.view == nil {
@@ -129,13 +130,13 @@
 	return nil
 }
 
-// failer is a sink that can tell of a failure after part of the answer.
+// failer is a sink that can report an error to the caller after part of the answer.
 type failer interface {
 	sink
 	fail(p *problem.Error)
 }
 
-// completion serves one completion.
+// completion returns the handler of text or chat completions.
 func (e *Entry) completion(chat bool) func(http.ResponseWriter, *http.Request, *job) *problem.Error {
 	return func(w http.ResponseWriter, r *http.Request, j *job) *problem.Error {
 		if fail := j.readHeaders(r.Header, false); fail != nil {
@@ -163,8 +164,8 @@
 	}
 }
 
-// failAfterStart tells a caller that has part of its answer that there is no
-// more, in the stream itself.
+// failAfterStart reports an error in the stream itself if part of the answer has been sent. It
+// returns the error with status 0 then, and unchanged otherwise.
 func (e *Entry) failAfterStart(s failer, p *problem.Error) *problem.Error {
 	if p == nil || !s.started() {
 		return p
@@ -179,8 +180,8 @@
 	}
 }
 
-// runAdmitted checks the customer's limits and, for a request with a key, that it
-// runs at most once. Then it runs f.
+// runAdmitted runs f if the quarantine and the customer's quota admit the request. A request
+// with an idempotency key runs at most once.
 func (e *Entry) runAdmitted(w http.ResponseWriter, r *http.Request, j *job, f func(context.Context, Writer) *problem.Error) *problem.Error {
 	e.traces.begin(j)
 	release, fail := e.enterQuarantine(j)
@@ -190,14 +191,14 @@
 	defer release()
 	ctx, cancel := context.WithTimeout(r.Context(), steady.Until(j.deadline))
 	defer cancel()
-	giveBack, refusal := e.parts.Borrower.Acquire(ctx, j.customer.ID, limit.Quota{
+	releaseQuota, refusal := e.parts.Borrower.Acquire(ctx, j.customer.ID, limit.Quota{
 		Rate:        j.customer.RequestsPerSecond,
 		Concurrency: j.customer.Concurrency,
 	})
 	if refusal != nil {
 		return limitProblem(refusal)
 	}
-	defer giveBack()
+	defer releaseQuota()
 	e.budget.earn()
 	caller := newCallerWriter(w)
 	if j.keyClaim != nil {
@@ -206,8 +207,9 @@
 	return abortIfReported(f(ctx, caller))
 }
 
-// abortIfReported drops a failure that the caller has been told of in its stream. The
-// connection is broken off, so that nobody takes the answer for whole.
+// abortIfReported closes the connection if p has status 0, that is, if the caller has received
+// part of the answer, so that the caller does not take the answer for complete. Other errors
+// are returned unchanged.
 func abortIfReported(p *problem.Error) *problem.Error {
 	if p != nil && p.Status == 0 {
 		panic(http.ErrAbortHandler)
@@ -225,7 +227,7 @@
 	return p
 }
 
-// call serves one call of a plain service.
+// call serves a call of a plain service.
 func (e *Entry) call(w http.ResponseWriter, r *http.Request, j *job) *problem.Error {
 	j.service = r.PathValue("service")
 	if e.fleet.size(j.group()) == 0 {
--- a/entry/input.go
+++ b/entry/input.go
@@ -18,35 +18,35 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// The headers of requests and answers.
+// Headers of requests and answers.
 const (
-	// HeaderDeadline says how long the answer may take, such as "30s".
+	// HeaderDeadline sets the time allowed for the answer, as a duration such as "30s".
 	HeaderDeadline = "Linkmast-Deadline"
-	// HeaderTier asks for a tier that is not above the customer's.
+	// HeaderTier requests a tier, which must not have a higher priority than the customer's
+	// own.
 	HeaderTier = "Linkmast-Tier"
-	// HeaderOnce says whether the request must not be repeated.
+	// HeaderOnce states whether the request must not be retried, as a boolean.
 	HeaderOnce = "Linkmast-Once"
-	// HeaderKey is the key of a request that runs at most once.
+	// HeaderKey is the idempotency key of a request that must run at most once.
 	HeaderKey = "Idempotency-Key"
-	// HeaderKeyValid is when the key's validity ends, as in RFC 3339.
+	// HeaderKeyValid is when the idempotency key expires, as in RFC 3339.
 	HeaderKeyValid = "Linkmast-Key-Valid-Until"
-	// HeaderRequest is the request's id, in answers.
+	// HeaderRequest is the request's id in answers.
 	HeaderRequest = "Linkmast-Request-Id"
 )
 
-// maxKeyBytes bounds a once-only key.
+// maxKeyBytes bounds the length of an idempotency key.
 const maxKeyBytes = 255
 
-// defaultOutput is how long an answer may be when the caller does not say, in
-// tokens.
+// defaultOutput is the limit of output tokens for a request that sets none.
 const defaultOutput = 256
 
-// prefixBlocks is how much of a prompt decides where its prefix belongs, in
-// blocks of the prefix cache.
+// prefixBlocks is the number of leading blocks of the prefix cache whose hash identifies a
+// prompt's prefix.
 const prefixBlocks = 4
 
-// completionBody is the part of OpenAI's request that matters here. Everything
-// else that clients send is passed over.
+// completionBody holds the fields of an OpenAI completion request that are used here. All other
+// fields are ignored.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -57,20 +57,20 @@
 	N                   *int            `json:"n"`
 }
 
-// message is one message of a chat.
+// message is a message of a chat.
 type message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// bodyTimeout bounds how long a body may take to arrive, and bodyRate adds to
-// it by size.
+// A body has to arrive within bodyTimeout plus its declared length divided by bodyRate, in
+// bytes per second.
 const (
 	bodyTimeout = 10 * time.Second
 	bodyRate    = 1 << 20
 )
 
-// readBody reads a whole body within its limits.
+// readBody reads a body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *problem.Error) {
 	if r.ContentLength > limit {
 		return nil, tooLarge(limit)
@@ -89,12 +89,13 @@
 	if err != nil {
 		return nil, problem.Bad("body", "did not arrive whole: "+err.Error())
 	}
-	// The connection goes on without a time limit for the answer's sake.
+	// The deadline must not end the connection while the answer is written.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return data, nil
 }
 
-// appendAll reads r to its end into a buffer of the right size.
+// appendAll appends the rest of r to b. It does not reallocate if the capacity of b exceeds the
+// length of r.
 func appendAll(b []byte, r io.Reader) ([]byte, error) {
 	for {
 		n, err := r.Read(b[len(b):cap(b)])
@@ -118,7 +119,8 @@
 	return p
 }
 
-// parseCompletion reads the body of a completion into a job.
+// parseCompletion parses the body of a completion into a job. It returns whether the caller
+// wants a stream.
 func parseCompletion(data []byte, chat bool, j *job) (bool, *problem.Error) {
 	var b completionBody
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -140,7 +142,8 @@
 	return b.Stream, j.setPrompt(prompt)
 }
 
-// badJSON names the field that could not be read.
+// badJSON returns the problem of a body that can't be parsed, with the field at fault if it is
+// known.
 func badJSON(err error) *problem.Error {
 	var typed *json.UnmarshalTypeError
 	if errors.As(err, &typed) && typed.Field != "" {
@@ -193,7 +196,8 @@
 	return nil
 }
 
-// promptOf returns the prompt of a text or chat completion.
+// promptOf returns the prompt of a text completion, or the messages of a chat completion as one
+// text.
 func promptOf(b *completionBody, chat bool) (string, *problem.Error) {
 	if !chat {
 		return textPrompt(b.Prompt)
@@ -228,8 +232,8 @@
 	return "", problem.Bad("prompt", "must be one text that is not empty")
 }
 
-// contentOf returns the text of a chat message: a string, or parts of type
-// text.
+// contentOf returns the text of a chat message, whose content is a string or a list of parts of
+// type text.
 func contentOf(raw json.RawMessage) (string, *problem.Error) {
 	var one string
 	if err := json.Unmarshal(raw, &one); err == nil {
@@ -252,7 +256,7 @@
 	return out.String(), nil
 }
 
-// readHeaders takes over the deadline, tier and once-only marks of a request.
+// readHeaders sets the deadline, the tier, and whether the request may run only once.
 func (j *job) readHeaders(h http.Header, onceByDefault bool) *problem.Error {
 	limits := &j.view.File.Limits
 	within := time.Duration(limits.DefaultDeadline)
--- a/entry/job.go
+++ b/entry/job.go
@@ -11,7 +11,7 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// job is one request of a caller on its way.
+// job holds the state of one request while the entry serves it.
 type job struct {
 	// id is the request's id.
 	id       string
@@ -20,32 +20,33 @@
 	tier     *config.Tier
 	model    *config.Model
 	adapter  string
-	// service is set for calls of plain services.
+	// service is the name of a plain service; empty for a completion.
 	service string
 	prompt  string
 	output  int
 	arrived time.Time
-	// deadline is when the answer must be whole.
+	// deadline is when the answer must be complete.
 	deadline time.Time
-	// once is true when the request must not be repeated.
+	// once states that the request must not be retried after it may have run.
 	once bool
-	// keyClaim is set when the caller gave a key.
+	// keyClaim claims the caller's idempotency key; nil without a key.
 	keyClaim *claim.Claim
-	// hitRate is the part of the prompt expected to be cached.
+	// hitRate is the fraction of the prompt that is expected to be cached.
 	hitRate float64
-	// prefix is a hash of the prompt's beginning.
+	// prefix is a hash of the prompt's leading blocks; zero if it has no complete block.
 	prefix       uint64
 	promptTokens int
-	// history has its identity, which is the same for all tries of the request, at any instance,
-	// and what its attempts showed.
+	// history holds the request's identity, which is the same for all its tries at any
+	// instance, and its failed attempts.
 	history quarantine.RequestHistory
-	// singleAttempt states that it may run at one endpoint only, as its ban is just over.
+	// singleAttempt states that only one endpoint may run the request, because its ban has just
+	// ended.
 	singleAttempt bool
 	// dispatches counts the attempts that may have reached an endpoint.
 	dispatches int
 }
 
-// group returns the name that the candidates for the job go by.
+// group returns the key of the job's model or plain service in fleet.groups.
 func (j *job) group() string {
 	if j.service != "" {
 		return servicePrefix + j.service
@@ -53,10 +54,10 @@
 	return j.model.ID
 }
 
-// servicePrefix tells the names of services from those of models.
+// servicePrefix distinguishes the names of plain services from those of models.
 const servicePrefix = "service:"
 
-// work returns what an endpoint needs to hold one of n parts of the job.
+// work returns the demand on each endpoint if the job is split into n shares.
 func (j *job) work(n int) policy.Work {
 	w := policy.Work{
 		ID:       j.id,
@@ -75,7 +76,7 @@
 	return w
 }
 
-// modelName returns the name that the caller used.
+// modelName returns the name of the adapter or model that the caller requested.
 func (j *job) modelName() string {
 	if j.adapter != "" {
 		return j.adapter
@@ -83,7 +84,7 @@
 	return j.model.ID
 }
 
-// class returns the class of the whole prompt.
+// class returns the length class of the whole prompt.
 func (j *job) class() policy.Class {
 	return policy.ClassOf(j.promptTokens)
 }
--- a/entry/once.go
+++ b/entry/once.go
@@ -14,22 +14,22 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// claimTimeout bounds the wait for the log to decide a claim.
+// claimTimeout bounds the wait for the decision on a claim.
 const claimTimeout = 3 * time.Second
 
-// freeingKeyRetryAfter is when to come back while a key is being freed.
+// freeingKeyRetryAfter is when a caller may retry while its key is being freed.
 const freeingKeyRetryAfter = time.Second
 
-// logRetryAfter is when to come back while the log does not answer.
+// logRetryAfter is when a caller may retry if the decision on its claim is not available.
 const logRetryAfter = 5 * time.Second
 
-// once runs a request with a key at most once. The request that holds the key
-// runs to its end also when its caller goes away, because that caller, or
-// another with the same key, will come back for the answer.
+// once runs a request with an idempotency key at most once. If another request holds the key,
+// the caller gets the answer to that one. The request that holds the key runs to its end even
+// if its caller disconnects, because a repeated request may ask for the answer.
 func (e *Entry) once(ctx context.Context, j *job, caller *callerWriter, f func(context.Context, Writer) *problem.Error) *problem.Error {
 	j.keyClaim.Instance = e.settings.Self.ID
-	// The answer is kept from before the claim, so that whoever finds the claim
-	// finds the answer.
+	// The kept answer is created before the claim, so that a request which sees the claim finds
+	// the answer.
 	k := e.Answers.open(j.id)
 	waiting, cancel := context.WithTimeout(ctx, claimTimeout)
 	winner, err := e.parts.Claimer.Claim(waiting, *j.keyClaim)
@@ -60,8 +60,8 @@
 	return fail
 }
 
-// attach passes on the answer to the request that holds the key, if it can be
-// had.
+// attach sends the caller the answer to the request that holds the key. It returns an error if
+// the answer is not available.
 func (e *Entry) attach(ctx context.Context, j *job, winner claim.Claim, caller *callerWriter) *problem.Error {
 	e.traces.add(j.id, Event{
 		What:   "attached",
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -10,8 +10,8 @@
 	"github.com/linkmast/linkmast/owner/ownerpb"
 )
 
-// Registry is the attempts that an instance holds. It answers the questions of
-// owners.
+// Registry holds the ids of the attempts that an instance holds. Owners query it to find
+// attempts that no instance holds any more.
 type Registry struct {
 	ownerpb.UnimplementedHolderServer
 
@@ -26,28 +26,29 @@
 	}
 }
 
-// add notes an attempt from before its lease is asked for.
+// add adds an attempt. It is called before the lease is requested, so that the owner never
+// takes the attempt for an orphan.
 func (r *Registry) add(attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempts[attempt] = struct{}{}
 }
 
-// remove notes that an attempt is over.
+// remove removes an attempt that has ended.
 func (r *Registry) remove(attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.attempts, attempt)
 }
 
-// Len returns how many attempts are held.
+// Len returns the number of attempts held.
 func (r *Registry) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.attempts)
 }
 
-// HeldAmong returns which of the attempts are held.
+// HeldAmong returns those of the given attempts that are held.
 func (r *Registry) HeldAmong(attempts []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,7 +68,7 @@
 	}, nil
 }
 
-// attemptID returns the id of a request's n-th attempt.
+// attemptID returns the id of the attempt for a request's n-th lease.
 func attemptID(request string, n int) string {
 	return request + "." + strconv.Itoa(n)
 }
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -11,8 +11,8 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// responseFormat is the form of an answer: text or chat completions, as OpenAI's
-// clients read them.
+// responseFormat holds the fixed fields of OpenAI's response format for text or chat
+// completions.
 type responseFormat struct {
 	id      string
 	model   string
@@ -39,7 +39,7 @@
 	return "text_completion"
 }
 
-// frame returns what stands before the text of a streamed token.
+// frame returns the part of a streamed event that precedes the token's text.
 func (s *responseFormat) frame() []byte {
 	b := []byte(`data: {"id":`)
 	b = appendString(b, s.id)
@@ -95,7 +95,7 @@
 	return s.out.Write(s.buf)
 }
 
-// event puts one token's event into the buffer.
+// event writes the event of one token to the buffer.
 func (s *streamSink) event(text, reason string) {
 	s.buf = append(s.buf[:0], s.framePrefix...)
 	s.buf = appendString(s.buf, text)
@@ -119,16 +119,16 @@
 	return s.out.Write(s.buf)
 }
 
-// fail tells a caller that has part of the answer that there is no more.
+// fail sends an error event to a caller that has received part of the answer.
 func (s *streamSink) fail(p *problem.Error) {
 	b := []byte("event: error\ndata: {\"error\":")
 	b = append(b, p.Marshal(s.format.id)...)
 	b = append(b, "}\n\n"...)
-	// The caller may have gone; there is nobody left to tell.
+	// A failed write means that the caller has disconnected.
 	_ = s.out.Write(b)
 }
 
-// wholeSink sends the answer as one JSON object.
+// wholeSink collects the tokens and sends the answer as one JSON object.
 type wholeSink struct {
 	out      Writer
 	format   responseFormat
@@ -186,7 +186,7 @@
 	return s.out.Write(b)
 }
 
-// appendUsage adds the usage object.
+// appendUsage appends the usage object.
 func appendUsage(b []byte, u usage) []byte {
 	b = append(b, `{"prompt_tokens":`...)
 	b = strconv.AppendInt(b, int64(u.prompt), 10)
@@ -199,8 +199,8 @@
 	return append(b, "}}"...)
 }
 
-// appendString adds a JSON string. Plain text is copied; anything else goes
-// through the standard library.
+// appendString appends a JSON string. It copies printable ASCII without quotes and backslashes,
+// and leaves other strings to encoding/json.
 func appendString(b []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
@@ -213,7 +213,7 @@
 }
 
 func appendEscaped(b []byte, s string) []byte {
-	// A string always encodes.
+	// Marshal does not fail for a string.
 	q, _ := json.Marshal(s)
 	return append(b, q...)
 }
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -17,7 +17,7 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// recordingLeaser is an owner that grants everything. It notes what became of its leases.
+// recordingLeaser is an owner that grants every lease and records how the leases end.
 type recordingLeaser struct {
 	outcomes []owner.Outcome
 }
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// newTestTeam returns a job with a lease on an engine that nothing was sent to yet.
+// newTestTeam returns a search and a team whose lease has not been used yet.
 func newTestTeam(l *recordingLeaser) (*leaseSearch, *team) {
 	return &leaseSearch{
 			job: &job{
@@ -49,8 +49,8 @@
 		}
 }
 
-// TestLeaseExpiresDuringSuspension suspends the machine between the grant of a lease and its use. The lease
-// lapsed meanwhile and may be another attempt's: it is given back unused, and another is asked for.
+// TestLeaseExpiresDuringSuspension guards against the use of a lease that expired while the
+// host was suspended. It must be released unused and another one requested.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -70,8 +70,8 @@
 	})
 }
 
-// TestSummariesAfterSuspension hears of endpoints after the machine was suspended: what was heard
-// before is too old, and what is heard then is not.
+// TestSummariesAfterSuspension guards against the use of summaries from before a suspension of
+// the host, and against discarding those from after it.
 func TestSummariesAfterSuspension(t *testing.T) {
 	for _, row := range []struct {
 		name      string
@@ -80,8 +80,8 @@
 		known     bool
 	}{
 		{"not suspended", 0, false, true},
-		{"suspended, nothing heard since", 10 * time.Second, false, false},
-		{"suspended, heard since", 10 * time.Second, true, true},
+		{"suspended, no summary since", 10 * time.Second, false, false},
+		{"suspended, summary since", 10 * time.Second, true, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			m := steadytest.New(t)
--- a/entry/team.go
+++ b/entry/team.go
@@ -15,31 +15,32 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// team is the leases of one attempt: the lead runs it, and each member holds a
-// part of its memory.
+// team holds the leases of one attempt. The lead runs the attempt, and each member contributes
+// memory to it. Most teams have no members.
 type team struct {
 	lead    *heldLease
 	members []*heldLease
 }
 
-// all returns the leases of a team.
+// all returns the leases of a team, the lead's first.
 func (t *team) all() []*heldLease {
 	return append([]*heldLease{t.lead}, t.members...)
 }
 
-// The measures of teams.
+// Limits of teams.
 const (
-	// maxShareMemory is the part of an engine's memory that a part may take.
+	// maxShareMemory is the fraction of an engine's memory that a share of a request may take.
 	maxShareMemory = 0.75
-	// teamTimeout bounds how long a team that is not whole is held.
+	// teamTimeout bounds one try to acquire all leases of a team, during which the leases it
+	// already has are unused.
 	teamTimeout = 20 * time.Second
-	// teamSearchTime bounds how long a team is gathered anew. It is above the time
-	// in which nodes notice that an owner has died.
+	// teamSearchTime bounds the time in which new tries start. It exceeds the time in which
+	// instances detect the crash of an owner.
 	teamSearchTime = 10 * time.Second
 )
 
-// shareCount returns into how many parts a job must be cut to fit, or zero when no
-// number of endpoints can hold it.
+// shareCount returns the least number of shares into which a job must be split to fit the
+// endpoints' memory, or zero if it can't fit.
 func (e *Entry) shareCount(j *job) int {
 	if j.model == nil {
 		return 1
@@ -61,7 +62,7 @@
 	return 0
 }
 
-// acquireLeases gets the lease, or all the leases, that a job needs.
+// acquireLeases acquires all leases that a job needs.
 func (e *Entry) acquireLeases(ctx context.Context, s *leaseSearch) (*team, *problem.Error) {
 	n := e.shareCount(s.job)
 	switch n {
@@ -82,16 +83,14 @@
 	return e.acquireTeam(ctx, s, n)
 }
 
-// acquireTeam gets n leases, all or nothing. The endpoints are chosen first and
-// then leased in the order of their ids, so that two such requests never hold
-// half of each other's; a time limit bounds what a team that does not come
-// about keeps from others.
+// acquireTeam acquires n leases, all or nothing. It chooses all endpoints first and acquires
+// their leases in the order of their ids, so that two requests do not deadlock.
 func (e *Entry) acquireTeam(ctx context.Context, s *leaseSearch, n int) (*team, *problem.Error) {
 	var fail *problem.Error
 	until := steady.Now().Add(teamSearchTime)
 	for try := 0; try == 0 || steady.Now().Before(until); try++ {
 		if try > 0 {
-			// What refused just now may have another owner in a moment.
+			// An endpoint whose owner refused the lease may have a new owner by now.
 			s.exclude = nil
 			backOff(ctx, try)
 		}
@@ -134,7 +133,7 @@
 			return nil, fail
 		}
 	}
-	// The lead's lease waited for the others.
+	// Acquiring the other leases took time, so the lead's start limit counts from now.
 	got[0].startBy = steady.Now().Add(got[0].StartWithin)
 	return &team{
 		lead:    got[0],
@@ -142,7 +141,8 @@
 	}, nil
 }
 
-// abandonLease ends one lease of a team that did not come about.
+// abandonLease ends a lease of an incomplete team. Reserved states that the engine may hold a
+// memory reservation for it.
 func (e *Entry) abandonLease(h *heldLease, reserved bool) {
 	if reserved {
 		e.cancel(h, owner.NotStarted)
@@ -151,7 +151,7 @@
 	e.release(h, owner.NotStarted, 0)
 }
 
-// pickTeam chooses n endpoints for the parts, in the order of their ids.
+// pickTeam chooses up to n endpoints and returns their ids in order.
 func (e *Entry) pickTeam(s *leaseSearch, n int) []string {
 	w := s.job.work(n)
 	skip := slices.Clone(s.exclude)
@@ -168,24 +168,24 @@
 	return out
 }
 
-// leaseShare gets the lease on one endpoint of a team.
+// leaseShare acquires the lease for one of n shares on an endpoint.
 func (e *Entry) leaseShare(ctx context.Context, s *leaseSearch, id string, n int) (*heldLease, *problem.Error) {
 	j := s.job
 	endpoint, ok := j.view.Endpoint(id)
 	if !ok {
 		return nil, s.refusal()
 	}
-	by, ok := e.parts.Members().RegionalOwner(id, j.view.Region(endpoint.FailureDomain))
+	ownerInstance, ok := e.parts.Members().RegionalOwner(id, j.view.Region(endpoint.FailureDomain))
 	if !ok {
 		return nil, s.refusal()
 	}
-	leaser, err := e.parts.Leaser(by)
+	leaser, err := e.parts.Leaser(ownerInstance)
 	if err != nil {
 		return nil, s.refusal()
 	}
 	s.leases++
 	attempt := attemptID(j.id, s.leases)
-	e.logDecision(j, attempt, by.ID, choice{
+	e.logDecision(j, attempt, ownerInstance.ID, choice{
 		endpoint: id,
 		usable:   n,
 	})
@@ -198,7 +198,7 @@
 	}, nil)
 	if err != nil {
 		e.Registry.remove(attempt)
-		e.handleRefusal(ctx, s, id, by.ID, attempt, err)
+		e.handleRefusal(ctx, s, id, ownerInstance.ID, attempt, err)
 		return nil, s.refusal()
 	}
 	return &heldLease{
@@ -210,7 +210,7 @@
 	}, nil
 }
 
-// reserve holds the memory of one member.
+// reserve reserves memory for one of n shares on the engine of a lease.
 func (e *Entry) reserve(ctx context.Context, s *leaseSearch, h *heldLease, n int) *problem.Error {
 	w := s.job.work(n)
 	err := e.parts.Endpoints.Engine(h.Address).Reserve(ctx, engine.Reservation{
@@ -238,7 +238,7 @@
 	}
 }
 
-// cancelAll ends an attempt that may run.
+// cancelAll cancels an attempt that may be running, on all engines of its team.
 func (e *Entry) cancelAll(t *team) {
 	for _, h := range t.all() {
 		e.cancel(h, owner.Failed)
