--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -61,8 +61,8 @@
 // Limits on how long a reused connection may have been idle. If the endpoint closes an idle
 // connection just as a request is sent, a request that is not idempotent can't be retried.
 const (
-	// maxIdleIdempotent exceeds the idle time that the endpoint names and that of package
-	// upstream, so those decide.
+	// maxIdleIdempotent exceeds the idle timeouts of endpoints and of package upstream, so only
+	// those apply.
 	maxIdleIdempotent = time.Minute
 	// maxIdleOnce is well below the idle timeouts of endpoints.
 	maxIdleOnce = time.Second
--- a/relay/configuration.go
+++ b/relay/configuration.go
@@ -88,8 +88,8 @@
 // tries.
 const minOutage = 1500 * time.Millisecond
 
-// heededRetryShare is the fraction of its remaining time that a caller is willing to wait
-// before a retry. A longer Retry-After is cut to this.
+// heededRetryShare is the fraction of its remaining time that a caller waits at most before a
+// retry. Callers cut a longer Retry-After to this.
 const heededRetryShare = 1.0 / 3
 
 // retryAfterOutage returns when a caller with the given timeout may return to an instance whose
--- a/relay/suspicion.go
+++ b/relay/suspicion.go
@@ -72,12 +72,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped.Err() != nil || w.next != nil || w.abandoned {
-		// An event arrived as the timer fired.
 		return
 	}
 	silence := time.Since(w.lastActivity)
 	if silence < w.suspectAfter() {
-		// An event came at this moment.
+		// An event arrived as the timer fired.
 		return
 	}
 	if (silence-w.suspectAfter())%pool.MinSuspectSilence < timerTolerance {
