--- a/entry/sink.go
+++ b/entry/sink.go
@@ -11,8 +11,8 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// responseFormat is the form of an answer: text or chat completions, as OpenAI's
-// clients read them.
+// responseFormat holds the fixed fields of OpenAI's response format for text or chat
+// completions.
 type responseFormat struct {
 	id      string
 	model   string
@@ -39,7 +39,7 @@
 	return "text_completion"
 }
 
-// frame returns what stands before the text of a streamed token.
+// frame returns the part of a streamed event that precedes the token's text.
 func (s *responseFormat) frame() []byte {
 	b := []byte(`data: {"id":`)
 	b = appendString(b, s.id)
@@ -58,32 +58,32 @@
 
 // streamSink sends each token as a server-sent event.
 type streamSink struct {
-	out    Writer
-	shape  responseFormat
-	before []byte
-	buf    []byte
-	headed bool
+	out         Writer
+	format      responseFormat
+	framePrefix []byte
+	buf         []byte
+	headSent    bool
 }
 
 func newStreamSink(out Writer, s responseFormat) *streamSink {
 	return &streamSink{
-		out:    out,
-		shape:  s,
-		before: s.frame(),
+		out:         out,
+		format:      s,
+		framePrefix: s.frame(),
 	}
 }
 
-func (s *streamSink) begun() bool {
-	return s.headed
+func (s *streamSink) started() bool {
+	return s.headSent
 }
 
 func (s *streamSink) restart() {}
 
 func (s *streamSink) start() error {
-	if s.headed {
+	if s.headSent {
 		return nil
 	}
-	s.headed = true
+	s.headSent = true
 	return s.out.Head(http.StatusOK, "text/event-stream")
 }
 
@@ -95,11 +95,11 @@
 	return s.out.Write(s.buf)
 }
 
-// event puts one token's event into the buffer.
+// event writes the event of one token to the buffer.
 func (s *streamSink) event(text, reason string) {
-	s.buf = append(s.buf[:0], s.before...)
+	s.buf = append(s.buf[:0], s.framePrefix...)
 	s.buf = appendString(s.buf, text)
-	if s.shape.chat {
+	if s.format.chat {
 		s.buf = append(s.buf, '}')
 	}
 	s.buf = append(s.buf, `,"finish_reason":`...)
@@ -119,32 +119,32 @@
 	return s.out.Write(s.buf)
 }
 
-// fail tells a caller that has part of the answer that there is no more.
+// fail sends an error event to a caller that has received part of the answer.
 func (s *streamSink) fail(p *problem.Error) {
 	b := []byte("event: error\ndata: {\"error\":")
-	b = append(b, p.Marshal(s.shape.id)...)
+	b = append(b, p.Marshal(s.format.id)...)
 	b = append(b, "}\n\n"...)
-	// The caller may have gone; there is nobody left to tell.
+	// A failed write means that the caller has disconnected.
 	_ = s.out.Write(b)
 }
 
-// wholeSink sends the answer as one JSON object.
+// wholeSink collects the tokens and sends the answer as one JSON object.
 type wholeSink struct {
-	out    Writer
-	shape  responseFormat
-	text   []byte
-	headed bool
+	out      Writer
+	format   responseFormat
+	text     []byte
+	headSent bool
 }
 
 func newWholeSink(out Writer, s responseFormat) *wholeSink {
 	return &wholeSink{
-		out:   out,
-		shape: s,
+		out:    out,
+		format: s,
 	}
 }
 
-func (s *wholeSink) begun() bool {
-	return s.headed
+func (s *wholeSink) started() bool {
+	return s.headSent
 }
 
 func (s *wholeSink) restart() {
@@ -158,15 +158,15 @@
 
 func (s *wholeSink) end(u usage) error {
 	b := []byte(`{"id":`)
-	b = appendString(b, s.shape.id)
+	b = appendString(b, s.format.id)
 	b = append(b, `,"object":"`...)
-	b = append(b, s.shape.object(false)...)
+	b = append(b, s.format.object(false)...)
 	b = append(b, `","created":`...)
-	b = strconv.AppendInt(b, s.shape.created, 10)
+	b = strconv.AppendInt(b, s.format.created, 10)
 	b = append(b, `,"model":`...)
-	b = appendString(b, s.shape.model)
+	b = appendString(b, s.format.model)
 	b = append(b, `,"choices":[{"index":0,`...)
-	if s.shape.chat {
+	if s.format.chat {
 		b = append(b, `"message":{"role":"assistant","content":`...)
 		b = appendString(b, string(s.text))
 		b = append(b, '}')
@@ -179,14 +179,14 @@
 	b = append(b, `}],"usage":`...)
 	b = appendUsage(b, u)
 	b = append(b, "}\n"...)
-	s.headed = true
+	s.headSent = true
 	if err := s.out.Head(http.StatusOK, "application/json"); err != nil {
 		return err
 	}
 	return s.out.Write(b)
 }
 
-// appendUsage adds the usage object.
+// appendUsage appends the usage object.
 func appendUsage(b []byte, u usage) []byte {
 	b = append(b, `{"prompt_tokens":`...)
 	b = strconv.AppendInt(b, int64(u.prompt), 10)
@@ -199,8 +199,8 @@
 	return append(b, "}}"...)
 }
 
-// appendString adds a JSON string. Plain text is copied; anything else goes
-// through the standard library.
+// appendString appends a JSON string. It copies printable ASCII without quotes and backslashes,
+// and leaves other strings to encoding/json.
 func appendString(b []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
@@ -213,7 +213,7 @@
 }
 
 func appendEscaped(b []byte, s string) []byte {
-	// A string always encodes.
+	// Marshal does not fail for a string.
 	q, _ := json.Marshal(s)
 	return append(b, q...)
 }
--- a/relay/header_test.go
+++ b/relay/header_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestPassed looks that what concerns a single connection is not passed on.
-func TestPassed(t *testing.T) {
+// TestForwardedHeader guards against forwarding headers that apply to a single connection.
+func TestForwardedHeader(t *testing.T) {
 	is := is.New(t)
 	h := http.Header{}
 	h.Set("Connection", "close, X-Hop")
@@ -20,5 +20,5 @@
 	h.Set("Model", "m")
 	got := forwardedHeader(h)
 	is.Equal(got, http.Header{"Model": {"m"}})
-	is.Equal(h.Get("X-Hop"), "1") // the caller's header stays
+	is.Equal(h.Get("X-Hop"), "1") // the caller's header is unchanged
 }
