--- a/cmd/linkmast/deploy_test.go
+++ b/cmd/linkmast/deploy_test.go
@@ -255,11 +255,11 @@
 
 func (d *deployment) publish() {
 	d.t.Helper()
-	var engines []*fleet.Host
+	var engines []*fleet.Endpoint
 	for _, p := range d.engines {
-		engines = append(engines, &fleet.Host{ID: p.name, Address: p.address})
+		engines = append(engines, &fleet.Endpoint{ID: p.name, Address: p.address})
 	}
-	text := fleet.Text(engines, []*fleet.Host{{ID: "s1", Address: d.service.address}})
+	text := fleet.DefaultConfiguration(engines, []*fleet.Endpoint{{ID: "s1", Address: d.service.address}})
 	log := logsvc.NewHTTP(wirehttp.Client(), d.platform.address)
 	if _, err := rollout.Publish(context.Background(), log, rollout.Publication{
 		ID:   "test",
--- a/cmd/linkmastctl/demo.go
+++ b/cmd/linkmastctl/demo.go
@@ -87,7 +87,7 @@
 	short := p.WithoutLong()
 	s := load.Settings{
 		Addresses: f.Addresses(),
-		Rate:      c.Load * f.Capacity() / p.Mean(),
+		Rate:      c.Load * f.PrefillRate() / p.Mean(),
 		Duration:  c.Duration,
 		Seed:      c.Seed,
 	}
--- a/cmd/linkmastctl/load.go
+++ b/cmd/linkmastctl/load.go
@@ -129,7 +129,7 @@
 	defer f.Close()
 	s.Addresses = f.Addresses()
 	if s.Rate == 0 {
-		s.Rate = c.Load * f.Capacity() / whole.Mean() * part
+		s.Rate = c.Load * f.PrefillRate() / whole.Mean() * part
 	}
 	return runFleet(f, p, s, fault), nil
 }
@@ -140,11 +140,11 @@
 // runFleet runs a profile against an embedded fleet, with a fault a third into
 // it.
 func runFleet(f *fleet.Fleet, p *load.Profile, s load.Settings, fault string) *load.Report {
-	strike := time.AfterFunc(s.Duration/3, func() { f.Strike(fault) })
+	strike := time.AfterFunc(s.Duration/3, func() { f.InjectFault(fault) })
 	defer strike.Stop()
 	r := load.Run(context.Background(), p, s)
-	r.LeakedBytes = f.WaitFree(settleTime)
-	r.Doubled = f.Doubled()
+	r.LeakedBytes = f.WaitMemoryReleased(settleTime)
+	r.Doubled = f.RepeatedCalls()
 	r.Finish()
 	return r
 }
--- a/engine/check.go
+++ b/engine/check.go
@@ -17,9 +17,9 @@
 	return "bad answer: " + e.Reason
 }
 
-// Check follows the chunks of one answer. The zero value is not usable; give
+// AnswerChecker follows the chunks of one answer. The zero value is not usable; give
 // the attempt's id.
-type Check struct {
+type AnswerChecker struct {
 	// Attempt is the id that every chunk must carry.
 	Attempt string
 
@@ -30,7 +30,7 @@
 // Accept states whether a chunk is new and next in order. A chunk that was
 // accepted before is neither new nor an error. A foreign id, a gap and a chunk
 // after the end are an *AnswerError.
-func (c *Check) Accept(k Chunk) (bool, error) {
+func (c *AnswerChecker) Accept(k Chunk) (bool, error) {
 	if k.Attempt != c.Attempt {
 		return false, &AnswerError{
 			Reason: fmt.Sprintf("chunk of attempt %q in the answer to %q", k.Attempt, c.Attempt),
@@ -59,11 +59,11 @@
 }
 
 // Next returns the sequence number that is due.
-func (c *Check) Next() int {
+func (c *AnswerChecker) Next() int {
 	return max(c.next, 1)
 }
 
 // Ended states whether the end has come.
-func (c *Check) Ended() bool {
+func (c *AnswerChecker) Ended() bool {
 	return c.ended
 }
--- a/engine/check_test.go
+++ b/engine/check_test.go
@@ -18,9 +18,9 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// TestCheck follows answers as they may arrive. Each step is a chunk "id:seq",
+// TestAnswerChecker follows answers as they may arrive. Each step is a chunk "id:seq",
 // with "!" at the end of the answer.
-func TestCheck(t *testing.T) {
+func TestAnswerChecker(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		steps string
@@ -42,7 +42,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			check := engine.Check{
+			check := engine.AnswerChecker{
 				Attempt: "a",
 			}
 			fresh, bad := 0, false
@@ -69,9 +69,9 @@
 	}
 }
 
-// rude serves connections: it answers the first request of each, reads the
+// serveClosingOnSecond serves connections: it answers the first request of each, reads the
 // second and then closes. It counts the requests.
-func rude(t *testing.T) (string, *atomic.Int64) {
+func serveClosingOnSecond(t *testing.T) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,7 +123,7 @@
 func TestNeverSentTwice(t *testing.T) {
 	t.Run("engine", func(t *testing.T) {
 		is := is.New(t)
-		address, n := rude(t)
+		address, n := serveClosingOnSecond(t)
 		client := engine.NewHTTP(wirehttp.Client(), address)
 		is.NoErr(client.Cancel(t.Context(), "warm up"))
 		_, err := client.Run(t.Context(), engine.Attempt{ID: "a"})
@@ -135,7 +135,7 @@
 	t.Run("plain service", func(t *testing.T) {
 		for _, body := range []string{"", "bid"} {
 			is := is.New(t)
-			address, n := rude(t)
+			address, n := serveClosingOnSecond(t)
 			client := plain.NewHTTP(wirehttp.Client(), address)
 			is.NoErr(client.Probe(t.Context()))
 			_, err := client.Call(t.Context(), plain.Call{Method: "POST", Path: "/", Body: []byte(body)})
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -177,13 +177,13 @@
 
 // The codes of refusals that are part of the protocol.
 const (
-	RefusedMemory   = "memory"
-	RefusedInstance = "instance"
-	RefusedModel    = "model"
-	RefusedFence    = "fence"
-	RefusedDoubled  = "doubled"
-	RefusedFault    = "fault"
-	Unreachable     = "unreachable"
+	RefusedMemory    = "memory"
+	RefusedInstance  = "instance"
+	RefusedModel     = "model"
+	RefusedFence     = "fence"
+	RefusedDuplicate = "doubled"
+	RefusedFault     = "fault"
+	Unreachable      = "unreachable"
 )
 
 // TokenBytes is how many bytes of prompt count as one token where no
--- a/engine/http.go
+++ b/engine/http.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return newLines(res.Body), nil
+	return newChunkReader(res.Body), nil
 }
 
 // Resume implements Client.
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return newLines(res.Body), nil
+	return newChunkReader(res.Body), nil
 }
 
 // Cancel implements Client.
@@ -121,19 +121,19 @@
 	if in != nil {
 		data, err := json.Marshal(in)
 		if err != nil {
-			return nil, notStarted(err)
+			return nil, notRunError(err)
 		}
 		size = len(data)
 		body = wirehttp.Once(bytes.NewReader(data))
 	}
 	req, err := http.NewRequestWithContext(ctx, method, h.base+path, body)
 	if err != nil {
-		return nil, notStarted(err)
+		return nil, notRunError(err)
 	}
 	req.ContentLength = int64(size)
 	res, err := h.client.Do(req)
 	if err != nil {
-		e := notStarted(err)
+		e := notRunError(err)
 		if connected.Load() {
 			e.Ran = problem.MayHaveRun
 		}
@@ -143,10 +143,10 @@
 		return res, nil
 	}
 	defer wirehttp.Drain(res.Body)
-	return nil, refused(res)
+	return nil, refusalError(res)
 }
 
-func notStarted(err error) *RunError {
+func notRunError(err error) *RunError {
 	return &RunError{
 		Ran:  problem.NotRun,
 		Code: Unreachable,
@@ -154,8 +154,8 @@
 	}
 }
 
-// refused reads a refusal. A body that is none proves nothing.
-func refused(res *http.Response) *RunError {
+// refusalError reads a refusal. A body that is none proves nothing.
+func refusalError(res *http.Response) *RunError {
 	r := Refusal{
 		Code:    RefusedFault,
 		Started: true,
@@ -174,21 +174,21 @@
 	return e
 }
 
-// lines reads an answer line by line.
-type lines struct {
+// chunkReader reads an answer line by line.
+type chunkReader struct {
 	body io.ReadCloser
 	r    *bufio.Reader
 }
 
-func newLines(body io.ReadCloser) *lines {
-	return &lines{
+func newChunkReader(body io.ReadCloser) *chunkReader {
+	return &chunkReader{
 		body: body,
 		r:    bufio.NewReaderSize(body, streamBuffer),
 	}
 }
 
 // Next implements Stream.
-func (l *lines) Next() (Chunk, error) {
+func (l *chunkReader) Next() (Chunk, error) {
 	var k Chunk
 	line, err := l.r.ReadSlice('\n')
 	if err != nil {
@@ -206,6 +206,6 @@
 }
 
 // Close implements Stream.
-func (l *lines) Close() error {
+func (l *chunkReader) Close() error {
 	return l.body.Close()
 }
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -14,13 +14,13 @@
 // hashBytes is the length of a block's hash.
 const hashBytes = 8
 
-// Blocks returns a hash for each whole block of a prompt, at most limit of
+// BlockHashes returns a hash for each whole block of a prompt, at most limit of
 // them. Each hash covers the prompt from its start to the end of the block:
 //
 //	h_0 = H(scope), h_i = H(h_{i-1} | block_i)
 //
 // Prompts of different scopes share no block.
-func Blocks(scope, prompt string, limit int) []uint64 {
+func BlockHashes(scope, prompt string, limit int) []uint64 {
 	n := min(len(prompt)/blockBytes, limit)
 	out := make([]uint64, 0, n)
 	h := xxhash.Sum64String(scope)
--- a/entry/complete.go
+++ b/entry/complete.go
@@ -90,7 +90,7 @@
 		job:   j,
 		team:  t,
 		out:   out,
-		check: engine.Check{
+		check: engine.AnswerChecker{
 			Attempt: t.lead.attempt,
 		},
 	}
@@ -172,7 +172,7 @@
 	job   *job
 	team  *team
 	out   sink
-	check engine.Check
+	check engine.AnswerChecker
 
 	// began is when it was dispatched.
 	began time.Time
--- a/entry/input.go
+++ b/entry/input.go
@@ -187,7 +187,7 @@
 		return problem.Bad("prompt", "has "+strconv.Itoa(j.tokens)+" tokens, the model takes "+
 			strconv.Itoa(j.model.MaxPromptTokens))
 	}
-	if blocks := engine.Blocks(j.model.ID+"/"+j.adapter, prompt, prefixBlocks); len(blocks) > 0 {
+	if blocks := engine.BlockHashes(j.model.ID+"/"+j.adapter, prompt, prefixBlocks); len(blocks) > 0 {
 		j.prefix = blocks[len(blocks)-1]
 	}
 	return nil
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -18,26 +18,26 @@
 
 // The measures of the tests with a request that crashes endpoints.
 const (
-	// crashing begins the prompts and bodies that do.
-	crashing = "crash"
-	// away is how long an endpoint is gone after a crash.
-	away = 2 * time.Second
-	// tries is how often callers send it.
-	tries = 90
-	// mostCrashes is how many endpoints it may crash: three until that is known, and three more.
-	mostCrashes = 6
+	// crashPrompt begins the prompts and bodies that do.
+	crashPrompt = "crash"
+	// restartDelay is how long an endpoint is gone after a crash.
+	restartDelay = 2 * time.Second
+	// sendCount is how often callers send it.
+	sendCount = 90
+	// maxCrashes is how many endpoints it may crash: three until that is known, and three more.
+	maxCrashes = 6
 )
 
-// crasher is an endpoint that some requests crash.
-type crasher interface {
+// crashable is an endpoint that some requests crash.
+type crashable interface {
 	SetFaults(standin.Faults)
 	Faults() standin.Faults
 	Crashes() int
 }
 
-// crashers are all endpoints of a fleet.
-func (v *virtual) crashers() []crasher {
-	var out []crasher
+// crashables are all endpoints of a fleet.
+func (v *virtualFleet) crashables() []crashable {
+	var out []crashable
 	for _, e := range v.engines {
 		out = append(out, e)
 	}
@@ -47,20 +47,20 @@
 	return out
 }
 
-// fragile lets all endpoints crash at the requests that do so, and has them back a while after
+// crashAndRestart lets all endpoints crash at the requests that do so, and has them back a while after
 // that, until ctx ends.
-func (v *virtual) fragile(ctx context.Context) (stopped <-chan struct{}) {
+func (v *virtualFleet) crashAndRestart(ctx context.Context) (stopped <-chan struct{}) {
 	f := standin.Faults{
-		CrashOn: crashing,
+		CrashOn: crashPrompt,
 	}
 	var all sync.WaitGroup
-	for _, c := range v.crashers() {
+	for _, c := range v.crashables() {
 		c.SetFaults(f)
 		all.Go(func() {
 			for ctx.Err() == nil {
 				time.Sleep(10 * time.Millisecond)
 				if c.Faults().Dead {
-					time.Sleep(away)
+					time.Sleep(restartDelay)
 					c.SetFaults(f)
 				}
 			}
@@ -74,10 +74,10 @@
 	return done
 }
 
-// crashes returns how often endpoints have crashed.
-func (v *virtual) crashes() int {
+// crashCount returns how often endpoints have crashed.
+func (v *virtualFleet) crashCount() int {
 	n := 0
-	for _, c := range v.crashers() {
+	for _, c := range v.crashables() {
 		n += c.Crashes()
 	}
 	return n
@@ -90,16 +90,16 @@
 		name   string
 		path   string
 		body   string
-		strike func(v *virtual, try int)
+		strike func(v *virtualFleet, try int)
 	}{
-		{"stream", "/v1/completions", completion(crashing, 50, true), nil},
-		{"whole answer", "/v1/completions", completion(crashing, 50, false), nil},
-		{"prompt for a group of engines", "/v1/completions", completion(prompt(crashing, 700_000), 20, false), nil},
-		{"call of a plain service", "/services/lots/bids", crashing, nil},
-		{"platform away", "/v1/completions", completion(crashing, 50, true), func(v *virtual, try int) {
-			v.separate("platform", try < tries-1)
+		{"stream", "/v1/completions", completionBody(crashPrompt, 50, true), nil},
+		{"whole answer", "/v1/completions", completionBody(crashPrompt, 50, false), nil},
+		{"prompt for a group of engines", "/v1/completions", completionBody(prompt(crashPrompt, 700_000), 20, false), nil},
+		{"call of a plain service", "/services/lots/bids", crashPrompt, nil},
+		{"platform away", "/v1/completions", completionBody(crashPrompt, 50, true), func(v *virtualFleet, try int) {
+			v.setCut("platform", try < sendCount-1)
 		}},
-		{"an instance ends", "/v1/completions", completion(crashing, 50, true), func(v *virtual, try int) {
+		{"an instance ends", "/v1/completions", completionBody(crashPrompt, 50, true), func(v *virtualFleet, try int) {
 			if try == 2 {
 				v.kill("n3")
 			}
@@ -108,28 +108,28 @@
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				v := newVirtual(t, small())
+				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				ctx, cancel := context.WithCancel(t.Context())
-				stopped := v.fragile(ctx)
+				stopped := v.crashAndRestart(ctx)
 				defer func() {
 					cancel()
 					<-stopped
 				}()
-				var last vanswer
-				for i := range tries {
+				var last response
+				for i := range sendCount {
 					if row.strike != nil {
 						row.strike(v, i)
 					}
 					last = v.send(t.Context(), fmt.Sprintf("n%d", 1+i%2), row.path, row.body, nil)
 					time.Sleep(200 * time.Millisecond)
 				}
-				t.Logf("%d endpoints crashed", v.crashes())
-				is.True(v.crashes() <= mostCrashes)
+				t.Logf("%d endpoints crashed", v.crashCount())
+				is.True(v.crashCount() <= maxCrashes)
 				is.Equal(last.status, http.StatusServiceUnavailable)
 				is.Equal(last.ran, "not_run")
-				time.Sleep(away)
-				other := v.send(t.Context(), "n1", "/v1/completions", completion("other", 10, false), nil)
+				time.Sleep(restartDelay)
+				other := v.send(t.Context(), "n1", "/v1/completions", completionBody("other", 10, false), nil)
 				is.Equal(other.status, http.StatusOK)
 			})
 		})
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -6,8 +6,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// Capacity returns the prefill rate of all engines, in tokens a second.
-func (f *Fleet) Capacity() float64 {
+// PrefillRate returns the prefill rate of all engines, in tokens a second.
+func (f *Fleet) PrefillRate() float64 {
 	return float64(len(f.Engines)) * f.settings.Engine.PrefillTokensPerSecond
 }
 
@@ -18,9 +18,9 @@
 	NodeKilled   = "node-killed"
 )
 
-// Strike brings about a fault at the first engine or node. Any other name is
+// InjectFault brings about a fault at the first engine or node. Any other name is
 // no fault.
-func (f *Fleet) Strike(fault string) {
+func (f *Fleet) InjectFault(fault string) {
 	switch fault {
 	case EngineKilled:
 		f.Engines[0].Kill()
@@ -33,10 +33,10 @@
 	}
 }
 
-// Doubled returns how many calls of plain services took effect more than once.
-func (f *Fleet) Doubled() int {
+// RepeatedCalls returns how many calls of plain services took effect more than once.
+func (f *Fleet) RepeatedCalls() int {
 	n := 0
-	for body, calls := range f.calls() {
+	for body, calls := range f.callsByBody() {
 		if body != "" && calls > 1 {
 			n++
 		}
@@ -44,8 +44,8 @@
 	return n
 }
 
-// calls returns how often each body took effect at all endpoints together.
-func (f *Fleet) calls() map[string]int {
+// callsByBody returns how often each body took effect at all endpoints together.
+func (f *Fleet) callsByBody() map[string]int {
 	total := make(map[string]int)
 	for _, h := range f.Services {
 		for body, n := range h.Service.AllCalls() {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -72,10 +72,10 @@
 
 // The rated measures of a stand-in engine.
 const (
-	ratedPrefill = 40_000
-	ratedTokens  = 400_000
-	ratedKV      = 1024
-	maxPrompt    = 1_100_000
+	ratedPrefillTokensPerSecond = 40_000
+	ratedMemoryTokens           = 400_000
+	ratedKVBytesPerToken        = 1024
+	maxPromptTokens             = 1_100_000
 )
 
 // Customer is a customer of the fleet's configuration.
@@ -95,8 +95,8 @@
 	{ID: "board", Tier: "bronze", Key: "key-board"},
 }
 
-// Host is one stand-in endpoint with its server.
-type Host struct {
+// Endpoint is one stand-in endpoint with its server.
+type Endpoint struct {
 	// ID names the endpoint.
 	ID string
 	// Address is where it listens.
@@ -116,9 +116,9 @@
 	// PlatformAddress is where it listens.
 	PlatformAddress string
 	// Engines are the model engines.
-	Engines []*Host
+	Engines []*Endpoint
 	// Services are the endpoints of the plain service.
-	Services []*Host
+	Services []*Endpoint
 	// Nodes are the nodes.
 	Nodes []*node.Node
 
@@ -141,13 +141,13 @@
 		}
 	}
 	if s.Engine.PrefillTokensPerSecond == 0 {
-		s.Engine.PrefillTokensPerSecond = ratedPrefill
+		s.Engine.PrefillTokensPerSecond = ratedPrefillTokensPerSecond
 	}
 	if s.Engine.KVBytesPerToken == 0 {
-		s.Engine.KVBytesPerToken = ratedKV
+		s.Engine.KVBytesPerToken = ratedKVBytesPerToken
 	}
 	if s.Engine.MemoryBytes == 0 {
-		s.Engine.MemoryBytes = ratedTokens * s.Engine.KVBytesPerToken
+		s.Engine.MemoryBytes = ratedMemoryTokens * s.Engine.KVBytesPerToken
 	}
 	if s.Strategy == "" {
 		s.Strategy = settings.Weighed
@@ -216,8 +216,8 @@
 	return s, l.Addr().String(), nil
 }
 
-// domain returns the failure domain of the i-th of something.
-func (f *Fleet) domain(i int) string {
+// failureDomain returns the failure failureDomain of the i-th of something.
+func (f *Fleet) failureDomain(i int) string {
 	return fmt.Sprintf("d%d", i%f.settings.Domains+1)
 }
 
@@ -232,13 +232,13 @@
 	if err != nil {
 		return err
 	}
-	f.Engines = append(f.Engines, &Host{
+	f.Engines = append(f.Engines, &Endpoint{
 		ID:      id,
 		Address: address,
 		Engine:  e,
 		server:  server,
 	})
-	f.list(es.Instance, address, f.domain(i))
+	f.addToList(es.Instance, address, f.failureDomain(i))
 	return nil
 }
 
@@ -251,18 +251,18 @@
 	if err != nil {
 		return err
 	}
-	f.Services = append(f.Services, &Host{
+	f.Services = append(f.Services, &Endpoint{
 		ID:      id,
 		Address: address,
 		Service: v,
 		server:  server,
 	})
-	f.list(id+"-1", address, f.domain(i))
+	f.addToList(id+"-1", address, f.failureDomain(i))
 	return nil
 }
 
-// list puts an endpoint instance on the platform's list.
-func (f *Fleet) list(id, address, domain string) {
+// addToList puts an endpoint instance on the platform's addToList.
+func (f *Fleet) addToList(id, address, domain string) {
 	f.Platform.Instances.Put(instances.Instance{
 		ID:            id,
 		Kind:          instances.KindEndpoint,
@@ -278,7 +278,7 @@
 	s := &settings.File{
 		ID:            fmt.Sprintf("n%d", i+1),
 		Region:        Region,
-		FailureDomain: f.domain(i),
+		FailureDomain: f.failureDomain(i),
 		Listen:        "127.0.0.1:0",
 		PeerListen:    "127.0.0.1:0",
 		AdminListen:   "127.0.0.1:0",
@@ -333,18 +333,18 @@
 			if time.Now().After(until) {
 				return errors.Errorf("node %s is not ready: %s, %d members", s.Instance, s.Reason, s.Members)
 			}
-			time.Sleep(readyLook)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// readyLook is how often readiness is looked at.
-const readyLook = 10 * time.Millisecond
+// pollInterval is how often readiness is looked at.
+const pollInterval = 10 * time.Millisecond
 
-// Text returns the configuration of engines and plain endpoints with the
+// DefaultConfiguration returns the configuration of engines and plain endpoints with the
 // default measures.
-func Text(engines, services []*Host) string {
+func DefaultConfiguration(engines, services []*Endpoint) string {
 	f := &Fleet{
 		Engines:  engines,
 		Services: services,
@@ -358,7 +358,7 @@
 	var b strings.Builder
 	b.WriteString("format = 1\n\n[[regions]]\nid = \"" + Region + "\"\n")
 	for i := range f.settings.Domains {
-		fmt.Fprintf(&b, "\n[[failure_domains]]\nid = %q\nregion = %q\n", f.domain(i), Region)
+		fmt.Fprintf(&b, "\n[[failure_domains]]\nid = %q\nregion = %q\n", f.failureDomain(i), Region)
 	}
 	for rank, tier := range []string{"gold", "silver", "bronze"} {
 		fmt.Fprintf(&b, "\n[[tiers]]\nid = %q\nrank = %d\n", tier, rank)
@@ -368,16 +368,16 @@
 		fmt.Fprintf(&b, "\n[[customers]]\nid = %q\ntier = %q\nkey_sha256 = [%q]\n", c.ID, c.Tier, hex.EncodeToString(sum[:]))
 	}
 	fmt.Fprintf(&b, "\n[[models]]\nid = %q\nversion = %q\nkv_bytes_per_token = %d\nmax_prompt_tokens = %d\n",
-		Model, version, f.settings.Engine.KVBytesPerToken, maxPrompt)
+		Model, version, f.settings.Engine.KVBytesPerToken, maxPromptTokens)
 	fmt.Fprintf(&b, "\n[[adapters]]\nid = %q\nmodel = %q\n", Adapter, Model)
 	for i, h := range f.Engines {
 		fmt.Fprintf(&b, "\n[[endpoints]]\nid = %q\nkind = \"engine\"\naddress = %q\nfailure_domain = %q\nmodel = %q\n"+
-			"memory_bytes = %d\nprefill_tokens_per_second = %.1f\n", h.ID, h.Address, f.domain(i), Model,
+			"memory_bytes = %d\nprefill_tokens_per_second = %.1f\n", h.ID, h.Address, f.failureDomain(i), Model,
 			f.settings.Engine.MemoryBytes, f.settings.Engine.PrefillTokensPerSecond)
 	}
 	for i, h := range f.Services {
 		fmt.Fprintf(&b, "\n[[endpoints]]\nid = %q\nkind = \"plain\"\naddress = %q\nfailure_domain = %q\nservice = %q\n",
-			h.ID, h.Address, f.domain(i), Service)
+			h.ID, h.Address, f.failureDomain(i), Service)
 	}
 	return b.String()
 }
@@ -400,18 +400,18 @@
 	return total
 }
 
-// WaitFree waits until no engine holds memory, and returns what is held when
+// WaitMemoryReleased waits until no engine holds memory, and returns what is held when
 // the time is over.
-func (f *Fleet) WaitFree(within time.Duration) int64 {
+func (f *Fleet) WaitMemoryReleased(within time.Duration) int64 {
 	until := time.Now().Add(within)
 	for f.HeldBytes() > 0 && time.Now().Before(until) {
-		time.Sleep(readyLook)
+		time.Sleep(pollInterval)
 	}
 	return f.HeldBytes()
 }
 
 // Kill ends an endpoint as if its instance died.
-func (h *Host) Kill() {
+func (h *Endpoint) Kill() {
 	// Connections that fail to close are gone all the same.
 	_ = h.server.Close()
 	if h.Engine != nil {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -16,8 +16,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// fast are engines that make a test short.
-func fast() standin.EngineSettings {
+// fastEngines are engines that make a test short.
+func fastEngines() standin.EngineSettings {
 	return standin.EngineSettings{
 		PrefillTokensPerSecond: 4_000_000,
 		ChunkTokens:            20_000,
@@ -25,10 +25,10 @@
 	}
 }
 
-func start(t *testing.T, s Settings) *Fleet {
+func startFleet(t *testing.T, s Settings) *Fleet {
 	t.Helper()
 	if s.Engine.DecodeStep == 0 {
-		s.Engine = fast()
+		s.Engine = fastEngines()
 	}
 	f, err := Start(s)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return res, out
 }
 
-// textOf returns the text of a whole answer.
-func textOf(t testing.TB, data []byte) string {
+// answerText returns the text of a whole answer.
+func answerText(t testing.TB, data []byte) string {
 	t.Helper()
 	var a struct {
 		Choices []struct {
@@ -80,8 +80,8 @@
 	return a.Choices[0].Text
 }
 
-// streamOf returns the text of a streamed answer, and whether it was whole.
-func streamOf(t testing.TB, data []byte) (string, bool) {
+// streamedText returns the text of a streamed answer, and whether it was whole.
+func streamedText(t testing.TB, data []byte) (string, bool) {
 	t.Helper()
 	var text strings.Builder
 	for _, line := range strings.Split(string(data), "\n") {
@@ -92,15 +92,15 @@
 		if event == "[DONE]" {
 			return text.String(), true
 		}
-		text.WriteString(textOf(t, []byte(event)))
+		text.WriteString(answerText(t, []byte(event)))
 	}
 	return text.String(), false
 }
 
-func TestWholePath(t *testing.T) {
-	f := start(t, Settings{})
+func TestEndToEnd(t *testing.T) {
+	f := startFleet(t, Settings{})
 	for _, tokens := range []int{1_000, 30_000, 200_000, 1_000_000} {
-		t.Run("whole "+humanTokens(tokens), func(t *testing.T) {
+		t.Run("whole "+formatTokens(tokens), func(t *testing.T) {
 			is := is.New(t)
 			p := prompt("whole", tokens)
 			res, data := post(t, "http://"+f.Nodes[0].Listen+"/v1/completions", "key-desk", map[string]any{
@@ -109,9 +109,9 @@
 				"max_tokens": 20,
 			})
 			is.Equal(res.StatusCode, http.StatusOK)
-			is.Equal(textOf(t, data), standin.Answer(p, 20))
+			is.Equal(answerText(t, data), standin.Answer(p, 20))
 		})
-		t.Run("stream "+humanTokens(tokens), func(t *testing.T) {
+		t.Run("stream "+formatTokens(tokens), func(t *testing.T) {
 			is := is.New(t)
 			p := prompt("stream", tokens)
 			res, data := post(t, "http://"+f.Nodes[1].Listen+"/v1/completions", "key-office", map[string]any{
@@ -121,7 +121,7 @@
 				"stream":     true,
 			})
 			is.Equal(res.StatusCode, http.StatusOK)
-			text, whole := streamOf(t, data)
+			text, whole := streamedText(t, data)
 			is.True(whole)
 			is.Equal(text, standin.Answer(p, 20))
 		})
@@ -138,11 +138,11 @@
 	})
 	t.Run("memory is back", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(f.WaitFree(10*time.Second), int64(0))
+		is.Equal(f.WaitMemoryReleased(10*time.Second), int64(0))
 	})
 }
 
-func humanTokens(n int) string {
+func formatTokens(n int) string {
 	if n >= 1_000_000 {
 		return "1M"
 	}
--- a/fleet/identity_test.go
+++ b/fleet/identity_test.go
@@ -33,10 +33,10 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// TestInput proves that bad input gets a clear error that names what is wrong,
+// TestInvalidInput proves that bad input gets a clear error that names what is wrong,
 // and that nothing of it runs.
-func TestInput(t *testing.T) {
-	f := start(t, Settings{Nodes: 1, Engines: 2})
+func TestInvalidInput(t *testing.T) {
+	f := startFleet(t, Settings{Nodes: 1, Engines: 2})
 	base := "http://" + f.Nodes[0].Listen
 	fine := `{"model":"m1","prompt":"input","max_tokens":2}`
 	for _, c := range []struct {
@@ -99,8 +99,8 @@
 	}
 }
 
-// raw writes text to a node and returns all that it answers within a time.
-func raw(t *testing.T, address, text string, within time.Duration) string {
+// sendRaw writes text to a node and returns all that it answers within a time.
+func sendRaw(t *testing.T, address, text string, within time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -120,10 +120,10 @@
 	return string(data)
 }
 
-// TestRudeCallers proves that callers that send too much, too little or too
+// TestMisbehavingCallers proves that callers that send too much, too little or too
 // slowly end by themselves.
-func TestRudeCallers(t *testing.T) {
-	f := start(t, Settings{Nodes: 1, Engines: 2})
+func TestMisbehavingCallers(t *testing.T) {
+	f := startFleet(t, Settings{Nodes: 1, Engines: 2})
 	for _, c := range []struct {
 		name, text, want string
 		within           time.Duration
@@ -138,7 +138,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			got := raw(t, f.Nodes[0].Listen, c.text, c.within)
+			got := sendRaw(t, f.Nodes[0].Listen, c.text, c.within)
 			if !strings.Contains(got, c.want) || strings.Contains(got, "still open") {
 				t.Errorf("got %.300q, want %q", got, c.want)
 			}
@@ -222,8 +222,8 @@
 	}
 }
 
-// client returns the credentials of a peer that has these files.
-func client(t *testing.T, files settings.TLS, with bool) credentials.TransportCredentials {
+// clientCredentials returns the credentials of a peer that has these files.
+func clientCredentials(t *testing.T, files settings.TLS, with bool) credentials.TransportCredentials {
 	t.Helper()
 	conf := &tls.Config{
 		InsecureSkipVerify: true, // the forger does not care who it talks to
@@ -238,12 +238,12 @@
 	return credentials.NewTLS(conf)
 }
 
-// TestForgedPeer proves that with key files set only peers with a certificate
+// TestPeerCertificates proves that with key files set only peers with a certificate
 // of the authorities are served, and that nodes then serve as ever.
-func TestForgedPeer(t *testing.T) {
+func TestPeerCertificates(t *testing.T) {
 	ours := newAuthority(t)
 	theirs := newAuthority(t)
-	f := start(t, Settings{
+	f := startFleet(t, Settings{
 		Nodes:   2,
 		Engines: 2,
 		Node: func(s *settings.File) {
@@ -256,9 +256,9 @@
 		in    bool
 	}{
 		{"in the clear", insecure.NewCredentials(), false},
-		{"no certificate", client(t, settings.TLS{}, false), false},
-		{"of another authority", client(t, theirs.issue(t), true), false},
-		{"of ours", client(t, ours.issue(t), true), true},
+		{"no certificate", clientCredentials(t, settings.TLS{}, false), false},
+		{"of another authority", clientCredentials(t, theirs.issue(t), true), false},
+		{"of ours", clientCredentials(t, ours.issue(t), true), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn, err := grpc.NewClient("passthrough:///"+f.Nodes[0].PeerListen, grpc.WithTransportCredentials(c.creds))
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -17,22 +17,22 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// TestLeaving proves that an endpoint that is leaving gets nothing new a few
+// TestLeavingEndpoint proves that an endpoint that is leaving gets nothing new a few
 // seconds after the list says so, also when the list lags and requests wait
 // for it, and that what runs there is not cut.
-func TestLeaving(t *testing.T) {
+func TestLeavingEndpoint(t *testing.T) {
 	for _, lag := range []time.Duration{0, 2 * time.Second} {
 		t.Run("lag "+lag.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				v := newVirtual(t, small())
+				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				v.platform.Instances.SetFaults(standin.Faults{Lag: lag})
-				long := make(chan vanswer, 4)
+				long := make(chan response, 4)
 				for i := range 4 {
 					go func() {
 						long <- v.send(context.Background(), "n1", "/v1/completions",
-							completion(fmt.Sprintf("long %d", i), 1000, true), nil)
+							completionBody(fmt.Sprintf("long %d", i), 1000, true), nil)
 					}()
 				}
 				time.Sleep(time.Second)
@@ -47,13 +47,13 @@
 				time.Sleep(lag + 3*time.Second)
 				for i := range 40 {
 					p := fmt.Sprintf("after %d", i)
-					a := v.send(t.Context(), fmt.Sprintf("n%d", i%3+1), "/v1/completions", completion(p, 2, true), nil)
+					a := v.send(t.Context(), fmt.Sprintf("n%d", i%3+1), "/v1/completions", completionBody(p, 2, true), nil)
 					is.Equal(a.status, http.StatusOK)
 					is.Equal(v.engines["e1:1"].Started(p), 0)
 				}
 				for range 4 {
 					a := <-long
-					_, whole := streamOf(t, []byte(a.body))
+					_, whole := streamedText(t, []byte(a.body))
 					is.True(whole)
 				}
 			})
@@ -66,26 +66,26 @@
 func TestReplacedEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		v := newVirtual(t, small())
+		v := newVirtualFleet(t, smallFleet())
 		defer v.stop()
 		// Every engine is replaced by another instance; the list lags.
 		for i := range 4 {
 			id := fmt.Sprintf("e%d", i+1)
 			v.engines[id+":1"].Rename(id + "-2")
 		}
-		a := v.send(t.Context(), "n1", "/v1/completions", completion("replaced", 2, true), map[string]string{
+		a := v.send(t.Context(), "n1", "/v1/completions", completionBody("replaced", 2, true), map[string]string{
 			entry.HeaderDeadline: "5s",
 		})
 		is.True(a.status != http.StatusOK)
 		is.Equal(a.ran, "not_run")
-		is.Equal(v.starts("replaced"), 0)
+		is.Equal(v.startCount("replaced"), 0)
 		for i := range 4 {
 			id := fmt.Sprintf("e%d", i+1)
 			v.platform.Instances.Remove(id + "-1")
-			v.list(id+"-2", id+":1", instances.KindEndpoint, "d1")
+			v.addToList(id+"-2", id+":1", instances.KindEndpoint, "d1")
 		}
 		time.Sleep(3 * time.Second)
-		a = v.send(t.Context(), "n1", "/v1/completions", completion("replaced", 2, true), nil)
+		a = v.send(t.Context(), "n1", "/v1/completions", completionBody("replaced", 2, true), nil)
 		is.Equal(a.status, http.StatusOK)
 	})
 }
--- a/fleet/memory_test.go
+++ b/fleet/memory_test.go
@@ -16,49 +16,49 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// TestCallerGone proves that an attempt whose caller has gone is cancelled at
+// TestCallerDisconnects proves that an attempt whose caller has gone is cancelled at
 // its engine.
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	for _, lost := range []int{0, 1, 5} {
 		t.Run(fmt.Sprintf("%d cancels lost", lost), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				v := newVirtual(t, small())
+				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				for _, e := range v.engines {
 					e.SetFaults(standin.Faults{LoseCancel: lost})
 				}
 				ctx, cancel := context.WithCancel(t.Context())
-				done := make(chan vanswer, 1)
+				done := make(chan response, 1)
 				go func() {
-					done <- v.send(ctx, "n1", "/v1/completions", completion("gone", 1000, true), nil)
+					done <- v.send(ctx, "n1", "/v1/completions", completionBody("gone", 1000, true), nil)
 				}()
 				time.Sleep(time.Second)
-				is.True(v.held() > 0)
+				is.True(v.heldBytes() > 0)
 				cancel()
 				<-done
-				wantFree(t, v)
+				checkMemoryReleased(t, v)
 			})
 		})
 	}
 }
 
-// TestHolderLost proves that the memory of a stream that would go on for long
+// TestMemoryReleasedAfterHolderLoss proves that the memory of a stream that would go on for long
 // is back soon after the node that holds it was lost.
-func TestHolderLost(t *testing.T) {
+func TestMemoryReleasedAfterHolderLoss(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		strike func(v *virtual)
+		strike func(v *virtualFleet)
 	}{
-		{"killed", func(v *virtual) { v.kill("n1") }},
-		{"frozen", func(v *virtual) { v.freeze("n1") }},
-		{"cut from everything", func(v *virtual) { v.separate("n1", true) }},
-		{"killed, and another after it", func(v *virtual) {
+		{"killed", func(v *virtualFleet) { v.kill("n1") }},
+		{"frozen", func(v *virtualFleet) { v.freeze("n1") }},
+		{"cut from everything", func(v *virtualFleet) { v.setCut("n1", true) }},
+		{"killed, and another after it", func(v *virtualFleet) {
 			v.kill("n1")
 			time.Sleep(time.Second)
 			v.kill("n2")
 		}},
-		{"killed, and cancels are lost", func(v *virtual) {
+		{"killed, and cancels are lost", func(v *virtualFleet) {
 			for _, e := range v.engines {
 				e.SetFaults(standin.Faults{LoseCancel: 3})
 			}
@@ -68,19 +68,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				v := newVirtual(t, small())
+				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				ctx, cancel := context.WithCancel(t.Context())
 				var all sync.WaitGroup
 				for i := range 6 {
 					all.Go(func() {
-						v.send(ctx, "n1", "/v1/completions", completion(fmt.Sprintf("endless %d", i), 4_000, true), nil)
+						v.send(ctx, "n1", "/v1/completions", completionBody(fmt.Sprintf("endless %d", i), 4_000, true), nil)
 					})
 				}
 				time.Sleep(2 * time.Second)
-				is.True(v.held() > 0)
+				is.True(v.heldBytes() > 0)
 				c.strike(v)
-				wantFree(t, v)
+				checkMemoryReleased(t, v)
 				cancel()
 				all.Wait()
 			})
@@ -88,34 +88,34 @@
 	}
 }
 
-// TestTeams proves that prompts larger than one engine get all the engines
+// TestJointPrefill proves that prompts larger than one engine get all the engines
 // that they need or none, also when two of them want the same at once and when
 // a member refuses.
-func TestTeams(t *testing.T) {
+func TestJointPrefill(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		strike func(v *virtual)
+		strike func(v *virtualFleet)
 		least  int
 		// first is the node that the first of two requests goes to.
 		first int
 	}{
-		{"two at once", func(*virtual) {}, 2, 1},
-		{"an owner has just died", func(v *virtual) { v.kill("n1") }, 2, 2},
-		{"a member refuses", func(v *virtual) {
+		{"two at once", func(*virtualFleet) {}, 2, 1},
+		{"an owner has just died", func(v *virtualFleet) { v.kill("n1") }, 2, 2},
+		{"a member refuses", func(v *virtualFleet) {
 			for _, e := range v.engines {
 				e.SetFaults(standin.Faults{RefuseBefore: 1})
 			}
 		}, 0, 1},
-		{"the answer to a reservation is lost", func(v *virtual) {
+		{"the answer to a reservation is lost", func(v *virtualFleet) {
 			v.engines["e3:1"].SetFaults(standin.Faults{LoseAnswer: 1})
 		}, 1, 1},
-		{"the entry dies half-way", func(v *virtual) {
+		{"the entry dies half-way", func(v *virtualFleet) {
 			go func() {
 				time.Sleep(500 * time.Millisecond)
 				v.kill("n1")
 			}()
 		}, 1, 1},
-		{"a member dies", func(v *virtual) {
+		{"a member dies", func(v *virtualFleet) {
 			go func() {
 				time.Sleep(4 * time.Second)
 				v.engines["e2:1"].SetFaults(standin.Faults{Dead: true})
@@ -124,29 +124,29 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v := newVirtual(t, small())
+				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				c.strike(v)
 				var all sync.WaitGroup
-				answers := make([]*asked, 2)
+				answers := make([]*exchange, 2)
 				for i := range answers {
-					a := &asked{
+					a := &exchange{
 						prompt: prompt(fmt.Sprintf("team %d", i), 700_000),
 						tokens: 30,
 					}
 					answers[i] = a
 					all.Go(func() {
-						a.vanswer = v.send(context.Background(), fmt.Sprintf("n%d", i+c.first), "/v1/completions",
-							completion(a.prompt, a.tokens, false), map[string]string{
+						a.response = v.send(context.Background(), fmt.Sprintf("n%d", i+c.first), "/v1/completions",
+							completionBody(a.prompt, a.tokens, false), map[string]string{
 								entry.HeaderDeadline: "2m",
 							})
 					})
 				}
 				all.Wait()
-				if whole := wantTruth(t, v, answers, 2*time.Minute); whole < c.least {
+				if whole := checkAnswers(t, v, answers, 2*time.Minute); whole < c.least {
 					t.Errorf("%d answered, want %d: %.200s | %.200s", whole, c.least, answers[0].body, answers[1].body)
 				}
-				wantFree(t, v)
+				checkMemoryReleased(t, v)
 			})
 		})
 	}
--- a/fleet/once_test.go
+++ b/fleet/once_test.go
@@ -18,8 +18,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// once sends the same call with a key.
-func (v *virtual) once(node, key, body string, header map[string]string) vanswer {
+// sendKeyed sends the same call with a key.
+func (v *virtualFleet) sendKeyed(node, key, body string, header map[string]string) response {
 	h := map[string]string{
 		entry.HeaderKey:      key,
 		entry.HeaderDeadline: "10s",
@@ -30,8 +30,8 @@
 	return v.send(context.Background(), node, "/services/lots/bids", body, h)
 }
 
-// calls returns how often a body took effect.
-func (v *virtual) calls(body string) int {
+// callCount returns how often a body took effect.
+func (v *virtualFleet) callCount(body string) int {
 	n := 0
 	for _, s := range v.services {
 		n += s.Calls([]byte(body))
@@ -39,8 +39,8 @@
 	return n
 }
 
-// ran states whether the call of a request took effect.
-func (v *virtual) ran(request string) bool {
+// tookEffect states whether the call of a request took effect.
+func (v *virtualFleet) tookEffect(request string) bool {
 	for _, s := range v.services {
 		if s.Ran(request) {
 			return true
@@ -52,44 +52,44 @@
 // TestAtMostOnce proves that a call with a key takes effect at most once,
 // whatever fails, and that what is said not to have run has not.
 func TestAtMostOnce(t *testing.T) {
-	all := func(f standin.Faults) func(*virtual) {
-		return func(v *virtual) {
+	all := func(f standin.Faults) func(*virtualFleet) {
+		return func(v *virtualFleet) {
 			for _, s := range v.services {
 				s.SetFaults(f)
 			}
 		}
 	}
-	log := func(f standin.Faults) func(*virtual) {
-		return func(v *virtual) { v.platform.Log.SetFaults(f) }
+	log := func(f standin.Faults) func(*virtualFleet) {
+		return func(v *virtualFleet) { v.platform.Log.SetFaults(f) }
 	}
 	for _, c := range []struct {
 		name   string
-		strike func(v *virtual)
+		strike func(v *virtualFleet)
 		// answered is how many of the three callers must be answered.
 		answered int
 	}{
-		{"nothing", func(*virtual) {}, 3},
+		{"nothing", func(*virtualFleet) {}, 3},
 		{"answer of the service lost", all(standin.Faults{LoseAnswer: 1}), 0},
 		{"refused after the start", all(standin.Faults{RefuseAfter: 1}), 0},
 		{"refused before the start", all(standin.Faults{RefuseBefore: 1}), 1},
 		{"answer of the log lost", log(standin.Faults{LoseAnswer: 1}), 3},
 		{"answers of the log lost for long", log(standin.Faults{LoseAnswer: -1}), 3},
 		{"log down", log(standin.Faults{Outage: true}), 0},
-		{"log down after the first claim", func(v *virtual) {
+		{"log down after the first claim", func(v *virtualFleet) {
 			go func() {
 				time.Sleep(20 * time.Millisecond)
 				v.platform.Log.SetFaults(standin.Faults{Outage: true})
 			}()
 		}, 0},
 		{"services frozen", all(standin.Faults{Frozen: true}), 0},
-		{"a node dies at once", func(v *virtual) { v.kill("n1") }, 0},
-		{"a node dies after the claim", func(v *virtual) {
+		{"a node dies at once", func(v *virtualFleet) { v.kill("n1") }, 0},
+		{"a node dies after the claim", func(v *virtualFleet) {
 			go func() {
 				time.Sleep(3 * time.Millisecond)
 				v.kill("n1")
 			}()
 		}, 0},
-		{"a node freezes and wakes after the deadline", func(v *virtual) {
+		{"a node freezes and wakes after the deadline", func(v *virtualFleet) {
 			go func() {
 				time.Sleep(3 * time.Millisecond)
 				v.freeze("n1")
@@ -97,32 +97,32 @@
 				v.thaw("n1")
 			}()
 		}, 0},
-		{"nodes cut from each other", func(v *virtual) {
-			v.separate("n1|n2", true)
-			v.separate("n1|n3", true)
-			v.separate("n2|n3", true)
+		{"nodes cut from each other", func(v *virtualFleet) {
+			v.setCut("n1|n2", true)
+			v.setCut("n1|n3", true)
+			v.setCut("n2|n3", true)
 		}, 0},
-		{"nodes cut from each other for long", func(v *virtual) {
-			v.separate("n1|n2", true)
-			v.separate("n1|n3", true)
-			v.separate("n2|n3", true)
+		{"nodes cut from each other for long", func(v *virtualFleet) {
+			v.setCut("n1|n2", true)
+			v.setCut("n1|n3", true)
+			v.setCut("n2|n3", true)
 			time.Sleep(15 * time.Second)
 		}, 1},
-		{"log's answer lost and a node dies", func(v *virtual) {
+		{"log's answer lost and a node dies", func(v *virtualFleet) {
 			v.platform.Log.SetFaults(standin.Faults{LoseAnswer: 1})
 			v.kill("n2")
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v := newVirtual(t, small())
+				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				c.strike(v)
 				body := `{"bid":1}`
-				answers := make([]vanswer, 3)
+				answers := make([]response, 3)
 				var wait sync.WaitGroup
 				for i := range answers {
-					wait.Go(func() { answers[i] = v.once(fmt.Sprintf("n%d", i+1), "k1", body, nil) })
+					wait.Go(func() { answers[i] = v.sendKeyed(fmt.Sprintf("n%d", i+1), "k1", body, nil) })
 				}
 				wait.Wait()
 				time.Sleep(15 * time.Second)
@@ -132,14 +132,14 @@
 						ok++
 					}
 				}
-				if n := v.calls(body); n > 1 || n == 0 && ok > 0 {
+				if n := v.callCount(body); n > 1 || n == 0 && ok > 0 {
 					t.Errorf("the call took effect %d times", n)
 				}
 				if ok < c.answered {
 					t.Errorf("%d answered, want %d: %+v", ok, c.answered, answers)
 				}
 				for _, a := range answers {
-					if a.ran == "not_run" && v.ran(a.id) {
+					if a.ran == "not_run" && v.tookEffect(a.id) {
 						t.Errorf("the caller heard that its call had not run, but it did: %s", a.body)
 					}
 				}
@@ -147,8 +147,8 @@
 				// second time.
 				all(standin.Faults{})(v)
 				v.platform.Log.SetFaults(standin.Faults{})
-				again := v.once("n3", "k1", body, nil)
-				if n := v.calls(body); n > 1 {
+				again := v.sendKeyed("n3", "k1", body, nil)
+				if n := v.callCount(body); n > 1 {
 					t.Errorf("after it was sent again the call took effect %d times: %+v", n, again)
 				}
 			})
@@ -162,19 +162,19 @@
 func TestKeyFreedAfterRefusal(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		strike, heal func(v *virtual)
+		strike, heal func(v *virtualFleet)
 	}{
-		{"log down", func(v *virtual) {
+		{"log down", func(v *virtualFleet) {
 			v.platform.Log.SetFaults(standin.Faults{Outage: true})
 		}, nil},
-		{"log silent", func(v *virtual) { v.freeze("platform") }, func(v *virtual) { v.thaw("platform") }},
-		{"append took effect, answer lost, then down", func(v *virtual) {
+		{"log silent", func(v *virtualFleet) { v.freeze("platform") }, func(v *virtualFleet) { v.thaw("platform") }},
+		{"append took effect, answer lost, then down", func(v *virtualFleet) {
 			v.platform.Log.SetFaults(standin.Faults{LoseAnswer: -1, ReadOutage: true})
 		}, nil},
-		{"append took effect, then down", func(v *virtual) {
+		{"append took effect, then down", func(v *virtualFleet) {
 			v.platform.Log.SetFaults(standin.Faults{ReadOutage: true})
 		}, nil},
-		{"claimed, then refused by every endpoint", func(v *virtual) {
+		{"claimed, then refused by every endpoint", func(v *virtualFleet) {
 			for _, s := range v.services {
 				s.SetFaults(standin.Faults{RefuseBefore: 2})
 			}
@@ -183,10 +183,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				v := newVirtual(t, small())
+				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				c.strike(v)
-				first := v.once("n1", "k2", `{"bid":2}`, nil)
+				first := v.sendKeyed("n1", "k2", `{"bid":2}`, nil)
 				is.Equal(first.status, http.StatusServiceUnavailable)
 				is.Equal(first.ran, "not_run")
 				is.True(first.took < 4*time.Second)
@@ -196,17 +196,17 @@
 					c.heal(v)
 				}
 				time.Sleep(10 * time.Second)
-				again := v.once("n2", "k2", `{"bid":2}`, nil)
+				again := v.sendKeyed("n2", "k2", `{"bid":2}`, nil)
 				is.Equal(again.status, http.StatusOK)
-				is.Equal(v.calls(`{"bid":2}`), 1)
+				is.Equal(v.callCount(`{"bid":2}`), 1)
 			})
 		})
 	}
 }
 
-// TestOnceCompletion proves that a completion that must not be repeated is
+// TestCompletionAtMostOnce proves that a completion that must not be repeated is
 // started at most once, and that it is told the truth about that.
-func TestOnceCompletion(t *testing.T) {
+func TestCompletionAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults standin.Faults
@@ -220,18 +220,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v := newVirtual(t, small())
+				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				for _, e := range v.engines {
 					e.SetFaults(c.faults)
 				}
 				for i := range 6 {
 					p := fmt.Sprintf("once %d", i)
-					a := v.send(t.Context(), "n1", "/v1/completions", completion(p, 10, i%2 == 0), map[string]string{
+					a := v.send(t.Context(), "n1", "/v1/completions", completionBody(p, 10, i%2 == 0), map[string]string{
 						entry.HeaderOnce:     "true",
 						entry.HeaderDeadline: "10s",
 					})
-					n := v.starts(p)
+					n := v.startCount(p)
 					if n > 1 {
 						t.Errorf("started %d times", n)
 					}
@@ -244,18 +244,18 @@
 	}
 }
 
-// TestAttach proves that a completion that is sent again with its key gets the
+// TestRepeatedKeyAttachesToAnswer proves that a completion that is sent again with its key gets the
 // answer of the first, while it runs and after.
-func TestAttach(t *testing.T) {
+func TestRepeatedKeyAttachesToAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		v := newVirtual(t, small())
+		v := newVirtualFleet(t, smallFleet())
 		defer v.stop()
 		h := map[string]string{
 			entry.HeaderKey: "k3",
 		}
-		body := completion("attach", 100, true)
-		answers := make([]vanswer, 3)
+		body := completionBody("attach", 100, true)
+		answers := make([]response, 3)
 		var wait sync.WaitGroup
 		for i := range answers {
 			wait.Go(func() {
@@ -268,11 +268,11 @@
 		late := v.send(t.Context(), "n2", "/v1/completions", body, h)
 		for _, a := range append(answers, late) {
 			is.Equal(a.status, http.StatusOK)
-			text, whole := streamOf(t, []byte(a.body))
+			text, whole := streamedText(t, []byte(a.body))
 			is.True(whole)
 			is.Equal(text, standin.Answer("attach", 100))
 		}
-		is.Equal(v.starts("attach"), 1)
+		is.Equal(v.startCount("attach"), 1)
 	})
 }
 
@@ -280,7 +280,7 @@
 // the bound on clocks, is refused as not run.
 func TestExpiredKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := newVirtual(t, small())
+		v := newVirtualFleet(t, smallFleet())
 		defer v.stop()
 		for _, c := range []struct {
 			valid  time.Duration
@@ -291,7 +291,7 @@
 			{time.Minute, http.StatusOK},
 			{3 * time.Hour, http.StatusBadRequest},
 		} {
-			a := v.once("n1", "k4"+c.valid.String(), `{"bid":4}`, map[string]string{
+			a := v.sendKeyed("n1", "k4"+c.valid.String(), `{"bid":4}`, map[string]string{
 				entry.HeaderKeyValid: time.Now().Add(c.valid).Format(time.RFC3339),
 			})
 			if a.status != c.status {
--- a/fleet/proofs_test.go
+++ b/fleet/proofs_test.go
@@ -17,15 +17,15 @@
 
 // The bounds that docs/proofs.md states.
 const (
-	// memoryBound is how long the memory of an attempt takes to come back
+	// memoryReleaseBound is how long the memory of an attempt takes to come back
 	// after its holder died.
-	memoryBound = 15 * time.Second
+	memoryReleaseBound = 15 * time.Second
 	// answerSlack is how much later than its deadline an answer may come.
 	answerSlack = 100 * time.Millisecond
 )
 
-// completion returns the body of a completion.
-func completion(prompt string, tokens int, stream bool) string {
+// completionBody returns the body of a completionBody.
+func completionBody(prompt string, tokens int, stream bool) string {
 	data, _ := json.Marshal(map[string]any{
 		"model":      Model,
 		"prompt":     prompt,
@@ -35,37 +35,37 @@
 	return string(data)
 }
 
-// asked is one request with its answer.
-type asked struct {
-	vanswer
+// exchange is one request with its answer.
+type exchange struct {
+	response
 	prompt string
 	tokens int
 	stream bool
 }
 
-// wholeAnswer states whether the caller got the whole of its own answer, and
+// checkBody states whether the caller got the whole of its own answer, and
 // whether it got something that passes for whole.
-func (a *asked) wholeAnswer(t testing.TB) (own, seemsWhole bool) {
+func (a *exchange) checkBody(t testing.TB) (own, seemsWhole bool) {
 	t.Helper()
 	if a.status != http.StatusOK || a.broken {
 		return false, false
 	}
 	want := standin.Answer(a.prompt, a.tokens)
 	if !a.stream {
-		return textOf(t, []byte(a.body)) == want, true
+		return answerText(t, []byte(a.body)) == want, true
 	}
-	text, seemsWhole := streamOf(t, []byte(a.body))
+	text, seemsWhole := streamedText(t, []byte(a.body))
 	return seemsWhole && text == want, seemsWhole
 }
 
-// burst sends n requests spread over the nodes and a second, and calls strike
+// sendBurst sends n requests spread over the nodes and a second, and calls strike
 // when half of them are out. It returns when all are answered.
-func (v *virtual) burst(t *testing.T, n, promptTokens, tokens int, deadline time.Duration, strike func()) []*asked {
+func (v *virtualFleet) sendBurst(t *testing.T, n, promptTokens, tokens int, deadline time.Duration, strike func()) []*exchange {
 	t.Helper()
 	var all sync.WaitGroup
-	out := make([]*asked, n)
+	out := make([]*exchange, n)
 	for i := range n {
-		a := &asked{
+		a := &exchange{
 			prompt: prompt(fmt.Sprintf("burst %d ", i), promptTokens),
 			tokens: tokens,
 			stream: i%2 == 0,
@@ -73,8 +73,8 @@
 		out[i] = a
 		all.Go(func() {
 			time.Sleep(time.Duration(i) * time.Second / time.Duration(n))
-			a.vanswer = v.send(context.Background(), fmt.Sprintf("n%d", i%len(v.nodes)+1), "/v1/completions",
-				completion(a.prompt, a.tokens, a.stream), map[string]string{
+			a.response = v.send(context.Background(), fmt.Sprintf("n%d", i%len(v.nodes)+1), "/v1/completions",
+				completionBody(a.prompt, a.tokens, a.stream), map[string]string{
 					entry.HeaderDeadline: deadline.String(),
 				})
 		})
@@ -85,12 +85,12 @@
 	return out
 }
 
-// wantTruth fails unless every answer is whole and its own or an error in time,
+// checkAnswers fails unless every answer is whole and its own or an error in time,
 // and no request that was said not to have run did.
-func wantTruth(t testing.TB, v *virtual, answers []*asked, deadline time.Duration) (whole int) {
+func checkAnswers(t testing.TB, v *virtualFleet, answers []*exchange, deadline time.Duration) (whole int) {
 	t.Helper()
 	for _, a := range answers {
-		own, seems := a.wholeAnswer(t)
+		own, seems := a.checkBody(t)
 		if seems && !own {
 			t.Errorf("request %s got an answer that is not its own", a.id)
 		}
@@ -100,7 +100,7 @@
 		if !own && !a.broken && a.ran == "" {
 			t.Errorf("request %s got neither its answer nor an error: %d %q", a.id, a.status, a.body)
 		}
-		if a.ran == "not_run" && v.starts(a.prompt) > 0 {
+		if a.ran == "not_run" && v.startCount(a.prompt) > 0 {
 			t.Errorf("request %s ran, but was said not to have: %s", a.id, a.body)
 		}
 		if own {
@@ -110,8 +110,8 @@
 	return whole
 }
 
-// starts returns how often a prompt was started at all engines.
-func (v *virtual) starts(prompt string) int {
+// startCount returns how often a prompt was started at all engines.
+func (v *virtualFleet) startCount(prompt string) int {
 	n := 0
 	for _, e := range v.engines {
 		n += e.Started(prompt)
@@ -119,20 +119,20 @@
 	return n
 }
 
-// wantFree fails unless all memory comes back within the bound.
-func wantFree(t testing.TB, v *virtual) {
+// checkMemoryReleased fails unless all memory comes back within the bound.
+func checkMemoryReleased(t testing.TB, v *virtualFleet) {
 	t.Helper()
-	for range int(memoryBound / time.Second) {
-		if v.held() == 0 {
+	for range int(memoryReleaseBound / time.Second) {
+		if v.heldBytes() == 0 {
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	t.Errorf("%d bytes are still held after %s", v.held(), memoryBound)
+	t.Errorf("%d bytes are still held after %s", v.heldBytes(), memoryReleaseBound)
 }
 
-func small() vsettings {
-	return vsettings{
+func smallFleet() virtualSettings {
+	return virtualSettings{
 		nodes:    3,
 		engines:  4,
 		services: 2,
--- a/fleet/suspended_test.go
+++ b/fleet/suspended_test.go
@@ -28,25 +28,25 @@
 			m := steadytest.New(t)
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				v := newVirtual(t, small())
+				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				ctx, cancel := context.WithCancel(t.Context())
 				done := make(chan struct{})
 				go func() {
-					v.send(ctx, "n1", "/v1/completions", completion("endless", 4000, true), nil)
+					v.send(ctx, "n1", "/v1/completions", completionBody("endless", 4000, true), nil)
 					close(done)
 				}()
 				time.Sleep(2 * time.Second)
-				is.True(v.held() > 0)
+				is.True(v.heldBytes() > 0)
 				v.kill("n1")
 				// Its owner has asked in vain by then, for less time than a holder may be silent.
 				time.Sleep(2500 * time.Millisecond)
 				m.Suspend(row.suspended)
 				time.Sleep(1200 * time.Millisecond) // a sweep
-				is.Equal(v.held() > 0, row.held)
+				is.Equal(v.heldBytes() > 0, row.held)
 				cancel()
 				<-done
-				wantFree(t, v)
+				checkMemoryReleased(t, v)
 			})
 		})
 	}
--- a/fleet/vendpoint_test.go
+++ b/fleet/vendpoint_test.go
@@ -12,14 +12,14 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// vengine reaches an engine from a node.
-type vengine struct {
-	node *vnode
+// gatedEngine reaches an engine from a node.
+type gatedEngine struct {
+	node *virtualNode
 	id   string
 	*standin.Engine
 }
 
-func unreachable(err error, ran bool) error {
+func unreachableError(err error, ran bool) error {
 	e := &engine.RunError{
 		Ran:  "not_run",
 		Code: engine.Unreachable,
@@ -31,67 +31,67 @@
 	return e
 }
 
-func (e *vengine) Run(ctx context.Context, a engine.Attempt) (engine.Stream, error) {
+func (e *gatedEngine) Run(ctx context.Context, a engine.Attempt) (engine.Stream, error) {
 	if err := e.node.fleet.gate(ctx, e.node.id, e.id); err != nil {
-		return nil, unreachable(err, !errors.Is(err, errCutOff))
+		return nil, unreachableError(err, !errors.Is(err, errCutOff))
 	}
 	s, err := e.Engine.Run(ctx, a)
-	return &vstream{
+	return &gatedStream{
 		Stream: s,
 		ctx:    ctx,
 		engine: e,
 	}, err
 }
 
-func (e *vengine) Resume(ctx context.Context, id string, seq int) (engine.Stream, error) {
+func (e *gatedEngine) Resume(ctx context.Context, id string, seq int) (engine.Stream, error) {
 	if err := e.node.fleet.gate(ctx, e.node.id, e.id); err != nil {
-		return nil, unreachable(err, true)
+		return nil, unreachableError(err, true)
 	}
 	s, err := e.Engine.Resume(ctx, id, seq)
-	return &vstream{
+	return &gatedStream{
 		Stream: s,
 		ctx:    ctx,
 		engine: e,
 	}, err
 }
 
-func (e *vengine) Cancel(ctx context.Context, id string) error {
+func (e *gatedEngine) Cancel(ctx context.Context, id string) error {
 	if err := e.node.fleet.gate(ctx, e.node.id, e.id); err != nil {
 		return err
 	}
 	return e.Engine.Cancel(ctx, id)
 }
 
-func (e *vengine) Reserve(ctx context.Context, r engine.Reservation) error {
+func (e *gatedEngine) Reserve(ctx context.Context, r engine.Reservation) error {
 	if err := e.node.fleet.gate(ctx, e.node.id, e.id); err != nil {
-		return unreachable(err, true)
+		return unreachableError(err, true)
 	}
 	return e.Engine.Reserve(ctx, r)
 }
 
-func (e *vengine) Status(ctx context.Context, list bool) (engine.Status, error) {
+func (e *gatedEngine) Status(ctx context.Context, list bool) (engine.Status, error) {
 	if err := e.node.fleet.gate(ctx, e.node.id, e.id); err != nil {
 		return engine.Status{}, err
 	}
 	return e.Engine.Status(ctx, list)
 }
 
-func (e *vengine) Order(ctx context.Context, o engine.Order) error {
+func (e *gatedEngine) Order(ctx context.Context, o engine.Order) error {
 	if err := e.node.fleet.gate(ctx, e.node.id, e.id); err != nil {
-		return unreachable(err, true)
+		return unreachableError(err, true)
 	}
 	return e.Engine.Order(ctx, o)
 }
 
-// vstream is a stream that breaks with the connection.
-type vstream struct {
+// gatedStream is a stream that breaks with the connection.
+type gatedStream struct {
 	engine.Stream
 
 	ctx    context.Context
-	engine *vengine
+	engine *gatedEngine
 }
 
-func (s *vstream) Next() (engine.Chunk, error) {
+func (s *gatedStream) Next() (engine.Chunk, error) {
 	k, err := s.Stream.Next()
 	if err != nil {
 		return k, err
@@ -102,14 +102,14 @@
 	return k, nil
 }
 
-// vservice reaches a plain endpoint from a node.
-type vservice struct {
-	node *vnode
+// gatedService reaches a plain endpoint from a node.
+type gatedService struct {
+	node *virtualNode
 	id   string
 	*standin.Service
 }
 
-func (s *vservice) Call(ctx context.Context, c plain.Call) (plain.Answer, error) {
+func (s *gatedService) Call(ctx context.Context, c plain.Call) (plain.Answer, error) {
 	if err := s.node.fleet.gate(ctx, s.node.id, s.id); err != nil {
 		e := &plain.CallError{
 			Ran: "may_have_run",
@@ -124,8 +124,8 @@
 }
 
 // Engine implements owner.Endpoints.
-func (n *vnode) Engine(address string) engine.Client {
-	return &vengine{
+func (n *virtualNode) Engine(address string) engine.Client {
+	return &gatedEngine{
 		node:   n,
 		id:     address,
 		Engine: n.fleet.engines[address],
@@ -133,8 +133,8 @@
 }
 
 // Plain implements owner.Endpoints.
-func (n *vnode) Plain(address string) plain.Client {
-	return &vservice{
+func (n *virtualNode) Plain(address string) plain.Client {
+	return &gatedService{
 		node:    n,
 		id:      address,
 		Service: n.fleet.services[address],
--- a/fleet/virtual_test.go
+++ b/fleet/virtual_test.go
@@ -22,13 +22,13 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// virtual is a small fleet without a network, for testing/synctest. Every call
+// virtualFleet is a small fleet without a network, for testing/synctest. Every call
 // between its parts goes through gate, where faults strike.
-type virtual struct {
+type virtualFleet struct {
 	platform *standin.Platform
 	engines  map[string]*standin.Engine
 	services map[string]*standin.Service
-	nodes    map[string]*vnode
+	nodes    map[string]*virtualNode
 	// text is the configuration.
 	text string
 
@@ -40,13 +40,13 @@
 
 var errCutOff = errors.New("no connection")
 
-// frozenWait is how long a call to a frozen part takes to fail without a
+// frozenTimeout is how long a call to a frozen part takes to fail without a
 // deadline of its own.
-const frozenWait = 5 * time.Second
+const frozenTimeout = 5 * time.Second
 
 // gate lets a call from a to b through, waits while one of them is frozen, and
 // fails when they are cut off or one is dead.
-func (v *virtual) gate(ctx context.Context, a, b string) error {
+func (v *virtualFleet) gate(ctx context.Context, a, b string) error {
 	for {
 		v.mu.Lock()
 		broken := v.dead[a] || v.dead[b] || v.cut[a+"|"+b] || v.cut[b+"|"+a] || v.cut[a] || v.cut[b]
@@ -65,19 +65,19 @@
 		case <-thaw:
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(frozenWait):
+		case <-time.After(frozenTimeout):
 			return errCutOff
 		}
 	}
 }
 
-func (v *virtual) kill(id string) {
+func (v *virtualFleet) kill(id string) {
 	v.mu.Lock()
 	v.dead[id] = true
 	v.mu.Unlock()
 }
 
-func (v *virtual) freeze(id string) {
+func (v *virtualFleet) freeze(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.frozen[id] == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (v *virtual) thaw(id string) {
+func (v *virtualFleet) thaw(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if c := v.frozen[id]; c != nil {
@@ -94,30 +94,30 @@
 	}
 }
 
-// separate cuts or heals what is named: a part, or a pair "a|b".
-func (v *virtual) separate(what string, cut bool) {
+// setCut cuts or heals what is named: a part, or a pair "a|b".
+func (v *virtualFleet) setCut(what string, cut bool) {
 	v.mu.Lock()
 	v.cut[what] = cut
 	v.mu.Unlock()
 }
 
-// vsettings are the measures of a virtual fleet.
-type vsettings struct {
+// virtualSettings are the measures of a virtual fleet.
+type virtualSettings struct {
 	nodes, engines, services int
 	engine                   standin.EngineSettings
 	log                      standin.LogSettings
 	strategy                 string
 }
 
-// newVirtual starts a virtual fleet and waits until it serves. It must be
+// newVirtualFleet starts a virtual fleet and waits until it serves. It must be
 // called inside a bubble; stop ends it.
-func newVirtual(t *testing.T, s vsettings) *virtual {
+func newVirtualFleet(t *testing.T, s virtualSettings) *virtualFleet {
 	t.Helper()
-	v := &virtual{
+	v := &virtualFleet{
 		platform: standin.NewPlatform(s.log),
 		engines:  make(map[string]*standin.Engine),
 		services: make(map[string]*standin.Service),
-		nodes:    make(map[string]*vnode),
+		nodes:    make(map[string]*virtualNode),
 		cut:      make(map[string]bool),
 		frozen:   make(map[string]chan struct{}),
 		dead:     make(map[string]bool),
@@ -135,22 +135,22 @@
 		es.Model = Model
 		es.Version = version
 		v.engines[id+":1"] = standin.NewEngine(es)
-		shape.Engines = append(shape.Engines, &Host{
+		shape.Engines = append(shape.Engines, &Endpoint{
 			ID:      id,
 			Address: id + ":1",
 		})
-		v.list(es.Instance, id+":1", instances.KindEndpoint, shape.domain(i))
+		v.addToList(es.Instance, id+":1", instances.KindEndpoint, shape.failureDomain(i))
 	}
 	for i := range s.services {
 		id := "s" + string(rune('1'+i))
 		v.services[id+":1"] = standin.NewService(standin.ServiceSettings{
 			Instance: id + "-1",
 		})
-		shape.Services = append(shape.Services, &Host{
+		shape.Services = append(shape.Services, &Endpoint{
 			ID:      id,
 			Address: id + ":1",
 		})
-		v.list(id+"-1", id+":1", instances.KindEndpoint, shape.domain(i))
+		v.addToList(id+"-1", id+":1", instances.KindEndpoint, shape.failureDomain(i))
 	}
 	v.text = shape.Configuration()
 	if _, err := rollout.Publish(t.Context(), v.platform.Log, rollout.Publication{
@@ -161,8 +161,8 @@
 	}
 	for i := range s.nodes {
 		id := "n" + string(rune('1'+i))
-		v.list(id, id, instances.KindNode, shape.domain(i))
-		v.nodes[id] = &vnode{}
+		v.addToList(id, id, instances.KindNode, shape.failureDomain(i))
+		v.nodes[id] = &virtualNode{}
 		v.dead[id] = true
 	}
 	for id, n := range v.nodes {
@@ -175,7 +175,7 @@
 	return v
 }
 
-func (v *virtual) list(id, address string, kind instances.Kind, domain string) {
+func (v *virtualFleet) addToList(id, address string, kind instances.Kind, domain string) {
 	v.platform.Instances.Put(instances.Instance{
 		ID:            id,
 		Kind:          kind,
@@ -187,7 +187,7 @@
 }
 
 // stop ends a virtual fleet.
-func (v *virtual) stop() {
+func (v *virtualFleet) stop() {
 	v.mu.Lock()
 	for id, c := range v.frozen {
 		close(c)
@@ -197,9 +197,9 @@
 	for _, n := range v.nodes {
 		n.cancel()
 		<-n.done
-		<-n.sharing.Done
+		<-n.peerGuard.Done
 		n.claimer.Close()
-		n.borrow.Close()
+		n.borrower.Close()
 		n.writer.Close()
 		n.owner.Close()
 		n.rollout.Close()
@@ -213,8 +213,8 @@
 	time.Sleep(10 * time.Second)
 }
 
-// held returns the memory held at all engines.
-func (v *virtual) held() int64 {
+// heldBytes returns the memory heldBytes at all engines.
+func (v *virtualFleet) heldBytes() int64 {
 	total := int64(0)
 	for _, e := range v.engines {
 		total += e.HeldBytes()
@@ -222,8 +222,8 @@
 	return total
 }
 
-// vanswer is what a caller got.
-type vanswer struct {
+// response is what a caller got.
+type response struct {
 	status int
 	body   string
 	ran    string
@@ -233,14 +233,14 @@
 }
 
 // send sends a request to a node and waits for the answer.
-func (v *virtual) send(ctx context.Context, node, path, body string, header map[string]string) vanswer {
+func (v *virtualFleet) send(ctx context.Context, node, path, body string, header map[string]string) response {
 	req := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)).WithContext(ctx)
 	req.Header.Set("Authorization", "Bearer key-desk")
 	for k, val := range header {
 		req.Header.Set(k, val)
 	}
 	rec := httptest.NewRecorder()
-	a := vanswer{}
+	a := response{}
 	start := time.Now()
 	func() {
 		// A connection that is broken off panics with http.ErrAbortHandler.
@@ -270,7 +270,7 @@
 	return a
 }
 
-func strategyNamed(name string) policy.Strategy {
+func strategyByName(name string) policy.Strategy {
 	if name == settings.Naive {
 		return policy.Naive{}
 	}
--- a/fleet/vnode_test.go
+++ b/fleet/vnode_test.go
@@ -24,30 +24,30 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// vnode is one node of a virtual fleet.
-type vnode struct {
-	id      string
-	fleet   *virtual
-	member  *member.Member
-	rollout *rollout.Rollout
-	owner   *owner.Owner
-	entry   *entry.Entry
-	writer  *claim.Writer
-	claimer *claim.Claimer
-	lender  *limit.Lender
-	borrow  *limit.Borrower
-	book    *quarantine.Registry
-	sharing *quarantine.PeerGuard
-	cancel  context.CancelFunc
-	done    chan struct{}
+// virtualNode is one node of a virtual fleet.
+type virtualNode struct {
+	id        string
+	fleet     *virtualFleet
+	member    *member.Member
+	rollout   *rollout.Rollout
+	owner     *owner.Owner
+	entry     *entry.Entry
+	writer    *claim.Writer
+	claimer   *claim.Claimer
+	lender    *limit.Lender
+	borrower  *limit.Borrower
+	registry  *quarantine.Registry
+	peerGuard *quarantine.PeerGuard
+	cancel    context.CancelFunc
+	done      chan struct{}
 }
 
-// vleaser reaches the owner on another node.
-type vleaser struct {
-	from, to *vnode
+// gatedLeaser reaches the owner on another node.
+type gatedLeaser struct {
+	from, to *virtualNode
 }
 
-func (l *vleaser) Acquire(ctx context.Context, r owner.Request, queued func(time.Duration)) (owner.Grant, error) {
+func (l *gatedLeaser) Acquire(ctx context.Context, r owner.Request, queued func(time.Duration)) (owner.Grant, error) {
 	if err := l.from.fleet.gate(ctx, l.from.id, l.to.id); err != nil {
 		return owner.Grant{}, &owner.Refusal{
 			Code:   owner.RefusedSilent,
@@ -61,22 +61,22 @@
 	return g, err
 }
 
-func (l *vleaser) Release(ctx context.Context, r owner.Release) error {
+func (l *gatedLeaser) Release(ctx context.Context, r owner.Release) error {
 	if err := l.from.fleet.gate(ctx, l.from.id, l.to.id); err != nil {
 		return err
 	}
 	return l.to.owner.Release(ctx, r)
 }
 
-func (n *vnode) leaser(i instances.Instance) (owner.Leaser, error) {
-	return &vleaser{
+func (n *virtualNode) leaser(i instances.Instance) (owner.Leaser, error) {
+	return &gatedLeaser{
 		from: n,
 		to:   n.fleet.nodes[i.ID],
 	}, nil
 }
 
 // Held implements owner.Holders.
-func (n *vnode) Held(ctx context.Context, holder string, attempts []string) ([]string, error) {
+func (n *virtualNode) Held(ctx context.Context, holder string, attempts []string) ([]string, error) {
 	if err := n.fleet.gate(ctx, n.id, holder); err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 }
 
 // Probe implements member.Prober.
-func (n *vnode) Probe(ctx context.Context, address string, in *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
+func (n *virtualNode) Probe(ctx context.Context, address string, in *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
 	if err := n.fleet.gate(ctx, n.id, address); err != nil {
 		return nil, err
 	}
@@ -92,21 +92,21 @@
 }
 
 // List implements instances.Lister.
-func (n *vnode) List(ctx context.Context, since int64) (instances.List, error) {
+func (n *virtualNode) List(ctx context.Context, since int64) (instances.List, error) {
 	if err := n.fleet.gate(ctx, n.id, "platform"); err != nil {
 		return instances.List{}, err
 	}
 	return n.fleet.platform.Instances.List(ctx, since)
 }
 
-// vlog reaches the platform's log from a node.
-type vlog struct {
-	node *vnode
+// gatedLog reaches the platform's log from a node.
+type gatedLog struct {
+	node *virtualNode
 	*standin.Log
 }
 
 // Append implements logsvc.Log.
-func (l *vlog) Append(ctx context.Context, stream string, records [][]byte) (int64, error) {
+func (l *gatedLog) Append(ctx context.Context, stream string, records [][]byte) (int64, error) {
 	if err := l.node.fleet.gate(ctx, l.node.id, "platform"); err != nil {
 		return 0, &logsvc.Error{
 			Err: err,
@@ -116,7 +116,7 @@
 }
 
 // Read implements logsvc.Log.
-func (l *vlog) Read(ctx context.Context, stream string, from int64, wait time.Duration) (logsvc.Batch, error) {
+func (l *gatedLog) Read(ctx context.Context, stream string, from int64, wait time.Duration) (logsvc.Batch, error) {
 	if err := l.node.fleet.gate(ctx, l.node.id, "platform"); err != nil {
 		return logsvc.Batch{}, &logsvc.Error{
 			Err: err,
@@ -126,7 +126,7 @@
 }
 
 // Addresses implements rollout.Peers.
-func (n *vnode) Addresses() []string {
+func (n *virtualNode) Addresses() []string {
 	var out []string
 	for id := range n.fleet.nodes {
 		if id != n.id {
@@ -137,7 +137,7 @@
 }
 
 // Pull implements rollout.Peers.
-func (n *vnode) Pull(ctx context.Context, address string, in *rolloutpb.PullRequest) (*rolloutpb.PullReply, error) {
+func (n *virtualNode) Pull(ctx context.Context, address string, in *rolloutpb.PullRequest) (*rolloutpb.PullReply, error) {
 	if err := n.fleet.gate(ctx, n.id, address); err != nil {
 		return nil, err
 	}
@@ -145,16 +145,16 @@
 }
 
 // Reader implements rollout.Peers.
-func (n *vnode) Reader() bool { return true }
+func (n *virtualNode) Reader() bool { return true }
 
 // Repeater implements rollout.Peers.
-func (n *vnode) Repeater() bool {
+func (n *virtualNode) Repeater() bool {
 	i, _ := n.member.View().GlobalOwner("repeater")
 	return i.ID == n.id
 }
 
 // Borrow implements limit.QuotaOwners.
-func (n *vnode) Borrow(ctx context.Context, a limit.LoanRequest, b limit.Quota) (limit.Loan, error) {
+func (n *virtualNode) Borrow(ctx context.Context, a limit.LoanRequest, b limit.Quota) (limit.Loan, error) {
 	i, _ := n.member.View().GlobalOwner(a.Customer)
 	if err := n.fleet.gate(ctx, n.id, i.ID); err != nil {
 		return limit.Loan{}, err
@@ -163,14 +163,14 @@
 }
 
 // InstanceCount implements limit.QuotaOwners.
-func (n *vnode) InstanceCount() int { return len(n.member.View().Nodes) }
+func (n *virtualNode) InstanceCount() int { return len(n.member.View().Nodes) }
 
-// vasker reaches the writer on another node.
-type vasker struct {
-	from, to *vnode
+// gatedClaimService reaches the writer on another node.
+type gatedClaimService struct {
+	from, to *virtualNode
 }
 
-func (a *vasker) Claim(ctx context.Context, c claim.Claim) (claim.Claim, error) {
+func (a *gatedClaimService) Claim(ctx context.Context, c claim.Claim) (claim.Claim, error) {
 	if err := a.from.fleet.gate(ctx, a.from.id, a.to.id); err != nil {
 		return claim.Claim{}, err
 	}
@@ -181,17 +181,17 @@
 	return got, err
 }
 
-func (a *vasker) Free(ctx context.Context, c claim.Claim) error {
+func (a *gatedClaimService) Free(ctx context.Context, c claim.Claim) error {
 	if err := a.from.fleet.gate(ctx, a.from.id, a.to.id); err != nil {
 		return err
 	}
 	return a.to.writer.Free(ctx, c)
 }
 
-func (n *vnode) route(partition int) []claim.Service {
+func (n *virtualNode) claimServices(partition int) []claim.Service {
 	var out []claim.Service
 	for _, i := range n.member.View().Ranked(claim.StreamName(partition), 2) {
-		out = append(out, &vasker{
+		out = append(out, &gatedClaimService{
 			from: n,
 			to:   n.fleet.nodes[i.ID],
 		})
@@ -200,7 +200,7 @@
 }
 
 // CountingInstances implements quarantine.Peers.
-func (n *vnode) CountingInstances(id quarantine.Identity) []string {
+func (n *virtualNode) CountingInstances(id quarantine.Identity) []string {
 	var out []string
 	for _, i := range n.member.View().Ranked(id.String(), 2) {
 		out = append(out, i.ID)
@@ -209,31 +209,31 @@
 }
 
 // Self implements quarantine.Peers.
-func (n *vnode) Self() string { return n.id }
+func (n *virtualNode) Self() string { return n.id }
 
 // Others implements quarantine.Peers.
-func (n *vnode) Others() []string { return n.Addresses() }
+func (n *virtualNode) Others() []string { return n.Addresses() }
 
 // SendCrash implements quarantine.Peers.
-func (n *vnode) SendCrash(ctx context.Context, instance string, c quarantine.Crash) error {
+func (n *virtualNode) SendCrash(ctx context.Context, instance string, c quarantine.Crash) error {
 	if err := n.fleet.gate(ctx, n.id, instance); err != nil {
 		return err
 	}
-	n.fleet.nodes[instance].book.ReportCrash(c)
+	n.fleet.nodes[instance].registry.ReportCrash(c)
 	return nil
 }
 
 // SendVerdict implements quarantine.Peers.
-func (n *vnode) SendVerdict(ctx context.Context, instance string, v quarantine.Verdict) error {
+func (n *virtualNode) SendVerdict(ctx context.Context, instance string, v quarantine.Verdict) error {
 	if err := n.fleet.gate(ctx, n.id, instance); err != nil {
 		return err
 	}
-	n.fleet.nodes[instance].book.ApplyVerdict(v)
+	n.fleet.nodes[instance].registry.ApplyVerdict(v)
 	return nil
 }
 
 // check is a quarantine.Checker.
-func (n *vnode) check(ctx context.Context, address string) error {
+func (n *virtualNode) check(ctx context.Context, address string) error {
 	if err := n.fleet.gate(ctx, n.id, address); err != nil {
 		return err
 	}
@@ -247,7 +247,7 @@
 }
 
 // Attach implements entry.Attacher.
-func (n *vnode) Attach(ctx context.Context, instance, request string, out entry.Writer) error {
+func (n *virtualNode) Attach(ctx context.Context, instance, request string, out entry.Writer) error {
 	if err := n.fleet.gate(ctx, n.id, instance); err != nil {
 		return err
 	}
@@ -255,7 +255,7 @@
 }
 
 // start starts one node.
-func (v *virtual) start(n *vnode, id, strategy string) {
+func (v *virtualFleet) start(n *virtualNode, id, strategy string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.id = id
 	n.fleet = v
@@ -269,7 +269,7 @@
 		Region:        Region,
 		State:         instances.Live,
 	}
-	log := &vlog{
+	log := &gatedLog{
 		node: n,
 		Log:  v.platform.Log,
 	}
@@ -278,14 +278,14 @@
 	}, n, n, func() int64 { return 0 }, logr.Discard())
 	n.rollout = rollout.New(rollout.Settings{}, log, n, logr.Discard())
 	n.writer = claim.NewWriter(claim.Settings{}, log)
-	n.claimer = claim.NewClaimer(n.route)
+	n.claimer = claim.NewClaimer(n.claimServices)
 	n.lender = limit.NewLender(0)
-	n.borrow = limit.NewBorrower(id, n)
-	n.book = quarantine.New(steady.Now, nil, logr.Discard())
-	n.sharing = quarantine.NewPeerGuard(n.book, n, logr.Discard())
+	n.borrower = limit.NewBorrower(id, n)
+	n.registry = quarantine.New(steady.Now, nil, logr.Discard())
+	n.peerGuard = quarantine.NewPeerGuard(n.registry, n, logr.Discard())
 	n.entry = entry.New(entry.Settings{
 		Self:     self,
-		Strategy: strategyNamed(strategy),
+		Strategy: strategyByName(strategy),
 	}, entry.Parts{
 		Configuration: n.rollout.View,
 		Members:       n.member.View,
@@ -293,24 +293,24 @@
 		Suspect:       n.member.ReportFailure,
 		Endpoints:     n,
 		Claimer:       n.claimer,
-		Borrower:      n.borrow,
-		Quarantine:    n.sharing,
+		Borrower:      n.borrower,
+		Quarantine:    n.peerGuard,
 		Check:         n.check,
 		Attach:        n,
 		Log:           logr.Discard(),
 	})
 	n.owner = owner.New(owner.Settings{
-		Strategy: strategyNamed(strategy),
+		Strategy: strategyByName(strategy),
 	}, n, n, order.New(order.Settings{}, log, v.platform.Weights, logr.Discard()), logr.Discard())
-	go n.sharing.Run(ctx)
-	go n.follow(ctx)
+	go n.peerGuard.Run(ctx)
+	go n.runUpdates(ctx)
 }
 
-// follow derives ownership and summaries, as a node does.
-func (n *vnode) follow(ctx context.Context) {
+// runUpdates derives ownership and summaries, as a node does.
+func (n *virtualNode) runUpdates(ctx context.Context) {
 	defer close(n.done)
 	for ctx.Err() == nil {
-		n.derive(ctx)
+		n.update(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(100 * time.Millisecond):
@@ -318,7 +318,7 @@
 	}
 }
 
-func (n *vnode) derive(ctx context.Context) {
+func (n *virtualNode) update(ctx context.Context) {
 	v, m := n.rollout.View(), n.member.View()
 	if v == nil {
 		return
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -254,7 +254,7 @@
 				through = openMemory(func(c *http.Client, i int) io.Closer {
 					return ask(b, c, f.Nodes[0].Listen, fmt.Sprintf("prompt %d", i), tokens)
 				}, n)
-				f.WaitFree(10 * time.Second)
+				f.WaitMemoryReleased(10 * time.Second)
 			}
 			b.ReportMetric(float64(through-direct), "node-bytes")
 		})
--- a/plain/plain.go
+++ b/plain/plain.go
@@ -135,11 +135,11 @@
 			Err: errors.Errorf("status %d, not started", res.StatusCode),
 		}
 	}
-	return answer(res)
+	return readAnswer(res)
 }
 
-// answer reads a whole answer. One that is cut short or too long is an error.
-func answer(res *http.Response) (Answer, error) {
+// readAnswer reads a whole readAnswer. One that is cut short or too long is an error.
+func readAnswer(res *http.Response) (Answer, error) {
 	data, err := io.ReadAll(io.LimitReader(res.Body, MaxAnswerBytes+1))
 	if err == nil && len(data) > MaxAnswerBytes {
 		err = errors.Errorf("answer is above %d bytes", MaxAnswerBytes)
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -62,7 +62,7 @@
 
 // collect reads a stream to its end.
 func collect(s engine.Stream, id string) (string, error) {
-	c := engine.Check{
+	c := engine.AnswerChecker{
 		Attempt: id,
 	}
 	text := ""
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -366,7 +366,7 @@
 	case e.held+bytes > e.settings.MemoryBytes:
 		return nil, refusal(engine.RefusedMemory, "memory is taken")
 	case e.runs[a.ID] != nil:
-		return nil, refusal(engine.RefusedDoubled, "the attempt runs already")
+		return nil, refusal(engine.RefusedDuplicate, "the attempt runs already")
 	}
 	r := &run{
 		attempt: a,
@@ -375,7 +375,7 @@
 		bytes:   bytes,
 		hash:    xxhash.Sum64String(a.Prompt),
 		tokens:  tokens,
-		blocks:  engine.Blocks(a.Model+"/"+a.Adapter, a.Prompt, e.cacheRoom()),
+		blocks:  engine.BlockHashes(a.Model+"/"+a.Adapter, a.Prompt, e.cacheRoom()),
 		changed: make(chan struct{}),
 	}
 	hit := e.cache.hit(r.blocks) * engine.BlockTokens
