--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -16,19 +16,20 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// The measures of the tests with a request that crashes endpoints.
+// Parameters of the tests with a request that crashes endpoints.
 const (
-	// crashPrompt begins the prompts and bodies that do.
+	// crashPrompt is the prefix of the prompts and bodies that crash an endpoint.
 	crashPrompt = "crash"
-	// restartDelay is how long an endpoint is gone after a crash.
+	// restartDelay is how long an endpoint is down after a crash.
 	restartDelay = 2 * time.Second
-	// sendCount is how often callers send it.
+	// sendCount is how often callers send the request.
 	sendCount = 90
-	// maxCrashes is how many endpoints it may crash: three until that is known, and three more.
+	// maxCrashes bounds the crashes: three until the request is quarantined, and three more
+	// for attempts that are already running.
 	maxCrashes = 6
 )
 
-// crashable is an endpoint that some requests crash.
+// crashable is an endpoint that can be made to crash on certain requests.
 type crashable interface {
 	SetFaults(standin.Faults)
 	Faults() standin.Faults
@@ -47,8 +48,8 @@
 	return out
 }
 
-// crashAndRestart lets all endpoints crash at the requests that do so, and has them back a while after
-// that, until ctx ends.
+// crashAndRestart makes all endpoints crash on requests that begin with crashPrompt, and
+// restarts them after restartDelay, until ctx ends. stopped is closed after that.
 func (v *virtualFleet) crashAndRestart(ctx context.Context) (stopped <-chan struct{}) {
 	f := standin.Faults{
 		CrashOn: crashPrompt,
@@ -83,14 +84,14 @@
 	return n
 }
 
-// TestCrashingRequest sends a request again and again, to all instances in turn, that crashes
-// each endpoint which begins to run it: it ends at a few. Others are served meanwhile.
+// TestCrashingRequest checks that a request that crashes each endpoint that starts it is
+// refused after a few crashes, however often it is sent, and that other requests are served.
 func TestCrashingRequest(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		path   string
 		body   string
-		strike func(v *virtualFleet, try int)
+		inject func(v *virtualFleet, try int)
 	}{
 		{"stream", "/v1/completions", completionBody(crashPrompt, 50, true), nil},
 		{"whole answer", "/v1/completions", completionBody(crashPrompt, 50, false), nil},
@@ -118,8 +119,8 @@
 				}()
 				var last response
 				for i := range sendCount {
-					if row.strike != nil {
-						row.strike(v, i)
+					if row.inject != nil {
+						row.inject(v, i)
 					}
 					last = v.send(t.Context(), fmt.Sprintf("n%d", 1+i%2), row.path, row.body, nil)
 					time.Sleep(200 * time.Millisecond)
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -6,20 +6,21 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// PrefillRate returns the prefill rate of all engines, in tokens a second.
+// PrefillRate returns the nominal prefill rate of all engines together, in
+// tokens per second.
 func (f *Fleet) PrefillRate() float64 {
 	return float64(len(f.Engines)) * f.settings.Engine.PrefillTokensPerSecond
 }
 
-// The faults that Strike knows.
+// The names of the faults that InjectFault can inject.
 const (
 	EngineKilled = "engine-killed"
 	EngineFrozen = "engine-frozen"
 	NodeKilled   = "node-killed"
 )
 
-// InjectFault brings about a fault at the first engine or node. Any other name is
-// no fault.
+// InjectFault injects the named fault into the first engine or the first node.
+// It does nothing for other names.
 func (f *Fleet) InjectFault(fault string) {
 	switch fault {
 	case EngineKilled:
@@ -33,7 +34,8 @@
 	}
 }
 
-// RepeatedCalls returns how many calls of plain services took effect more than once.
+// RepeatedCalls returns the number of bodies that took effect more than once in
+// calls of plain services. Calls with equal bodies count as the same call.
 func (f *Fleet) RepeatedCalls() int {
 	n := 0
 	for body, calls := range f.callsByBody() {
@@ -44,7 +46,8 @@
 	return n
 }
 
-// callsByBody returns how often each body took effect at all endpoints together.
+// callsByBody returns how often each body took effect on all endpoints together,
+// keyed by the SHA-256 of the body.
 func (f *Fleet) callsByBody() map[string]int {
 	total := make(map[string]int)
 	for _, h := range f.Services {
--- a/fleet/faults_test.go
+++ b/fleet/faults_test.go
@@ -18,18 +18,18 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// TestRequestsUnderFaults proves, for each fault, that every request finishes or
-// fails within its time with the whole of its own answer or the truth about
-// what ran, and that all memory comes back.
+// TestRequestsUnderFaults checks for each fault that every request ends within its deadline,
+// with its complete answer or a correct report on whether it ran, and that the engines release
+// all memory.
 func TestRequestsUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		strike func(v *virtualFleet)
-		heal   func(v *virtualFleet)
-		// least is how many of the 24 requests must be answered.
-		least int
+		inject func(v *virtualFleet)
+		repair func(v *virtualFleet)
+		// minAnswered is how many of the 24 requests must be answered.
+		minAnswered int
 	}{
-		{"nothing", func(*virtualFleet) {}, nil, 24},
+		{"no fault", func(*virtualFleet) {}, nil, 24},
 		{"engine killed", func(v *virtualFleet) {
 			v.engines["e1:1"].SetFaults(standin.Faults{Dead: true})
 		}, nil, 14},
@@ -39,15 +39,15 @@
 			v.engines["e1:1"].SetFaults(standin.Faults{})
 		}, 14},
 		{"node killed", func(v *virtualFleet) { v.kill("n1") }, nil, 14},
-		{"node frozen, then awake", func(v *virtualFleet) { v.freeze("n1") }, func(v *virtualFleet) { v.thaw("n1") }, 12},
-		{"node cut from the others", func(v *virtualFleet) {
+		{"node frozen, then thawed", func(v *virtualFleet) { v.freeze("n1") }, func(v *virtualFleet) { v.thaw("n1") }, 12},
+		{"node disconnected from the others", func(v *virtualFleet) {
 			v.setCut("n1|n2", true)
 			v.setCut("n1|n3", true)
 		}, func(v *virtualFleet) {
 			v.setCut("n1|n2", false)
 			v.setCut("n1|n3", false)
 		}, 12},
-		{"node cut from an engine", func(v *virtualFleet) { v.setCut("n1|e1:1", true) }, nil, 20},
+		{"node disconnected from an engine", func(v *virtualFleet) { v.setCut("n1|e1:1", true) }, nil, 20},
 		{"platform down", func(v *virtualFleet) { v.setCut("platform", true) }, func(v *virtualFleet) {
 			v.setCut("platform", false)
 		}, 24},
@@ -69,21 +69,21 @@
 			v.setCut("platform", true)
 			v.kill("n3")
 		}, nil, 12},
-		{"streams cut", func(v *virtualFleet) {
+		{"streams broken off", func(v *virtualFleet) {
 			for _, e := range v.engines {
 				e.SetFaults(standin.Faults{CutAfter: 7})
 			}
 		}, nil, 0},
-		{"chunks crossed", func(v *virtualFleet) {
+		{"chunks of other attempts", func(v *virtualFleet) {
 			v.engines["e1:1"].SetFaults(standin.Faults{CrossChunks: 3})
 		}, nil, 20},
-		{"chunks doubled", func(v *virtualFleet) {
+		{"chunks duplicated", func(v *virtualFleet) {
 			v.engines["e1:1"].SetFaults(standin.Faults{DoubleChunks: 10})
 		}, nil, 24},
 		{"chunks missing", func(v *virtualFleet) {
 			v.engines["e1:1"].SetFaults(standin.Faults{DropChunks: 3})
 		}, nil, 20},
-		{"ends missing", func(v *virtualFleet) {
+		{"end markers missing", func(v *virtualFleet) {
 			v.engines["e1:1"].SetFaults(standin.Faults{DropEnd: 3})
 		}, nil, 20},
 		{"refused before the start", func(v *virtualFleet) {
@@ -106,17 +106,17 @@
 				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
 				const deadline = 20 * time.Second
-				answers := v.sendBurst(t, 24, 4_000, 50, deadline, func() { c.strike(v) })
-				if whole := checkAnswers(t, v, answers, deadline); whole < c.least {
-					t.Errorf("%d of 24 requests were answered, want %d", whole, c.least)
+				answers := v.sendBurst(t, 24, 4_000, 50, deadline, func() { c.inject(v) })
+				if answered := checkAnswers(t, v, answers, deadline); answered < c.minAnswered {
+					t.Errorf("%d of 24 requests were answered, want at least %d", answered, c.minAnswered)
 					for _, a := range answers {
-						if own, _ := a.checkBody(t); !own {
+						if correct, _ := a.checkBody(t); !correct {
 							t.Logf("%s %d %v %s", a.id, a.status, a.broken, a.body[:min(len(a.body), 300)])
 						}
 					}
 				}
-				if c.heal != nil {
-					c.heal(v)
+				if c.repair != nil {
+					c.repair(v)
 				}
 				checkMemoryReleased(t, v)
 			})
@@ -124,27 +124,26 @@
 	}
 }
 
-// TestStreamsSurviveOwnerLoss proves that long streams run to their end whatever
-// happens to the nodes that own their endpoints, as long as the node that
-// dispatched them is there.
+// TestStreamsSurviveOwnerLoss guards against streams that break off when the nodes that own
+// their endpoints fail, while the node that dispatched them still runs.
 func TestStreamsSurviveOwnerLoss(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		strike func(v *virtualFleet)
+		inject func(v *virtualFleet)
 	}{
-		{"nothing", func(*virtualFleet) {}},
+		{"no fault", func(*virtualFleet) {}},
 		{"one killed", func(v *virtualFleet) { v.kill("n2") }},
 		{"both killed", func(v *virtualFleet) {
 			v.kill("n2")
 			v.kill("n3")
 		}},
 		{"one frozen", func(v *virtualFleet) { v.freeze("n3") }},
-		{"cut from the dispatcher", func(v *virtualFleet) {
+		{"disconnected from the dispatching node", func(v *virtualFleet) {
 			v.setCut("n1|n2", true)
 			time.Sleep(2 * time.Second)
 			v.setCut("n1|n2", false)
 		}},
-		{"one after the other stops", func(v *virtualFleet) {
+		{"one stops after the other", func(v *virtualFleet) {
 			v.nodes["n2"].member.Stop()
 			time.Sleep(3 * time.Second)
 			v.nodes["n3"].member.Stop()
@@ -163,13 +162,13 @@
 							stream: true,
 						}
 						a.response = v.send(context.Background(), "n1", "/v1/completions", completionBody(a.prompt, a.tokens, true), nil)
-						if own, _ := a.checkBody(t); !own {
-							t.Errorf("not whole: %d, broken %v, ...%s", a.status, a.broken, a.body[max(0, len(a.body)-200):])
+						if correct, _ := a.checkBody(t); !correct {
+							t.Errorf("stream is not complete: status %d, broken %v, ...%s", a.status, a.broken, a.body[max(0, len(a.body)-200):])
 						}
 					})
 				}
 				time.Sleep(2 * time.Second)
-				c.strike(v)
+				c.inject(v)
 				all.Wait()
 				checkMemoryReleased(t, v)
 			})
@@ -177,8 +176,8 @@
 	}
 }
 
-// TestNodesCutFromEachOther proves that nodes that reach the endpoints but no other
-// node serve every request, each on its own.
+// TestNodesCutFromEachOther guards against unanswered requests while each node reaches all
+// endpoints but no other node.
 func TestNodesCutFromEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtualFleet(t, smallFleet())
@@ -188,15 +187,15 @@
 		v.setCut("n2|n3", true)
 		time.Sleep(20 * time.Second)
 		answers := v.sendBurst(t, 24, 4_000, 50, 20*time.Second, func() {})
-		if whole := checkAnswers(t, v, answers, 20*time.Second); whole < 24 {
-			t.Errorf("%d of 24 requests were answered", whole)
+		if answered := checkAnswers(t, v, answers, 20*time.Second); answered < 24 {
+			t.Errorf("%d of 24 requests were answered", answered)
 		}
 		checkMemoryReleased(t, v)
 	})
 }
 
-// TestUnreachableDeadline proves that a request whose deadline can't be met is answered at
-// once, with a time to come back.
+// TestUnreachableDeadline guards against a request that waits although its deadline can't be
+// met: it must be refused at once, with a time after which to retry.
 func TestUnreachableDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -213,8 +212,8 @@
 	})
 }
 
-// TestNeverFits proves that a request that no group of engines can ever hold
-// is refused at once.
+// TestNeverFits guards against a request that waits although no group of engines has enough
+// memory for it.
 func TestNeverFits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -229,8 +228,8 @@
 	})
 }
 
-// TestFrozenEngineIsDetected proves that an endpoint that goes silent is noticed between tokens
-// and before the first one, long before the deadline.
+// TestFrozenEngineIsDetected guards against requests that wait for a frozen engine until their
+// deadline, before or after the first token.
 func TestFrozenEngineIsDetected(t *testing.T) {
 	for _, tokens := range []int{100, 80_000} {
 		t.Run(fmt.Sprintf("prompt of %d tokens", tokens), func(t *testing.T) {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package fleet runs a whole deployment in one process, on loopback: the
-// stand-in platform, engines and plain services, and nodes. It serves the
-// demo, the load tool and the tests.
+// Package fleet runs a complete deployment in one process on the loopback
+// interface: nodes, and stand-ins for the platform, the engines and the plain
+// services. The demo, the load tool and tests use it.
 package fleet
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// Settings are the measures of a Fleet. A zero value means the default.
+// Settings configures a Fleet. Zero values select the defaults.
 type Settings struct {
 	// Nodes is the number of nodes; the default is 3.
 	Nodes int
@@ -36,30 +36,34 @@
 	Services int
 	// Domains is the number of failure domains; the default is 3.
 	Domains int
-	// Engine are the measures of each engine.
+	// Engine configures each engine. Zero for the prefill rate, the memory
+	// and the memory per token selects the rated values.
 	Engine standin.EngineSettings
-	// Log are the measures of the platform's log.
+	// Log configures the platform's log.
 	Log standin.LogSettings
-	// Strategy is the nodes' strategy.
+	// Strategy is the scheduling strategy of the nodes; the default is
+	// settings.Weighed.
 	Strategy string
-	// Node changes the settings of a node before its start.
+	// Node modifies the settings of each node before the node starts. It may
+	// be nil.
 	Node func(*settings.File)
-	// Logger gets the nodes' lines.
+	// Logger receives the log lines of the nodes; by default they are
+	// discarded.
 	Logger logr.Logger
 }
 
-// The names that the fleet's configuration uses.
+// Identifiers in the configuration of a fleet.
 const (
-	// Model is the model that all engines serve.
+	// Model is the id of the model that all engines serve.
 	Model = "m1"
-	// Adapter is an adapter of Model.
+	// Adapter is the id of an adapter of Model.
 	Adapter = "m1-desk"
-	// Service is the plain service.
+	// Service is the id of the plain service.
 	Service = "lots"
-	// Region is the only region.
+	// Region is the id of the only region.
 	Region = "r1"
 
-	// version is the version that the engines have loaded.
+	// version is the version of Model that the engines have loaded.
 	version = "1"
 )
 
@@ -70,7 +74,7 @@
 	defaultDomains  = 3
 )
 
-// The rated measures of a stand-in engine.
+// The rated values of a stand-in engine.
 const (
 	ratedPrefillTokensPerSecond = 40_000
 	ratedMemoryTokens           = 400_000
@@ -78,48 +82,48 @@
 	maxPromptTokens             = 1_100_000
 )
 
-// Customer is a customer of the fleet's configuration.
+// Customer is a customer in the configuration of a fleet.
 type Customer struct {
-	// ID names the customer.
+	// ID is the id of the customer.
 	ID string
-	// Tier is what it bought.
+	// Tier is the id of the highest tier that the customer may use.
 	Tier string
-	// Key is its bearer key.
+	// Key is the bearer token that authenticates the customer.
 	Key string
 }
 
-// Customers are the customers of every fleet.
+// Customers lists the customers that every fleet configures, one per tier.
 var Customers = []Customer{
 	{ID: "desk", Tier: "gold", Key: "key-desk"},
 	{ID: "office", Tier: "silver", Key: "key-office"},
 	{ID: "board", Tier: "bronze", Key: "key-board"},
 }
 
-// Endpoint is one stand-in endpoint with its server.
+// Endpoint is a stand-in engine or plain service together with its HTTP server.
 type Endpoint struct {
-	// ID names the endpoint.
+	// ID is the id of the endpoint in the configuration.
 	ID string
-	// Address is where it listens.
+	// Address is the host and port that the endpoint listens on.
 	Address string
-	// Engine is set for engines.
+	// Engine is the engine; nil for plain services.
 	Engine *standin.Engine
-	// Service is set for plain services.
+	// Service is the plain service; nil for engines.
 	Service *standin.Service
 
 	server *http.Server
 }
 
-// Fleet is a whole deployment.
+// Fleet is a running deployment. Close stops it.
 type Fleet struct {
 	// Platform is the stand-in platform.
 	Platform *standin.Platform
-	// PlatformAddress is where it listens.
+	// PlatformAddress is the host and port that the platform listens on.
 	PlatformAddress string
-	// Engines are the model engines.
+	// Engines holds the model engines.
 	Engines []*Endpoint
-	// Services are the endpoints of the plain service.
+	// Services holds the endpoints of the plain service.
 	Services []*Endpoint
-	// Nodes are the nodes.
+	// Nodes holds the nodes in the order in which they were added.
 	Nodes []*node.Node
 
 	settings Settings
@@ -157,11 +161,12 @@
 	}
 }
 
-// readyTimeout bounds the start of a fleet.
+// readyTimeout bounds WaitReady, the publication of a configuration and the
+// time that a server waits for request headers.
 const readyTimeout = 20 * time.Second
 
 // Start starts a fleet, publishes its configuration and waits until every node
-// is ready.
+// is ready. On an error it stops what it has started.
 func Start(s Settings) (*Fleet, error) {
 	s.setDefaults()
 	f := &Fleet{
@@ -201,7 +206,9 @@
 	return f.WaitReady()
 }
 
-// Serve serves a handler at an address, and returns the address in use.
+// Serve starts an HTTP server for h on address. It returns the server and the
+// address that the server listens on, which has the chosen port if the port in
+// address is 0.
 func Serve(address string, h http.Handler) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -211,12 +218,13 @@
 		Handler:           h,
 		ReadHeaderTimeout: readyTimeout,
 	}
-	// Serve returns when the server is closed.
+	// Serve returns http.ErrServerClosed once the server is closed.
 	go func() { _ = s.Serve(l) }()
 	return s, l.Addr().String(), nil
 }
 
-// failureDomain returns the failure failureDomain of the i-th of something.
+// failureDomain returns the failure domain of the i-th engine, service or node.
+// The failure domains are assigned in turn.
 func (f *Fleet) failureDomain(i int) string {
 	return fmt.Sprintf("d%d", i%f.settings.Domains+1)
 }
@@ -261,7 +269,7 @@
 	return nil
 }
 
-// addToList puts an endpoint instance on the platform's addToList.
+// addToList adds an endpoint instance to the platform's list of instances.
 func (f *Fleet) addToList(id, address, domain string) {
 	f.Platform.Instances.Put(instances.Instance{
 		ID:            id,
@@ -273,7 +281,8 @@
 	})
 }
 
-// AddNode starts the i-th node and puts it on the platform's list.
+// AddNode starts the node with index i, counted from 0, and adds it to the
+// platform's list of instances.
 func (f *Fleet) AddNode(i int) (*node.Node, error) {
 	s := &settings.File{
 		ID:            fmt.Sprintf("n%d", i+1),
@@ -309,7 +318,8 @@
 	return n, nil
 }
 
-// Publish publishes a configuration and returns its generation.
+// Publish publishes a configuration in TOML and returns its generation, which
+// is the offset of the verdict in the log.
 func (f *Fleet) Publish(text string) (int64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
@@ -321,7 +331,8 @@
 	return v.Offset, err
 }
 
-// WaitReady waits until every node is ready and knows the others.
+// WaitReady waits until every node is ready and has all nodes of the fleet as
+// members. It returns an error if this takes longer than 20 s.
 func (f *Fleet) WaitReady() error {
 	until := time.Now().Add(readyTimeout)
 	for _, n := range f.Nodes {
@@ -339,11 +350,11 @@
 	return nil
 }
 
-// pollInterval is how often readiness is looked at.
+// pollInterval is the time between two checks of a condition that is waited for.
 const pollInterval = 10 * time.Millisecond
 
-// DefaultConfiguration returns the configuration of engines and plain endpoints with the
-// default measures.
+// DefaultConfiguration returns the configuration in TOML of a fleet with the given
+// engines and endpoints of the plain service and otherwise default settings.
 func DefaultConfiguration(engines, services []*Endpoint) string {
 	f := &Fleet{
 		Engines:  engines,
@@ -353,7 +364,8 @@
 	return f.Configuration()
 }
 
-// Configuration returns the fleet's configuration.
+// Configuration returns the configuration of the fleet in TOML. It contains
+// the engines and services that have been started.
 func (f *Fleet) Configuration() string {
 	var b strings.Builder
 	b.WriteString("format = 1\n\n[[regions]]\nid = \"" + Region + "\"\n")
@@ -382,7 +394,7 @@
 	return b.String()
 }
 
-// Addresses returns where callers reach each node.
+// Addresses returns the host and port of each node for requests of callers.
 func (f *Fleet) Addresses() []string {
 	out := make([]string, 0, len(f.Nodes))
 	for _, n := range f.Nodes {
@@ -391,7 +403,8 @@
 	return out
 }
 
-// HeldBytes returns the memory that is held at all engines.
+// HeldBytes returns the memory that attempts and reservations hold on all
+// engines together.
 func (f *Fleet) HeldBytes() int64 {
 	total := int64(0)
 	for _, h := range f.Engines {
@@ -400,8 +413,9 @@
 	return total
 }
 
-// WaitMemoryReleased waits until no engine holds memory, and returns what is held when
-// the time is over.
+// WaitMemoryReleased waits until no engine holds memory for attempts or
+// reservations, at most for the given time. It returns the bytes that are still
+// held.
 func (f *Fleet) WaitMemoryReleased(within time.Duration) int64 {
 	until := time.Now().Add(within)
 	for f.HeldBytes() > 0 && time.Now().Before(until) {
@@ -410,9 +424,10 @@
 	return f.HeldBytes()
 }
 
-// Kill ends an endpoint as if its instance died.
+// Kill closes the server of an endpoint with all its connections, as if the
+// instance had died. An engine also stops serving attempts.
 func (h *Endpoint) Kill() {
-	// Connections that fail to close are gone all the same.
+	// An error while closing a connection doesn't matter here.
 	_ = h.server.Close()
 	if h.Engine != nil {
 		h.Engine.SetFaults(standin.Faults{
@@ -421,13 +436,14 @@
 	}
 }
 
-// Close ends everything at once.
+// Close closes all nodes, endpoints and the platform without waiting for
+// running requests.
 func (f *Fleet) Close() {
 	for _, n := range f.Nodes {
 		n.Close()
 	}
 	for _, h := range append(f.Engines, f.Services...) {
-		// Connections that fail to close are gone all the same.
+		// An error while closing a connection doesn't matter here.
 		_ = h.server.Close()
 		if h.Engine != nil {
 			h.Engine.Stop()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// fastEngines are engines that make a test short.
+// fastEngines configures engines whose prefill and decode take little real time.
 func fastEngines() standin.EngineSettings {
 	return standin.EngineSettings{
 		PrefillTokensPerSecond: 4_000_000,
@@ -25,6 +25,8 @@
 	}
 }
 
+// startFleet starts a fleet, with fast engines by default, and closes it when the
+// test ends.
 func startFleet(t *testing.T, s Settings) *Fleet {
 	t.Helper()
 	if s.Engine.DecodeStep == 0 {
@@ -38,11 +40,12 @@
 	return f
 }
 
-// prompt returns a prompt of n tokens that begins with a name.
+// prompt returns a prompt of n tokens that begins with name.
 func prompt(name string, n int) string {
 	return name + strings.Repeat("abcdefgh", n/2)[:n*4-len(name)]
 }
 
+// post sends body as JSON and returns the response and its complete body.
 func post(t *testing.T, url, key string, body any) (*http.Response, []byte) {
 	t.Helper()
 	data, err := json.Marshal(body)
@@ -66,7 +69,7 @@
 	return res, out
 }
 
-// answerText returns the text of a whole answer.
+// answerText returns the text of a completion in JSON.
 func answerText(t testing.TB, data []byte) string {
 	t.Helper()
 	var a struct {
@@ -75,12 +78,13 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal(data, &a); err != nil || len(a.Choices) != 1 {
-		t.Fatalf("no answer: %s", data)
+		t.Fatalf("body is not a completion: %s", data)
 	}
 	return a.Choices[0].Text
 }
 
-// streamedText returns the text of a streamed answer, and whether it was whole.
+// streamedText returns the text of a streamed completion, and whether its end marker
+// was received.
 func streamedText(t testing.TB, data []byte) (string, bool) {
 	t.Helper()
 	var text strings.Builder
@@ -97,6 +101,8 @@
 	return text.String(), false
 }
 
+// TestEndToEnd guards against wrong answers and lost memory on the path through a
+// real network, for completions of all sizes and a call of a plain service.
 func TestEndToEnd(t *testing.T) {
 	f := startFleet(t, Settings{})
 	for _, tokens := range []int{1_000, 30_000, 200_000, 1_000_000} {
@@ -121,8 +127,8 @@
 				"stream":     true,
 			})
 			is.Equal(res.StatusCode, http.StatusOK)
-			text, whole := streamedText(t, data)
-			is.True(whole)
+			text, complete := streamedText(t, data)
+			is.True(complete)
 			is.Equal(text, standin.Answer(p, 20))
 		})
 	}
@@ -136,12 +142,13 @@
 		is.NoErr(json.Unmarshal(data, &echo))
 		is.Equal(echo.Path, "/bids?lot=7")
 	})
-	t.Run("memory is back", func(t *testing.T) {
+	t.Run("memory is released", func(t *testing.T) {
 		is := is.New(t)
 		is.Equal(f.WaitMemoryReleased(10*time.Second), int64(0))
 	})
 }
 
+// formatTokens formats a number of tokens for the name of a subtest.
 func formatTokens(n int) string {
 	if n >= 1_000_000 {
 		return "1M"
--- a/fleet/identity_test.go
+++ b/fleet/identity_test.go
@@ -33,8 +33,8 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// TestInvalidInput proves that bad input gets a clear error that names what is wrong,
-// and that nothing of it runs.
+// TestInvalidInput guards against invalid requests that are accepted, and against errors
+// that don't name the invalid field or don't say that the request did not run.
 func TestInvalidInput(t *testing.T) {
 	f := startFleet(t, Settings{Nodes: 1, Engines: 2})
 	base := "http://" + f.Nodes[0].Listen
@@ -99,7 +99,9 @@
 	}
 }
 
-// sendRaw writes text to a node and returns all that it answers within a time.
+// sendRaw writes text to a connection to a node and returns what the node sends until
+// it closes the connection. If the connection is open for longer than within, the
+// result ends with " (still open)".
 func sendRaw(t *testing.T, address, text string, within time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -120,20 +122,20 @@
 	return string(data)
 }
 
-// TestMisbehavingCallers proves that callers that send too much, too little or too
-// slowly end by themselves.
+// TestMisbehavingCallers guards against connections that stay open when a caller sends too
+// much, too little or too slowly.
 func TestMisbehavingCallers(t *testing.T) {
 	f := startFleet(t, Settings{Nodes: 1, Engines: 2})
 	for _, c := range []struct {
 		name, text, want string
 		within           time.Duration
 	}{
-		{"over-long header", "GET /v1/models HTTP/1.1\r\nHost: x\r\nX-A: " + strings.Repeat("a", 60<<10) + "\r\n\r\n", "431", 5 * time.Second},
-		{"headers that never end", "GET /v1/models HTTP/1.1\r\nHost: x\r\nX-A: ", "", 8 * time.Second},
+		{"header too long", "GET /v1/models HTTP/1.1\r\nHost: x\r\nX-A: " + strings.Repeat("a", 60<<10) + "\r\n\r\n", "431", 5 * time.Second},
+		{"incomplete header", "GET /v1/models HTTP/1.1\r\nHost: x\r\nX-A: ", "", 8 * time.Second},
 		{"body without a key", "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 9000000\r\nConnection: close\r\n\r\n{", "401", 5 * time.Second},
-		{"body shorter than it claims", "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-desk\r\n" +
+		{"body shorter than declared", "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-desk\r\n" +
 			"Content-Length: 100\r\nConnection: close\r\n\r\n{\"model\":\"m1\"}", "400", 14 * time.Second},
-		{"body larger than allowed", "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-desk\r\n" +
+		{"declared body larger than allowed", "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-desk\r\n" +
 			"Content-Length: 900000000\r\nConnection: close\r\n\r\n{", "413", 5 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -146,7 +148,7 @@
 	}
 }
 
-// authority is a certificate authority of a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -158,7 +160,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	shape := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
 		Subject:               pkix.Name{CommonName: "test authority"},
 		NotBefore:             time.Now().Add(-time.Hour),
@@ -167,7 +169,7 @@
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageCertSign,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, shape, shape, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,21 +183,22 @@
 	}
 }
 
-// issue writes a certificate for 127.0.0.1, its key and the authority.
+// issue writes a certificate for 127.0.0.1, its key and the certificate of the
+// authority to files, and returns their paths.
 func (a *authority) issue(t *testing.T) settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	shape := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: big.NewInt(2),
 		NotBefore:    time.Now().Add(-time.Hour),
 		NotAfter:     time.Now().Add(time.Hour),
 		IPAddresses:  []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, shape, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,13 +225,14 @@
 	}
 }
 
-// clientCredentials returns the credentials of a peer that has these files.
-func clientCredentials(t *testing.T, files settings.TLS, with bool) credentials.TransportCredentials {
+// clientCredentials returns TLS credentials of a client, with the certificate in files
+// if present is true.
+func clientCredentials(t *testing.T, files settings.TLS, present bool) credentials.TransportCredentials {
 	t.Helper()
 	conf := &tls.Config{
-		InsecureSkipVerify: true, // the forger does not care who it talks to
+		InsecureSkipVerify: true, // the client under test doesn't verify the server
 	}
-	if with {
+	if present {
 		pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 		if err != nil {
 			t.Fatal(err)
@@ -238,8 +242,8 @@
 	return credentials.NewTLS(conf)
 }
 
-// TestPeerCertificates proves that with key files set only peers with a certificate
-// of the authorities are served, and that nodes then serve as ever.
+// TestPeerCertificates guards against peers without a certificate of the configured
+// authorities, and against nodes that no longer serve requests once TLS is configured.
 func TestPeerCertificates(t *testing.T) {
 	ours := newAuthority(t)
 	theirs := newAuthority(t)
@@ -251,14 +255,14 @@
 		},
 	})
 	for _, c := range []struct {
-		name  string
-		creds credentials.TransportCredentials
-		in    bool
+		name     string
+		creds    credentials.TransportCredentials
+		accepted bool
 	}{
-		{"in the clear", insecure.NewCredentials(), false},
+		{"without TLS", insecure.NewCredentials(), false},
 		{"no certificate", clientCredentials(t, settings.TLS{}, false), false},
-		{"of another authority", clientCredentials(t, theirs.issue(t), true), false},
-		{"of ours", clientCredentials(t, ours.issue(t), true), true},
+		{"certificate of another authority", clientCredentials(t, theirs.issue(t), true), false},
+		{"certificate of the configured authority", clientCredentials(t, ours.issue(t), true), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn, err := grpc.NewClient("passthrough:///"+f.Nodes[0].PeerListen, grpc.WithTransportCredentials(c.creds))
@@ -269,8 +273,8 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
 			_, err = memberpb.NewMemberClient(conn).Probe(ctx, &memberpb.ProbeRequest{From: "forger"})
-			if (err == nil) != c.in {
-				t.Errorf("let in: %v (%v)", err == nil, err)
+			if (err == nil) != c.accepted {
+				t.Errorf("peer accepted: %v (%v)", err == nil, err)
 			}
 		})
 	}
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -17,9 +17,9 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// TestLeavingEndpoint proves that an endpoint that is leaving gets nothing new a few
-// seconds after the list says so, also when the list lags and requests wait
-// for it, and that what runs there is not cut.
+// TestLeavingEndpoint checks that an endpoint gets no new requests from a few seconds after
+// it is listed as leaving, also when the list lags, and that the streams that run there are
+// completed.
 func TestLeavingEndpoint(t *testing.T) {
 	for _, lag := range []time.Duration{0, 2 * time.Second} {
 		t.Run("lag "+lag.String(), func(t *testing.T) {
@@ -53,22 +53,22 @@
 				}
 				for range 4 {
 					a := <-long
-					_, whole := streamedText(t, []byte(a.body))
-					is.True(whole)
+					_, complete := streamedText(t, []byte(a.body))
+					is.True(complete)
 				}
 			})
 		})
 	}
 }
 
-// TestReplacedEndpoint proves that a lease for an instance that was replaced at
-// the same address does not run on its replacement.
+// TestReplacedEndpoint guards against running a request on an engine that replaced the
+// leased endpoint instance at the same address.
 func TestReplacedEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		v := newVirtualFleet(t, smallFleet())
 		defer v.stop()
-		// Every engine is replaced by another instance; the list lags.
+		// Another instance replaces each engine before the list shows it.
 		for i := range 4 {
 			id := fmt.Sprintf("e%d", i+1)
 			v.engines[id+":1"].Rename(id + "-2")
--- a/fleet/memory_test.go
+++ b/fleet/memory_test.go
@@ -16,8 +16,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// TestCallerDisconnects proves that an attempt whose caller has gone is cancelled at
-// its engine.
+// TestCallerDisconnects guards against an attempt that keeps the memory of its engine after
+// its caller has disconnected.
 func TestCallerDisconnects(t *testing.T) {
 	for _, lost := range []int{0, 1, 5} {
 		t.Run(fmt.Sprintf("%d cancels lost", lost), func(t *testing.T) {
@@ -43,16 +43,16 @@
 	}
 }
 
-// TestMemoryReleasedAfterHolderLoss proves that the memory of a stream that would go on for long
-// is back soon after the node that holds it was lost.
+// TestMemoryReleasedAfterHolderLoss guards against long streams that keep the memory of
+// their engines after the node that holds them was lost.
 func TestMemoryReleasedAfterHolderLoss(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		strike func(v *virtualFleet)
+		inject func(v *virtualFleet)
 	}{
 		{"killed", func(v *virtualFleet) { v.kill("n1") }},
 		{"frozen", func(v *virtualFleet) { v.freeze("n1") }},
-		{"cut from everything", func(v *virtualFleet) { v.setCut("n1", true) }},
+		{"disconnected from everything", func(v *virtualFleet) { v.setCut("n1", true) }},
 		{"killed, and another after it", func(v *virtualFleet) {
 			v.kill("n1")
 			time.Sleep(time.Second)
@@ -79,7 +79,7 @@
 				}
 				time.Sleep(2 * time.Second)
 				is.True(v.heldBytes() > 0)
-				c.strike(v)
+				c.inject(v)
 				checkMemoryReleased(t, v)
 				cancel()
 				all.Wait()
@@ -88,15 +88,16 @@
 	}
 }
 
-// TestJointPrefill proves that prompts larger than one engine get all the engines
-// that they need or none, also when two of them want the same at once and when
-// a member refuses.
+// TestJointPrefill checks that prompts larger than one engine get all the engines that they
+// need or none, also when two of them compete for the same engines or a member fails.
 func TestJointPrefill(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		strike func(v *virtualFleet)
-		least  int
-		// first is the node that the first of two requests goes to.
+		inject func(v *virtualFleet)
+		// minAnswered is how many of the two requests must be answered.
+		minAnswered int
+		// first is the number of the node that gets the first of the two requests; the next
+		// node gets the second.
 		first int
 	}{
 		{"two at once", func(*virtualFleet) {}, 2, 1},
@@ -109,7 +110,7 @@
 		{"the answer to a reservation is lost", func(v *virtualFleet) {
 			v.engines["e3:1"].SetFaults(standin.Faults{LoseAnswer: 1})
 		}, 1, 1},
-		{"the entry dies half-way", func(v *virtualFleet) {
+		{"the entry instance dies half-way", func(v *virtualFleet) {
 			go func() {
 				time.Sleep(500 * time.Millisecond)
 				v.kill("n1")
@@ -126,7 +127,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
-				c.strike(v)
+				c.inject(v)
 				var all sync.WaitGroup
 				answers := make([]*exchange, 2)
 				for i := range answers {
@@ -143,8 +144,8 @@
 					})
 				}
 				all.Wait()
-				if whole := checkAnswers(t, v, answers, 2*time.Minute); whole < c.least {
-					t.Errorf("%d answered, want %d: %.200s | %.200s", whole, c.least, answers[0].body, answers[1].body)
+				if answered := checkAnswers(t, v, answers, 2*time.Minute); answered < c.minAnswered {
+					t.Errorf("%d of 2 requests were answered, want at least %d: %.200s | %.200s", answered, c.minAnswered, answers[0].body, answers[1].body)
 				}
 				checkMemoryReleased(t, v)
 			})
--- a/fleet/once_test.go
+++ b/fleet/once_test.go
@@ -18,7 +18,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// sendKeyed sends the same call with a key.
+// sendKeyed sends a call of the plain service with an idempotency key and a deadline
+// of 10 s.
 func (v *virtualFleet) sendKeyed(node, key, body string, header map[string]string) response {
 	h := map[string]string{
 		entry.HeaderKey:      key,
@@ -30,7 +31,7 @@
 	return v.send(context.Background(), node, "/services/lots/bids", body, h)
 }
 
-// callCount returns how often a body took effect.
+// callCount returns how often calls with a body took effect on all endpoints together.
 func (v *virtualFleet) callCount(body string) int {
 	n := 0
 	for _, s := range v.services {
@@ -39,7 +40,7 @@
 	return n
 }
 
-// tookEffect states whether the call of a request took effect.
+// tookEffect reports whether the call of the request with an id took effect.
 func (v *virtualFleet) tookEffect(request string) bool {
 	for _, s := range v.services {
 		if s.Ran(request) {
@@ -49,8 +50,8 @@
 	return false
 }
 
-// TestAtMostOnce proves that a call with a key takes effect at most once,
-// whatever fails, and that what is said not to have run has not.
+// TestAtMostOnce checks under each fault that a call with an idempotency key takes effect at
+// most once, and that a call that was reported as not run has not taken effect.
 func TestAtMostOnce(t *testing.T) {
 	all := func(f standin.Faults) func(*virtualFleet) {
 		return func(v *virtualFleet) {
@@ -64,16 +65,16 @@
 	}
 	for _, c := range []struct {
 		name   string
-		strike func(v *virtualFleet)
-		// answered is how many of the three callers must be answered.
+		inject func(v *virtualFleet)
+		// answered is how many of the three callers must get an answer.
 		answered int
 	}{
-		{"nothing", func(*virtualFleet) {}, 3},
+		{"no fault", func(*virtualFleet) {}, 3},
 		{"answer of the service lost", all(standin.Faults{LoseAnswer: 1}), 0},
 		{"refused after the start", all(standin.Faults{RefuseAfter: 1}), 0},
 		{"refused before the start", all(standin.Faults{RefuseBefore: 1}), 1},
 		{"answer of the log lost", log(standin.Faults{LoseAnswer: 1}), 3},
-		{"answers of the log lost for long", log(standin.Faults{LoseAnswer: -1}), 3},
+		{"all answers of the log lost", log(standin.Faults{LoseAnswer: -1}), 3},
 		{"log down", log(standin.Faults{Outage: true}), 0},
 		{"log down after the first claim", func(v *virtualFleet) {
 			go func() {
@@ -89,7 +90,7 @@
 				v.kill("n1")
 			}()
 		}, 0},
-		{"a node freezes and wakes after the deadline", func(v *virtualFleet) {
+		{"a node freezes and thaws after the deadline", func(v *virtualFleet) {
 			go func() {
 				time.Sleep(3 * time.Millisecond)
 				v.freeze("n1")
@@ -97,18 +98,18 @@
 				v.thaw("n1")
 			}()
 		}, 0},
-		{"nodes cut from each other", func(v *virtualFleet) {
+		{"nodes disconnected from each other", func(v *virtualFleet) {
 			v.setCut("n1|n2", true)
 			v.setCut("n1|n3", true)
 			v.setCut("n2|n3", true)
 		}, 0},
-		{"nodes cut from each other for long", func(v *virtualFleet) {
+		{"nodes disconnected from each other for 15 s", func(v *virtualFleet) {
 			v.setCut("n1|n2", true)
 			v.setCut("n1|n3", true)
 			v.setCut("n2|n3", true)
 			time.Sleep(15 * time.Second)
 		}, 1},
-		{"log's answer lost and a node dies", func(v *virtualFleet) {
+		{"answer of the log lost and a node dies", func(v *virtualFleet) {
 			v.platform.Log.SetFaults(standin.Faults{LoseAnswer: 1})
 			v.kill("n2")
 		}, 0},
@@ -117,7 +118,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
-				c.strike(v)
+				c.inject(v)
 				body := `{"bid":1}`
 				answers := make([]response, 3)
 				var wait sync.WaitGroup
@@ -136,42 +137,41 @@
 					t.Errorf("the call took effect %d times", n)
 				}
 				if ok < c.answered {
-					t.Errorf("%d answered, want %d: %+v", ok, c.answered, answers)
+					t.Errorf("%d of 3 callers got an answer, want at least %d: %+v", ok, c.answered, answers)
 				}
 				for _, a := range answers {
 					if a.ran == "not_run" && v.tookEffect(a.id) {
-						t.Errorf("the caller heard that its call had not run, but it did: %s", a.body)
+						t.Errorf("the caller was told that its call did not run, but it did: %s", a.body)
 					}
 				}
-				// Sent again when all is well, the call must not take effect a
+				// Without faults, a repetition of the call must not take effect a
 				// second time.
 				all(standin.Faults{})(v)
 				v.platform.Log.SetFaults(standin.Faults{})
 				again := v.sendKeyed("n3", "k1", body, nil)
 				if n := v.callCount(body); n > 1 {
-					t.Errorf("after it was sent again the call took effect %d times: %+v", n, again)
+					t.Errorf("after it was sent again, the call took effect %d times: %+v", n, again)
 				}
 			})
 		})
 	}
 }
 
-// TestKeyFreedAfterRefusal proves that a request with a key that can't be
-// decided is refused as not run, at once and not near its deadline, and that
-// its key can be used again when all is well.
+// TestKeyFreedAfterRefusal guards against an idempotency key that stays taken after its
+// request was refused as not run, and against a refusal that comes close to the deadline.
 func TestKeyFreedAfterRefusal(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		strike, heal func(v *virtualFleet)
+		name           string
+		inject, repair func(v *virtualFleet)
 	}{
 		{"log down", func(v *virtualFleet) {
 			v.platform.Log.SetFaults(standin.Faults{Outage: true})
 		}, nil},
 		{"log silent", func(v *virtualFleet) { v.freeze("platform") }, func(v *virtualFleet) { v.thaw("platform") }},
-		{"append took effect, answer lost, then down", func(v *virtualFleet) {
+		{"append took effect, answers lost, reads fail", func(v *virtualFleet) {
 			v.platform.Log.SetFaults(standin.Faults{LoseAnswer: -1, ReadOutage: true})
 		}, nil},
-		{"append took effect, then down", func(v *virtualFleet) {
+		{"append took effect, reads fail", func(v *virtualFleet) {
 			v.platform.Log.SetFaults(standin.Faults{ReadOutage: true})
 		}, nil},
 		{"claimed, then refused by every endpoint", func(v *virtualFleet) {
@@ -185,15 +185,15 @@
 				is := is.New(t)
 				v := newVirtualFleet(t, smallFleet())
 				defer v.stop()
-				c.strike(v)
+				c.inject(v)
 				first := v.sendKeyed("n1", "k2", `{"bid":2}`, nil)
 				is.Equal(first.status, http.StatusServiceUnavailable)
 				is.Equal(first.ran, "not_run")
 				is.True(first.took < 4*time.Second)
 				is.True(strings.Contains(first.body, "retry_after_seconds"))
 				v.platform.Log.SetFaults(standin.Faults{})
-				if c.heal != nil {
-					c.heal(v)
+				if c.repair != nil {
+					c.repair(v)
 				}
 				time.Sleep(10 * time.Second)
 				again := v.sendKeyed("n2", "k2", `{"bid":2}`, nil)
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestCompletionAtMostOnce proves that a completion that must not be repeated is
-// started at most once, and that it is told the truth about that.
+// TestCompletionAtMostOnce guards against a completion with the header Linkmast-Once that
+// is started twice, or that is started and reported as not run.
 func TestCompletionAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -214,8 +214,8 @@
 		{"refused before the start", standin.Faults{RefuseBefore: 1}},
 		{"refused after the start", standin.Faults{RefuseAfter: -1}},
 		{"answer lost", standin.Faults{LoseAnswer: -1}},
-		{"stream cut", standin.Faults{CutAfter: 3}},
-		{"end missing", standin.Faults{DropEnd: -1}},
+		{"stream broken off", standin.Faults{CutAfter: 3}},
+		{"end marker missing", standin.Faults{DropEnd: -1}},
 		{"frozen", standin.Faults{Frozen: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -233,10 +233,10 @@
 					})
 					n := v.startCount(p)
 					if n > 1 {
-						t.Errorf("started %d times", n)
+						t.Errorf("the completion was started %d times", n)
 					}
 					if n > 0 && a.ran == "not_run" {
-						t.Errorf("started, but said not to have run: %s", a.body)
+						t.Errorf("started, but reported as not run: %s", a.body)
 					}
 				}
 			})
@@ -244,8 +244,8 @@
 	}
 }
 
-// TestRepeatedKeyAttachesToAnswer proves that a completion that is sent again with its key gets the
-// answer of the first, while it runs and after.
+// TestRepeatedKeyAttachesToAnswer guards against a completion that runs again, or gets another
+// answer, when it is repeated with the same idempotency key during the first run or after it.
 func TestRepeatedKeyAttachesToAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -268,16 +268,16 @@
 		late := v.send(t.Context(), "n2", "/v1/completions", body, h)
 		for _, a := range append(answers, late) {
 			is.Equal(a.status, http.StatusOK)
-			text, whole := streamedText(t, []byte(a.body))
-			is.True(whole)
+			text, complete := streamedText(t, []byte(a.body))
+			is.True(complete)
 			is.Equal(text, standin.Answer("attach", 100))
 		}
 		is.Equal(v.startCount("attach"), 1)
 	})
 }
 
-// TestExpiredKey proves that a key whose validity has ended, or ends within
-// the bound on clocks, is refused as not run.
+// TestExpiredKey guards against the use of a key whose validity has ended, ends within the
+// bound on clock differences, or ends too far in the future.
 func TestExpiredKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtualFleet(t, smallFleet())
--- a/fleet/proofs_test.go
+++ b/fleet/proofs_test.go
@@ -15,16 +15,16 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// The bounds that docs/proofs.md states.
+// The time bounds that the tests check.
 const (
-	// memoryReleaseBound is how long the memory of an attempt takes to come back
-	// after its holder died.
+	// memoryReleaseBound bounds the time until the engines have released all
+	// memory after the last request or the loss of the holder.
 	memoryReleaseBound = 15 * time.Second
-	// answerSlack is how much later than its deadline an answer may come.
+	// answerSlack is how long after its deadline a response may still arrive.
 	answerSlack = 100 * time.Millisecond
 )
 
-// completionBody returns the body of a completionBody.
+// completionBody returns the JSON body of a completion request.
 func completionBody(prompt string, tokens int, stream bool) string {
 	data, _ := json.Marshal(map[string]any{
 		"model":      Model,
@@ -35,7 +35,7 @@
 	return string(data)
 }
 
-// exchange is one request with its answer.
+// exchange is a completion request and the response to it.
 type exchange struct {
 	response
 	prompt string
@@ -43,9 +43,9 @@
 	stream bool
 }
 
-// checkBody states whether the caller got the whole of its own answer, and
-// whether it got something that passes for whole.
-func (a *exchange) checkBody(t testing.TB) (own, seemsWhole bool) {
+// checkBody reports whether the caller got the expected answer to its prompt, and
+// whether it got an answer that looks complete.
+func (a *exchange) checkBody(t testing.TB) (correct, complete bool) {
 	t.Helper()
 	if a.status != http.StatusOK || a.broken {
 		return false, false
@@ -54,13 +54,13 @@
 	if !a.stream {
 		return answerText(t, []byte(a.body)) == want, true
 	}
-	text, seemsWhole := streamedText(t, []byte(a.body))
-	return seemsWhole && text == want, seemsWhole
+	text, complete := streamedText(t, []byte(a.body))
+	return complete && text == want, complete
 }
 
-// sendBurst sends n requests spread over the nodes and a second, and calls strike
-// when half of them are out. It returns when all are answered.
-func (v *virtualFleet) sendBurst(t *testing.T, n, promptTokens, tokens int, deadline time.Duration, strike func()) []*exchange {
+// sendBurst sends n requests to all nodes in turn over one second, and calls inject
+// after half a second. It returns when all requests have ended.
+func (v *virtualFleet) sendBurst(t *testing.T, n, promptTokens, tokens int, deadline time.Duration, inject func()) []*exchange {
 	t.Helper()
 	var all sync.WaitGroup
 	out := make([]*exchange, n)
@@ -80,37 +80,38 @@
 		})
 	}
 	time.Sleep(500 * time.Millisecond)
-	strike()
+	inject()
 	all.Wait()
 	return out
 }
 
-// checkAnswers fails unless every answer is whole and its own or an error in time,
-// and no request that was said not to have run did.
-func checkAnswers(t testing.TB, v *virtualFleet, answers []*exchange, deadline time.Duration) (whole int) {
+// checkAnswers fails the test unless each request ended in time with its complete,
+// correct answer, an error or an aborted connection, and no prompt that was reported
+// as not run was started. It returns the number of complete, correct answers.
+func checkAnswers(t testing.TB, v *virtualFleet, answers []*exchange, deadline time.Duration) (answered int) {
 	t.Helper()
 	for _, a := range answers {
-		own, seems := a.checkBody(t)
-		if seems && !own {
-			t.Errorf("request %s got an answer that is not its own", a.id)
+		correct, complete := a.checkBody(t)
+		if complete && !correct {
+			t.Errorf("request %s got a complete answer with the wrong text", a.id)
 		}
 		if a.took > deadline+answerSlack {
-			t.Errorf("request %s was answered after %s, its deadline is %s", a.id, a.took, deadline)
+			t.Errorf("request %s ended after %s, its deadline is %s", a.id, a.took, deadline)
 		}
-		if !own && !a.broken && a.ran == "" {
-			t.Errorf("request %s got neither its answer nor an error: %d %q", a.id, a.status, a.body)
+		if !correct && !a.broken && a.ran == "" {
+			t.Errorf("request %s got neither its answer nor a valid error: status %d, body %q", a.id, a.status, a.body)
 		}
 		if a.ran == "not_run" && v.startCount(a.prompt) > 0 {
-			t.Errorf("request %s ran, but was said not to have: %s", a.id, a.body)
+			t.Errorf("request %s was reported as not run, but its prompt was started: %s", a.id, a.body)
 		}
-		if own {
-			whole++
+		if correct {
+			answered++
 		}
 	}
-	return whole
+	return answered
 }
 
-// startCount returns how often a prompt was started at all engines.
+// startCount returns how often all engines together have started a prompt.
 func (v *virtualFleet) startCount(prompt string) int {
 	n := 0
 	for _, e := range v.engines {
@@ -119,7 +120,8 @@
 	return n
 }
 
-// checkMemoryReleased fails unless all memory comes back within the bound.
+// checkMemoryReleased fails the test unless the engines release all memory within
+// memoryReleaseBound.
 func checkMemoryReleased(t testing.TB, v *virtualFleet) {
 	t.Helper()
 	for range int(memoryReleaseBound / time.Second) {
@@ -128,9 +130,10 @@
 		}
 		time.Sleep(time.Second)
 	}
-	t.Errorf("%d bytes are still held after %s", v.heldBytes(), memoryReleaseBound)
+	t.Errorf("engines still hold %d bytes after %s", v.heldBytes(), memoryReleaseBound)
 }
 
+// smallFleet configures three nodes, four engines and two plain endpoints.
 func smallFleet() virtualSettings {
 	return virtualSettings{
 		nodes:    3,
--- a/fleet/schedule_test.go
+++ b/fleet/schedule_test.go
@@ -20,10 +20,10 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-var schedules = flag.Int("schedules", 40, "random schedules of faults to run")
+var schedules = flag.Int("schedules", 40, "number of random fault schedules to run")
 
-// The seed of the drawn schedules is fixed, so that every run has the same
-// verdict; -rapid.seed=0 draws others.
+// The seed of the random schedules is fixed so that every run tests the same
+// schedules. -rapid.seed=0 selects a random seed.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -32,16 +32,16 @@
 
 // plannedFault is one fault of a schedule.
 type plannedFault struct {
-	// At and For are when the fault begins and how long it lasts, in
-	// milliseconds.
+	// At is the start of the fault and For its duration, in milliseconds.
 	At, For int
-	// Kind names the fault, and Target what it strikes.
+	// Kind is a key of faultKinds. Target selects the component that the fault
+	// affects.
 	Kind   string
 	Target int
 }
 
-// faultKinds are the faults that schedules are made of. Each begins a fault and
-// returns what ends it.
+// faultKinds holds the faults that a schedule may contain, by name. Each function
+// injects its fault into the target and returns a function that ends the fault.
 var faultKinds = map[string]func(v *virtualFleet, target int) func(){
 	"kill node": func(v *virtualFleet, target int) func() {
 		v.kill(fmt.Sprintf("n%d", target%3+1))
@@ -62,7 +62,7 @@
 		v.setCut(pair, true)
 		return func() { v.setCut(pair, false) }
 	},
-	"platform away": func(v *virtualFleet, _ int) func() {
+	"platform unreachable": func(v *virtualFleet, _ int) func() {
 		v.setCut("platform", true)
 		return func() { v.setCut("platform", false) }
 	},
@@ -70,27 +70,28 @@
 		v.platform.Log.SetFaults(standin.Faults{LoseAnswer: 3})
 		return func() { v.platform.Log.SetFaults(standin.Faults{}) }
 	},
-	"log not read": func(v *virtualFleet, _ int) func() {
+	"log reads fail": func(v *virtualFleet, _ int) func() {
 		v.platform.Log.SetFaults(standin.Faults{ReadOutage: true})
 		return func() { v.platform.Log.SetFaults(standin.Faults{}) }
 	},
-	"engine dies":    engineFault(standin.Faults{Dead: true}),
-	"engine froze":   engineFault(standin.Faults{Frozen: true}),
-	"engine loses":   engineFault(standin.Faults{LoseAnswer: 2, LoseCancel: 2, DropChunks: 2}),
-	"engine lies":    engineFault(standin.Faults{CrossChunks: 2, DoubleChunks: 2, DropEnd: 1}),
-	"engine refuses": engineFault(standin.Faults{RefuseBefore: 2, RefuseAfter: 2}),
-	"service loses": func(v *virtualFleet, target int) func() {
+	"engine dies":            engineFault(standin.Faults{Dead: true}),
+	"engine freezes":         engineFault(standin.Faults{Frozen: true}),
+	"engine loses messages":  engineFault(standin.Faults{LoseAnswer: 2, LoseCancel: 2, DropChunks: 2}),
+	"engine garbles answers": engineFault(standin.Faults{CrossChunks: 2, DoubleChunks: 2, DropEnd: 1}),
+	"engine refuses":         engineFault(standin.Faults{RefuseBefore: 2, RefuseAfter: 2}),
+	"service loses answers": func(v *virtualFleet, target int) func() {
 		s := v.services[fmt.Sprintf("s%d:1", target%2+1)]
 		s.SetFaults(standin.Faults{LoseAnswer: 1, RefuseAfter: 1})
 		return func() { s.SetFaults(standin.Faults{}) }
 	},
-	"service froze": func(v *virtualFleet, target int) func() {
+	"service freezes": func(v *virtualFleet, target int) func() {
 		s := v.services[fmt.Sprintf("s%d:1", target%2+1)]
 		s.SetFaults(standin.Faults{Frozen: true})
 		return func() { s.SetFaults(standin.Faults{}) }
 	},
 }
 
+// engineFault returns a kind of fault that sets f on one engine.
 func engineFault(f standin.Faults) func(v *virtualFleet, target int) func() {
 	return func(v *virtualFleet, target int) func() {
 		e := v.engines[fmt.Sprintf("e%d:1", target%4+1)]
@@ -99,6 +100,7 @@
 	}
 }
 
+// faultNames returns the keys of faultKinds in sorted order.
 func faultNames() []string {
 	var out []string
 	for k := range faultKinds {
@@ -108,7 +110,8 @@
 	return out
 }
 
-// injectFaults brings the faults of a schedule about, and ends them.
+// injectFaults injects the faults of a schedule and ends each after its duration. It
+// returns when all have ended.
 func (v *virtualFleet) injectFaults(plan []plannedFault) {
 	var all sync.WaitGroup
 	for _, s := range plan {
@@ -122,7 +125,8 @@
 	all.Wait()
 }
 
-// errorCollector collects what is wrong.
+// errorCollector records the failures of one schedule, so that rapid can report them and
+// shrink the schedule.
 type errorCollector struct {
 	*testing.T
 
@@ -130,15 +134,15 @@
 	failures []string
 }
 
-// Errorf notes something that is wrong.
+// Errorf records a failure.
 func (c *errorCollector) Errorf(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failures = append(c.failures, fmt.Sprintf(format, args...))
 }
 
-// TestRandomFaultSchedules draws schedules of faults that may come together and twice, and
-// holds all points of the brief after each.
+// TestRandomFaultSchedules guards against combinations of faults that violate an invariant
+// on answers, idempotency keys, memory or the configuration in force.
 func TestRandomFaultSchedules(t *testing.T) {
 	if err := flag.Set("rapid.checks", fmt.Sprint(*schedules)); err != nil {
 		t.Fatal(err)
@@ -162,7 +166,8 @@
 	})
 }
 
-// checkSchedule runs one checkSchedule beside requests of all kinds.
+// checkSchedule injects the faults of one schedule while requests of all kinds and a
+// publication of a configuration run, and then checks the invariants.
 func checkSchedule(t *testing.T, c *errorCollector, plan []plannedFault) {
 	v := newVirtualFleet(t, smallFleet())
 	defer v.stop()
@@ -201,8 +206,8 @@
 		})
 		published <- verdict
 	})
-	// Streams that outlast everything, so that only a cancel returns their
-	// memory. Their callers go away in the end.
+	// Streams that run longer than the test, so that only a cancellation releases
+	// their memory. Their callers disconnect at the deadline.
 	ctx, cancel := context.WithTimeout(t.Context(), deadline)
 	defer cancel()
 	longs := make([]*exchange, 3)
@@ -224,7 +229,7 @@
 	checkInvariants(c, v, append(append(answers, onces...), longs...), bids, deadline)
 	for _, a := range onces {
 		if n := v.startCount(a.prompt); n > 1 {
-			c.Errorf("a completion that must not be repeated was started %d times", n)
+			c.Errorf("a completion with the header Linkmast-Once was started %d times", n)
 		}
 	}
 	if verdict := <-published; verdict.Outcome == rollout.Accepted {
@@ -232,7 +237,8 @@
 	}
 }
 
-// checkInvariants holds answers, memory and keys against what happened.
+// checkInvariants checks all answers, that each call took effect at most once and each
+// answered call took effect, that memory is released, and the keys of the calls.
 func checkInvariants(c *errorCollector, v *virtualFleet, answers []*exchange, bids []response, deadline time.Duration) {
 	checkAnswers(c, v, answers, deadline)
 	for i := range 2 {
@@ -246,26 +252,26 @@
 			c.Errorf("a call with a key took effect %d times", n)
 		}
 		if ok && n == 0 {
-			c.Errorf("a call was answered though it had no effect")
+			c.Errorf("a call was answered although it had no effect")
 		}
 	}
 	checkMemoryReleased(c, v)
 	checkKeys(c, v, bids)
 }
 
-// checkKeys sends each call again when all is well: it must not take effect a
-// second time, and its key must be free when every caller heard that the call
-// had not run.
+// checkKeys sends each call again after the faults have ended. The call must not take
+// effect a second time. If all its callers were told that it did not run, its key must
+// be free, unless a node has died.
 func checkKeys(c *errorCollector, v *virtualFleet, bids []response) {
-	living := ""
+	live := ""
 	for id := range v.nodes {
 		v.mu.Lock()
 		if !v.dead[id] {
-			living = id
+			live = id
 		}
 		v.mu.Unlock()
 	}
-	if living == "" {
+	if live == "" {
 		return
 	}
 	time.Sleep(10 * time.Second)
@@ -275,18 +281,18 @@
 			notRun = notRun && (k%2 != i || b.ran == "not_run")
 		}
 		body := fmt.Sprintf(`{"bid":%d}`, i)
-		again := v.sendKeyed(living, fmt.Sprintf("key %d", i), body, nil)
+		again := v.sendKeyed(live, fmt.Sprintf("key %d", i), body, nil)
 		if n := v.callCount(body); n > 1 {
-			c.Errorf("sent again, a call with a key took effect %d times", n)
+			c.Errorf("after it was sent again, a call with a key took effect %d times", n)
 		}
 		if notRun && again.status != http.StatusOK && !v.anyNodeDead() {
-			c.Errorf("the key of a call that did not run is not free: %d %s", again.status, again.body)
+			c.Errorf("the key of a call that did not run was not freed: status %d, body %s", again.status, again.body)
 		}
 	}
 }
 
-// checkConfiguration holds an accepted generation against what is in force on
-// every node that lives.
+// checkConfiguration checks that the accepted generation is in force on every live node
+// after 18 s.
 func checkConfiguration(c *errorCollector, v *virtualFleet, generation int64) {
 	time.Sleep(18 * time.Second)
 	for id, n := range v.nodes {
@@ -299,7 +305,8 @@
 	}
 }
 
-// anyNodeDead states whether a node has died; what it gave up is freed by nobody.
+// anyNodeDead reports whether a node has died. Keys that a dead node had claimed are not
+// freed.
 func (v *virtualFleet) anyNodeDead() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/fleet/suspended_test.go
+++ b/fleet/suspended_test.go
@@ -13,8 +13,8 @@
 	"github.com/linkmast/linkmast/internal/steady/steadytest"
 )
 
-// TestSilentHolderOverSuspension suspends the machine of an owner that has begun to wait for the
-// sign of a holder that is gone: the time counts for its lease.
+// TestSilentHolderOverSuspension guards against an owner that leaves out the time in which its
+// host was suspended when it measures how long a holder has been silent.
 func TestSilentHolderOverSuspension(t *testing.T) {
 	for _, row := range []struct {
 		name      string
@@ -22,7 +22,7 @@
 		held      bool
 	}{
 		{"not suspended", 0, true},
-		{"suspended for longer than a holder may be silent", 5 * time.Second, false},
+		{"suspended for longer than the bound on silence", 5 * time.Second, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			m := steadytest.New(t)
@@ -39,10 +39,11 @@
 				time.Sleep(2 * time.Second)
 				is.True(v.heldBytes() > 0)
 				v.kill("n1")
-				// Its owner has asked in vain by then, for less time than a holder may be silent.
+				// By then the owner has found the holder unreachable, but not for long enough to
+				// release its lease.
 				time.Sleep(2500 * time.Millisecond)
 				m.Suspend(row.suspended)
-				time.Sleep(1200 * time.Millisecond) // a sweep
+				time.Sleep(1200 * time.Millisecond) // time for one sweep
 				is.Equal(v.heldBytes() > 0, row.held)
 				cancel()
 				<-done
--- a/fleet/vendpoint_test.go
+++ b/fleet/vendpoint_test.go
@@ -12,13 +12,15 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// gatedEngine reaches an engine from a node.
+// gatedEngine calls an engine from a node through gate.
 type gatedEngine struct {
 	node *virtualNode
 	id   string
 	*standin.Engine
 }
 
+// unreachableError returns a RunError for an engine that could not be reached. ran is
+// true if the attempt may have run.
 func unreachableError(err error, ran bool) error {
 	e := &engine.RunError{
 		Ran:  "not_run",
@@ -83,7 +85,8 @@
 	return e.Engine.Order(ctx, o)
 }
 
-// gatedStream is a stream that breaks with the connection.
+// gatedStream is a stream whose chunks pass through gate, so that it fails when the node
+// is disconnected from the engine.
 type gatedStream struct {
 	engine.Stream
 
@@ -102,7 +105,7 @@
 	return k, nil
 }
 
-// gatedService reaches a plain endpoint from a node.
+// gatedService calls an endpoint of a plain service from a node through gate.
 type gatedService struct {
 	node *virtualNode
 	id   string
--- a/fleet/virtual_test.go
+++ b/fleet/virtual_test.go
@@ -22,17 +22,19 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// virtualFleet is a small fleet without a network, for testing/synctest. Every call
-// between its parts goes through gate, where faults strike.
+// virtualFleet is a fleet without a network that runs inside a testing/synctest
+// bubble. Calls between its components pass through gate, which simulates
+// network faults, dead components and frozen components.
 type virtualFleet struct {
 	platform *standin.Platform
 	engines  map[string]*standin.Engine
 	services map[string]*standin.Service
 	nodes    map[string]*virtualNode
-	// text is the configuration.
+	// text is the configuration in TOML.
 	text string
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// cut holds the components and the pairs "a|b" that are disconnected.
 	cut    map[string]bool
 	frozen map[string]chan struct{}
 	dead   map[string]bool
@@ -40,12 +42,11 @@
 
 var errCutOff = errors.New("no connection")
 
-// frozenTimeout is how long a call to a frozen part takes to fail without a
-// deadline of its own.
+// frozenTimeout bounds how long a call waits for a frozen component.
 const frozenTimeout = 5 * time.Second
 
-// gate lets a call from a to b through, waits while one of them is frozen, and
-// fails when they are cut off or one is dead.
+// gate returns nil if a call from a to b may pass. It waits while a or b is
+// frozen, and fails if a or b is dead or they are disconnected.
 func (v *virtualFleet) gate(ctx context.Context, a, b string) error {
 	for {
 		v.mu.Lock()
@@ -94,14 +95,15 @@
 	}
 }
 
-// setCut cuts or heals what is named: a part, or a pair "a|b".
+// setCut disconnects or reconnects a component, or the two components of a pair
+// "a|b".
 func (v *virtualFleet) setCut(what string, cut bool) {
 	v.mu.Lock()
 	v.cut[what] = cut
 	v.mu.Unlock()
 }
 
-// virtualSettings are the measures of a virtual fleet.
+// virtualSettings configures a virtual fleet.
 type virtualSettings struct {
 	nodes, engines, services int
 	engine                   standin.EngineSettings
@@ -109,8 +111,8 @@
 	strategy                 string
 }
 
-// newVirtualFleet starts a virtual fleet and waits until it serves. It must be
-// called inside a bubble; stop ends it.
+// newVirtualFleet starts a virtual fleet and gives it 5 s to become ready. It must
+// be called inside a synctest bubble. The caller must call stop.
 func newVirtualFleet(t *testing.T, s virtualSettings) *virtualFleet {
 	t.Helper()
 	v := &virtualFleet{
@@ -122,37 +124,37 @@
 		frozen:   make(map[string]chan struct{}),
 		dead:     make(map[string]bool),
 	}
-	shape := &Fleet{
+	layout := &Fleet{
 		settings: Settings{
 			Engine: s.engine,
 		},
 	}
-	shape.settings.setDefaults()
+	layout.settings.setDefaults()
 	for i := range s.engines {
 		id := "e" + string(rune('1'+i))
-		es := shape.settings.Engine
+		es := layout.settings.Engine
 		es.Instance = id + "-1"
 		es.Model = Model
 		es.Version = version
 		v.engines[id+":1"] = standin.NewEngine(es)
-		shape.Engines = append(shape.Engines, &Endpoint{
+		layout.Engines = append(layout.Engines, &Endpoint{
 			ID:      id,
 			Address: id + ":1",
 		})
-		v.addToList(es.Instance, id+":1", instances.KindEndpoint, shape.failureDomain(i))
+		v.addToList(es.Instance, id+":1", instances.KindEndpoint, layout.failureDomain(i))
 	}
 	for i := range s.services {
 		id := "s" + string(rune('1'+i))
 		v.services[id+":1"] = standin.NewService(standin.ServiceSettings{
 			Instance: id + "-1",
 		})
-		shape.Services = append(shape.Services, &Endpoint{
+		layout.Services = append(layout.Services, &Endpoint{
 			ID:      id,
 			Address: id + ":1",
 		})
-		v.addToList(id+"-1", id+":1", instances.KindEndpoint, shape.failureDomain(i))
+		v.addToList(id+"-1", id+":1", instances.KindEndpoint, layout.failureDomain(i))
 	}
-	v.text = shape.Configuration()
+	v.text = layout.Configuration()
 	if _, err := rollout.Publish(t.Context(), v.platform.Log, rollout.Publication{
 		ID:   "first",
 		Text: []byte(v.text),
@@ -161,7 +163,7 @@
 	}
 	for i := range s.nodes {
 		id := "n" + string(rune('1'+i))
-		v.addToList(id, id, instances.KindNode, shape.failureDomain(i))
+		v.addToList(id, id, instances.KindNode, layout.failureDomain(i))
 		v.nodes[id] = &virtualNode{}
 		v.dead[id] = true
 	}
@@ -186,7 +188,7 @@
 	})
 }
 
-// stop ends a virtual fleet.
+// stop thaws all frozen components and stops the fleet.
 func (v *virtualFleet) stop() {
 	v.mu.Lock()
 	for id, c := range v.frozen {
@@ -209,11 +211,11 @@
 		e.SetFaults(standin.Faults{})
 		e.Stop()
 	}
-	// Errands after requests end by their time-outs.
+	// Background calls that requests have left behind end by their timeouts.
 	time.Sleep(10 * time.Second)
 }
 
-// heldBytes returns the memory heldBytes at all engines.
+// heldBytes returns the memory held on all engines together.
 func (v *virtualFleet) heldBytes() int64 {
 	total := int64(0)
 	for _, e := range v.engines {
@@ -222,17 +224,20 @@
 	return total
 }
 
-// response is what a caller got.
+// response is the response to a caller's request.
 type response struct {
 	status int
 	body   string
-	ran    string
-	id     string
-	took   time.Duration
+	// ran is the value of the field "ran" of an error response; empty if none.
+	ran string
+	// id is the request id.
+	id   string
+	took time.Duration
+	// broken is true if the handler aborted the connection.
 	broken bool
 }
 
-// send sends a request to a node and waits for the answer.
+// send sends a POST request to a node and waits for the response.
 func (v *virtualFleet) send(ctx context.Context, node, path, body string, header map[string]string) response {
 	req := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)).WithContext(ctx)
 	req.Header.Set("Authorization", "Bearer key-desk")
@@ -243,7 +248,7 @@
 	a := response{}
 	start := time.Now()
 	func() {
-		// A connection that is broken off panics with http.ErrAbortHandler.
+		// The handler panics with http.ErrAbortHandler to abort the connection.
 		defer func() {
 			r := recover()
 			if r == nil {
--- a/fleet/vnode_test.go
+++ b/fleet/vnode_test.go
@@ -24,7 +24,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// virtualNode is one node of a virtual fleet.
+// virtualNode is a node of a virtual fleet. It reaches the other nodes, the endpoints
+// and the platform by direct calls that pass through gate.
 type virtualNode struct {
 	id        string
 	fleet     *virtualFleet
@@ -42,7 +43,8 @@
 	done      chan struct{}
 }
 
-// gatedLeaser reaches the owner on another node.
+// gatedLeaser calls the owner on another node through gate. A grant passes through gate
+// again on its way back.
 type gatedLeaser struct {
 	from, to *virtualNode
 }
@@ -99,7 +101,7 @@
 	return n.fleet.platform.Instances.List(ctx, since)
 }
 
-// gatedLog reaches the platform's log from a node.
+// gatedLog calls the platform's log from a node through gate.
 type gatedLog struct {
 	node *virtualNode
 	*standin.Log
@@ -165,7 +167,8 @@
 // InstanceCount implements limit.QuotaOwners.
 func (n *virtualNode) InstanceCount() int { return len(n.member.View().Nodes) }
 
-// gatedClaimService reaches the writer on another node.
+// gatedClaimService calls the claim writer on another node through gate. A claim passes
+// through gate again on its way back.
 type gatedClaimService struct {
 	from, to *virtualNode
 }
@@ -188,6 +191,8 @@
 	return a.to.writer.Free(ctx, c)
 }
 
+// claimServices returns the claim writers of a partition on the first two nodes in the
+// ranking of its stream.
 func (n *virtualNode) claimServices(partition int) []claim.Service {
 	var out []claim.Service
 	for _, i := range n.member.View().Ranked(claim.StreamName(partition), 2) {
@@ -232,7 +237,8 @@
 	return nil
 }
 
-// check is a quarantine.Checker.
+// check implements quarantine.Checker. It fails if the endpoint is dead or can't be
+// reached from the node.
 func (n *virtualNode) check(ctx context.Context, address string) error {
 	if err := n.fleet.gate(ctx, n.id, address); err != nil {
 		return err
@@ -254,7 +260,7 @@
 	return n.fleet.nodes[instance].entry.Answers.CopyTo(ctx, request, out)
 }
 
-// start starts one node.
+// start starts a node with the given id and strategy.
 func (v *virtualFleet) start(n *virtualNode, id, strategy string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.id = id
@@ -306,7 +312,7 @@
 	go n.runUpdates(ctx)
 }
 
-// runUpdates derives ownership and summaries, as a node does.
+// runUpdates calls update every 100 ms until ctx ends.
 func (n *virtualNode) runUpdates(ctx context.Context) {
 	defer close(n.done)
 	for ctx.Err() == nil {
@@ -318,6 +324,8 @@
 	}
 }
 
+// update derives the owned endpoints from the configuration and the members, and copies
+// the endpoint summaries of all reachable nodes to the entry.
 func (n *virtualNode) update(ctx context.Context) {
 	v, m := n.rollout.View(), n.member.View()
 	if v == nil {
