--- a/engine/check.go
+++ b/engine/check.go
@@ -6,30 +6,31 @@
 	"fmt"
 )
 
-// AnswerError is a defect of an answer.
+// AnswerError reports that an answer violates the protocol.
 type AnswerError struct {
-	// Reason says what is wrong.
+	// Reason describes the violation.
 	Reason string
 }
 
-// Error returns the reason.
+// Error returns the reason with a prefix.
 func (e *AnswerError) Error() string {
 	return "bad answer: " + e.Reason
 }
 
-// AnswerChecker follows the chunks of one answer. The zero value is not usable; give
-// the attempt's id.
+// AnswerChecker checks the chunks of one answer. Attempt must be set before the
+// first use.
 type AnswerChecker struct {
-	// Attempt is the id that every chunk must carry.
+	// Attempt is the attempt id that every chunk must carry.
 	Attempt string
 
 	next  int
 	ended bool
 }
 
-// Accept states whether a chunk is new and next in order. A chunk that was
-// accepted before is neither new nor an error. A foreign id, a gap and a chunk
-// after the end are an *AnswerError.
+// Accept checks the chunk k and reports whether it is the next one of the answer.
+// It returns false for keep-alive chunks and for chunks that have been accepted
+// before. It returns an *AnswerError if k belongs to another attempt, leaves a gap
+// or follows the last chunk.
 func (c *AnswerChecker) Accept(k Chunk) (bool, error) {
 	if k.Attempt != c.Attempt {
 		return false, &AnswerError{
@@ -58,12 +59,12 @@
 	return true, nil
 }
 
-// Next returns the sequence number that is due.
+// Next returns the sequence number of the next chunk. It starts at 1.
 func (c *AnswerChecker) Next() int {
 	return max(c.next, 1)
 }
 
-// Ended states whether the end has come.
+// Ended reports whether the last chunk of the answer has been accepted.
 func (c *AnswerChecker) Ended() bool {
 	return c.ended
 }
--- a/engine/check_test.go
+++ b/engine/check_test.go
@@ -18,8 +18,8 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// TestAnswerChecker follows answers as they may arrive. Each step is a chunk "id:seq",
-// with "!" at the end of the answer.
+// TestAnswerChecker guards against accepting an answer with missing, repeated or foreign
+// chunks. Each step is a chunk "id:seq", with "!" after the last chunk.
 func TestAnswerChecker(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -28,17 +28,17 @@
 		bad   bool
 		ended bool
 	}{
-		{"whole", "a:1 a:2 a:3!", 3, false, true},
-		{"signs of life", "a:0 a:1 a:0 a:2!", 2, false, true},
-		{"doubled", "a:1 a:1 a:2 a:1 a:3!", 3, false, true},
-		{"doubled end", "a:1 a:2! a:2!", 2, false, true},
-		{"crossed", "a:1 b:2", 1, true, false},
-		{"late from an earlier attempt", "a:1 a.0:2", 1, true, false},
+		{"complete", "a:1 a:2 a:3!", 3, false, true},
+		{"keep-alive chunks", "a:0 a:1 a:0 a:2!", 2, false, true},
+		{"duplicate chunks", "a:1 a:1 a:2 a:1 a:3!", 3, false, true},
+		{"duplicate last chunk", "a:1 a:2! a:2!", 2, false, true},
+		{"chunk of another attempt", "a:1 b:2", 1, true, false},
+		{"late chunk of an earlier attempt", "a:1 a.0:2", 1, true, false},
 		{"gap", "a:1 a:3", 1, true, false},
-		{"resumed too far on", "a:5", 0, true, false},
+		{"resumed too late", "a:5", 0, true, false},
 		{"resumed too early", "a:1 a:2 a:1 a:2 a:3!", 3, false, true},
-		{"after the end", "a:1! a:2", 1, true, true},
-		{"no end", "a:1 a:2", 2, false, false},
+		{"chunk after the end", "a:1! a:2", 1, true, true},
+		{"end missing", "a:1 a:2", 2, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -69,8 +69,9 @@
 	}
 }
 
-// serveClosingOnSecond serves connections: it answers the first request of each, reads the
-// second and then closes. It counts the requests.
+// serveClosingOnSecond starts a server that responds to the first request on each
+// connection, and reads the second and closes the connection. It returns the address and
+// the number of requests that the server has read.
 func serveClosingOnSecond(t *testing.T) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -118,8 +119,8 @@
 	return l.Addr().String(), n
 }
 
-// TestNeverSentTwice proves that a request that an endpoint reads before it
-// closes the connection is not sent again by the transport.
+// TestNeverSentTwice guards against an HTTP transport that sends a request again after an
+// endpoint has read it and closed the connection.
 func TestNeverSentTwice(t *testing.T) {
 	t.Run("engine", func(t *testing.T) {
 		is := is.New(t)
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,24 +1,24 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package engine is the interface to model engines, and its adapter over HTTP.
+// Package engine defines the interface to model engines and implements it over
+// HTTP.
 //
-// An engine runs attempts. An attempt is one try to answer one request; its id
-// names the instance that dispatched it. The answer is a stream of chunks that
-// carry the attempt's id and a sequence number from 1, and one explicit end.
-// Check refuses a gap, a foreign id and a missing end, so that a caller gets a
-// whole answer or an error.
+// An engine runs attempts. An attempt is one try to answer one request. The
+// answer is a stream of chunks. Each chunk carries the id of the attempt and a
+// sequence number that starts at 1, and the last chunk states why the answer
+// ended. AnswerChecker detects missing chunks, chunks of other attempts and
+// chunks after the end, and reports whether the last chunk has arrived.
 //
 // The protocol over HTTP:
 //
-//	POST   /v1/attempts               Attempt in, lines of Chunk out
-//	GET    /v1/attempts/{id}?from=N   the lines of Chunk from N on
-//	DELETE /v1/attempts/{id}          cancel; no error when unknown
-//	POST   /v1/reservations           Reservation: memory of one member of a group
-//	GET    /v1/status?list=BOOL       Status: load, held memory and what runs
-//	POST   /v1/orders                 Order, fenced
-//	GET    /v1/events?after=N         Events of the prefix cache
+//	POST   /v1/attempts               starts an Attempt; returns lines of Chunk
+//	GET    /v1/attempts/{id}?from=N   returns the lines of Chunk from number N
+//	DELETE /v1/attempts/{id}          cancels; succeeds for an unknown id
+//	POST   /v1/reservations           makes a Reservation on one engine of a group
+//	GET    /v1/status?list=BOOL       returns the Status
+//	POST   /v1/orders                 submits an Order
+//	GET    /v1/events?after=N         returns each CacheEvent after number N
 //
-// A refusal carries a body of the form {"code":…,"started":false}. Only a
-// refusal that says so, and a connection that never came about, prove that the
-// attempt did not start.
+// The body of a refusal is a Refusal. Only a refusal with "started":false or a
+// failure to connect proves that an attempt did not start.
 package engine
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -15,110 +15,120 @@
 
 // Attempt is one try to answer one request on one engine.
 type Attempt struct {
-	// ID names the attempt. It is unique over all instances and restarts.
+	// ID is the id of the attempt, unique over all instances and restarts.
 	ID string `json:"id"`
-	// Holder names the instance that dispatched the attempt.
+	// Holder is the id of the instance that dispatched the attempt.
 	Holder string `json:"holder"`
-	// Instance names the endpoint instance that is meant; an engine that is
-	// another instance refuses the attempt. Empty means any.
+	// Instance is the id of the endpoint instance that may run the attempt. Any
+	// other instance refuses it. Empty allows every instance.
 	Instance string `json:"instance,omitempty"`
-	// Model names the model.
+	// Model is the id of the model.
 	Model string `json:"model"`
-	// Adapter names the adapter; empty means none.
+	// Adapter is the id of the adapter; empty means none.
 	Adapter string `json:"adapter,omitempty"`
-	// Prompt is the whole prompt.
+	// Prompt is the complete prompt.
 	Prompt string `json:"prompt"`
-	// MaxTokens bounds the answer, in tokens.
+	// MaxTokens bounds the length of the answer, in tokens.
 	MaxTokens int `json:"max_tokens"`
-	// Priority orders attempts within the engine; lower runs first.
+	// Priority orders the attempts on the engine. Lower values run first.
 	Priority int `json:"priority"`
-	// Members are the ids of reservations on the other engines of a group.
+	// Members lists the ids of the reservations on the other engines of a group
+	// that runs the attempt jointly; empty for a single engine.
 	Members []string `json:"members,omitempty"`
 }
 
-// Reservation holds memory on one member of a group.
+// Reservation reserves memory on one engine of a group that runs an attempt
+// jointly.
 type Reservation struct {
-	// ID names the reservation; Cancel returns its memory.
+	// ID is the id of the reservation. Cancel releases its memory.
 	ID string `json:"id"`
-	// Holder names the instance that made the reservation.
+	// Holder is the id of the instance that made the reservation.
 	Holder string `json:"holder"`
-	// Tokens is how much context is held.
+	// Tokens is the size of the reserved memory, in tokens of context.
 	Tokens int `json:"tokens"`
 }
 
-// Chunk is one line of an answer.
+// Chunk is one line of the answer to an attempt.
 type Chunk struct {
-	// Attempt names the attempt that the chunk is part of.
+	// Attempt is the id of the attempt that the chunk belongs to.
 	Attempt string `json:"a"`
-	// Seq is the chunk's number, from 1. It is zero on a sign of life.
+	// Seq is the sequence number of the chunk, starting at 1. It is zero for a
+	// keep-alive chunk.
 	Seq int `json:"s,omitempty"`
 	// Text is the text of one token.
 	Text string `json:"t,omitempty"`
-	// End is why the answer ended; empty while it goes on.
+	// End is the reason why the answer ended. It is empty on all chunks but the
+	// last.
 	End string `json:"end,omitempty"`
-	// PromptTokens is the prompt's length; set at the end.
+	// PromptTokens is the length of the prompt. It is set on the last chunk.
 	PromptTokens int `json:"prompt_tokens,omitempty"`
-	// CachedTokens is how much of the prompt was cached; set at the end.
+	// CachedTokens is how many tokens of the prompt were found in the prefix
+	// cache. It is set on the last chunk.
 	CachedTokens int `json:"cached_tokens,omitempty"`
 }
 
-// Held is one attempt or reservation that an engine holds memory for.
+// Held describes an attempt or a reservation that holds memory of an engine.
 type Held struct {
-	// ID names the attempt or reservation.
+	// ID is the id of the attempt or reservation.
 	ID string `json:"id"`
-	// Holder names the instance that dispatched it.
+	// Holder is the id of the instance that made it.
 	Holder string `json:"holder"`
-	// Bytes is the memory held.
+	// Bytes is the size of the held memory.
 	Bytes int64 `json:"bytes"`
-	// Age is how long it has been held.
+	// Age is the time since the engine accepted it.
 	Age time.Duration `json:"age"`
 }
 
-// Status is an engine's report. It lags behind the engine.
+// Status is a report of an engine on itself. It may be out of date when it
+// arrives.
 type Status struct {
-	// Instance names the endpoint instance.
+	// Instance is the id of the endpoint instance.
 	Instance string `json:"instance"`
-	// HeldBytes is the memory that attempts and reservations hold.
+	// HeldBytes is the memory that attempts and reservations hold together.
 	HeldBytes int64 `json:"held_bytes"`
-	// PrefillTokens is the prefill work that is left.
+	// PrefillTokens is the number of prompt tokens that are not yet prefilled.
 	PrefillTokens int `json:"prefill_tokens"`
-	// Digest is the Digest of the ids of all that holds memory.
+	// Digest is the result of the function Digest for the ids of all attempts
+	// and reservations that hold memory.
 	Digest uint64 `json:"digest"`
-	// Running lists what holds memory, when the list was asked for.
+	// Running lists the attempts and reservations that hold memory, if the
+	// request asked for the list.
 	Running []Held `json:"running,omitempty"`
-	// Model and Version are what is loaded.
+	// Model is the id of the model that is loaded.
 	Model string `json:"model"`
-	// Version is the version of the weights that are loaded.
+	// Version is the version of the model's weights that is loaded.
 	Version string `json:"version"`
-	// Adapters are the adapters that are loaded.
+	// Adapters lists the ids of the adapters that are loaded.
 	Adapters []string `json:"adapters"`
 }
 
-// Order asks an engine to load a model, version or adapter.
+// Order tells an engine which model, version and adapters to load.
 type Order struct {
-	// Fence is an offset of the log. An engine that checks fences refuses an
-	// order below the highest fence it has seen.
+	// Fence is a fencing token, an offset of the log. An engine that checks
+	// fences refuses an order whose fence is below the highest one it has seen.
 	Fence int64 `json:"fence"`
-	// Model, Version and Adapters are what should be loaded.
+	// Model is the id of the model to load.
 	Model string `json:"model"`
-	// Version is the version of the weights.
+	// Version is the version of the model's weights to load.
 	Version string `json:"version"`
-	// Adapters are the adapters that should be loaded.
+	// Adapters lists the ids of the adapters to load.
 	Adapters []string `json:"adapters"`
 }
 
-// CacheEvent tells of one block of the prefix cache.
+// CacheEvent reports that a block entered or left the prefix cache.
 type CacheEvent struct {
-	// Seq numbers the events from 1; a jump is a gap.
+	// Seq numbers the events, starting at 1. A skipped number means that an
+	// event was lost.
 	Seq int64 `json:"seq"`
-	// Block is the hash of the prompt up to the end of the block.
+	// Block is the hash of the prompt up to the end of the block, as returned by
+	// BlockHashes.
 	Block uint64 `json:"block"`
-	// Dropped is true when the block has left the cache.
+	// Dropped is true if the block left the cache, false if it entered.
 	Dropped bool `json:"dropped"`
 }
 
-// Digest returns a hash of a set of ids: the exclusive or of the hash of each,
-// so that the order does not matter and equal sets have equal digests.
+// Digest returns a hash of a set of ids, which doesn't depend on their order. It
+// is the exclusive or of the hashes of the ids.
 func Digest(ids iter.Seq[string]) uint64 {
 	d := uint64(0)
 	for id := range ids {
@@ -127,55 +137,57 @@
 	return d
 }
 
-// Stream is the answer to an attempt.
+// Stream reads the answer to an attempt.
 type Stream interface {
-	// Next returns the next chunk. It returns io.EOF after the last.
+	// Next returns the next chunk, or io.EOF after the last one.
 	Next() (Chunk, error)
-	// Close lets go of the stream. It cancels nothing.
+	// Close closes the stream. It does not cancel the attempt.
 	Close() error
 }
 
-// Client talks to one engine.
+// Client sends requests to one engine.
 type Client interface {
-	// Run starts an attempt. An error is a *RunError.
+	// Run starts an attempt and returns its answer. An error is a *RunError.
 	Run(ctx context.Context, a Attempt) (Stream, error)
-	// Resume returns the chunks of a running attempt from seq on.
+	// Resume returns the chunks of a running attempt from number seq on.
 	Resume(ctx context.Context, id string, seq int) (Stream, error)
-	// Cancel ends an attempt or reservation. It is no error when the engine
-	// knows none of that id.
+	// Cancel cancels the attempt or reservation with the id. It returns no error
+	// if there is none.
 	Cancel(ctx context.Context, id string) error
-	// Reserve holds memory for a group. An error is a *RunError.
+	// Reserve reserves memory for an attempt of a group. An error is a *RunError.
 	Reserve(ctx context.Context, r Reservation) error
-	// Status returns the engine's report, with the list of what holds memory
-	// or without it.
+	// Status returns the status of the engine. The status lists what holds memory
+	// if list is true.
 	Status(ctx context.Context, list bool) (Status, error)
-	// Order asks for a model, version or adapter.
+	// Order tells the engine which model, version and adapters to load.
 	Order(ctx context.Context, o Order) error
-	// Events returns the cache events after seq.
+	// Events returns the events of the prefix cache after number after.
 	Events(ctx context.Context, after int64) ([]CacheEvent, error)
 }
 
-// RunError is why an engine did not start or finish an attempt.
+// RunError reports that a request to an engine failed or was refused.
 type RunError struct {
-	// Ran states what is known of the start.
+	// Ran states whether the attempt has run, as far as is known.
 	Ran problem.Ran
-	// Code is the engine's own code, or "unreachable".
+	// Code is the code of the engine's refusal, RefusedFault if the response had
+	// none, or Unreachable if there was no response.
 	Code string
-	// Err is the cause.
+	// Err is the underlying error.
 	Err error
 }
 
-// Error returns the code and the cause.
+// Error returns the code, the value of Ran and the underlying error.
 func (e *RunError) Error() string {
 	return fmt.Sprintf("engine: %s (%s): %v", e.Code, e.Ran, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *RunError) Unwrap() error {
 	return e.Err
 }
 
-// The codes of refusals that are part of the protocol.
+// The codes of refusals in the protocol, and Unreachable, which stands for a
+// missing response.
 const (
 	RefusedMemory    = "memory"
 	RefusedInstance  = "instance"
@@ -186,14 +198,15 @@
 	Unreachable      = "unreachable"
 )
 
-// TokenBytes is how many bytes of prompt count as one token where no
-// tokenizer is at hand.
+// TokenBytes is the number of prompt bytes that count as one token, an estimate
+// that needs no tokenizer.
 const TokenBytes = 4
 
-// Tokens returns how many tokens a prompt of n bytes counts as.
+// Tokens returns the estimated number of tokens of a prompt of n bytes, rounded
+// up.
 func Tokens(n int) int {
 	return (n + TokenBytes - 1) / TokenBytes
 }
 
-// BlockTokens is the size of one block of the prefix cache, in tokens.
+// BlockTokens is the size of a block of the prefix cache, in tokens.
 const BlockTokens = 256
--- a/engine/http.go
+++ b/engine/http.go
@@ -18,18 +18,19 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// streamBuffer is the size of the buffer that an answer is read through, in
-// bytes. A line is one token with its frame, about a hundred bytes.
+// streamBuffer is the size of the buffer for reading an answer, in bytes. It
+// bounds the length of a line; a line holds one token.
 const streamBuffer = 2 << 10
 
-// HTTP is the adapter to an engine over HTTP.
+// HTTP implements Client over HTTP.
 type HTTP struct {
 	client *http.Client
 	base   string
 }
 
-// NewHTTP returns an adapter to the engine at a host and port. The client
-// must not follow redirects to other hosts; it carries the dial time-outs.
+// NewHTTP returns a client of the engine at address, a host and port. The given
+// client must bound the time to connect and must not follow redirects to other
+// hosts.
 func NewHTTP(client *http.Client, address string) *HTTP {
 	return &HTTP{
 		client: client,
@@ -37,13 +38,13 @@
 	}
 }
 
-// Refusal is the wire form of an engine's refusal.
+// Refusal is the JSON body with which an engine refuses a request.
 type Refusal struct {
-	// Code is one of the codes of refusals.
+	// Code is one of the constants RefusedMemory to RefusedFault.
 	Code string `json:"code"`
-	// Started is false when the attempt did not start and will not.
+	// Started is false if the attempt has not started and never will.
 	Started bool `json:"started"`
-	// Detail explains the refusal.
+	// Detail describes the reason in words.
 	Detail string `json:"detail"`
 }
 
@@ -96,7 +97,8 @@
 	return out, err
 }
 
-// call sends a request and reads a whole answer into out.
+// call sends a request and decodes the JSON body of the response into out, unless
+// out is nil.
 func (h *HTTP) call(ctx context.Context, method, path string, in, out any) error {
 	res, err := h.send(ctx, method, path, in)
 	if err != nil {
@@ -112,8 +114,9 @@
 	return nil
 }
 
-// send sends a request. An error is a *RunError: not_run when no connection
-// came about or the engine said that it did not start, else may_have_run.
+// send sends a request and returns the response if its status is 2xx. Otherwise
+// it returns a *RunError. Its Ran is NotRun if no connection was established or
+// the engine refused the request as not started, and MayHaveRun otherwise.
 func (h *HTTP) send(ctx context.Context, method, path string, in any) (*http.Response, error) {
 	ctx, connected := wirehttp.Watch(ctx)
 	var body io.Reader
@@ -146,6 +149,7 @@
 	return nil, refusalError(res)
 }
 
+// notRunError returns a RunError for a request that did not reach the engine.
 func notRunError(err error) *RunError {
 	return &RunError{
 		Ran:  problem.NotRun,
@@ -154,7 +158,8 @@
 	}
 }
 
-// refusalError reads a refusal. A body that is none proves nothing.
+// refusalError reads a refusal and returns it as a *RunError. If the body is not a
+// refusal, the attempt may have run.
 func refusalError(res *http.Response) *RunError {
 	r := Refusal{
 		Code:    RefusedFault,
@@ -174,7 +179,8 @@
 	return e
 }
 
-// chunkReader reads an answer line by line.
+// chunkReader implements Stream on the body of a response, with one chunk per
+// line.
 type chunkReader struct {
 	body io.ReadCloser
 	r    *bufio.Reader
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -8,18 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// blockBytes is the size of one block of the prefix cache, in bytes.
+// blockBytes is the number of prompt bytes that one block of the prefix cache
+// covers.
 const blockBytes = BlockTokens * TokenBytes
 
-// hashBytes is the length of a block's hash.
+// hashBytes is the length of the hash of a block, in bytes.
 const hashBytes = 8
 
-// BlockHashes returns a hash for each whole block of a prompt, at most limit of
-// them. Each hash covers the prompt from its start to the end of the block:
+// BlockHashes returns a hash for each of the first limit complete blocks of a
+// prompt. Each hash covers the prompt from its start to the end of the block, where
+// | is concatenation:
 //
 //	h_0 = H(scope), h_i = H(h_{i-1} | block_i)
 //
-// Prompts of different scopes share no block.
+// The hashes depend on the scope, so that equal prompts of different scopes don't
+// match.
 func BlockHashes(scope, prompt string, limit int) []uint64 {
 	n := min(len(prompt)/blockBytes, limit)
 	out := make([]uint64, 0, n)
@@ -29,7 +32,7 @@
 	for i := range n {
 		d.Reset()
 		binary.LittleEndian.PutUint64(link[:], h)
-		// A Digest's Write never fails.
+		// The write methods of xxhash.Digest never return an error.
 		_, _ = d.Write(link[:])
 		_, _ = d.WriteString(prompt[i*blockBytes : (i+1)*blockBytes])
 		h = d.Sum64()
--- a/instances/instances.go
+++ b/instances/instances.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package instances is the interface to the platform's list of live and
-// leaving instances, and its adapter over HTTP.
+// Package instances defines the interface to the platform's list of live and
+// leaving instances and implements it over HTTP.
 //
-// The list lags: an instance that has gone may still be on it, and a new one
-// may not be yet. It says who should be there, never who answers.
+// The list may be out of date: it may still contain an instance that has ended,
+// or not yet contain a new one. An instance on the list need not be reachable.
 //
-// The protocol over HTTP: GET /v1/instances?since=V -> List. With since, the
-// platform may answer with just the changes after version V, which keeps the
-// regular reads small: the whole list of 11 200 instances is 1.7 MB.
+// The protocol over HTTP is GET /v1/instances?since=V, which returns a List. If V
+// is not 0, the platform may return only the changes after version V, which keeps
+// the responses to regular reads small.
 package instances
 
 import (
@@ -22,82 +22,86 @@
 	"github.com/linkmast/linkmast/internal/wirehttp"
 )
 
-// Kind tells the system's own instances from endpoint instances.
+// Kind is the kind of an instance, a node or an endpoint.
 type Kind string
 
 // The kinds of instance.
 const (
-	// KindNode is an instance of the system.
+	// KindNode is an instance of Linkmast.
 	KindNode Kind = "node"
-	// KindEndpoint is an engine or a plain service.
+	// KindEndpoint is an engine or an endpoint of a plain service.
 	KindEndpoint Kind = "endpoint"
 )
 
-// State is what the platform says of an instance.
+// State is the state of an instance according to the platform.
 type State string
 
 // The states of an instance.
 const (
-	// Live instances may be used.
+	// Live instances may get new work.
 	Live State = "live"
-	// Leaving instances get no new work.
+	// Leaving instances are about to end and must get no new work.
 	Leaving State = "leaving"
 )
 
-// Instance is one entry of the list.
+// Instance is an instance on the list.
 type Instance struct {
-	// ID names the instance. A replacement has another id.
+	// ID is the id of the instance. An instance that replaces it at the same
+	// address has another id.
 	ID string `json:"id"`
-	// Kind is what the instance is.
+	// Kind is KindNode or KindEndpoint.
 	Kind Kind `json:"kind"`
-	// Address is the host and port that others reach it at.
+	// Address is the host and port that other instances connect to.
 	Address string `json:"address"`
-	// FailureDomain names where it runs.
+	// FailureDomain is the id of the failure domain that the instance runs in.
 	FailureDomain string `json:"failure_domain"`
-	// Region names the region of the failure domain.
+	// Region is the id of the region of the failure domain.
 	Region string `json:"region"`
-	// State is live or leaving.
+	// State is Live or Leaving.
 	State State `json:"state"`
 }
 
-// List is all that the platform knows.
+// List is the platform's list of instances, or the changes since an earlier
+// version of it.
 type List struct {
-	// Version grows with each change.
+	// Version increases with each change of the list.
 	Version int64 `json:"version"`
-	// Since is the version that the list is the change from; zero means that
-	// it is the whole list.
+	// Since is the version that the changes are relative to. Zero means that this
+	// is the complete list.
 	Since int64 `json:"since,omitempty"`
-	// Removed are the ids that are no longer on the list since then.
+	// Removed lists the ids of the instances removed after version Since.
 	Removed []string `json:"removed,omitempty"`
-	// Instances are in no order.
+	// Instances holds all instances of a complete list, or those added or modified
+	// after version Since, in no particular order.
 	Instances []Instance `json:"instances"`
 }
 
-// Lister returns the list.
+// Lister fetches the platform's list of instances.
 type Lister interface {
-	// List returns the list as the platform sees it now, or the change from
-	// version since. Zero asks for the whole list.
+	// List returns the complete list or the changes after version since. If since
+	// is zero, it returns the complete list.
 	List(ctx context.Context, since int64) (List, error)
 }
 
-// Apply returns the list after a change: next itself when it is whole.
+// Apply returns the complete list that results from applying the changes in next
+// to l. If next is a complete list, Apply returns next.
 func (l List) Apply(next List) List {
 	if next.Since == 0 {
 		return next
 	}
-	gone := make(map[string]bool, len(next.Removed)+len(next.Instances))
+	outdated := make(map[string]bool, len(next.Removed)+len(next.Instances))
 	for _, id := range next.Removed {
-		gone[id] = true
+		outdated[id] = true
 	}
 	for _, i := range next.Instances {
-		gone[i.ID] = true
+		outdated[i.ID] = true
 	}
 	out := List{
 		Version:   next.Version,
 		Instances: make([]Instance, 0, len(l.Instances)+len(next.Instances)),
 	}
 	for _, i := range l.Instances {
-		if !gone[i.ID] {
+		if !outdated[i.ID] {
 			out.Instances = append(out.Instances, i)
 		}
 	}
@@ -105,13 +109,13 @@
 	return out
 }
 
-// HTTP is the adapter to the list over HTTP.
+// HTTP implements Lister over HTTP.
 type HTTP struct {
 	client *http.Client
 	base   string
 }
 
-// NewHTTP returns an adapter to the list at a host and port.
+// NewHTTP returns a client of the platform's list at address, a host and port.
 func NewHTTP(client *http.Client, address string) *HTTP {
 	return &HTTP{
 		client: client,
--- a/logsvc/doc.go
+++ b/logsvc/doc.go
@@ -1,18 +1,19 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package logsvc is the interface to the platform's append-only log, and its
-// adapter over HTTP.
+// Package logsvc defines the interface to the platform's append-only log and
+// implements it over HTTP.
 //
-// A stream is a sequence of records with offsets from 1. An append adds a
-// batch of records to one stream at consecutive offsets. Records are kept for
-// a limited time, so a read may start above the offset asked for.
+// A stream is a sequence of records. The first record has the offset 1. An append
+// adds a batch of records to one stream at consecutive offsets. The log keeps
+// records for a limited time, so the records that a read returns may start above
+// the requested offset.
 //
 // The protocol over HTTP:
 //
 //	POST /v1/streams/{name}                   {"records":[…]} -> {"offset":N}
 //	GET  /v1/streams/{name}?from=N&wait_ms=M  -> Batch
 //
-// A 503 proves that an append had no effect. The answer to an append can be
-// lost after the records were added. Such an
-// append fails with Unknown and is settled by reading.
+// The status 503 proves that an append had no effect. If the response to an append
+// is lost, the error has Unknown set, and the caller has to read the stream to find
+// out whether the records were added.
 package logsvc
--- a/logsvc/logsvc.go
+++ b/logsvc/logsvc.go
@@ -17,42 +17,45 @@
 	"github.com/linkmast/linkmast/internal/wirehttp"
 )
 
-// Record is one entry of a stream.
+// Record is a record of a stream.
 type Record struct {
-	// Offset is the record's place in its stream, from 1.
+	// Offset is the position of the record in its stream, starting at 1.
 	Offset int64 `json:"offset"`
-	// Data is what was appended.
+	// Data is the content of the record as it was appended.
 	Data []byte `json:"data"`
 }
 
-// Batch is the answer to a read.
+// Batch is the result of a read.
 type Batch struct {
-	// Earliest is the lowest offset that is still kept; Next-1 is the highest.
+	// Earliest is the lowest offset that the log still keeps. The highest is
+	// Next-1.
 	Earliest int64 `json:"earliest"`
-	// Next is the offset that the next append will get.
+	// Next is the offset that the next appended record will get.
 	Next int64 `json:"next"`
-	// Records are in order and without gaps. There may be more to read.
+	// Records are in the order of their offsets, without gaps. The stream may have
+	// further records.
 	Records []Record `json:"records"`
 }
 
 // Log is the platform's log.
 type Log interface {
-	// Append adds records to a stream and returns the offset of the first.
-	// An error is a *Error.
+	// Append appends records to a stream and returns the offset of the first.
+	// An error is an *Error.
 	Append(ctx context.Context, stream string, records [][]byte) (int64, error)
-	// Read returns records from an offset on. It waits up to wait for one.
+	// Read returns records of a stream from offset from on. If there are none, it
+	// waits for one for at most wait.
 	Read(ctx context.Context, stream string, from int64, wait time.Duration) (Batch, error)
 }
 
-// Error is a failed call to the log.
+// Error reports that an append or a read failed.
 type Error struct {
-	// Unknown is true when the append may have taken effect.
+	// Unknown is true if an append may have taken effect.
 	Unknown bool
-	// Err is the cause.
+	// Err is the underlying error.
 	Err error
 }
 
-// Error returns the cause and whether the append may have taken effect.
+// Error returns the underlying error and whether the effect is unknown.
 func (e *Error) Error() string {
 	if e.Unknown {
 		return fmt.Sprintf("log: effect unknown: %v", e.Err)
@@ -60,37 +63,36 @@
 	return fmt.Sprintf("log: no effect: %v", e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error {
 	return e.Err
 }
 
-// IsUnknown states whether the append that failed with err may have taken
-// effect.
+// IsUnknown reports whether the append that returned err may have taken effect.
 func IsUnknown(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Unknown
 }
 
-// AppendBody is the wire form of an append.
+// AppendBody is the JSON body of the request for an append.
 type AppendBody struct {
-	// Records are added in order.
+	// Records are appended in this order.
 	Records [][]byte `json:"records"`
 }
 
-// AppendAnswer is the wire form of the answer to an append.
+// AppendAnswer is the JSON body of the response to an append.
 type AppendAnswer struct {
-	// Offset is the place of the first record.
+	// Offset is the offset of the first appended record.
 	Offset int64 `json:"offset"`
 }
 
-// HTTP is the adapter to the log over HTTP.
+// HTTP implements Log over HTTP.
 type HTTP struct {
 	client *http.Client
 	base   string
 }
 
-// NewHTTP returns an adapter to the log at a host and port.
+// NewHTTP returns a client of the log at address, a host and port.
 func NewHTTP(client *http.Client, address string) *HTTP {
 	return &HTTP{
 		client: client,
--- a/plain/plain.go
+++ b/plain/plain.go
@@ -1,11 +1,12 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package plain is the interface to plain services, and its adapter over HTTP.
+// Package plain defines the interface to plain services and implements it over
+// HTTP.
 //
-// A plain service answers whole calls. Its answer, whatever its status, is the
-// caller's; only an answer with the header Linkmast-Started set to "false"
-// proves that the call had no effect, and so does a connection that never came
-// about.
+// A plain service responds to each call with one response, which is returned to
+// the caller whatever its status. Only a response with the header
+// Linkmast-Started set to "false" or a failure to connect proves that a call had
+// no effect.
 package plain
 
 import (
@@ -21,78 +22,80 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// StartedHeader is the answer header that says whether a call had an effect.
+// StartedHeader is the response header that a service sets to "false" if a call
+// had no effect. The response is then not returned to the caller.
 const StartedHeader = "Linkmast-Started"
 
-// RequestHeader is the call header that carries the request's id.
+// RequestHeader is the request header that carries the id of the request.
 const RequestHeader = "Linkmast-Request-Id"
 
-// InstanceHeader is the call header that names the endpoint instance that is
-// meant; another instance at the address refuses the call.
+// InstanceHeader is the request header with the id of the endpoint instance that
+// may execute the call. Any other instance at the address refuses it.
 const InstanceHeader = "Linkmast-Instance"
 
-// MaxAnswerBytes bounds an answer.
+// MaxAnswerBytes is the maximum size of the body of a response.
 const MaxAnswerBytes = 16 << 20
 
-// Call is one call of a plain service.
+// Call is a call of a plain service.
 type Call struct {
-	// Request is the request's id.
+	// Request is the id of the request.
 	Request string
-	// Instance names the endpoint instance that is meant; empty means any.
+	// Instance is the id of the endpoint instance that may execute the call. Empty
+	// allows every instance.
 	Instance string
 	// Method is the HTTP method.
 	Method string
-	// Path is the path below the service, with its query.
+	// Path is the path on the endpoint, with the query.
 	Path string
-	// ContentType is the type of the body.
+	// ContentType is the media type of Body; empty means that none is sent.
 	ContentType string
-	// Body is the whole body.
+	// Body is the complete body of the request.
 	Body []byte
 }
 
-// Answer is a whole answer.
+// Answer is the complete response to a call.
 type Answer struct {
 	// Status is the HTTP status code.
 	Status int
-	// ContentType is the type of the body.
+	// ContentType is the media type of Body.
 	ContentType string
-	// Body is the whole body.
+	// Body is the complete body of the response.
 	Body []byte
 }
 
-// CallError is a call without an answer.
+// CallError reports that a call has no response for the caller.
 type CallError struct {
-	// Ran states what is known of the call's effect.
+	// Ran states whether the call took effect, as far as is known.
 	Ran problem.Ran
-	// Err is the cause.
+	// Err is the underlying error.
 	Err error
 }
 
-// Error returns the cause and what is known of the effect.
+// Error returns the value of Ran and the underlying error.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("plain service (%s): %v", e.Ran, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *CallError) Unwrap() error {
 	return e.Err
 }
 
-// Client talks to one endpoint of a plain service.
+// Client sends requests to one endpoint of a plain service.
 type Client interface {
-	// Call makes one call. An error is a *CallError.
+	// Call sends a call and returns the response. An error is a *CallError.
 	Call(ctx context.Context, c Call) (Answer, error)
-	// Probe states whether the endpoint answers.
+	// Probe returns an error unless the endpoint reports that it is healthy.
 	Probe(ctx context.Context) error
 }
 
-// HTTP is the adapter to a plain service over HTTP.
+// HTTP implements Client over HTTP.
 type HTTP struct {
 	client *http.Client
 	base   string
 }
 
-// NewHTTP returns an adapter to the endpoint at a host and port.
+// NewHTTP returns a client of the endpoint at address, a host and port.
 func NewHTTP(client *http.Client, address string) *HTTP {
 	return &HTTP{
 		client: client,
@@ -138,7 +141,8 @@
 	return readAnswer(res)
 }
 
-// readAnswer reads a whole readAnswer. One that is cut short or too long is an error.
+// readAnswer reads the complete response. It returns a *CallError with Ran set to
+// DidRun if the body breaks off or is longer than MaxAnswerBytes.
 func readAnswer(res *http.Response) (Answer, error) {
 	data, err := io.ReadAll(io.LimitReader(res.Body, MaxAnswerBytes+1))
 	if err == nil && len(data) > MaxAnswerBytes {
@@ -157,7 +161,7 @@
 	}, nil
 }
 
-// Probe implements Client.
+// Probe implements Client. It requests /healthz and expects the status 200.
 func (h *HTTP) Probe(ctx context.Context) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.base+"/healthz", nil)
 	if err != nil {
