--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -24,8 +24,8 @@
 	restartDelay = 2 * time.Second
 	// sendCount is how often callers send the request.
 	sendCount = 90
-	// maxCrashes bounds the crashes: three until the request is quarantined, and three more
-	// for attempts that are already running.
+	// maxCrashes bounds the crashes. The request is banned after three; three more are
+	// allowed.
 	maxCrashes = 6
 )
 
@@ -36,7 +36,7 @@
 	Crashes() int
 }
 
-// crashables are all endpoints of a fleet.
+// crashables returns all endpoints of the fleet.
 func (v *virtualFleet) crashables() []crashable {
 	var out []crashable
 	for _, e := range v.engines {
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -6,7 +6,7 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// PrefillRate returns the nominal prefill rate of all engines together, in
+// PrefillRate returns the configured prefill rate of all engines together, in
 // tokens per second.
 func (f *Fleet) PrefillRate() float64 {
 	return float64(len(f.Engines)) * f.settings.Engine.PrefillTokensPerSecond
--- a/fleet/faults_test.go
+++ b/fleet/faults_test.go
@@ -18,9 +18,9 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// TestRequestsUnderFaults checks for each fault that every request ends within its deadline,
-// with its complete answer or a correct report on whether it ran, and that the engines release
-// all memory.
+// TestRequestsUnderFaults checks for each fault that every request ends by its deadline with
+// its complete answer, an aborted connection or a correct report on whether it ran, and that
+// the engines release all memory.
 func TestRequestsUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -318,8 +318,8 @@
 	return n, nil
 }
 
-// Publish publishes a configuration in TOML and returns its generation, which
-// is the offset of the verdict in the log.
+// Publish publishes a configuration in TOML and returns the offset of its record
+// in the log, which is its generation if it is accepted.
 func (f *Fleet) Publish(text string) (int64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
@@ -350,7 +350,7 @@
 	return nil
 }
 
-// pollInterval is the time between two checks of a condition that is waited for.
+// pollInterval is the time between two checks in WaitReady and WaitMemoryReleased.
 const pollInterval = 10 * time.Millisecond
 
 // DefaultConfiguration returns the configuration in TOML of a fleet with the given
--- a/fleet/virtual_test.go
+++ b/fleet/virtual_test.go
@@ -23,8 +23,8 @@
 )
 
 // virtualFleet is a fleet without a network that runs inside a testing/synctest
-// bubble. Calls between its components pass through gate, which simulates
-// network faults, dead components and frozen components.
+// bubble. Calls between its nodes, endpoints and platform pass through gate,
+// which simulates broken connections and dead or frozen components.
 type virtualFleet struct {
 	platform *standin.Platform
 	engines  map[string]*standin.Engine
@@ -35,7 +35,8 @@
 
 	mu sync.Mutex
 	// cut holds the components and the pairs "a|b" that are disconnected.
-	cut    map[string]bool
+	cut map[string]bool
+	// frozen holds a channel for each frozen component, which thaw closes.
 	frozen map[string]chan struct{}
 	dead   map[string]bool
 }
@@ -72,12 +73,15 @@
 	}
 }
 
+// kill makes all calls to and from a component fail.
 func (v *virtualFleet) kill(id string) {
 	v.mu.Lock()
 	v.dead[id] = true
 	v.mu.Unlock()
 }
 
+// freeze holds up all calls to and from a component until thaw is called. Calls fail
+// after frozenTimeout.
 func (v *virtualFleet) freeze(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -86,6 +90,7 @@
 	}
 }
 
+// thaw lets the calls to and from a frozen component continue.
 func (v *virtualFleet) thaw(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
