--- a/engine/check_test.go
+++ b/engine/check_test.go
@@ -18,9 +18,9 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// TestCheck follows answers as they may arrive. Each step is a chunk "id:seq",
-// with "!" at the end of the answer.
-func TestCheck(t *testing.T) {
+// TestAnswerChecker guards against accepting an answer with missing, repeated or foreign
+// chunks. Each step is a chunk "id:seq", with "!" after the last chunk.
+func TestAnswerChecker(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		steps string
@@ -28,21 +28,21 @@
 		bad   bool
 		ended bool
 	}{
-		{"whole", "a:1 a:2 a:3!", 3, false, true},
-		{"signs of life", "a:0 a:1 a:0 a:2!", 2, false, true},
-		{"doubled", "a:1 a:1 a:2 a:1 a:3!", 3, false, true},
-		{"doubled end", "a:1 a:2! a:2!", 2, false, true},
-		{"crossed", "a:1 b:2", 1, true, false},
-		{"late from an earlier attempt", "a:1 a.0:2", 1, true, false},
+		{"complete", "a:1 a:2 a:3!", 3, false, true},
+		{"keep-alive chunks", "a:0 a:1 a:0 a:2!", 2, false, true},
+		{"duplicate chunks", "a:1 a:1 a:2 a:1 a:3!", 3, false, true},
+		{"duplicate last chunk", "a:1 a:2! a:2!", 2, false, true},
+		{"chunk of another attempt", "a:1 b:2", 1, true, false},
+		{"late chunk of an earlier attempt", "a:1 a.0:2", 1, true, false},
 		{"gap", "a:1 a:3", 1, true, false},
-		{"resumed too far on", "a:5", 0, true, false},
+		{"resumed too late", "a:5", 0, true, false},
 		{"resumed too early", "a:1 a:2 a:1 a:2 a:3!", 3, false, true},
-		{"after the end", "a:1! a:2", 1, true, true},
-		{"no end", "a:1 a:2", 2, false, false},
+		{"chunk after the end", "a:1! a:2", 1, true, true},
+		{"end missing", "a:1 a:2", 2, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			check := engine.Check{
+			check := engine.AnswerChecker{
 				Attempt: "a",
 			}
 			fresh, bad := 0, false
@@ -69,9 +69,10 @@
 	}
 }
 
-// rude serves connections: it answers the first request of each, reads the
-// second and then closes. It counts the requests.
-func rude(t *testing.T) (string, *atomic.Int64) {
+// serveClosingOnSecond starts a server that responds to the first request on each
+// connection, and reads the second and closes the connection. It returns the address and
+// the number of requests that the server has read.
+func serveClosingOnSecond(t *testing.T) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,12 +119,12 @@
 	return l.Addr().String(), n
 }
 
-// TestNeverSentTwice proves that a request that an endpoint reads before it
-// closes the connection is not sent again by the transport.
+// TestNeverSentTwice guards against an HTTP transport that sends a request again after an
+// endpoint has read it and closed the connection.
 func TestNeverSentTwice(t *testing.T) {
 	t.Run("engine", func(t *testing.T) {
 		is := is.New(t)
-		address, n := rude(t)
+		address, n := serveClosingOnSecond(t)
 		client := engine.NewHTTP(wirehttp.Client(), address)
 		is.NoErr(client.Cancel(t.Context(), "warm up"))
 		_, err := client.Run(t.Context(), engine.Attempt{ID: "a"})
@@ -135,7 +136,7 @@
 	t.Run("plain service", func(t *testing.T) {
 		for _, body := range []string{"", "bid"} {
 			is := is.New(t)
-			address, n := rude(t)
+			address, n := serveClosingOnSecond(t)
 			client := plain.NewHTTP(wirehttp.Client(), address)
 			is.NoErr(client.Probe(t.Context()))
 			_, err := client.Call(t.Context(), plain.Call{Method: "POST", Path: "/", Body: []byte(body)})
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -6,21 +6,22 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// Capacity returns the prefill rate of all engines, in tokens a second.
-func (f *Fleet) Capacity() float64 {
+// PrefillRate returns the configured prefill rate of all engines together, in
+// tokens per second.
+func (f *Fleet) PrefillRate() float64 {
 	return float64(len(f.Engines)) * f.settings.Engine.PrefillTokensPerSecond
 }
 
-// The faults that Strike knows.
+// The names of the faults that InjectFault can inject.
 const (
 	EngineKilled = "engine-killed"
 	EngineFrozen = "engine-frozen"
 	NodeKilled   = "node-killed"
 )
 
-// Strike brings about a fault at the first engine or node. Any other name is
-// no fault.
-func (f *Fleet) Strike(fault string) {
+// InjectFault injects the named fault into the first engine or the first node.
+// It does nothing for other names.
+func (f *Fleet) InjectFault(fault string) {
 	switch fault {
 	case EngineKilled:
 		f.Engines[0].Kill()
@@ -33,10 +34,11 @@
 	}
 }
 
-// Doubled returns how many calls of plain services took effect more than once.
-func (f *Fleet) Doubled() int {
+// RepeatedCalls returns the number of bodies that took effect more than once in
+// calls of plain services. Calls with equal bodies count as the same call.
+func (f *Fleet) RepeatedCalls() int {
 	n := 0
-	for body, calls := range f.calls() {
+	for body, calls := range f.callsByBody() {
 		if body != "" && calls > 1 {
 			n++
 		}
@@ -44,8 +46,9 @@
 	return n
 }
 
-// calls returns how often each body took effect at all endpoints together.
-func (f *Fleet) calls() map[string]int {
+// callsByBody returns how often each body took effect on all endpoints together,
+// keyed by the SHA-256 of the body.
+func (f *Fleet) callsByBody() map[string]int {
 	total := make(map[string]int)
 	for _, h := range f.Services {
 		for body, n := range h.Service.AllCalls() {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package fleet runs a whole deployment in one process, on loopback: the
-// stand-in platform, engines and plain services, and nodes. It serves the
-// demo, the load tool and the tests.
+// Package fleet runs a complete deployment in one process on the loopback
+// interface: nodes, and stand-ins for the platform, the engines and the plain
+// services. The demo, the load tool and tests use it.
 package fleet
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// Settings are the measures of a Fleet. A zero value means the default.
+// Settings configures a Fleet. Zero values select the defaults.
 type Settings struct {
 	// Nodes is the number of nodes; the default is 3.
 	Nodes int
@@ -36,30 +36,34 @@
 	Services int
 	// Domains is the number of failure domains; the default is 3.
 	Domains int
-	// Engine are the measures of each engine.
+	// Engine configures each engine. Zero for the prefill rate, the memory
+	// and the memory per token selects the rated values.
 	Engine standin.EngineSettings
-	// Log are the measures of the platform's log.
+	// Log configures the platform's log.
 	Log standin.LogSettings
-	// Strategy is the nodes' strategy.
+	// Strategy is the scheduling strategy of the nodes; the default is
+	// settings.Weighed.
 	Strategy string
-	// Node changes the settings of a node before its start.
+	// Node modifies the settings of each node before the node starts. It may
+	// be nil.
 	Node func(*settings.File)
-	// Logger gets the nodes' lines.
+	// Logger receives the log lines of the nodes; by default they are
+	// discarded.
 	Logger logr.Logger
 }
 
-// The names that the fleet's configuration uses.
+// Identifiers in the configuration of a fleet.
 const (
-	// Model is the model that all engines serve.
+	// Model is the id of the model that all engines serve.
 	Model = "m1"
-	// Adapter is an adapter of Model.
+	// Adapter is the id of an adapter of Model.
 	Adapter = "m1-desk"
-	// Service is the plain service.
+	// Service is the id of the plain service.
 	Service = "lots"
-	// Region is the only region.
+	// Region is the id of the only region.
 	Region = "r1"
 
-	// version is the version that the engines have loaded.
+	// version is the version of Model that the engines have loaded.
 	version = "1"
 )
 
@@ -70,56 +74,56 @@
 	defaultDomains  = 3
 )
 
-// The rated measures of a stand-in engine.
+// The rated values of a stand-in engine.
 const (
-	ratedPrefill = 40_000
-	ratedTokens  = 400_000
-	ratedKV      = 1024
-	maxPrompt    = 1_100_000
+	ratedPrefillTokensPerSecond = 40_000
+	ratedMemoryTokens           = 400_000
+	ratedKVBytesPerToken        = 1024
+	maxPromptTokens             = 1_100_000
 )
 
-// Customer is a customer of the fleet's configuration.
+// Customer is a customer in the configuration of a fleet.
 type Customer struct {
-	// ID names the customer.
+	// ID is the id of the customer.
 	ID string
-	// Tier is what it bought.
+	// Tier is the id of the highest tier that the customer may use.
 	Tier string
-	// Key is its bearer key.
+	// Key is the bearer token that authenticates the customer.
 	Key string
 }
 
-// Customers are the customers of every fleet.
+// Customers lists the customers that every fleet configures, one per tier.
 var Customers = []Customer{
 	{ID: "desk", Tier: "gold", Key: "key-desk"},
 	{ID: "office", Tier: "silver", Key: "key-office"},
 	{ID: "board", Tier: "bronze", Key: "key-board"},
 }
 
-// Host is one stand-in endpoint with its server.
-type Host struct {
-	// ID names the endpoint.
+// Endpoint is a stand-in engine or plain service together with its HTTP server.
+type Endpoint struct {
+	// ID is the id of the endpoint in the configuration.
 	ID string
-	// Address is where it listens.
+	// Address is the host and port that the endpoint listens on.
 	Address string
-	// Engine is set for engines.
+	// Engine is the engine; nil for plain services.
 	Engine *standin.Engine
-	// Service is set for plain services.
+	// Service is the plain service; nil for engines.
 	Service *standin.Service
 
 	server *http.Server
 }
 
-// Fleet is a whole deployment.
+// Fleet is a running deployment. Close stops it.
 type Fleet struct {
 	// Platform is the stand-in platform.
 	Platform *standin.Platform
-	// PlatformAddress is where it listens.
+	// PlatformAddress is the host and port that the platform listens on.
 	PlatformAddress string
-	// Engines are the model engines.
-	Engines []*Host
-	// Services are the endpoints of the plain service.
-	Services []*Host
-	// Nodes are the nodes.
+	// Engines holds the model engines.
+	Engines []*Endpoint
+	// Services holds the endpoints of the plain service.
+	Services []*Endpoint
+	// Nodes holds the nodes in the order in which they were added.
 	Nodes []*node.Node
 
 	settings Settings
@@ -141,13 +145,13 @@
 		}
 	}
 	if s.Engine.PrefillTokensPerSecond == 0 {
-		s.Engine.PrefillTokensPerSecond = ratedPrefill
+		s.Engine.PrefillTokensPerSecond = ratedPrefillTokensPerSecond
 	}
 	if s.Engine.KVBytesPerToken == 0 {
-		s.Engine.KVBytesPerToken = ratedKV
+		s.Engine.KVBytesPerToken = ratedKVBytesPerToken
 	}
 	if s.Engine.MemoryBytes == 0 {
-		s.Engine.MemoryBytes = ratedTokens * s.Engine.KVBytesPerToken
+		s.Engine.MemoryBytes = ratedMemoryTokens * s.Engine.KVBytesPerToken
 	}
 	if s.Strategy == "" {
 		s.Strategy = settings.Weighed
@@ -157,11 +161,12 @@
 	}
 }
 
-// readyTimeout bounds the start of a fleet.
+// readyTimeout bounds WaitReady, the publication of a configuration and the
+// time that a server waits for request headers.
 const readyTimeout = 20 * time.Second
 
 // Start starts a fleet, publishes its configuration and waits until every node
-// is ready.
+// is ready. On an error it stops what it has started.
 func Start(s Settings) (*Fleet, error) {
 	s.setDefaults()
 	f := &Fleet{
@@ -201,7 +206,9 @@
 	return f.WaitReady()
 }
 
-// Serve serves a handler at an address, and returns the address in use.
+// Serve starts an HTTP server for h on address. It returns the server and the
+// address that the server listens on, which has the chosen port if the port in
+// address is 0.
 func Serve(address string, h http.Handler) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -211,13 +218,14 @@
 		Handler:           h,
 		ReadHeaderTimeout: readyTimeout,
 	}
-	// Serve returns when the server is closed.
+	// Serve returns http.ErrServerClosed once the server is closed.
 	go func() { _ = s.Serve(l) }()
 	return s, l.Addr().String(), nil
 }
 
-// domain returns the failure domain of the i-th of something.
-func (f *Fleet) domain(i int) string {
+// failureDomain returns the failure domain of the i-th engine, service or node.
+// The failure domains are assigned in turn.
+func (f *Fleet) failureDomain(i int) string {
 	return fmt.Sprintf("d%d", i%f.settings.Domains+1)
 }
 
@@ -232,13 +240,13 @@
 	if err != nil {
 		return err
 	}
-	f.Engines = append(f.Engines, &Host{
+	f.Engines = append(f.Engines, &Endpoint{
 		ID:      id,
 		Address: address,
 		Engine:  e,
 		server:  server,
 	})
-	f.list(es.Instance, address, f.domain(i))
+	f.addToList(es.Instance, address, f.failureDomain(i))
 	return nil
 }
 
@@ -251,18 +259,18 @@
 	if err != nil {
 		return err
 	}
-	f.Services = append(f.Services, &Host{
+	f.Services = append(f.Services, &Endpoint{
 		ID:      id,
 		Address: address,
 		Service: v,
 		server:  server,
 	})
-	f.list(id+"-1", address, f.domain(i))
+	f.addToList(id+"-1", address, f.failureDomain(i))
 	return nil
 }
 
-// list puts an endpoint instance on the platform's list.
-func (f *Fleet) list(id, address, domain string) {
+// addToList adds an endpoint instance to the platform's list of instances.
+func (f *Fleet) addToList(id, address, domain string) {
 	f.Platform.Instances.Put(instances.Instance{
 		ID:            id,
 		Kind:          instances.KindEndpoint,
@@ -273,12 +281,13 @@
 	})
 }
 
-// AddNode starts the i-th node and puts it on the platform's list.
+// AddNode starts the node with index i, counted from 0, and adds it to the
+// platform's list of instances.
 func (f *Fleet) AddNode(i int) (*node.Node, error) {
 	s := &settings.File{
 		ID:            fmt.Sprintf("n%d", i+1),
 		Region:        Region,
-		FailureDomain: f.domain(i),
+		FailureDomain: f.failureDomain(i),
 		Listen:        "127.0.0.1:0",
 		PeerListen:    "127.0.0.1:0",
 		AdminListen:   "127.0.0.1:0",
@@ -309,7 +318,8 @@
 	return n, nil
 }
 
-// Publish publishes a configuration and returns its generation.
+// Publish publishes a configuration in TOML and returns the offset of its record
+// in the log, which is its generation if it is accepted.
 func (f *Fleet) Publish(text string) (int64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
@@ -321,7 +331,8 @@
 	return v.Offset, err
 }
 
-// WaitReady waits until every node is ready and knows the others.
+// WaitReady waits until every node is ready and has all nodes of the fleet as
+// members. It returns an error if this takes longer than 20 s.
 func (f *Fleet) WaitReady() error {
 	until := time.Now().Add(readyTimeout)
 	for _, n := range f.Nodes {
@@ -333,18 +344,18 @@
 			if time.Now().After(until) {
 				return errors.Errorf("node %s is not ready: %s, %d members", s.Instance, s.Reason, s.Members)
 			}
-			time.Sleep(readyLook)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// readyLook is how often readiness is looked at.
-const readyLook = 10 * time.Millisecond
+// pollInterval is the time between two checks in WaitReady and WaitMemoryReleased.
+const pollInterval = 10 * time.Millisecond
 
-// Text returns the configuration of engines and plain endpoints with the
-// default measures.
-func Text(engines, services []*Host) string {
+// DefaultConfiguration returns the configuration in TOML of a fleet with the given
+// engines and endpoints of the plain service and otherwise default settings.
+func DefaultConfiguration(engines, services []*Endpoint) string {
 	f := &Fleet{
 		Engines:  engines,
 		Services: services,
@@ -353,12 +364,13 @@
 	return f.Configuration()
 }
 
-// Configuration returns the fleet's configuration.
+// Configuration returns the configuration of the fleet in TOML. It contains
+// the engines and services that have been started.
 func (f *Fleet) Configuration() string {
 	var b strings.Builder
 	b.WriteString("format = 1\n\n[[regions]]\nid = \"" + Region + "\"\n")
 	for i := range f.settings.Domains {
-		fmt.Fprintf(&b, "\n[[failure_domains]]\nid = %q\nregion = %q\n", f.domain(i), Region)
+		fmt.Fprintf(&b, "\n[[failure_domains]]\nid = %q\nregion = %q\n", f.failureDomain(i), Region)
 	}
 	for rank, tier := range []string{"gold", "silver", "bronze"} {
 		fmt.Fprintf(&b, "\n[[tiers]]\nid = %q\nrank = %d\n", tier, rank)
@@ -368,21 +380,21 @@
 		fmt.Fprintf(&b, "\n[[customers]]\nid = %q\ntier = %q\nkey_sha256 = [%q]\n", c.ID, c.Tier, hex.EncodeToString(sum[:]))
 	}
 	fmt.Fprintf(&b, "\n[[models]]\nid = %q\nversion = %q\nkv_bytes_per_token = %d\nmax_prompt_tokens = %d\n",
-		Model, version, f.settings.Engine.KVBytesPerToken, maxPrompt)
+		Model, version, f.settings.Engine.KVBytesPerToken, maxPromptTokens)
 	fmt.Fprintf(&b, "\n[[adapters]]\nid = %q\nmodel = %q\n", Adapter, Model)
 	for i, h := range f.Engines {
 		fmt.Fprintf(&b, "\n[[endpoints]]\nid = %q\nkind = \"engine\"\naddress = %q\nfailure_domain = %q\nmodel = %q\n"+
-			"memory_bytes = %d\nprefill_tokens_per_second = %.1f\n", h.ID, h.Address, f.domain(i), Model,
+			"memory_bytes = %d\nprefill_tokens_per_second = %.1f\n", h.ID, h.Address, f.failureDomain(i), Model,
 			f.settings.Engine.MemoryBytes, f.settings.Engine.PrefillTokensPerSecond)
 	}
 	for i, h := range f.Services {
 		fmt.Fprintf(&b, "\n[[endpoints]]\nid = %q\nkind = \"plain\"\naddress = %q\nfailure_domain = %q\nservice = %q\n",
-			h.ID, h.Address, f.domain(i), Service)
+			h.ID, h.Address, f.failureDomain(i), Service)
 	}
 	return b.String()
 }
 
-// Addresses returns where callers reach each node.
+// Addresses returns the host and port of each node for requests of callers.
 func (f *Fleet) Addresses() []string {
 	out := make([]string, 0, len(f.Nodes))
 	for _, n := range f.Nodes {
@@ -391,7 +403,8 @@
 	return out
 }
 
-// HeldBytes returns the memory that is held at all engines.
+// HeldBytes returns the memory that attempts and reservations hold on all
+// engines together.
 func (f *Fleet) HeldBytes() int64 {
 	total := int64(0)
 	for _, h := range f.Engines {
@@ -400,19 +413,21 @@
 	return total
 }
 
-// WaitFree waits until no engine holds memory, and returns what is held when
-// the time is over.
-func (f *Fleet) WaitFree(within time.Duration) int64 {
+// WaitMemoryReleased waits until no engine holds memory for attempts or
+// reservations, at most for the given time. It returns the bytes that are still
+// held.
+func (f *Fleet) WaitMemoryReleased(within time.Duration) int64 {
 	until := time.Now().Add(within)
 	for f.HeldBytes() > 0 && time.Now().Before(until) {
-		time.Sleep(readyLook)
+		time.Sleep(pollInterval)
 	}
 	return f.HeldBytes()
 }
 
-// Kill ends an endpoint as if its instance died.
-func (h *Host) Kill() {
-	// Connections that fail to close are gone all the same.
+// Kill closes the server of an endpoint with all its connections, as if the
+// instance had died. An engine also stops serving attempts.
+func (h *Endpoint) Kill() {
+	// An error while closing a connection doesn't matter here.
 	_ = h.server.Close()
 	if h.Engine != nil {
 		h.Engine.SetFaults(standin.Faults{
@@ -421,13 +436,14 @@
 	}
 }
 
-// Close ends everything at once.
+// Close closes all nodes, endpoints and the platform without waiting for
+// running requests.
 func (f *Fleet) Close() {
 	for _, n := range f.Nodes {
 		n.Close()
 	}
 	for _, h := range append(f.Engines, f.Services...) {
-		// Connections that fail to close are gone all the same.
+		// An error while closing a connection doesn't matter here.
 		_ = h.server.Close()
 		if h.Engine != nil {
 			h.Engine.Stop()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -16,8 +16,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// fast are engines that make a test short.
-func fast() standin.EngineSettings {
+// fastEngines configures engines whose prefill and decode take little real time.
+func fastEngines() standin.EngineSettings {
 	return standin.EngineSettings{
 		PrefillTokensPerSecond: 4_000_000,
 		ChunkTokens:            20_000,
@@ -25,10 +25,12 @@
 	}
 }
 
-func start(t *testing.T, s Settings) *Fleet {
+// startFleet starts a fleet, with fast engines by default, and closes it when the
+// test ends.
+func startFleet(t *testing.T, s Settings) *Fleet {
 	t.Helper()
 	if s.Engine.DecodeStep == 0 {
-		s.Engine = fast()
+		s.Engine = fastEngines()
 	}
 	f, err := Start(s)
 	if err != nil {
@@ -38,11 +40,12 @@
 	return f
 }
 
-// prompt returns a prompt of n tokens that begins with a name.
+// prompt returns a prompt of n tokens that begins with name.
 func prompt(name string, n int) string {
 	return name + strings.Repeat("abcdefgh", n/2)[:n*4-len(name)]
 }
 
+// post sends body as JSON and returns the response and its complete body.
 func post(t *testing.T, url, key string, body any) (*http.Response, []byte) {
 	t.Helper()
 	data, err := json.Marshal(body)
@@ -66,8 +69,8 @@
 	return res, out
 }
 
-// textOf returns the text of a whole answer.
-func textOf(t testing.TB, data []byte) string {
+// answerText returns the text of a completion in JSON.
+func answerText(t testing.TB, data []byte) string {
 	t.Helper()
 	var a struct {
 		Choices []struct {
@@ -75,13 +78,14 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal(data, &a); err != nil || len(a.Choices) != 1 {
-		t.Fatalf("no answer: %s", data)
+		t.Fatalf("body is not a completion: %s", data)
 	}
 	return a.Choices[0].Text
 }
 
-// streamOf returns the text of a streamed answer, and whether it was whole.
-func streamOf(t testing.TB, data []byte) (string, bool) {
+// streamedText returns the text of a streamed completion, and whether its end marker
+// was received.
+func streamedText(t testing.TB, data []byte) (string, bool) {
 	t.Helper()
 	var text strings.Builder
 	for _, line := range strings.Split(string(data), "\n") {
@@ -92,15 +96,17 @@
 		if event == "[DONE]" {
 			return text.String(), true
 		}
-		text.WriteString(textOf(t, []byte(event)))
+		text.WriteString(answerText(t, []byte(event)))
 	}
 	return text.String(), false
 }
 
-func TestWholePath(t *testing.T) {
-	f := start(t, Settings{})
+// TestEndToEnd guards against wrong answers and lost memory over loopback
+// connections, for completions of all sizes and a call of a plain service.
+func TestEndToEnd(t *testing.T) {
+	f := startFleet(t, Settings{})
 	for _, tokens := range []int{1_000, 30_000, 200_000, 1_000_000} {
-		t.Run("whole "+humanTokens(tokens), func(t *testing.T) {
+		t.Run("whole "+formatTokens(tokens), func(t *testing.T) {
 			is := is.New(t)
 			p := prompt("whole", tokens)
 			res, data := post(t, "http://"+f.Nodes[0].Listen+"/v1/completions", "key-desk", map[string]any{
@@ -109,9 +115,9 @@
 				"max_tokens": 20,
 			})
 			is.Equal(res.StatusCode, http.StatusOK)
-			is.Equal(textOf(t, data), standin.Answer(p, 20))
+			is.Equal(answerText(t, data), standin.Answer(p, 20))
 		})
-		t.Run("stream "+humanTokens(tokens), func(t *testing.T) {
+		t.Run("stream "+formatTokens(tokens), func(t *testing.T) {
 			is := is.New(t)
 			p := prompt("stream", tokens)
 			res, data := post(t, "http://"+f.Nodes[1].Listen+"/v1/completions", "key-office", map[string]any{
@@ -121,8 +127,8 @@
 				"stream":     true,
 			})
 			is.Equal(res.StatusCode, http.StatusOK)
-			text, whole := streamOf(t, data)
-			is.True(whole)
+			text, complete := streamedText(t, data)
+			is.True(complete)
 			is.Equal(text, standin.Answer(p, 20))
 		})
 	}
@@ -136,13 +142,14 @@
 		is.NoErr(json.Unmarshal(data, &echo))
 		is.Equal(echo.Path, "/bids?lot=7")
 	})
-	t.Run("memory is back", func(t *testing.T) {
+	t.Run("memory is released", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(f.WaitFree(10*time.Second), int64(0))
+		is.Equal(f.WaitMemoryReleased(10*time.Second), int64(0))
 	})
 }
 
-func humanTokens(n int) string {
+// formatTokens formats a number of tokens for the name of a subtest.
+func formatTokens(n int) string {
 	if n >= 1_000_000 {
 		return "1M"
 	}
--- a/fleet/proofs_test.go
+++ b/fleet/proofs_test.go
@@ -15,17 +15,17 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// The bounds that docs/proofs.md states.
+// The time bounds that the tests check.
 const (
-	// memoryBound is how long the memory of an attempt takes to come back
-	// after its holder died.
-	memoryBound = 15 * time.Second
-	// answerSlack is how much later than its deadline an answer may come.
+	// memoryReleaseBound bounds the time until the engines have released all
+	// memory after the last request or the loss of the holder.
+	memoryReleaseBound = 15 * time.Second
+	// answerSlack is how long after its deadline a response may still arrive.
 	answerSlack = 100 * time.Millisecond
 )
 
-// completion returns the body of a completion.
-func completion(prompt string, tokens int, stream bool) string {
+// completionBody returns the JSON body of a completion request.
+func completionBody(prompt string, tokens int, stream bool) string {
 	data, _ := json.Marshal(map[string]any{
 		"model":      Model,
 		"prompt":     prompt,
@@ -35,37 +35,37 @@
 	return string(data)
 }
 
-// asked is one request with its answer.
-type asked struct {
-	vanswer
+// exchange is a completion request and the response to it.
+type exchange struct {
+	response
 	prompt string
 	tokens int
 	stream bool
 }
 
-// wholeAnswer states whether the caller got the whole of its own answer, and
-// whether it got something that passes for whole.
-func (a *asked) wholeAnswer(t testing.TB) (own, seemsWhole bool) {
+// checkBody reports whether the caller got the expected answer to its prompt, and
+// whether it got an answer that looks complete.
+func (a *exchange) checkBody(t testing.TB) (correct, complete bool) {
 	t.Helper()
 	if a.status != http.StatusOK || a.broken {
 		return false, false
 	}
 	want := standin.Answer(a.prompt, a.tokens)
 	if !a.stream {
-		return textOf(t, []byte(a.body)) == want, true
+		return answerText(t, []byte(a.body)) == want, true
 	}
-	text, seemsWhole := streamOf(t, []byte(a.body))
-	return seemsWhole && text == want, seemsWhole
+	text, complete := streamedText(t, []byte(a.body))
+	return complete && text == want, complete
 }
 
-// burst sends n requests spread over the nodes and a second, and calls strike
-// when half of them are out. It returns when all are answered.
-func (v *virtual) burst(t *testing.T, n, promptTokens, tokens int, deadline time.Duration, strike func()) []*asked {
+// sendBurst sends n requests to all nodes in turn over one second, and calls inject
+// after half a second. It returns when all requests have ended.
+func (v *virtualFleet) sendBurst(t *testing.T, n, promptTokens, tokens int, deadline time.Duration, inject func()) []*exchange {
 	t.Helper()
 	var all sync.WaitGroup
-	out := make([]*asked, n)
+	out := make([]*exchange, n)
 	for i := range n {
-		a := &asked{
+		a := &exchange{
 			prompt: prompt(fmt.Sprintf("burst %d ", i), promptTokens),
 			tokens: tokens,
 			stream: i%2 == 0,
@@ -73,45 +73,46 @@
 		out[i] = a
 		all.Go(func() {
 			time.Sleep(time.Duration(i) * time.Second / time.Duration(n))
-			a.vanswer = v.send(context.Background(), fmt.Sprintf("n%d", i%len(v.nodes)+1), "/v1/completions",
-				completion(a.prompt, a.tokens, a.stream), map[string]string{
+			a.response = v.send(context.Background(), fmt.Sprintf("n%d", i%len(v.nodes)+1), "/v1/completions",
+				completionBody(a.prompt, a.tokens, a.stream), map[string]string{
 					entry.HeaderDeadline: deadline.String(),
 				})
 		})
 	}
 	time.Sleep(500 * time.Millisecond)
-	strike()
+	inject()
 	all.Wait()
 	return out
 }
 
-// wantTruth fails unless every answer is whole and its own or an error in time,
-// and no request that was said not to have run did.
-func wantTruth(t testing.TB, v *virtual, answers []*asked, deadline time.Duration) (whole int) {
+// checkAnswers fails the test unless each request ended in time with its complete,
+// correct answer, an error or an aborted connection, and no prompt that was reported
+// as not run was started. It returns the number of complete, correct answers.
+func checkAnswers(t testing.TB, v *virtualFleet, answers []*exchange, deadline time.Duration) (answered int) {
 	t.Helper()
 	for _, a := range answers {
-		own, seems := a.wholeAnswer(t)
-		if seems && !own {
-			t.Errorf("request %s got an answer that is not its own", a.id)
+		correct, complete := a.checkBody(t)
+		if complete && !correct {
+			t.Errorf("request %s got a complete answer with the wrong text", a.id)
 		}
 		if a.took > deadline+answerSlack {
-			t.Errorf("request %s was answered after %s, its deadline is %s", a.id, a.took, deadline)
+			t.Errorf("request %s ended after %s, its deadline is %s", a.id, a.took, deadline)
 		}
-		if !own && !a.broken && a.ran == "" {
-			t.Errorf("request %s got neither its answer nor an error: %d %q", a.id, a.status, a.body)
+		if !correct && !a.broken && a.ran == "" {
+			t.Errorf("request %s got neither its answer nor a valid error: status %d, body %q", a.id, a.status, a.body)
 		}
-		if a.ran == "not_run" && v.starts(a.prompt) > 0 {
-			t.Errorf("request %s ran, but was said not to have: %s", a.id, a.body)
+		if a.ran == "not_run" && v.startCount(a.prompt) > 0 {
+			t.Errorf("request %s was reported as not run, but its prompt was started: %s", a.id, a.body)
 		}
-		if own {
-			whole++
+		if correct {
+			answered++
 		}
 	}
-	return whole
+	return answered
 }
 
-// starts returns how often a prompt was started at all engines.
-func (v *virtual) starts(prompt string) int {
+// startCount returns how often all engines together have started a prompt.
+func (v *virtualFleet) startCount(prompt string) int {
 	n := 0
 	for _, e := range v.engines {
 		n += e.Started(prompt)
@@ -119,20 +120,22 @@
 	return n
 }
 
-// wantFree fails unless all memory comes back within the bound.
-func wantFree(t testing.TB, v *virtual) {
+// checkMemoryReleased fails the test unless the engines release all memory within
+// memoryReleaseBound.
+func checkMemoryReleased(t testing.TB, v *virtualFleet) {
 	t.Helper()
-	for range int(memoryBound / time.Second) {
-		if v.held() == 0 {
+	for range int(memoryReleaseBound / time.Second) {
+		if v.heldBytes() == 0 {
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	t.Errorf("%d bytes are still held after %s", v.held(), memoryBound)
+	t.Errorf("engines still hold %d bytes after %s", v.heldBytes(), memoryReleaseBound)
 }
 
-func small() vsettings {
-	return vsettings{
+// smallFleet configures three nodes, four engines and two plain endpoints.
+func smallFleet() virtualSettings {
+	return virtualSettings{
 		nodes:    3,
 		engines:  4,
 		services: 2,
