--- a/engine/http.go
+++ b/engine/http.go
@@ -115,7 +115,7 @@
 // send sends a request. An error is a *RunError: not_run when no connection
 // came about or the engine said that it did not start, else may_have_run.
 func (h *HTTP) send(ctx context.Context, method, path string, in any) (*http.Response, error) {
-	ctx, connected := wirehttp.Watch(ctx)
+	ctx, connected := wirehttp.TraceConnection(ctx)
 	var body io.Reader
 	size := 0
 	if in != nil {
@@ -160,7 +160,7 @@
 		Code:    RefusedFault,
 		Started: true,
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, wirehttp.MaxRefusal)).Decode(&r); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, wirehttp.MaxErrorBody)).Decode(&r); err != nil {
 		r.Started = true
 	}
 	e := &RunError{
--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -70,7 +70,7 @@
 			Overage: f.Cold.Overage,
 			Slack:   f.Cold.Slack,
 		},
-		SlowdownQuerier: platform.NewReports(wirehttp.Bounded(idleQuestions), g.heardAt, g.log.WithName("reports")),
+		SlowdownQuerier: platform.NewReports(wirehttp.ClientMaxIdle(idleQuestions), g.heardAt, g.log.WithName("reports")),
 		Check:           tcp.Check,
 		Worth:           f.Worth,
 		Quarantine:      g.quarantine,
--- a/internal/days/main.go
+++ b/internal/days/main.go
@@ -81,7 +81,7 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	return table(out, o.Days, reports)
+	return writeTable(out, o.Days, reports)
 }
 
 // play plays one day and returns its report. The player's own verdict on a day,
--- a/internal/days/report.go
+++ b/internal/days/report.go
@@ -41,8 +41,8 @@
 	return r, nil
 }
 
-// number returns the figure in the row of a name; zero when there is none.
-func number(rows [][]any, name string) float64 {
+// rowValue returns the figure in the row of a name; zero when there is none.
+func rowValue(rows [][]any, name string) float64 {
 	for _, row := range rows {
 		if len(row) == 3 && row[0] == name {
 			v, _ := row[2].(float64)
@@ -52,8 +52,8 @@
 	return 0
 }
 
-// sum returns what a report lost to prices.
-func (r *report) sum() float64 {
+// priceTotal returns what a report lost to prices.
+func (r *report) priceTotal() float64 {
 	s := 0.0
 	for _, row := range r.Prices {
 		if len(row) == 3 {
@@ -64,8 +64,8 @@
 	return s
 }
 
-// meanOf returns the mean of a figure, and its standard deviation.
-func meanOf(list []report, figure func(*report) float64) (mean, deviation float64) {
+// meanAndDeviation returns the mean of a figure, and its standard deviation.
+func meanAndDeviation(list []report, figure func(*report) float64) (mean, deviation float64) {
 	for i := range list {
 		mean += figure(&list[i])
 	}
@@ -85,14 +85,14 @@
 	name   string
 	figure func(*report) float64
 }{
-	{"day", func(r *report) float64 { return number(r.Parts, "whole day") }},
-	{"windows", func(r *report) float64 { return number(r.Parts, "worst windows") }},
-	{"kind", func(r *report) float64 { return number(r.Parts, "worst class") }},
-	{"prices", (*report).sum},
+	{"day", func(r *report) float64 { return rowValue(r.Parts, "whole day") }},
+	{"windows", func(r *report) float64 { return rowValue(r.Parts, "worst windows") }},
+	{"kind", func(r *report) float64 { return rowValue(r.Parts, "worst class") }},
+	{"prices", (*report).priceTotal},
 }
 
-// table writes a row for each day, and one for all.
-func table(out io.Writer, days []string, reports [][]report) error {
+// writeTable writes a row for each day, and one for all.
+func writeTable(out io.Writer, days []string, reports [][]report) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "day\tplays\tworth\tspread")
 	for _, c := range columns {
@@ -100,26 +100,26 @@
 	}
 	fmt.Fprintln(w, "\tbroken")
 	for i, day := range days {
-		row(w, day, reports[i])
+		writeRow(w, day, reports[i])
 	}
-	row(w, "all", slices.Concat(reports...))
+	writeRow(w, "all", slices.Concat(reports...))
 	return w.Flush()
 }
 
-// row writes the row of some plays.
-func row(w io.Writer, name string, list []report) {
-	mean, deviation := meanOf(list, func(r *report) float64 { return r.Worth })
+// writeRow writes the writeRow of some plays.
+func writeRow(w io.Writer, name string, list []report) {
+	mean, deviation := meanAndDeviation(list, func(r *report) float64 { return r.Worth })
 	fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f", name, len(list), mean, deviation)
 	for _, c := range columns {
-		mean, _ := meanOf(list, c.figure)
+		mean, _ := meanAndDeviation(list, c.figure)
 		fmt.Fprintf(w, "\t%.3f", mean)
 	}
-	fmt.Fprintf(w, "\t%s\n", broken(list))
+	fmt.Fprintf(w, "\t%s\n", faults(list))
 }
 
-// broken returns the rules that any of the plays broke and what fell short of its
+// faults returns the rules that any of the plays broke and what fell short of its
 // floor, in order; a dash for none.
-func broken(list []report) string {
+func faults(list []report) string {
 	var names []string
 	for _, r := range list {
 		for name := range r.Breaks {
--- a/internal/days/report_test.go
+++ b/internal/days/report_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	var out strings.Builder
 	a, b := mustParse(t, sample), mustParse(t, brokenSample)
-	is.NoErr(table(&out, []string{"one", "two"}, [][]report{{a, a}, {b, b}}))
+	is.NoErr(writeTable(&out, []string{"one", "two"}, [][]report{{a, a}, {b, b}}))
 	is.Equal(strings.Join(strings.Fields(out.String()), " "),
 		"day plays worth spread day windows kind prices broken "+
 			"one 2 0.500 0.000 0.700 0.200 0.600 0.016 - "+
--- a/internal/jsonlog/jsonlog.go
+++ b/internal/jsonlog/jsonlog.go
@@ -39,8 +39,8 @@
 	limit *rate.Limiter
 	// dropped counts the lines that were dropped, and told those of them that
 	// the output was told of.
-	dropped atomic.Int64
-	told    int64
+	dropped  atomic.Int64
+	reported int64
 }
 
 // New returns a writer to w. Close ends it.
@@ -87,7 +87,7 @@
 	for {
 		select {
 		case line := <-j.queue:
-			j.put(w, line)
+			j.writeLine(w, line)
 		case <-j.stop:
 			j.drain(w)
 			return
@@ -100,20 +100,20 @@
 	for {
 		select {
 		case line := <-j.queue:
-			j.put(w, line)
+			j.writeLine(w, line)
 		default:
 			return
 		}
 	}
 }
 
-// put writes one line, and before it how many were dropped since the last.
-func (j *Writer) put(w io.Writer, line []byte) {
-	if n := j.dropped.Load(); n > j.told {
+// writeLine writes one line, and before it how many were dropped since the last.
+func (j *Writer) writeLine(w io.Writer, line []byte) {
+	if n := j.dropped.Load(); n > j.reported {
 		// There is nowhere to tell of a log that can't be written.
 		_, _ = fmt.Fprintf(w, "{\"time\":%q,\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"count\":%d}\n",
-			time.Now().Format(time.RFC3339Nano), n-j.told)
-		j.told = n
+			time.Now().Format(time.RFC3339Nano), n-j.reported)
+		j.reported = n
 	}
 	_, _ = w.Write(line)
 }
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -14,23 +14,23 @@
 // one that doesn't, in this order.
 type Source func() (boot, running time.Duration)
 
-// leastSuspension is the least gain of one clock on the other that counts: more than the
+// minSuspension is the least gain of one clock on the other that counts: more than the
 // clocks' adjustment to the true second brings in a reading's time, and less than any bound
 // that is measured.
-const leastSuspension = time.Millisecond
+const minSuspension = time.Millisecond
 
 var (
-	// source reads the clocks.
-	source atomic.Pointer[Source]
-	// start is the gain at the start of the process, and gained the one since then, in ns.
-	start  time.Duration
-	gained atomic.Int64
+	// clockSource reads the clocks.
+	clockSource atomic.Pointer[Source]
+	// startOffset is the gain at the startOffset of the process, and gained the one since then, in ns.
+	startOffset time.Duration
+	suspended   atomic.Int64
 )
 
 func init() {
 	kernel := Source(readKernel)
-	source.Store(&kernel)
-	start = gain()
+	clockSource.Store(&kernel)
+	startOffset = clockOffset()
 }
 
 // readKernel reads the kernel's clocks.
@@ -46,21 +46,21 @@
 	return time.Duration(b.Nano()), time.Duration(m.Nano())
 }
 
-// gain returns how far the one clock is before the other.
-func gain() time.Duration {
-	boot, running := (*source.Load())()
+// clockOffset returns how far the one clock is before the other.
+func clockOffset() time.Duration {
+	boot, running := (*clockSource.Load())()
 	return boot - running
 }
 
 // Suspended returns for how long the machine was suspended since the process started.
 func Suspended() time.Duration {
-	now := int64(gain() - start)
+	now := int64(clockOffset() - startOffset)
 	for {
-		old := gained.Load()
-		if now < old+int64(leastSuspension) {
+		old := suspended.Load()
+		if now < old+int64(minSuspension) {
 			return time.Duration(old)
 		}
-		if gained.CompareAndSwap(old, now) {
+		if suspended.CompareAndSwap(old, now) {
 			return time.Duration(now)
 		}
 	}
@@ -83,8 +83,8 @@
 	return t.Sub(Now())
 }
 
-// lookEvery is how often WithTimeout looks whether the machine was suspended.
-const lookEvery = 50 * time.Millisecond
+// pollInterval is how often WithTimeout looks whether the machine was suspended.
+const pollInterval = 50 * time.Millisecond
 
 // WithTimeout is context.WithTimeout by this package's time: after a suspension it ends
 // within lookEvery of its moment. It costs a goroutine.
@@ -92,7 +92,7 @@
 	began := Now()
 	ctx, cancel := context.WithTimeout(ctx, d)
 	go func() {
-		tick := time.NewTicker(lookEvery)
+		tick := time.NewTicker(pollInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -108,18 +108,18 @@
 	return ctx, cancel
 }
 
-// Start returns how far the one clock was before the other when the process started. It is
+// StartOffset returns how far the one clock was before the other when the process started. It is
 // for tests.
-func Start() time.Duration {
-	return start
+func StartOffset() time.Duration {
+	return startOffset
 }
 
 // SetSource has the clocks read by another source, until restore is called. It is for tests.
 func SetSource(s Source) (restore func()) {
-	old, oldGain := source.Load(), gained.Load()
-	source.Store(&s)
+	old, oldGain := clockSource.Load(), suspended.Load()
+	clockSource.Store(&s)
 	return func() {
-		source.Store(old)
-		gained.Store(oldGain)
+		clockSource.Store(old)
+		suspended.Store(oldGain)
 	}
 }
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -46,7 +46,7 @@
 // takes no time back.
 func TestNeverBack(t *testing.T) {
 	is := is.New(t)
-	gain := steady.Start()
+	gain := steady.StartOffset()
 	defer steady.SetSource(func() (boot, running time.Duration) { return gain, 0 })()
 	before := steady.Now()
 	gain += time.Minute
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -21,8 +21,8 @@
 	// probeIdle and probeEvery are how soon a connection on which nothing comes
 	// is probed, and how often: an end without power is noticed within three
 	// seconds, while one that is just busy answers. The kernel counts in seconds.
-	probeIdle  = time.Second
-	probeEvery = time.Second
+	probeIdle     = time.Second
+	probeInterval = time.Second
 	// probeCount is how many probes stay without an answer.
 	probeCount = 2
 )
@@ -32,15 +32,15 @@
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: probes(),
-		Control:         control,
+		KeepAliveConfig: keepAliveConfig(),
+		Control:         setOptions,
 	}
 }
 
 // Listen listens on an address for connections that are probed like those of Dialer.
 func Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{
-		KeepAliveConfig: probes(),
+		KeepAliveConfig: keepAliveConfig(),
 	}
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -66,29 +66,29 @@
 	if t, ok := c.(*net.TCPConn); ok {
 		if raw, err := t.SyscallConn(); err == nil {
 			// A connection that has ended is noticed at its first use.
-			_ = bound(raw)
+			_ = setUserTimeout(raw)
 		}
 	}
 	return c, nil
 }
 
-// probes returns how connections are probed.
-func probes() net.KeepAliveConfig {
+// keepAliveConfig returns how connections are probed.
+func keepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{
 		Enable:   true,
 		Idle:     probeIdle,
-		Interval: probeEvery,
+		Interval: probeInterval,
 		Count:    probeCount,
 	}
 }
 
-// control implements the hook of a net.Dialer.
-func control(_, _ string, c syscall.RawConn) error {
-	return bound(c)
+// setOptions implements the hook of a net.Dialer.
+func setOptions(_, _ string, c syscall.RawConn) error {
+	return setUserTimeout(c)
 }
 
-// bound bounds how long bytes that are sent may stay unacknowledged.
-func bound(c syscall.RawConn) error {
+// setUserTimeout bounds how long bytes that are sent may stay unacknowledged.
+func setUserTimeout(c syscall.RawConn) error {
 	// Where the option is missing, the time-outs of requests hold all the same.
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
--- a/internal/tcp/tcp_test.go
+++ b/internal/tcp/tcp_test.go
@@ -24,12 +24,12 @@
 	accepted, err := l.Accept()
 	is.NoErr(err)
 	defer accepted.Close()
-	t.Run("opened", func(t *testing.T) { assertProbed(t, opened) })
-	t.Run("accepted", func(t *testing.T) { assertProbed(t, accepted) })
+	t.Run("opened", func(t *testing.T) { assertKeepAlive(t, opened) })
+	t.Run("accepted", func(t *testing.T) { assertKeepAlive(t, accepted) })
 }
 
-// assertProbed checks the options of a connection.
-func assertProbed(t *testing.T, c net.Conn) {
+// assertKeepAlive checks the options of a connection.
+func assertKeepAlive(t *testing.T, c net.Conn) {
 	t.Helper()
 	is := is.New(t)
 	raw, err := c.(*net.TCPConn).SyscallConn()
--- a/internal/tcp/tcptest/proxy.go
+++ b/internal/tcp/tcptest/proxy.go
@@ -19,10 +19,10 @@
 	Delay time.Duration
 	// Reset resets connections, and new ones at once.
 	Reset bool
-	// Up silences the direction to the target.
-	Up bool
-	// Down silences the direction from the target.
-	Down bool
+	// BlockUp silences the direction to the target.
+	BlockUp bool
+	// BlockDown silences the direction from the target.
+	BlockDown bool
 }
 
 // Proxy passes connections on to a target, through a link that can fail.
@@ -32,11 +32,11 @@
 
 	target string
 
-	mu       sync.Mutex
-	listener net.Listener
-	closed   bool
-	link     Link
-	changed  chan struct{}
+	mu          sync.Mutex
+	listener    net.Listener
+	closed      bool
+	link        Link
+	linkChanged chan struct{}
 	// conns are both ends of the connections that are passed on, and silent of those
 	// that went silent for good.
 	conns  map[net.Conn]struct{}
@@ -50,12 +50,12 @@
 		return nil, err
 	}
 	p := &Proxy{
-		Address:  l.Addr().String(),
-		target:   target,
-		listener: l,
-		changed:  make(chan struct{}),
-		conns:    make(map[net.Conn]struct{}),
-		silent:   make(map[net.Conn]struct{}),
+		Address:     l.Addr().String(),
+		target:      target,
+		listener:    l,
+		linkChanged: make(chan struct{}),
+		conns:       make(map[net.Conn]struct{}),
+		silent:      make(map[net.Conn]struct{}),
 	}
 	go p.accept(l)
 	return p, nil
@@ -66,8 +66,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.link = l
-	close(p.changed)
-	p.changed = make(chan struct{})
+	close(p.linkChanged)
+	p.linkChanged = make(chan struct{})
 	if l.Reset {
 		p.resetAll()
 	}
@@ -83,8 +83,8 @@
 	p.resetAll()
 }
 
-// Accept ends what Refuse began, at the same address. The error is that of listening there.
-func (p *Proxy) Accept() error {
+// Resume ends what Refuse began, at the same address. The error is that of listening there.
+func (p *Proxy) Resume() error {
 	l, err := net.Listen("tcp", p.Address)
 	if err != nil {
 		return err
@@ -165,8 +165,8 @@
 	p.conns[t] = struct{}{}
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(t, c, func(l Link) bool { return l.Up }) })
-	both.Go(func() { p.copy(c, t, func(l Link) bool { return l.Down }) })
+	both.Go(func() { p.copy(t, c, func(l Link) bool { return l.BlockUp }) })
+	both.Go(func() { p.copy(c, t, func(l Link) bool { return l.BlockDown }) })
 	both.Wait()
 	p.drop(c)
 	p.drop(t)
@@ -196,7 +196,7 @@
 			}
 			continue
 		}
-		p.wait(silenced)
+		p.hold(silenced)
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
 				reset(from)
@@ -224,11 +224,11 @@
 	return silent
 }
 
-// wait holds data back while the link says so.
-func (p *Proxy) wait(silenced func(Link) bool) {
+// hold holds data back while the link says so.
+func (p *Proxy) hold(silenced func(Link) bool) {
 	for {
 		p.mu.Lock()
-		l, changed := p.link, p.changed
+		l, changed := p.link, p.linkChanged
 		p.mu.Unlock()
 		if l.Delay > 0 {
 			time.Sleep(l.Delay)
--- a/internal/tcp/tcptest/proxy_test.go
+++ b/internal/tcp/tcptest/proxy_test.go
@@ -44,8 +44,8 @@
 	}{
 		{"well", Link{}, "hello"},
 		{"slow", Link{Delay: 20 * time.Millisecond}, "hello"},
-		{"silent up", Link{Up: true}, ""},
-		{"silent down", Link{Down: true}, ""},
+		{"silent up", Link{BlockUp: true}, ""},
+		{"silent down", Link{BlockDown: true}, ""},
 		{"reset", Link{Reset: true}, ""},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 			is.NoErr(err)
 			defer p.Close()
 			p.Set(row.link)
-			is.Equal(heard(t, p.Address), row.want)
+			is.Equal(echoFrom(t, p.Address), row.want)
 		})
 	}
 }
@@ -68,8 +68,8 @@
 	p.Refuse()
 	_, err = net.Dial("tcp", p.Address)
 	is.True(errors.Is(err, syscall.ECONNREFUSED))
-	is.NoErr(p.Accept())
-	is.Equal(heard(t, p.Address), "hello")
+	is.NoErr(p.Resume())
+	is.Equal(echoFrom(t, p.Address), "hello")
 }
 
 // TestSilence makes a connection silent for good. The next one works.
@@ -81,15 +81,15 @@
 	c, err := net.Dial("tcp", p.Address)
 	is.NoErr(err)
 	defer c.Close()
-	is.Equal(answer(c), "hello")
+	is.Equal(echoOn(c), "hello")
 	p.Silence()
-	is.Equal(answer(c), "")
-	is.Equal(heard(t, p.Address), "hello")
+	is.Equal(echoOn(c), "")
+	is.Equal(echoFrom(t, p.Address), "hello")
 }
 
-// heard says hello to an address and returns what comes back. A reset may already
+// echoFrom says hello to an address and returns what comes back. A reset may already
 // be seen by the dial.
-func heard(t *testing.T, address string) string {
+func echoFrom(t *testing.T, address string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if errors.Is(err, syscall.ECONNRESET) {
@@ -99,11 +99,11 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	return answer(c)
+	return echoOn(c)
 }
 
-// answer says hello on a connection and returns what comes back.
-func answer(c net.Conn) string {
+// echoOn says hello on a connection and returns what comes back.
+func echoOn(c net.Conn) string {
 	c.Write([]byte("hello"))
 	c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 	buf := make([]byte, 5)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -23,26 +23,26 @@
 	address string
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// rested is when the connection became idle, and keep how long the
+	// idleSince is when the connection became idle, and keep how long the
 	// endpoint keeps it then.
-	rested time.Time
-	keep   time.Duration
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
 // newConn returns a fresh connection to an address.
 func newConn(c net.Conn, address string) *Conn {
 	return &Conn{
-		net:     c,
-		address: address,
-		reader:  bufio.NewReaderSize(c, bufferBytes),
-		writer:  bufio.NewWriterSize(c, bufferBytes),
-		keep:    defaultKeep,
+		net:         c,
+		address:     address,
+		reader:      bufio.NewReaderSize(c, bufferBytes),
+		writer:      bufio.NewWriterSize(c, bufferBytes),
+		idleTimeout: defaultIdleTimeout,
 	}
 }
 
-// quiet states whether an idle connection is open and has nothing to read: a read
+// reusable states whether an idle connection is open and has nothing to read: a read
 // that would wait says so.
-func (c *Conn) quiet() bool {
+func (c *Conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -64,15 +64,15 @@
 	return err == nil && quiet
 }
 
-// keepAlive takes over the idle time that an answer names.
-func (c *Conn) keepAlive(h http.Header) {
+// readKeepAlive takes over the idle time that an answer names.
+func (c *Conn) readKeepAlive(h http.Header) {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			continue
 		}
 		if n, err := strconv.Atoi(value); err == nil && n >= 0 {
-			c.keep = max(time.Duration(n)*time.Second-keepMargin, 0)
+			c.idleTimeout = max(time.Duration(n)*time.Second-idleTimeoutMargin, 0)
 		}
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -26,14 +26,14 @@
 	Header http.Header
 	// Body is the whole body.
 	Body []byte
-	// Fresh bounds how long a connection may have rested; zero means that a
+	// MaxIdle bounds how long a connection may have rested; zero means that a
 	// new one is opened.
-	Fresh time.Duration
+	MaxIdle time.Duration
 	// Check is called once there is a connection, just before the request is sent; its error
 	// keeps it from being sent. Nil means no check.
 	Check func() error
-	// Own states whether an answer belongs to the request.
-	Own func(*http.Response) bool
+	// Matches states whether an answer belongs to the request.
+	Matches func(*http.Response) bool
 }
 
 // Error is a request without an answer.
@@ -69,18 +69,18 @@
 	stop func() bool
 	// written gets how the writing of the request ended.
 	written chan error
-	// whole states that the body was read to its end.
-	whole bool
+	// complete states that the body was read to its end.
+	complete bool
 }
 
-// maxForeign bounds the answers to other requests that are skipped.
-const maxForeign = 4
+// maxUnmatched bounds the answers to other requests that are skipped.
+const maxUnmatched = 4
 
 // Do sends a request and returns when the head of its answer is there. The end
 // of ctx closes the connection, also later on. The caller closes the exchange. The
 // error is an *Error.
 func (p *Pool) Do(ctx context.Context, r Request) (*Exchange, error) {
-	c, err := p.get(ctx, r.Address, r.Fresh)
+	c, err := p.get(ctx, r.Address, r.MaxIdle)
 	if err != nil {
 		return nil, notSent(err)
 	}
@@ -96,12 +96,12 @@
 	}
 	if r.Check != nil {
 		if err := r.Check(); err != nil {
-			x.unused()
+			x.release()
 			return nil, notSent(err)
 		}
 	}
 	x.write(r)
-	if err := x.head(r); err != nil {
+	if err := x.readHead(r); err != nil {
 		x.Close()
 		return nil, &Error{
 			Sent: true,
@@ -151,12 +151,12 @@
 	return nil
 }
 
-// head reads answers until there is one that belongs to the request.
-func (x *Exchange) head(r Request) error {
+// readHead reads answers until there is one that belongs to the request.
+func (x *Exchange) readHead(r Request) error {
 	asked := &http.Request{
 		Method: r.Method,
 	}
-	for range maxForeign {
+	for range maxUnmatched {
 		res, err := http.ReadResponse(x.conn.reader, asked)
 		if err != nil {
 			return errors.Wrap(err, "read answer")
@@ -165,7 +165,7 @@
 			// It only announces the answer.
 			continue
 		}
-		if r.Own == nil || r.Own(res) {
+		if r.Matches == nil || r.Matches(res) {
 			x.Response = res
 			return nil
 		}
@@ -176,8 +176,8 @@
 	return errors.New("answers belong to other requests")
 }
 
-// unused gives back the connection of a request of which no byte was written.
-func (x *Exchange) unused() {
+// release gives back the connection of a request of which no byte was written.
+func (x *Exchange) release() {
 	if !x.stop() {
 		x.conn.close()
 		return
@@ -185,10 +185,10 @@
 	x.pool.put(x.conn)
 }
 
-// Whole notes that the body was read to its end, so that the connection can
+// MarkComplete notes that the body was read to its end, so that the connection can
 // serve another request.
-func (x *Exchange) Whole() {
-	x.whole = true
+func (x *Exchange) MarkComplete() {
+	x.complete = true
 }
 
 // Close ends the exchange. A connection is kept only after a whole exchange.
@@ -200,10 +200,10 @@
 		sent = err == nil
 	default:
 	}
-	if !free || !sent || !x.whole || x.Response.Close {
+	if !free || !sent || !x.complete || x.Response.Close {
 		x.conn.close()
 		return
 	}
-	x.conn.keepAlive(x.Response.Header)
+	x.conn.readKeepAlive(x.Response.Header)
 	x.pool.put(x.conn)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -17,25 +17,25 @@
 
 // The times of connections.
 const (
-	// defaultDial bounds the time in which a connection comes up.
-	defaultDial = 400 * time.Millisecond
-	// defaultKeep is how long an idle connection is used again when the
+	// defaultDialTimeout bounds the time in which a connection comes up.
+	defaultDialTimeout = 400 * time.Millisecond
+	// defaultIdleTimeout is how long an idle connection is used again when the
 	// endpoint does not say how long it keeps one.
-	defaultKeep = 3 * time.Second
-	// keepMargin is how much earlier a connection is given up than the
+	defaultIdleTimeout = 3 * time.Second
+	// idleTimeoutMargin is how much earlier a connection is given up than the
 	// endpoint says, for the time that the request is on its way.
-	keepMargin = 700 * time.Millisecond
+	idleTimeoutMargin = 700 * time.Millisecond
 )
 
-// maxIdle bounds the idle connections to one endpoint: an engine of
+// maxIdlePerEndpoint bounds the idle connections to one endpoint: an engine of
 // today has 16 slots.
-const maxIdle = 16
+const maxIdlePerEndpoint = 16
 
 // Settings are the measures of a Pool. A zero value means the default.
 type Settings struct {
-	// Dial bounds the time in which a connection comes up; the default is
+	// DialTimeout bounds the time in which a connection comes up; the default is
 	// 400ms.
-	Dial time.Duration
+	DialTimeout time.Duration
 }
 
 // Pool holds idle connections to endpoints.
@@ -52,11 +52,11 @@
 
 // New returns a pool.
 func New(s Settings) *Pool {
-	if s.Dial == 0 {
-		s.Dial = defaultDial
+	if s.DialTimeout == 0 {
+		s.DialTimeout = defaultDialTimeout
 	}
 	return &Pool{
-		dialer: tcp.Dialer(s.Dial),
+		dialer: tcp.Dialer(s.DialTimeout),
 		idle:   make(map[string][]*Conn),
 	}
 }
@@ -74,7 +74,7 @@
 		if c == nil {
 			break
 		}
-		if rest := steady.Since(c.rested); rest < fresh && rest < c.keep && c.quiet() {
+		if rest := steady.Since(c.idleSince); rest < fresh && rest < c.idleTimeout && c.reusable() {
 			return c, nil
 		}
 		c.close()
@@ -102,14 +102,14 @@
 
 // put keeps a connection for later.
 func (p *Pool) put(c *Conn) {
-	if c.keep <= 0 || c.reader.Buffered() > 0 {
+	if c.idleTimeout <= 0 || c.reader.Buffered() > 0 {
 		c.close()
 		return
 	}
-	c.rested = steady.Now()
+	c.idleSince = steady.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= maxIdle {
+	if len(p.idle[c.address]) >= maxIdlePerEndpoint {
 		c.close()
 		return
 	}
@@ -125,7 +125,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.rested) >= c.keep {
+			if now.Sub(c.idleSince) >= c.idleTimeout {
 				c.close()
 				continue
 			}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -77,8 +77,8 @@
 		Host:    "h",
 		Header:  http.Header{"Id": {id}},
 		Body:    []byte("body"),
-		Fresh:   time.Minute,
-		Own:     func(res *http.Response) bool { return res.Header.Get("Id") == id },
+		MaxIdle: time.Minute,
+		Matches: func(res *http.Response) bool { return res.Header.Get("Id") == id },
 	}
 }
 
@@ -96,7 +96,7 @@
 	defer x.Close()
 	data, err := io.ReadAll(x.Response.Body)
 	if err == nil {
-		x.Whole()
+		x.MarkComplete()
 	}
 	return string(data), err
 }
@@ -140,7 +140,7 @@
 			p := upstream.New(upstream.Settings{})
 			for i := range 3 {
 				r := e.request(fmt.Sprint(i))
-				r.Fresh = row.fresh
+				r.MaxIdle = row.fresh
 				body, err := do(t, p, r)
 				is.NoErr(err)
 				is.Equal(body, "hi")
@@ -164,7 +164,7 @@
 	p := upstream.New(upstream.Settings{})
 	for i, rest := range []time.Duration{0, time.Second, 0} {
 		r := e.request(fmt.Sprint(i))
-		r.Fresh = time.Second
+		r.MaxIdle = time.Second
 		_, err := do(t, p, r)
 		is.NoErr(err)
 		m.Suspend(rest)
--- a/internal/wirehttp/wirehttp.go
+++ b/internal/wirehttp/wirehttp.go
@@ -16,8 +16,8 @@
 	"github.com/linkmast/linkmast/internal/tcp"
 )
 
-// MaxRefusal bounds how much of a refusal is read, in bytes.
-const MaxRefusal = 64 << 10
+// MaxErrorBody bounds how much of a refusal is read, in bytes.
+const MaxErrorBody = 64 << 10
 
 // The times of Client.
 const (
@@ -32,12 +32,12 @@
 // redirect and keeps connections open between calls. Time-outs of whole calls
 // are up to the caller's context.
 func Client() *http.Client {
-	return Bounded(0)
+	return ClientMaxIdle(0)
 }
 
-// Bounded returns a client like that of Client which keeps at most so many idle connections,
+// ClientMaxIdle returns a client like that of Client which keeps at most so many idle connections,
 // to all addresses together; zero means no bound.
-func Bounded(idle int) *http.Client {
+func ClientMaxIdle(idle int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         tcp.Dialer(dialTimeout).DialContext,
@@ -52,9 +52,9 @@
 	}
 }
 
-// Watch returns a context that notes whether a request made with it got a
+// TraceConnection returns a context that notes whether a request made with it got a
 // connection. Without one, nothing of the request can have arrived.
-func Watch(ctx context.Context) (context.Context, *atomic.Bool) {
+func TraceConnection(ctx context.Context) (context.Context, *atomic.Bool) {
 	connected := new(atomic.Bool)
 	trace := &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
@@ -96,7 +96,7 @@
 // connection can be used again.
 func Drain(body io.ReadCloser) {
 	// The answer has been judged by now; a failed read changes nothing.
-	_, _ = io.Copy(io.Discard, io.LimitReader(body, MaxRefusal))
+	_, _ = io.Copy(io.Discard, io.LimitReader(body, MaxErrorBody))
 	_ = body.Close()
 }
 
--- a/load/send.go
+++ b/load/send.go
@@ -249,7 +249,7 @@
 
 // refuse notes a refusal.
 func (o *outcome) refuse(res *http.Response, due time.Time) {
-	data, err := io.ReadAll(io.LimitReader(res.Body, wirehttp.MaxRefusal))
+	data, err := io.ReadAll(io.LimitReader(res.Body, wirehttp.MaxErrorBody))
 	p, ok := problem.Parse(data)
 	if err != nil || !ok {
 		o.fail(errors.Errorf("status %d without a problem", res.StatusCode))
--- a/logsvc/logsvc.go
+++ b/logsvc/logsvc.go
@@ -108,7 +108,7 @@
 			Err: err,
 		}
 	}
-	ctx, connected := wirehttp.Watch(ctx)
+	ctx, connected := wirehttp.TraceConnection(ctx)
 	path := h.base + "/v1/streams/" + url.PathEscape(stream)
 	body := wirehttp.Once(bytes.NewReader(data))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, path, body)
--- a/plain/plain.go
+++ b/plain/plain.go
@@ -102,7 +102,7 @@
 
 // Call implements Client.
 func (h *HTTP) Call(ctx context.Context, c Call) (Answer, error) {
-	ctx, connected := wirehttp.Watch(ctx)
+	ctx, connected := wirehttp.TraceConnection(ctx)
 	body := wirehttp.Once(bytes.NewReader(c.Body))
 	req, err := http.NewRequestWithContext(ctx, c.Method, h.base+c.Path, body)
 	if err != nil {
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -116,14 +116,14 @@
 		Host:    j.host,
 		Header:  h,
 		Body:    j.body,
-		Fresh:   fresh,
+		MaxIdle: fresh,
 		Check: func() error {
 			if b := t.relay.findExcluded(&t.grant); b != nil {
 				return b
 			}
 			return nil
 		},
-		Own: func(res *http.Response) bool {
+		Matches: func(res *http.Response) bool {
 			head := t.relay.parts.Wire.Answer(res)
 			own := head.ID == j.head.ID || head.ID == "" && res.StatusCode >= http.StatusBadRequest
 			t.reportNotice(res.StatusCode, head, own)
@@ -220,7 +220,7 @@
 func (t *attempt) handleRejection(x *upstream.Exchange, head AnswerHead) result {
 	// What is left of the answer decides only whether the connection is kept.
 	if _, err := io.Copy(io.Discard, io.LimitReader(x.Response.Body, maxRejection)); err == nil {
-		x.Whole()
+		x.MarkComplete()
 	}
 	r := result{
 		outcome: pool.Rejected,
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -57,7 +57,7 @@
 
 // streamEnd ends a stream that its endpoint ended.
 func (t *attempt) streamEnd(x *upstream.Exchange, rest []byte) result {
-	x.Whole()
+	x.MarkComplete()
 	out := t.job.out
 	if !out.begun || len(rest) > 0 {
 		out.stream(x.Response, rest)
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -45,7 +45,7 @@
 	}
 	t.recordFirstEvent()
 	if len(data) <= maxWhole {
-		x.Whole()
+		x.MarkComplete()
 		j.out.send(x.Response, data)
 		return r
 	}
@@ -54,7 +54,7 @@
 
 // keepFailure keeps an endpoint's own failure for when no other answer can be had.
 func (t *attempt) keepFailure(x *upstream.Exchange, data []byte) result {
-	x.Whole()
+	x.MarkComplete()
 	t.job.failure = &failure{
 		response: x.Response,
 		body:     data,
@@ -95,7 +95,7 @@
 		t.job.disallowRetries()
 		return r
 	}
-	x.Whole()
+	x.MarkComplete()
 	return r
 }
 
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -56,19 +56,19 @@
 	// callersPerInstance is how many callers, each with its own connection, ask
 	// an instance.
 	callersPerInstance = 4
-	// mostCallers bounds them over all instances: with 64 callers of 16 instances all 48 slots of
+	// maxCallers bounds them over all instances: with 64 callers of 16 instances all 48 slots of
 	// the engines were in use, 0.7 of the requests were served after all faults had ended, and
 	// the others refused for want of a slot.
-	mostCallers = 40
+	maxCallers = 40
 	// giveUpShare is the part of requests whose caller leaves early.
 	giveUpShare = 0.05
 	// pauseMean is the mean pause between a caller's requests.
 	pauseMean = 60 * time.Millisecond
 	// maxBodyLength bounds the length of bodies, in bytes.
 	maxBodyLength = 3000
-	// leaveWithin bounds when a caller leaves that leaves early: while its request is
+	// maxLeaveDelay bounds when a caller leaves that leaves early: while its request is
 	// read, waits, runs, or its answer comes.
-	leaveWithin = time.Second
+	maxLeaveDelay = time.Second
 	// callerSlack is how much longer than the request's time a caller waits, for
 	// the refusal to arrive.
 	callerSlack = time.Second
@@ -81,9 +81,9 @@
 	// longPrompt takes several engines, and one in longOneIn is as long.
 	longPrompt = 250_000
 	longOneIn  = 20
-	// shortPrompt is the least, and shortSpread how much longer others are.
-	shortPrompt = 500
-	shortSpread = 5000
+	// minShortPrompt is the least, and shortSpread how much longer others are.
+	minShortPrompt = 500
+	shortSpread    = 5000
 )
 
 // paths are the routes that are called.
@@ -93,18 +93,18 @@
 // long as the instance does.
 func (c *callers) run(ctx context.Context, seed uint64) {
 	var all sync.WaitGroup
-	each := max(min(callersPerInstance, mostCallers/len(c.world.processes)), 1)
+	each := max(min(callersPerInstance, maxCallers/len(c.world.processes)), 1)
 	for i := range c.world.processes {
 		for k := range each {
 			r := rand.New(rand.NewPCG(seed, uint64(i*callersPerInstance+k)))
-			all.Go(func() { c.one(ctx, i, k, r) })
+			all.Go(func() { c.runCaller(ctx, i, k, r) })
 		}
 	}
 	all.Wait()
 }
 
-// one is a caller: it sends one request after the other.
-func (c *callers) one(ctx context.Context, instance, number int, r *rand.Rand) {
+// runCaller is a caller: it sends runCaller request after the other.
+func (c *callers) runCaller(ctx context.Context, instance, number int, r *rand.Rand) {
 	client := &http.Client{
 		Transport: &http.Transport{
 			MaxIdleConnsPerHost: 1,
@@ -121,13 +121,13 @@
 		}
 		switch r.IntN(4) {
 		case 0:
-			x.Key = c.world.key()
+			x.Key = c.world.currentKey()
 		case 1:
 			x.Key = c.world.anyKey(r)
 		}
 		leave := time.Duration(0)
 		if r.Float64() < giveUpShare {
-			leave = time.Duration(1 + r.Int64N(int64(leaveWithin)))
+			leave = time.Duration(1 + r.Int64N(int64(maxLeaveDelay)))
 		}
 		c.send(client, &x, leave, promptOf(r))
 		c.mu.Lock()
@@ -143,7 +143,7 @@
 	if r.IntN(longOneIn) == 0 {
 		return longPrompt
 	}
-	return shortPrompt + r.IntN(shortSpread)
+	return minShortPrompt + r.IntN(shortSpread)
 }
 
 // send makes one exchange. The caller leaves after a time; zero means that it waits for
--- a/soak/judge.go
+++ b/soak/check.go
@@ -29,8 +29,8 @@
 // request on its way.
 const runSlack = 300 * time.Millisecond
 
-// judge holds what callers and endpoints saw against the promises.
-func (w *World) judge(history []Exchange) []Violation {
+// check holds what callers and endpoints saw against the promises.
+func (w *World) check(history []Exchange) []Violation {
 	runs := make(map[string][]platformtest.Run)
 	sent := make(map[string]*Exchange, len(history))
 	for i := range history {
@@ -41,7 +41,7 @@
 		for _, r := range e.Runs() {
 			runs[r.ID] = append(runs[r.ID], r)
 			if x := sent[r.ID]; x != nil {
-				if v, wrong := w.judgeEmptied(x, e, &r); wrong {
+				if v, wrong := w.checkDrained(x, e, &r); wrong {
 					out = append(out, v)
 				}
 			}
@@ -49,7 +49,7 @@
 	}
 	for i := range history {
 		x := &history[i]
-		out = append(out, w.judgeOne(x, runs[x.ID])...)
+		out = append(out, w.checkExchange(x, runs[x.ID])...)
 	}
 	for id := range runs {
 		if sent[id] == nil {
@@ -59,11 +59,11 @@
 			})
 		}
 	}
-	return slices.Concat(out, w.judgeCrashes(), w.judgeStatements(sent), w.judgeEnd())
+	return slices.Concat(out, w.checkCrashes(), w.checkStatements(sent), w.checkFinalState())
 }
 
-// judgeOne holds one exchange against the runs of its request.
-func (w *World) judgeOne(x *Exchange, runs []platformtest.Run) []Violation {
+// checkExchange holds one exchange against the runs of its request.
+func (w *World) checkExchange(x *Exchange, runs []platformtest.Run) []Violation {
 	var out []Violation
 	wrong := func(promise, detail string) {
 		out = append(out, Violation{
@@ -85,18 +85,18 @@
 		wrong("what is allowed is not denied", "its key holds at all times")
 	}
 	if x.Status == http.StatusOK {
-		judgeAnswer(x, runs, wrong)
+		checkAnswer(x, runs, wrong)
 	}
 	for i := range runs {
-		w.judgeRun(x, &runs[i], wrong)
-		w.judgeLeft(x, &runs[i], wrong)
+		w.checkRun(x, &runs[i], wrong)
+		w.checkAbandoned(x, &runs[i], wrong)
 	}
 	return out
 }
 
-// judgeAnswer checks a success.
-func judgeAnswer(x *Exchange, runs []platformtest.Run, wrong func(promise, detail string)) {
-	want := x.wholeAnswer()
+// checkAnswer checks a success.
+func checkAnswer(x *Exchange, runs []platformtest.Run, wrong func(promise, detail string)) {
+	want := x.expectedAnswer()
 	switch {
 	case x.Whole && x.Answer != want:
 		wrong("whole and own answer", fmt.Sprintf("the answer is %q", x.Answer))
@@ -107,8 +107,8 @@
 	}
 }
 
-// wholeAnswer returns what a whole answer to the request is.
-func (x *Exchange) wholeAnswer() string {
+// expectedAnswer returns what a whole answer to the request is.
+func (x *Exchange) expectedAnswer() string {
 	if x.Path != streamPath && x.Path != oncePath {
 		return platformtest.PlainAnswer(x.ID, []byte(x.Body))
 	}
@@ -119,15 +119,15 @@
 	return b.String()
 }
 
-// judgeRun checks what an endpoint got.
-func (w *World) judgeRun(x *Exchange, r *platformtest.Run, wrong func(promise, detail string)) {
+// checkRun checks what an endpoint got.
+func (w *World) checkRun(x *Exchange, r *platformtest.Run, wrong func(promise, detail string)) {
 	switch {
 	case r.Method != http.MethodPost || r.Target != x.Path || r.Body != x.Body:
 		wrong("requests are passed on unchanged", fmt.Sprintf("%s %s with %d bytes", r.Method, r.Target, len(r.Body)))
 	case r.Key() != "" || r.Customer() != customer:
 		wrong("keys stay here", fmt.Sprintf("customer %q, key %q", r.Customer(), r.Key()))
 	}
-	if gone := w.goneAt(x.Key); !gone.IsZero() && x.Sent.After(w.refusedFrom(gone)) {
+	if gone := w.revokedAt(x.Key); !gone.IsZero() && x.Sent.After(w.refusedFrom(gone)) {
 		wrong("keys that were taken away are refused", fmt.Sprintf("taken away %s before", x.Sent.Sub(gone)))
 	}
 	if r.At.After(x.Sent.Add(requestTimeout + runSlack)) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// goneAt returns when a key was taken away; zero for one that was not.
-func (w *World) goneAt(key string) time.Time {
+// revokedAt returns when a key was taken away; zero for one that was not.
+func (w *World) revokedAt(key string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.keys[key]
--- a/soak/judge_left.go
+++ b/soak/check_abandoned.go
@@ -9,12 +9,12 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// leftSlack is how long after its caller has left a run may go on: a few messages,
+// abandonSlack is how long after its caller has left a run may go on: a few messages,
 // and the pause of a busy machine.
-const leftSlack = 500 * time.Millisecond
+const abandonSlack = 500 * time.Millisecond
 
-// judgeLeft checks that a run ends when its caller leaves.
-func (w *World) judgeLeft(x *Exchange, r *platformtest.Run, wrong func(promise, detail string)) {
+// checkAbandoned checks that a run ends when its caller leaves.
+func (w *World) checkAbandoned(x *Exchange, r *platformtest.Run, wrong func(promise, detail string)) {
 	if !x.GaveUp || x.Whole || !r.At.Before(x.Ended) {
 		return
 	}
@@ -23,7 +23,7 @@
 		ended = time.Now()
 	}
 	late := ended.Sub(x.Ended)
-	if late <= leftSlack || w.disturbed(x, ended) {
+	if late <= abandonSlack || w.disturbed(x, ended) {
 		return
 	}
 	wrong("what its caller leaves ends", fmt.Sprintf("it ran on for %s", late.Round(time.Millisecond)))
--- a/soak/judge_end.go
+++ b/soak/check_final.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// judgeEnd checks what is left once all callers have gone.
-func (w *World) judgeEnd() []Violation {
+// checkFinalState checks what is left once all callers have gone.
+func (w *World) checkFinalState() []Violation {
 	var out []Violation
 	for _, e := range w.endpoints {
 		if n := e.Running(); n > 0 {
@@ -27,10 +27,10 @@
 	}
 	for _, p := range w.processes {
 		p.mu.Lock()
-		if p.ended > 0 {
+		if p.unexpectedExits > 0 {
 			out = append(out, Violation{
 				Promise: "instances don't end by themselves",
-				Detail:  fmt.Sprintf("%s ended %d times", p.name, p.ended),
+				Detail:  fmt.Sprintf("%s ended %d times", p.name, p.unexpectedExits),
 			})
 		}
 		p.mu.Unlock()
@@ -38,8 +38,8 @@
 	return out
 }
 
-// judgeRecovery checks that requests are served once all faults are lifted.
-func judgeRecovery(history []Exchange, from time.Time) []Violation {
+// checkRecovery checks that requests are served once all faults are lifted.
+func checkRecovery(history []Exchange, from time.Time) []Violation {
 	served, all := 0, 0
 	for _, x := range history {
 		if x.Sent.Before(from) || x.GaveUp || x.Key != steadyKey {
--- a/soak/configuration.go
+++ b/soak/configuration.go
@@ -109,8 +109,8 @@
 // store has the version without it; keys noted earlier keep their time.
 const publishWithin = time.Second
 
-// takeAway takes a key away and gives another one.
-func (w *World) takeAway() {
+// rotateKey takes a key away and gives another one.
+func (w *World) rotateKey() {
 	w.mu.Lock()
 	for k, gone := range w.keys {
 		if gone.IsZero() && k != steadyKey {
@@ -131,8 +131,8 @@
 	}
 }
 
-// key returns a key that holds now.
-func (w *World) key() string {
+// currentKey returns a currentKey that holds now.
+func (w *World) currentKey() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for k, gone := range w.keys {
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -20,22 +20,22 @@
 const (
 	// crashBody begins their bodies; those of other requests have none of its letters.
 	crashBody = "crash "
-	// crashPause is between two tries.
-	crashPause = 60 * time.Millisecond
-	// crashAway is for how long an endpoint is away after a crash, and crashRetry how often
+	// crashInterval is between two tries.
+	crashInterval = 60 * time.Millisecond
+	// crashDowntime is for how long an endpoint is away after a crash, and crashRetry how often
 	// it tries to have its address again.
-	crashAway  = 600 * time.Millisecond
-	crashRetry = 10 * time.Millisecond
-	// crashesKnown is after how many crashes a request must be kept from endpoints, crashKnownIn
+	crashDowntime = 600 * time.Millisecond
+	listenRetry   = 10 * time.Millisecond
+	// crashesToDetect is after how many crashes a request must be kept from endpoints, crashKnownIn
 	// how soon, and crashesMore how often it may be sent to one all the same: what operators
 	// allow.
-	crashesKnown = 3
-	crashKnownIn = 3 * time.Second
-	crashesMore  = 3
+	crashesToDetect = 3
+	detectWithin    = 3 * time.Second
+	maxLateRuns     = 3
 )
 
-// fail changes what goes wrong with an endpoint. Requests that crash it always do.
-func (e *endpoint) fail(f platformtest.EndpointFaults) {
+// setFaults changes what goes wrong with an endpoint. Requests that crash it always do.
+func (e *endpoint) setFaults(f platformtest.EndpointFaults) {
 	f.CrashOn = crashBody
 	e.SetFaults(f)
 }
@@ -43,14 +43,14 @@
 // crash ends an endpoint and starts it again a moment later, under its name.
 func (w *World) crash(e *endpoint) {
 	e.proxy.Refuse()
-	time.AfterFunc(crashAway, func() {
-		for e.proxy.Accept() != nil {
-			time.Sleep(crashRetry)
+	time.AfterFunc(crashDowntime, func() {
+		for e.proxy.Resume() != nil {
+			time.Sleep(listenRetry)
 		}
 		w.mu.Lock()
-		e.born = time.Now()
+		e.startedAt = time.Now()
 		w.mu.Unlock()
-		w.enter(e, false)
+		w.writeEntry(e, false)
 	})
 }
 
@@ -59,7 +59,7 @@
 	c := &callers{
 		world: w,
 	}
-	end := time.Now().Add(s.For + 2*crashKnownIn)
+	end := time.Now().Add(s.For + 2*detectWithin)
 	for n := 0; time.Now().Before(end); n++ {
 		x := Exchange{
 			ID:       fmt.Sprintf("crash-%d-%d", s.At, n),
@@ -73,23 +73,23 @@
 				DisableKeepAlives: true,
 			},
 		}
-		c.send(client, &x, 0, shortPrompt)
+		c.send(client, &x, 0, minShortPrompt)
 		w.mu.Lock()
-		w.crashing = append(w.crashing, x)
+		w.crashSends = append(w.crashSends, x)
 		w.mu.Unlock()
-		time.Sleep(crashPause)
+		time.Sleep(crashInterval)
 	}
 }
 
-// sentCrashing returns the exchanges of requests that crash endpoints.
-func (w *World) sentCrashing() []Exchange {
+// crashExchanges returns the exchanges of requests that crash endpoints.
+func (w *World) crashExchanges() []Exchange {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.crashing
+	return w.crashSends
 }
 
-// judgeCrashes checks that requests which crash endpoints reach few of them.
-func (w *World) judgeCrashes() []Violation {
+// checkCrashes checks that requests which crash endpoints reach few of them.
+func (w *World) checkCrashes() []Violation {
 	runs := make(map[string][]time.Time)
 	for _, e := range w.endpoints {
 		for _, r := range e.Runs() {
@@ -100,35 +100,35 @@
 	}
 	var out []Violation
 	for body, at := range runs {
-		if n := w.late(at); n > crashesMore {
+		if n := w.lateRuns(at); n > maxLateRuns {
 			out = append(out, Violation{
 				Promise: "a request that crashes endpoints reaches few",
-				Detail:  fmt.Sprintf("%q ran %d times, %d of them %s after its third", body, len(at), n, crashKnownIn),
+				Detail:  fmt.Sprintf("%q ran %d times, %d of them %s after its third", body, len(at), n, detectWithin),
 			})
 		}
 	}
 	return out
 }
 
-// late returns how many runs of a request that crashes endpoints came later than instances may
+// lateRuns returns how many runs of a request that crashes endpoints came later than instances may
 // take to know that. All that they know is lost when all of them end in an outage of the
 // store; they count anew after it.
-func (w *World) late(runs []time.Time) int {
+func (w *World) lateRuns(runs []time.Time) int {
 	slices.SortFunc(runs, time.Time.Compare)
 	n, first := 0, 0
 	for i, at := range runs {
-		if i > 0 && w.allLost(runs[i-1], at) {
+		if i > 0 && w.lostAll(runs[i-1], at) {
 			first = i
 		}
-		if i-first >= crashesKnown && at.Sub(runs[first+crashesKnown-1]) > crashKnownIn {
+		if i-first >= crashesToDetect && at.Sub(runs[first+crashesToDetect-1]) > detectWithin {
 			n++
 		}
 	}
 	return n
 }
 
-// allLost states whether all instances ended in an outage of the store between two moments.
-func (w *World) allLost(from, to time.Time) bool {
+// lostAll states whether all instances ended in an outage of the store between two moments.
+func (w *World) lostAll(from, to time.Time) bool {
 	return slices.ContainsFunc(w.played, func(p playedStep) bool {
 		return p.step.Kind == "all lost in an outage" && p.began.Before(to) && p.ended().After(from)
 	})
--- a/soak/play.go
+++ b/soak/play.go
@@ -62,15 +62,15 @@
 		return
 	}
 	if f, ok := endpointFaults[s.Kind]; ok {
-		e.fail(f)
+		e.setFaults(f)
 		time.Sleep(s.For)
-		e.fail(platformtest.EndpointFaults{})
+		e.setFaults(platformtest.EndpointFaults{})
 		return
 	}
 	if f, ok := statementFaults[s.Kind]; ok {
-		e.fail(f)
+		e.setFaults(f)
 		time.Sleep(s.For)
-		e.fail(platformtest.EndpointFaults{})
+		e.setFaults(platformtest.EndpointFaults{})
 		return
 	}
 	if l, ok := storeLinks[s.Kind]; ok {
@@ -103,8 +103,8 @@
 	storeDelay = 400 * time.Millisecond
 	// linkDelay holds back each piece of data to and from an endpoint.
 	linkDelay = 100 * time.Millisecond
-	// slowTimes is how many times as long a slow endpoint takes.
-	slowTimes = 6
+	// slowFactor is how many times as long a slow endpoint takes.
+	slowFactor = 6
 	// cutAfter is the number of events after which streams are cut.
 	cutAfter = 3
 )
@@ -116,13 +116,13 @@
 	"endpoint cuts streams":  {CutAfter: cutAfter},
 	"endpoint silent":        {Silent: true},
 	"endpoint loses answers": {LoseAnswer: true},
-	"endpoint slow":          {Slow: slowTimes},
+	"endpoint slow":          {Slow: slowFactor},
 }
 
 // storeLinks are the kinds of link between an instance and the store.
 var storeLinks = map[string]tcptest.Link{
-	"store link silent":  {Up: true, Down: true},
-	"store link one way": {Down: true},
+	"store link silent":  {BlockUp: true, BlockDown: true},
+	"store link one way": {BlockDown: true},
 	"store link reset":   {Reset: true},
 }
 
@@ -130,7 +130,7 @@
 var endpointLinks = map[string]tcptest.Link{
 	"endpoint link slow":    {Delay: linkDelay},
 	"endpoint link reset":   {Reset: true},
-	"endpoint link one way": {Down: true},
+	"endpoint link one way": {BlockDown: true},
 }
 
 // doOther carries out signals and changes.
@@ -156,7 +156,7 @@
 	case saysLeaving:
 		w.leaveByAnswers(e, s.For)
 	case "key taken away":
-		w.takeAway()
+		w.rotateKey()
 	case "store connections silent":
 		p.store.Silence()
 	case endpointsSilent:
@@ -164,23 +164,23 @@
 	case "all lost in an outage":
 		w.loseAll(s.For)
 	case "domain emptied":
-		w.empty(domainOf(s.Target), s.For)
+		w.drain(domainOf(s.Target), s.For)
 	case "endpoint starts again":
-		w.startAgain(e, s.For)
+		w.restartEndpoint(e, s.For)
 	case requestCrashes:
 		w.sendCrashing(s)
 	}
 }
 
-// startAgain lets an endpoint start again under its name: all that it had is cut, and its
+// restartEndpoint lets an endpoint start again under its name: all that it had is cut, and its
 // entry tells another start.
-func (w *World) startAgain(e *endpoint, away time.Duration) {
+func (w *World) restartEndpoint(e *endpoint, away time.Duration) {
 	e.proxy.Set(tcptest.Link{Reset: true})
 	time.Sleep(away / restartPart)
 	w.mu.Lock()
-	e.born = time.Now()
+	e.startedAt = time.Now()
 	w.mu.Unlock()
-	w.enter(e, false)
+	w.writeEntry(e, false)
 	e.proxy.Set(tcptest.Link{})
 }
 
@@ -211,7 +211,7 @@
 // restart starts an instance again after it has ended. When it was told to end
 // twice only the first starts it.
 func (w *World) restart(p *process, after time.Duration) {
-	gone := p.gone()
+	gone := p.done()
 	select {
 	case <-gone:
 	case <-time.After(grace + graceSlack):
@@ -225,19 +225,19 @@
 	}
 	if err := w.start(p); err != nil {
 		p.mu.Lock()
-		p.ended++
+		p.unexpectedExits++
 		p.mu.Unlock()
 	}
 }
 
 // leave lets an endpoint say that it leaves, and come back under another name.
 func (w *World) leave(e *endpoint, after time.Duration) {
-	w.enter(e, true)
+	w.writeEntry(e, true)
 	time.Sleep(after)
 	w.store.Remove(e.Name())
 	w.mu.Lock()
 	w.version++
 	e.Rename(fmt.Sprintf("%s.%d", e.Name(), w.version))
 	w.mu.Unlock()
-	w.enter(e, false)
+	w.writeEntry(e, false)
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -35,10 +35,10 @@
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	exited chan struct{}
-	// ended counts ends that nobody asked for.
-	ended int
-	// wanted states that the process was told to end.
-	wanted bool
+	// unexpectedExits counts ends that nobody asked for.
+	unexpectedExits int
+	// exitExpected states that the process was told to end.
+	exitExpected bool
 	// starting states that somebody starts the instance again.
 	starting bool
 }
@@ -86,8 +86,8 @@
 // once begin at different ones.
 var nextPort = os.Getpid() * 97
 
-// free returns an address that nobody listens on. It is for one goroutine.
-func free() (string, error) {
+// freeAddress returns an address that nobody listens on. It is for one goroutine.
+func freeAddress() (string, error) {
 	for range portCount {
 		nextPort = (nextPort + 1) % portCount
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort))
@@ -111,15 +111,15 @@
 	}
 	own := ""
 	for _, into := range []*string{&p.listen, &p.ready, &own} {
-		if *into, err = free(); err != nil {
+		if *into, err = freeAddress(); err != nil {
 			return err
 		}
 	}
-	if i < len(w.contacts) {
-		own = w.contacts[i]
+	if i < len(w.contactAddresses) {
+		own = w.contactAddresses[i]
 	}
 	p.settings = filepath.Join(w.dir, p.name+".toml")
-	text := fmt.Sprintf(settingsText, p.name, domainOf(i), p.listen, p.ready, own, quoted(w.contacts), p.store.Address, revoke, w.strict, grace)
+	text := fmt.Sprintf(settingsText, p.name, domainOf(i), p.listen, p.ready, own, quoted(w.contactAddresses), p.store.Address, revoke, w.strict, grace)
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
 		return errors.Wrap(err, "soak")
 	}
@@ -150,7 +150,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cmd = cmd
-	p.wanted = false
+	p.exitExpected = false
 	p.starting = false
 	p.exited = make(chan struct{})
 	go p.wait(cmd, out, p.exited)
@@ -175,8 +175,8 @@
 	_ = cmd.Wait()
 	_ = out.Close()
 	p.mu.Lock()
-	if !p.wanted {
-		p.ended++
+	if !p.exitExpected {
+		p.unexpectedExits++
 	}
 	p.mu.Unlock()
 	close(exited)
@@ -187,7 +187,7 @@
 func (p *process) signal(s syscall.Signal, ends bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wanted = p.wanted || ends
+	p.exitExpected = p.exitExpected || ends
 	// A process that has ended already needs none.
 	_ = p.cmd.Process.Signal(s)
 }
@@ -199,8 +199,8 @@
 	return p.cmd.Process.Pid
 }
 
-// gone returns what is closed when the process has ended.
-func (p *process) gone() <-chan struct{} {
+// done returns what is closed when the process has ended.
+func (p *process) done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -56,7 +56,7 @@
 		kind := kindAt(r.IntN(total))
 		out = append(out, Step{
 			At:     at,
-			For:    time.Duration(leastMS+r.IntN(spreadMS)) * time.Millisecond,
+			For:    time.Duration(minDurationMS+r.IntN(durationSpreadMS)) * time.Millisecond,
 			Kind:   kind,
 			Target: r.IntN(max(processes, engines+services)),
 		})
@@ -81,9 +81,9 @@
 	firstStep = 500 * time.Millisecond
 	// meanPause is the mean pause between the beginnings of faults.
 	meanPause = time.Second
-	// leastMS is how long a fault lasts at the least, and spreadMS how much
+	// minDurationMS is how long a fault lasts at the least, and spreadMS how much
 	// longer it may last, both in ms: some end before any time-out, others
 	// outlast most, and they overlap.
-	leastMS  = 300
-	spreadMS = 4500
+	minDurationMS    = 300
+	durationSpreadMS = 4500
 )
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -39,8 +39,8 @@
 const (
 	// startWithin bounds the time until all instances are ready.
 	startWithin = 10 * time.Second
-	// startLook is how often they are asked.
-	startLook = 50 * time.Millisecond
+	// readyPollInterval is how often they are asked.
+	readyPollInterval = 50 * time.Millisecond
 	// recoverWithin is how long the system has to be well again after the last
 	// fault, and recoverFor how long it is looked at then.
 	recoverWithin = 8 * time.Second
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	history := w.loadAndPlay(ctx, s)
-	broken := append(w.judge(history), judgeRecovery(history, w.recovered)...)
+	broken := append(w.check(history), checkRecovery(history, w.recovered)...)
 	w.report(s, history, broken)
 	if len(broken) == 0 {
 		// The logs of a run without a finding are of no use.
@@ -97,7 +97,7 @@
 	stop()
 	loading.Wait()
 	wait(ctx, settleFor)
-	return append(c.all(), w.sentCrashing()...)
+	return append(c.all(), w.crashExchanges()...)
 }
 
 // wait waits for a time, or until ctx ends.
@@ -110,12 +110,12 @@
 
 // awaitReady waits until all instances are ready.
 func (w *World) awaitReady(ctx context.Context) error {
-	for end := time.Now().Add(startWithin); time.Now().Before(end); wait(ctx, startLook) {
+	for end := time.Now().Add(startWithin); time.Now().Before(end); wait(ctx, readyPollInterval) {
 		if w.readyCount() == len(w.processes) {
 			return nil
 		}
 	}
-	return errors.Errorf("instances are not ready after %s; %s", startWithin, w.logs())
+	return errors.Errorf("instances are not ready after %s; %s", startWithin, w.logLocation())
 }
 
 // report writes the result.
@@ -130,7 +130,7 @@
 		_, _ = fmt.Fprintln(s.Out, "  "+v.String())
 	}
 	if len(broken) > 0 {
-		w.tellStalls(s.Out)
-		_, _ = fmt.Fprintln(s.Out, "  "+w.logs())
+		w.writeStalls(s.Out)
+		_, _ = fmt.Fprintln(s.Out, "  "+w.logLocation())
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -57,7 +57,7 @@
 // the given time after that.
 func leaveEarly(x *Exchange, runs *[]platformtest.Run, after time.Duration) {
 	x.GaveUp, x.Whole, x.Status, x.Answer = true, false, 0, ""
-	x.Ended = x.Sent.Add(leaveWithin / 2)
+	x.Ended = x.Sent.Add(maxLeaveDelay / 2)
 	(*runs)[0].Ended = x.Ended.Add(after)
 }
 
@@ -136,7 +136,7 @@
 			}
 			x, runs := servedAt(now), []platformtest.Run{runOf("r", "/unsafe/", now)}
 			row.change(&x, &runs)
-			got := w.judgeOne(&x, runs)
+			got := w.checkExchange(&x, runs)
 			if row.promise == "" {
 				is.Equal(len(got), 0)
 				return
@@ -176,7 +176,7 @@
 // against an instance.
 func TestJudgeEmptied(t *testing.T) {
 	now := time.Now()
-	after := func(d time.Duration) time.Time { return now.Add(emptyWithin + runSlack + d) }
+	after := func(d time.Duration) time.Time { return now.Add(drainWithin + runSlack + d) }
 	for _, row := range []struct {
 		name   string
 		domain string
@@ -203,7 +203,7 @@
 					step:  row.fault,
 					began: now,
 				}},
-				emptied: []emptying{{
+				drains: []drainPeriod{{
 					domain: "d-1",
 					from:   now,
 					to:     after(time.Second),
@@ -218,7 +218,7 @@
 			x := servedAt(now)
 			x.Instance = 1
 			r := runOf("r", "/unsafe/", row.at)
-			_, wrong := w.judgeEmptied(&x, e, &r)
+			_, wrong := w.checkDrained(&x, e, &r)
 			is.Equal(wrong, row.wrong)
 		})
 	}
@@ -256,7 +256,7 @@
 			for _, s := range row.runs {
 				at = append(at, start.Add(time.Duration(s*float64(time.Second))))
 			}
-			is.New(t).Equal(w.late(at), row.want)
+			is.New(t).Equal(w.lateRuns(at), row.want)
 		})
 	}
 }
--- a/soak/stall.go
+++ b/soak/stall.go
@@ -15,13 +15,13 @@
 
 // The measures of looking for stalls.
 const (
-	// stallLook is how often it is looked how long threads had to wait for a processor.
-	stallLook = 250 * time.Millisecond
+	// stallInterval is how often it is looked how long threads had to wait for a processor.
+	stallInterval = 250 * time.Millisecond
 	// stallShare is from which part of that time on a thread of a process counts as stalled:
 	// what callers and instances wait for each other is hundreds of ms at the least.
 	stallShare = 0.8
-	// stallsTold bounds the stalls that are written.
-	stallsTold = 20
+	// maxStallsReported bounds the stalls that are written.
+	maxStallsReported = 20
 )
 
 // stall is a time in which a thread that was ready to run got no processor.
@@ -34,14 +34,14 @@
 // String returns the stall in a line.
 func (s stall) String() string {
 	return fmt.Sprintf("%s: a thread of %s waited %d ms for a processor in the last %d",
-		s.at.Format("15:04:05.000"), s.who, s.waited.Milliseconds(), stallLook.Milliseconds())
+		s.at.Format("15:04:05.000"), s.who, s.waited.Milliseconds(), stallInterval.Milliseconds())
 }
 
 // watchStalls notes stalls of the soak's own process and of all instances until ctx ends. With
 // them a promise that was broken can be told from one that the machine had no time to keep.
 func (w *World) watchStalls(ctx context.Context) {
 	before := make(map[string]time.Duration)
-	tick := time.NewTicker(stallLook)
+	tick := time.NewTicker(stallInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -50,16 +50,16 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		w.lookFor(os.Getpid(), "the soak", before, now)
+		w.recordStall(os.Getpid(), "the soak", before, now)
 		for _, p := range w.processes {
-			w.lookFor(p.pid(), p.name, before, now)
+			w.recordStall(p.pid(), p.name, before, now)
 		}
 	}
 }
 
-// lookFor notes the longest wait of a process's threads since the last look, if it is a stall.
+// recordStall notes the longest wait of a process's threads since the last look, if it is a stall.
 // Before is how long each thread had waited then.
-func (w *World) lookFor(pid int, who string, before map[string]time.Duration, now time.Time) {
+func (w *World) recordStall(pid int, who string, before map[string]time.Duration, now time.Time) {
 	// A process that has ended has no threads.
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
@@ -67,13 +67,13 @@
 	}
 	longest := time.Duration(0)
 	for _, path := range threads {
-		waited, ok := waitedFor(path)
+		waited, ok := readWaitTime(path)
 		if last, known := before[path]; ok && known {
 			longest = max(longest, waited-last)
 		}
 		before[path] = waited
 	}
-	if longest < time.Duration(stallShare*float64(stallLook)) {
+	if longest < time.Duration(stallShare*float64(stallInterval)) {
 		return
 	}
 	w.mu.Lock()
@@ -85,9 +85,9 @@
 	})
 }
 
-// waitedFor reads how long a thread has waited for a processor, ready to run: the second number
+// readWaitTime reads how long a thread has waited for a processor, ready to run: the second number
 // of schedstat, in ns.
-func waitedFor(path string) (time.Duration, bool) {
+func readWaitTime(path string) (time.Duration, bool) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return 0, false
@@ -100,12 +100,12 @@
 	return time.Duration(ns), err == nil
 }
 
-// tellStalls writes the stalls of a run that broke a promise.
-func (w *World) tellStalls(out io.Writer) {
+// writeStalls writes the stalls of a run that broke a promise.
+func (w *World) writeStalls(out io.Writer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, _ = fmt.Fprintf(out, "  %d stalls of %d ms or more\n", len(w.stalls), int(stallShare*float64(stallLook.Milliseconds())))
-	for _, s := range w.stalls[:min(len(w.stalls), stallsTold)] {
+	_, _ = fmt.Fprintf(out, "  %d stalls of %d ms or more\n", len(w.stalls), int(stallShare*float64(stallInterval.Milliseconds())))
+	for _, s := range w.stalls[:min(len(w.stalls), maxStallsReported)] {
 		_, _ = fmt.Fprintln(out, "    "+s.String())
 	}
 }
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -27,12 +27,12 @@
 			is := is.New(t)
 			path := filepath.Join(t.TempDir(), "schedstat")
 			is.NoErr(os.WriteFile(path, []byte(row.text), 0o600))
-			waited, ok := waitedFor(path)
+			waited, ok := readWaitTime(path)
 			is.Equal(ok, row.ok)
 			is.Equal(waited, row.waited)
 		})
 	}
-	_, ok := waitedFor(filepath.Join(t.TempDir(), "gone"))
+	_, ok := readWaitTime(filepath.Join(t.TempDir(), "gone"))
 	is.New(t).True(!ok)
 }
 
@@ -42,13 +42,13 @@
 	is := is.New(t)
 	w := &World{}
 	before := make(map[string]time.Duration)
-	w.lookFor(os.Getpid(), "this one", before, time.Now())
+	w.recordStall(os.Getpid(), "this one", before, time.Now())
 	is.Equal(len(w.stalls), 0) // nothing to compare with yet
 	is.True(len(before) > 0)
 	for path := range before {
 		before[path] -= time.Second // as if it had waited since
 	}
-	w.lookFor(os.Getpid(), "this one", before, time.Now())
+	w.recordStall(os.Getpid(), "this one", before, time.Now())
 	is.Equal(len(w.stalls), 1)
 	is.True(w.stalls[0].waited >= time.Second)
 }
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -37,8 +37,8 @@
 	// nothing new from the instance that got it.
 	leavingWithin = 2 * time.Second
 	// backoffGrace is how soon a back-off must be kept, and backoffMost how many requests may come in it.
-	backoffGrace = 500 * time.Millisecond
-	backoffMost  = 2
+	backoffGrace       = 500 * time.Millisecond
+	maxBackoffRequests = 2
 	// limitGrace is how soon a rate limit must be kept. In limitWindow limitFactor times what it
 	// allows may come, and limitSlack more.
 	limitGrace  = 3 * time.Second
@@ -55,7 +55,7 @@
 	for at := firstStep; at < length; at += time.Duration(r.ExpFloat64() * float64(2*meanPause)) {
 		out = append(out, Step{
 			At:     at,
-			For:    time.Duration(2*leastMS+r.IntN(2*spreadMS)) * time.Millisecond,
+			For:    time.Duration(2*minDurationMS+r.IntN(2*durationSpreadMS)) * time.Millisecond,
 			Kind:   kinds[r.IntN(len(kinds))],
 			Target: r.IntN(engines + services),
 		})
@@ -66,12 +66,12 @@
 // leaveByAnswers has an endpoint say in its answers alone that it leaves, for a time, and start
 // again under another name.
 func (w *World) leaveByAnswers(e *endpoint, lasts time.Duration) {
-	e.fail(platformtest.EndpointFaults{
+	e.setFaults(platformtest.EndpointFaults{
 		Leaving: true,
 	})
 	time.Sleep(lasts)
 	// Its next start does not say it.
-	e.fail(platformtest.EndpointFaults{})
+	e.setFaults(platformtest.EndpointFaults{})
 	w.leave(e, 0)
 }
 
@@ -81,9 +81,9 @@
 	instance int
 }
 
-// judgeStatements checks that endpoints got what they said that they take. Instances that were
+// checkStatements checks that endpoints got what they said that they take. Instances that were
 // disturbed meanwhile are excused.
-func (w *World) judgeStatements(sent map[string]*Exchange) []Violation {
+func (w *World) checkStatements(sent map[string]*Exchange) []Violation {
 	var out []Violation
 	for _, e := range w.endpoints {
 		var all []arrival
@@ -95,14 +95,14 @@
 				})
 			}
 		}
-		out = slices.Concat(out, w.judgeToldLeaving(e, all), w.judgeBackoffs(e, all), w.judgeLimits(e, all))
+		out = slices.Concat(out, w.checkLeaving(e, all), w.checkBackoffs(e, all), w.checkLimits(e, all))
 	}
 	return out
 }
 
-// judgeToldLeaving checks that an endpoint got nothing from instances that its answers had told
+// checkLeaving checks that an endpoint got nothing from instances that its answers had told
 // that it leaves.
-func (w *World) judgeToldLeaving(e *endpoint, all []arrival) []Violation {
+func (w *World) checkLeaving(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	told := make(map[int]time.Time)
 	for _, a := range all {
@@ -110,7 +110,7 @@
 			continue
 		}
 		first, known := told[a.instance]
-		if !known || a.At.Sub(first) > saysLeavingMost {
+		if !known || a.At.Sub(first) > maxLeavingPeriod {
 			told[a.instance] = a.At
 			continue
 		}
@@ -128,15 +128,15 @@
 
 // The measures of telling answers apart.
 const (
-	// saysLeavingMost is longer than an endpoint says that it leaves.
-	saysLeavingMost = 2 * (2*leastMS + 2*spreadMS) * time.Millisecond
+	// maxLeavingPeriod is longer than an endpoint says that it leaves.
+	maxLeavingPeriod = 2 * (2*minDurationMS + 2*durationSpreadMS) * time.Millisecond
 	// answerWithin is how long the head of an answer may take.
 	answerWithin = time.Second
 )
 
-// judgeBackoffs checks that an endpoint that asked an instance for a back-off got two requests of it at most
+// checkBackoffs checks that an endpoint that asked an instance for a back-off got two requests of it at most
 // meanwhile.
-func (w *World) judgeBackoffs(e *endpoint, all []arrival) []Violation {
+func (w *World) checkBackoffs(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	for i, asked := range all {
 		if !asked.Said.Reject || asked.Said.RetryAfter != statementFaults["endpoint asks for a back-off"].RetryAfter {
@@ -149,7 +149,7 @@
 				in++
 			}
 		}
-		if in > backoffMost && !w.excused(asked.instance, e, asked.At, end) {
+		if in > maxBackoffRequests && !w.excused(asked.instance, e, asked.At, end) {
 			out = append(out, Violation{
 				Promise: "an endpoint that asks for a back-off has it",
 				Detail:  fmt.Sprintf("%d requests of instance %d came to %s within its back-off from %s on", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
@@ -159,9 +159,9 @@
 	return out
 }
 
-// judgeLimits checks that an endpoint that names a rate limit got no more than that allows from
+// checkLimits checks that an endpoint that names a rate limit got no more than that allows from
 // all instances together.
-func (w *World) judgeLimits(e *endpoint, all []arrival) []Violation {
+func (w *World) checkLimits(e *endpoint, all []arrival) []Violation {
 	limited := func(a arrival) bool { return a.Said.Limit == fmt.Sprint(statedRate) }
 	var out []Violation
 	since := time.Time{}
@@ -198,7 +198,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range w.played {
-		if p.ended().Add(excusedAfter).Before(from) || p.began.After(to) {
+		if p.ended().Add(excuseSlack).Before(from) || p.began.After(to) {
 			continue
 		}
 		_, link := endpointLinks[p.step.Kind]
@@ -216,9 +216,9 @@
 	return false
 }
 
-// excusedAfter is how long a fault excuses an instance after it has ended: until a process has
+// excuseSlack is how long a fault excuses an instance after it has ended: until a process has
 // stopped in its grace and started again, or a frozen one has read what came meanwhile.
-const excusedAfter = 2 * time.Second
+const excuseSlack = 2 * time.Second
 
 // merge returns two schedules as one.
 func merge(a, b []Step) []Step {
--- a/soak/statements_test.go
+++ b/soak/statements_test.go
@@ -34,7 +34,7 @@
 	leaving := platformtest.EndpointFaults{Leaving: true}
 	limit := statementFaults["endpoint names a limit"]
 	backoff := statementFaults["endpoint asks for a back-off"]
-	leave := (*World).judgeToldLeaving
+	leave := (*World).checkLeaving
 	for _, c := range []struct {
 		name  string
 		judge func(*World, *endpoint, []arrival) []Violation
@@ -44,11 +44,11 @@
 		{"leaving, in time", leave, arrivalsEvery(begin, 20, 100*time.Millisecond, leaving), false},
 		{"leaving, too late", leave, arrivalsEvery(begin, 5, time.Second, leaving), true},
 		{"not leaving", leave, arrivalsEvery(begin, 5, time.Second, platformtest.EndpointFaults{}), false},
-		{"limit kept", (*World).judgeLimits, arrivalsEvery(begin, 20, 500*time.Millisecond, limit), false},
-		{"limit passed", (*World).judgeLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, limit), true},
-		{"no limit", (*World).judgeLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, platformtest.EndpointFaults{}), false},
-		{"back-off kept", (*World).judgeBackoffs, arrivalsEvery(begin, 5, statedBackoff, backoff), false},
-		{"back-off broken", (*World).judgeBackoffs, arrivalsEvery(begin, 20, 100*time.Millisecond, backoff), true},
+		{"limit kept", (*World).checkLimits, arrivalsEvery(begin, 20, 500*time.Millisecond, limit), false},
+		{"limit passed", (*World).checkLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, limit), true},
+		{"no limit", (*World).checkLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, platformtest.EndpointFaults{}), false},
+		{"back-off kept", (*World).checkBackoffs, arrivalsEvery(begin, 5, statedBackoff, backoff), false},
+		{"back-off broken", (*World).checkBackoffs, arrivalsEvery(begin, 20, 100*time.Millisecond, backoff), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := &endpoint{
--- a/soak/world.go
+++ b/soak/world.go
@@ -47,8 +47,8 @@
 	service string
 	domain  string
 	proxy   *tcptest.Proxy
-	// born is when its life started; zero until it starts again.
-	born time.Time
+	// startedAt is when its life started; zero until it starts again.
+	startedAt time.Time
 }
 
 // World is a deployment under test.
@@ -61,11 +61,11 @@
 	store     *platformtest.Store
 	storeAddr string
 	processes []*process
-	// contacts are where those instances listen for others that all others ask when they
+	// contactAddresses are where those instances listen for others that all others ask when they
 	// start; the first ones.
-	contacts  []string
-	endpoints []*endpoint
-	servers   []*http.Server
+	contactAddresses []string
+	endpoints        []*endpoint
+	servers          []*http.Server
 
 	// recovered is when the system must be well again after the last fault.
 	recovered time.Time
@@ -74,10 +74,10 @@
 	version int
 	// played are the faults that have begun.
 	played []playedStep
-	// emptied are the times for which failure domains were emptied.
-	emptied []emptying
-	// crashing are the exchanges of requests that crash endpoints.
-	crashing []Exchange
+	// drains are the times for which failure domains were drains.
+	drains []drainPeriod
+	// crashSends are the exchanges of requests that crash endpoints.
+	crashSends []Exchange
 	// stalls are the times in which the machine had no processor for a process.
 	stalls []stall
 	// keys are the customer's keys by name, with when each was taken away.
@@ -109,12 +109,12 @@
 			return nil, err
 		}
 	}
-	for range min(instances, contacts) {
-		address, err := free()
+	for range min(instances, maxContacts) {
+		address, err := freeAddress()
 		if err != nil {
 			return nil, err
 		}
-		w.contacts = append(w.contacts, address)
+		w.contactAddresses = append(w.contactAddresses, address)
 	}
 	for i := range instances {
 		if err := w.addProcess(i); err != nil {
@@ -124,8 +124,8 @@
 	return w, nil
 }
 
-// contacts is how many instances the others ask when they start.
-const contacts = 3
+// maxContacts is how many instances the others ask when they start.
+const maxContacts = 3
 
 // serve serves a stand-in on a free address, which it returns.
 func (w *World) serve(h http.Handler) (string, error) {
@@ -169,9 +169,9 @@
 		return errors.Wrap(err, "soak")
 	}
 	e.Crash = func([]string) { w.crash(e) }
-	e.fail(platformtest.EndpointFaults{})
+	e.setFaults(platformtest.EndpointFaults{})
 	w.endpoints = append(w.endpoints, e)
-	w.enter(e, false)
+	w.writeEntry(e, false)
 	return nil
 }
 
@@ -180,7 +180,7 @@
 	for _, p := range w.processes {
 		p.signal(syscall.SIGCONT, false)
 		p.signal(syscall.SIGKILL, true)
-		<-p.gone()
+		<-p.done()
 		p.store.Close()
 	}
 	for _, e := range w.endpoints {
@@ -196,11 +196,11 @@
 	return fmt.Sprintf("d-%d", i%domains)
 }
 
-// enter writes an endpoint's entry to the store. Leaving states that it gets no
+// writeEntry writes an endpoint's entry to the store. Leaving states that it gets no
 // new request.
-func (w *World) enter(e *endpoint, leaving bool) {
+func (w *World) writeEntry(e *endpoint, leaving bool) {
 	w.mu.Lock()
-	born := e.born
+	born := e.startedAt
 	w.mu.Unlock()
 	w.store.Enter(platformtest.Entry{
 		Instance: e.Name(),
@@ -213,7 +213,7 @@
 	})
 }
 
-// logs says where the instances' logs are.
-func (w *World) logs() string {
+// logLocation says where the instances' logLocation are.
+func (w *World) logLocation() string {
 	return "logs in " + strings.TrimSuffix(w.dir, "/")
 }
