--- a/internal/days/main.go
+++ b/internal/days/main.go
@@ -1,14 +1,15 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Command days plays recorded days on several seeds and prints the mean and the
-// spread of what each earned, so that a change of policy can be judged by more
-// than one run. It is a developer's tool, no part of the product.
+// Command days plays recorded days of load with several seeds and prints the mean and the
+// standard deviation of their scores, so that a policy change is compared over more than one
+// run. It is a development tool and not part of the product.
 //
 //	go run ./internal/days --player PROGRAM --site FILE --day NAME --seed 1 --seed 2
 //
-// With --small they are the small twins of days of large deployments, some seconds each.
-// A mean over the days comes last. Seeds that give the same figures before a
-// change differ after it by the change alone, as processor time is not charged.
+// The flag --small plays scaled-down variants of the days, which take a few seconds each. The
+// last row of the table covers all days together. The player is told not to charge processor
+// time, so a seed whose scores are reproducible before a policy change differs after it only
+// because of the change.
 package main
 
 import (
@@ -25,15 +26,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// options are the command line.
+// options holds the command-line flags.
 type options struct {
-	Player string   `long:"player" required:"true" description:"the program that plays days"`
-	Site   string   `long:"site" required:"true" description:"file of the deployment"`
+	Player string   `long:"player" required:"true" description:"program that plays days"`
+	Site   string   `long:"site" required:"true" description:"file that describes the deployment"`
 	Days   []string `long:"day" required:"true" description:"name of a day; may be repeated"`
-	Seeds  []int64  `long:"seed" required:"true" description:"a seed; may be repeated"`
-	Small  bool     `long:"small" description:"play the small twins of large days"`
-	Jobs   int      `long:"jobs" default:"4" description:"days played at once"`
-	Why    string   `long:"why" default:"round" description:"a line for the journal"`
+	Seeds  []int64  `long:"seed" required:"true" description:"seed; may be repeated"`
+	Small  bool     `long:"small" description:"play the scaled-down variants of the days"`
+	Jobs   int      `long:"jobs" default:"4" description:"number of days played at the same time"`
+	Why    string   `long:"why" default:"round" description:"reason that is passed to the player"`
 }
 
 func main() {
@@ -51,15 +52,15 @@
 	}
 }
 
-// run plays all days on all seeds and writes the table.
+// run plays every day with every seed and writes the table of results to out.
 func run(ctx context.Context, o *options, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "days")
 	if err != nil {
-		return errors.Wrap(err, "reports")
+		return errors.Wrap(err, "create directory for reports")
 	}
 	defer func() {
 		if err := os.RemoveAll(dir); err != nil {
-			fmt.Fprintln(os.Stderr, "days: reports are left in", dir, "as", err)
+			fmt.Fprintln(os.Stderr, "days: cannot remove reports in", dir, "cause:", err)
 		}
 	}()
 	reports := make([][]report, len(o.Days))
@@ -84,8 +85,8 @@
 	return writeTable(out, o.Days, reports)
 }
 
-// play plays one day and returns its report. The player's own verdict on a day,
-// its exit code, does not matter: the report has it.
+// play plays one day and returns its report. It ignores the player's exit code if there is a
+// report, because the report states the faults.
 func play(ctx context.Context, o *options, dir, day string, seed int64) (report, error) {
 	name := filepath.Join(dir, filepath.Base(day)+"-"+strconv.FormatInt(seed, 10)+".json")
 	args := []string{
@@ -96,10 +97,10 @@
 		args = append(args, "--small")
 	}
 	cmd := exec.CommandContext(ctx, o.Player, args...)
-	said, failed := cmd.CombinedOutput()
+	output, runErr := cmd.CombinedOutput()
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return report{}, errors.Wrapf(failed, "no report: %s", said)
+		return report{}, errors.Wrapf(runErr, "player wrote no report, output: %s", output)
 	}
 	return parseReport(data)
 }
--- a/internal/days/report.go
+++ b/internal/days/report.go
@@ -14,34 +14,34 @@
 	"github.com/go-faster/errors"
 )
 
-// report is what is read of one played day.
+// report holds the fields of a player's report that the table shows.
 type report struct {
-	// Worth is what the day earned, less prices.
+	// Worth is the score of the day after the deduction of prices.
 	Worth float64 `json:"G"`
-	// Served is the part of what was owed that was earned.
+	// Served is the share of the attainable score that was reached.
 	Served float64 `json:"served"`
-	// Breaks are the broken rules.
+	// Breaks holds the violated rules by name.
 	Breaks map[string]any `json:"breaks"`
-	// Fault is why the day counts for nothing; nil for a sound one.
+	// Fault says why the score of the day is invalid; nil for a valid day.
 	Fault any `json:"fault"`
-	// Short are the parts of the day that earned less than their floor.
+	// Short lists the parts of the day that scored less than their minimum.
 	Short []any `json:"short"`
-	// Parts are the rows of name, weight and figure that Worth is made of.
+	// Parts holds rows of name, weight and value, of which Worth is composed.
 	Parts [][]any `json:"parts"`
-	// Prices are the rows of name, amount and price that Worth is less by.
+	// Prices holds rows of name, amount and price; the prices are deducted from Worth.
 	Prices [][]any `json:"prices"`
 }
 
-// parseReport reads a report.
+// parseReport decodes a report in JSON.
 func parseReport(data []byte) (report, error) {
 	var r report
 	if err := json.Unmarshal(data, &r); err != nil {
-		return report{}, errors.Wrap(err, "report")
+		return report{}, errors.Wrap(err, "decode report")
 	}
 	return r, nil
 }
 
-// rowValue returns the figure in the row of a name; zero when there is none.
+// rowValue returns the value in the row with the given name, or zero if there is no such row.
 func rowValue(rows [][]any, name string) float64 {
 	for _, row := range rows {
 		if len(row) == 3 && row[0] == name {
@@ -52,7 +52,7 @@
 	return 0
 }
 
-// priceTotal returns what a report lost to prices.
+// priceTotal returns the sum of all prices of a report.
 func (r *report) priceTotal() float64 {
 	s := 0.0
 	for _, row := range r.Prices {
@@ -64,7 +64,8 @@
 	return s
 }
 
-// meanAndDeviation returns the mean of a figure, and its standard deviation.
+// meanAndDeviation returns the mean and the sample standard deviation of a value of the
+// reports. The deviation of a single report is zero.
 func meanAndDeviation(list []report, figure func(*report) float64) (mean, deviation float64) {
 	for i := range list {
 		mean += figure(&list[i])
@@ -80,7 +81,8 @@
 	return mean, deviation
 }
 
-// columns are the figures of the table beside worth.
+// columns lists the columns between the spread and the faults, with the value that each shows
+// the mean of.
 var columns = []struct {
 	name   string
 	figure func(*report) float64
@@ -91,7 +93,7 @@
 	{"prices", (*report).priceTotal},
 }
 
-// writeTable writes a row for each day, and one for all.
+// writeTable writes a row for each day and a last row for all days together.
 func writeTable(out io.Writer, days []string, reports [][]report) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "day\tplays\tworth\tspread")
@@ -106,7 +108,7 @@
 	return w.Flush()
 }
 
-// writeRow writes the writeRow of some plays.
+// writeRow writes one row for the given reports.
 func writeRow(w io.Writer, name string, list []report) {
 	mean, deviation := meanAndDeviation(list, func(r *report) float64 { return r.Worth })
 	fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f", name, len(list), mean, deviation)
@@ -117,8 +119,8 @@
 	fmt.Fprintf(w, "\t%s\n", faults(list))
 }
 
-// faults returns the rules that any of the plays broke and what fell short of its
-// floor, in order; a dash for none.
+// faults returns the names of the violated rules, the parts below their minimum and the faults
+// of the reports, sorted and without duplicates, or "-" if there are none.
 func faults(list []report) string {
 	var names []string
 	for _, r := range list {
--- a/internal/jsonlog/jsonlog.go
+++ b/internal/jsonlog/jsonlog.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package jsonlog writes log lines without ever making their writer wait.
+// Package jsonlog writes log lines without blocking the goroutines that log.
 //
-// Lines go through a bounded queue to one goroutine. A line that finds the queue
-// full, or the allowance of lines a second spent, is dropped and counted, and
-// the count is written as a line of its own as soon as there is room.
+// Lines pass through a bounded queue to one writing goroutine. If the queue is full or the
+// rate limit is exceeded, the line is dropped and counted. The writer reports the number of
+// dropped lines in a line of its own before the next line that it writes.
 package jsonlog
 
 import (
@@ -17,33 +17,33 @@
 	"golang.org/x/time/rate"
 )
 
-// The measures of a Writer. A line is some 400 bytes, so that the queue takes at
-// most about 1 MB and the output 400 KB a second.
+// Limits of a Writer. With lines of about 400 bytes, the queue holds about 1 MB and the output
+// is limited to about 400 KB per second.
 const (
-	// queueLines is how many lines wait to be written at the most.
+	// queueLines is the capacity of the queue in lines.
 	queueLines = 2048
-	// linesPerSecond is the allowance.
+	// linesPerSecond is the rate limit.
 	linesPerSecond = 1000
-	// burstLines is how much of the allowance can be saved up.
+	// burstLines is the burst size of the rate limit.
 	burstLines = 2000
 )
 
-// Writer is an io.Writer of lines that never blocks.
+// Writer is an io.Writer that takes one log line per call and never blocks.
 type Writer struct {
-	// Done is closed when the writer has stopped.
+	// Done is closed after the writing goroutine has stopped.
 	Done chan struct{}
 
 	queue chan []byte
-	// stop is closed when the writer is to end.
+	// stop is closed to end the writing goroutine.
 	stop  chan struct{}
 	limit *rate.Limiter
-	// dropped counts the lines that were dropped, and told those of them that
-	// the output was told of.
+	// dropped counts the lines that were dropped, and reported those of them that the output
+	// already mentions.
 	dropped  atomic.Int64
 	reported int64
 }
 
-// New returns a writer to w. Close ends it.
+// New returns a Writer that writes to w. The caller must call Close to stop its goroutine.
 func New(w io.Writer) *Writer {
 	j := &Writer{
 		Done:  make(chan struct{}),
@@ -55,7 +55,7 @@
 	return j
 }
 
-// Write implements io.Writer. It takes one line and never fails.
+// Write implements io.Writer. It copies and queues one line, or drops it, and never fails.
 func (j *Writer) Write(line []byte) (int, error) {
 	if !j.limit.Allow() {
 		j.dropped.Add(1)
@@ -69,19 +69,19 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of lines that were dropped so far.
 func (j *Writer) Dropped() int64 {
 	return j.dropped.Load()
 }
 
-// Close writes what is queued and ends the writer. It must be called once; lines
-// written later are lost.
+// Close writes the queued lines and stops the writing goroutine. It must be called once; lines
+// that are written after it are lost.
 func (j *Writer) Close() {
 	close(j.stop)
 	<-j.Done
 }
 
-// run writes lines until the writer is closed.
+// run writes queued lines until Close is called.
 func (j *Writer) run(w io.Writer) {
 	defer close(j.Done)
 	for {
@@ -95,7 +95,7 @@
 	}
 }
 
-// drain writes the lines that wait.
+// drain writes the lines that are still queued.
 func (j *Writer) drain(w io.Writer) {
 	for {
 		select {
@@ -107,10 +107,11 @@
 	}
 }
 
-// writeLine writes one line, and before it how many were dropped since the last.
+// writeLine writes one line, preceded by the number of lines dropped since the last such
+// message, if any.
 func (j *Writer) writeLine(w io.Writer, line []byte) {
 	if n := j.dropped.Load(); n > j.reported {
-		// There is nowhere to tell of a log that can't be written.
+		// A failure to write the log cannot be logged, so the error is ignored.
 		_, _ = fmt.Fprintf(w, "{\"time\":%q,\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"count\":%d}\n",
 			time.Now().Format(time.RFC3339Nano), n-j.reported)
 		j.reported = n
--- a/internal/jsonlog/jsonlog_test.go
+++ b/internal/jsonlog/jsonlog_test.go
@@ -14,7 +14,7 @@
 	"github.com/linkmast/linkmast/internal/jsonlog"
 )
 
-// slow is a writer that hangs until it is freed.
+// slow is a writer whose Write blocks until free is closed.
 type slow struct {
 	free chan struct{}
 
@@ -29,7 +29,8 @@
 	return s.buf.Write(p)
 }
 
-// TestNeverBlocks writes more than the queue takes to a writer that hangs.
+// TestNeverBlocks guards against a Writer that blocks its callers, or loses lines without
+// counting them, while its output hangs.
 func TestNeverBlocks(t *testing.T) {
 	is := is.New(t)
 	s := &slow{
@@ -48,5 +49,5 @@
 	w.Close()
 	got := s.buf.String()
 	is.True(strings.Contains(got, "log lines dropped"))
-	is.Equal(int64(strings.Count(got, "{}\n"))+w.Dropped(), int64(lines)) // none is lost without being counted
+	is.Equal(int64(strings.Count(got, "{}\n"))+w.Dropped(), int64(lines)) // every line is either written or counted
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package rendezvous orders nodes for a key by weighted rendezvous hashing: with
-// h the hash of key and node as a fraction of one and w the node's weight, the
-// nodes with the highest
+// Package rendezvous sorts nodes for a key by weighted rendezvous hashing. With h the hash of
+// key and node, scaled to a fraction between 0 and 1, and w the node's weight, nodes are
+// sorted by descending
 //
 //	-w² / ln(h)
 //
-// come first. Each node is first for a part of all keys in proportion to its
-// squared weight, which keeps weak nodes from duties, and when a node goes only
-// its own keys move.
+// Each node is first for a share of all keys in proportion to its squared weight, so weak
+// nodes are first for few keys. When a node is removed, only the keys for which it was first
+// get another first node.
 package rendezvous
 
 import (
@@ -19,18 +19,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The fractions that a float64 tells apart.
+// Conversion of a 64-bit hash to a float64 fraction.
 const (
-	// mantissa is their number.
+	// mantissa is the number of distinct fractions.
 	mantissa = 1 << mantissaBits
-	// mantissaBits is the precision of a float64 (IEEE 754).
+	// mantissaBits is the precision of a float64 (IEEE 754), in bits.
 	mantissaBits = 53
-	// hashBits is the length of a hash.
+	// hashBits is the length of a hash in bits.
 	hashBits = 64
 )
 
-// Score returns the score of a node for a key, as in the package comment. A weight
-// below 1 counts as 1.
+// Score returns the score of a node for a key, see the package comment. A weight below 1
+// counts as 1.
 func Score(key, id string, weight int) float64 {
 	h := xxhash.Sum64String(key + "\x00" + id)
 	fraction := (float64(h>>(hashBits-mantissaBits)) + 0.5) / mantissa
@@ -38,9 +38,9 @@
 	return -w * w / math.Log(fraction)
 }
 
-// Sort orders nodes for a key, the first one first. Of returns a node's name and
-// weight. Each score is computed once: 295 nodes take 0.09 ms in place of 0.50 ms with
-// the scores computed in each comparison (BenchmarkSort).
+// Sort sorts nodes in place for a key, highest score first and ties by name. The function of
+// returns the name and the weight of a node. Each score is computed only once, since the
+// logarithm dominates the cost of a comparison.
 func Sort[T any](key string, nodes []T, of func(T) (id string, weight int)) {
 	all := make([]scored[T], 0, len(nodes))
 	for _, n := range nodes {
@@ -59,15 +59,14 @@
 	}
 }
 
-// scored is a node with its score.
+// scored pairs a node with its name and score.
 type scored[T any] struct {
 	node  T
 	id    string
 	score float64
 }
 
-// Index returns a number from 0 to below n that depends on a name and n alone. N must
-// be positive.
+// Index maps a name to an index in [0, n) by its hash. N must be positive.
 func Index(name string, n int) int {
 	return int(xxhash.Sum64String(name) % uint64(n))
 }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestSort(t *testing.T) {
-	t.Run("does not depend on the order", func(t *testing.T) {
+	t.Run("result is independent of the input order", func(t *testing.T) {
 		is := is.New(t)
 		a, b := nodes(9), nodes(9)
 		b[0], b[8] = b[8], b[0]
@@ -39,7 +39,7 @@
 		rendezvous.Sort("k", b, of)
 		is.Equal(a, b)
 	})
-	t.Run("only the keys of a node that goes move", func(t *testing.T) {
+	t.Run("removal of a node moves only its own keys", func(t *testing.T) {
 		is := is.New(t)
 		for k := range 200 {
 			key := fmt.Sprint(k)
@@ -61,13 +61,12 @@
 				weak++
 			}
 		}
-		// By squared weights 1 in 201.
+		// With squared weights the node is first for about 1 key in 201.
 		is.True(weak < 40)
 	})
 }
 
-// BenchmarkSort orders the instances of a large fleet. Before each score was computed
-// once per node: see the doc comment of Sort.
+// BenchmarkSort sorts the instances of large fleets for one key.
 func BenchmarkSort(b *testing.B) {
 	for _, n := range []int{295, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package slope fits straight lines to the results of benchmarks.
+// Package slope fits straight lines to benchmark results.
 //
-// A benchmark that runs at several sizes names them n=1, n=10 and so on. For
-// each of its figures, Fit finds a and b of y = a + b·n with the least sum of
+// A benchmark that runs at several sizes names its sub-benchmarks n=1, n=10 and so on. For
+// each value that it reports, Fit determines a and b of y = a + b·n with the least sum of
 // squared relative errors, so that small sizes count as much as large ones.
 package slope
 
@@ -16,26 +16,27 @@
 	"strings"
 )
 
-// Line is the fit of one figure of one benchmark.
+// Line is the fit of one reported value of one benchmark.
 type Line struct {
-	// Benchmark and Unit name the figure.
+	// Benchmark is the name without the prefix "Benchmark" or "BenchmarkSlope" and without the
+	// size.
 	Benchmark string
-	// Unit is the figure's unit, such as "ns/op".
+	// Unit is the unit of the values, such as "ns/op".
 	Unit string
-	// A and B are the fit y = A + B·n.
+	// A and B are the coefficients of the fit y = A + B·n.
 	A, B float64
-	// Error is the largest relative error of the fit at a size.
+	// Error is the largest relative error of the fit over all sizes.
 	Error float64
-	// Sizes are the sizes that were measured.
+	// Sizes lists the values of n.
 	Sizes []float64
-	// Values are the figures at the sizes.
+	// Values lists the reported values, in the order of Sizes.
 	Values []float64
 }
 
 var namePattern = regexp.MustCompile(`^Benchmark(?:Slope)?(.+)/n=(\d+)(?:-\d+)?$`)
 
-// Read reads the output of go test -bench and fits every figure that was
-// measured at two sizes or more.
+// Read parses the output of go test -bench and fits every value that is reported for at least
+// two sizes. It skips lines that it cannot parse.
 func Read(r io.Reader) ([]Line, error) {
 	var order []string
 	found := make(map[string]*Line)
@@ -82,8 +83,8 @@
 	return out, in.Err()
 }
 
-// Fit finds A, B and Error by weighted least squares with weights 1/y². All
-// three are zero when every figure is.
+// Fit sets A, B and Error by least squares with weights 1/y². It ignores values of zero, and
+// leaves the three fields unchanged if fewer than two distinct sizes remain.
 func (l *Line) Fit() {
 	var w, x, y, xx, xy float64
 	for i, n := range l.Sizes {
@@ -111,7 +112,7 @@
 	}
 }
 
-// At returns the fit at a size.
+// At returns the value of the fit at size n.
 func (l *Line) At(n float64) float64 {
 	return l.A + l.B*n
 }
--- a/internal/slope/slope_test.go
+++ b/internal/slope/slope_test.go
@@ -28,11 +28,11 @@
 	is.True(math.Abs(lines[1].At(7)-50) < 1e-6)
 }
 
-func TestFitStatesError(t *testing.T) {
+func TestFitReportsError(t *testing.T) {
 	is := is.New(t)
 	l := Line{
 		Sizes:  []float64{1, 10, 100, 1000},
-		Values: []float64{1, 100, 10_000, 1_000_000}, // n squared is no line
+		Values: []float64{1, 100, 10_000, 1_000_000}, // quadratic in n
 	}
 	l.Fit()
 	is.True(l.Error > 0.5)
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -10,19 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Source reads the clocks: one that counts the time in which the machine is suspended, and
-// one that doesn't, in this order.
+// Source reads two clocks: boot includes the time in which the host is suspended, running does
+// not.
 type Source func() (boot, running time.Duration)
 
-// minSuspension is the least gain of one clock on the other that counts: more than the
-// clocks' adjustment to the true second brings in a reading's time, and less than any bound
-// that is measured.
+// minSuspension is the smallest growth of the clock offset that counts as suspension. It
+// exceeds the drift and jitter between two readings and is far below the durations that
+// callers measure.
 const minSuspension = time.Millisecond
 
 var (
-	// clockSource reads the clocks.
+	// clockSource is the source that is in use.
 	clockSource atomic.Pointer[Source]
-	// startOffset is the gain at the startOffset of the process, and gained the one since then, in ns.
+	// startOffset is the clock offset at the start of the process, and suspended the time in
+	// which the host was suspended since then, in ns.
 	startOffset time.Duration
 	suspended   atomic.Int64
 )
@@ -33,11 +34,12 @@
 	startOffset = clockOffset()
 }
 
-// readKernel reads the kernel's clocks.
+// readKernel reads CLOCK_BOOTTIME and CLOCK_MONOTONIC. It returns zeros if either is
+// unavailable; suspensions are not detected then.
 func readKernel() (boot, running time.Duration) {
 	var b, m unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &b); err != nil {
-		// Without that clock nothing is known of suspensions.
+		// Without this clock, suspensions cannot be detected.
 		return 0, 0
 	}
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &m); err != nil {
@@ -46,13 +48,13 @@
 	return time.Duration(b.Nano()), time.Duration(m.Nano())
 }
 
-// clockOffset returns how far the one clock is before the other.
+// clockOffset returns how far the boot clock is ahead of the running clock.
 func clockOffset() time.Duration {
 	boot, running := (*clockSource.Load())()
 	return boot - running
 }
 
-// Suspended returns for how long the machine was suspended since the process started.
+// Suspended returns how long the host has been suspended since the process started.
 func Suspended() time.Duration {
 	now := int64(clockOffset() - startOffset)
 	for {
@@ -66,28 +68,29 @@
 	}
 }
 
-// Now returns a moment. Only its distance to other moments of this package means anything;
-// it is no time of day.
+// Now returns the current time of this clock. Only differences between times of this package
+// are meaningful; the result is not the time of day.
 func Now() time.Time {
 	suspended := Suspended()
 	return time.Now().Add(suspended)
 }
 
-// Since returns the time since a moment.
+// Since returns the time elapsed since t, a time returned by Now.
 func Since(t time.Time) time.Duration {
 	return Now().Sub(t)
 }
 
-// Until returns the time until a moment.
+// Until returns the time remaining until t, a time derived from Now.
 func Until(t time.Time) time.Duration {
 	return t.Sub(Now())
 }
 
-// pollInterval is how often WithTimeout looks whether the machine was suspended.
+// pollInterval is how often WithTimeout checks for an expiry caused by a suspension.
 const pollInterval = 50 * time.Millisecond
 
-// WithTimeout is context.WithTimeout by this package's time: after a suspension it ends
-// within lookEvery of its moment. It costs a goroutine.
+// WithTimeout is like context.WithTimeout but measures d with this package's clock: if a
+// suspension outlasts d, the context is canceled within pollInterval of the resumption. It
+// runs a goroutine until the context ends.
 func WithTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	began := Now()
 	ctx, cancel := context.WithTimeout(ctx, d)
@@ -108,13 +111,12 @@
 	return ctx, cancel
 }
 
-// StartOffset returns how far the one clock was before the other when the process started. It is
-// for tests.
+// StartOffset returns the offset of the kernel's clocks when the process started, for tests.
 func StartOffset() time.Duration {
 	return startOffset
 }
 
-// SetSource has the clocks read by another source, until restore is called. It is for tests.
+// SetSource replaces the source of the clock readings until restore is called, for tests.
 func SetSource(s Source) (restore func()) {
 	old, oldGain := clockSource.Load(), suspended.Load()
 	clockSource.Store(&s)
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -13,7 +13,7 @@
 	"github.com/linkmast/linkmast/internal/steady/steadytest"
 )
 
-// assertClose checks that a time is as wanted but for what reading the clocks takes.
+// assertClose fails the test unless got is at most one second above want and not below it.
 func assertClose(t *testing.T, got, want time.Duration) {
 	t.Helper()
 	if got < want || got > want+time.Second {
@@ -21,7 +21,7 @@
 	}
 }
 
-// TestSuspension measures a time in which the machine is suspended.
+// TestSuspension guards against elapsed times that omit a suspension of the host.
 func TestSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	before := steady.Now()
@@ -33,7 +33,8 @@
 	assertClose(t, -steady.Until(before), 25*time.Second)
 }
 
-// TestKernel reads the kernel's clocks: they don't part while the machine runs.
+// TestKernel guards against suspension being detected with the kernel's clocks while the host
+// runs.
 func TestKernel(t *testing.T) {
 	before := steady.Now()
 	wall := time.Now()
@@ -42,8 +43,8 @@
 	is.New(t).True(steady.Since(before)-time.Since(wall) < 10*time.Millisecond)
 }
 
-// TestNeverBack looks that a reading that was late, so that the clocks seem to have come closer,
-// takes no time back.
+// TestNeverBack guards against time running backwards when the clock offset shrinks, and
+// against small growth of the offset being counted as suspension.
 func TestNeverBack(t *testing.T) {
 	is := is.New(t)
 	gain := steady.StartOffset()
@@ -54,11 +55,11 @@
 	assertClose(t, after.Sub(before), time.Minute)
 	gain -= 30 * time.Second
 	is.True(!steady.Now().Before(after))
-	gain += 500 * time.Microsecond // no suspension
+	gain += 500 * time.Microsecond // too little for a suspension
 	is.True(steady.Since(after) < time.Second)
 }
 
-// TestVirtual goes by the virtual time of tests.
+// TestVirtual guards against a clock that ignores the virtual time of synctest.
 func TestVirtual(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := steady.Now()
@@ -67,7 +68,7 @@
 	})
 }
 
-// TestWithTimeout ends a context after a suspension.
+// TestWithTimeout guards against a context that outlives its timeout after a suspension.
 func TestWithTimeout(t *testing.T) {
 	is := is.New(t)
 	m := steadytest.New(t)
@@ -79,11 +80,11 @@
 	select {
 	case <-ctx.Done():
 	case <-time.After(2 * time.Second):
-		t.Fatal("it goes on")
+		t.Fatal("context has not ended after the suspension")
 	}
 }
 
-// BenchmarkNow reads the clocks.
+// BenchmarkNow measures the cost of reading the clock.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		steady.Now()
--- a/internal/steady/steadytest/steadytest.go
+++ b/internal/steady/steadytest/steadytest.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package steadytest lets tests suspend the machine, as far as package steady knows.
+// Package steadytest simulates suspensions of the host for package steady.
 package steadytest
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// Host is a machine that a test suspends.
+// Host simulates a host that a test can suspend.
 type Host struct {
 	suspended atomic.Int64
 }
 
-// New returns a machine that has not been suspended. Until the test ends package steady goes
-// by it. No other test may run beside it in the process.
+// New makes package steady read the clocks of a simulated host until the test ends. The clocks
+// are global to the process, so no other test may run in parallel.
 func New(t testing.TB) *Host {
 	t.Helper()
 	m := &Host{}
@@ -28,7 +28,8 @@
 	return m
 }
 
-// Suspend makes a time pass that only the clock knows of which goes on in a suspension.
+// Suspend simulates a suspension of length d: the boot clock advances while the running clock
+// does not.
 func (m *Host) Suspend(d time.Duration) {
 	m.suspended.Add(int64(d))
 }
--- a/internal/tcp/check.go
+++ b/internal/tcp/check.go
@@ -7,7 +7,8 @@
 	"net"
 )
 
-// Check opens a connection to an address and closes it again.
+// Check opens a TCP connection to an address and closes it again. It returns the error of the
+// dial or the close.
 func Check(ctx context.Context, address string) error {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", address)
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package tcp opens connections that the kernel gives up when the other end no longer
-// answers: one that lost power, is cut off, or has forgotten the connection without a
-// reset. Nothing else ends what waits on such a connection.
+// Package tcp provides TCP connections that the kernel closes when the peer no longer
+// responds, because it lost power, is cut off, or dropped the connection without a reset.
+// Without this, reads on such a connection could block forever.
 package tcp
 
 import (
@@ -14,21 +14,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// The times in which a connection is given up.
+// Time-outs after which the kernel closes a connection.
 const (
-	// unackedTimeout is how long sent bytes and probes may stay unacknowledged.
+	// unackedTimeout bounds how long sent data may stay unacknowledged.
 	unackedTimeout = 2500 * time.Millisecond
-	// probeIdle and probeEvery are how soon a connection on which nothing comes
-	// is probed, and how often: an end without power is noticed within three
-	// seconds, while one that is just busy answers. The kernel counts in seconds.
+	// probeIdle is how long a connection is idle before the first keep-alive probe, and
+	// probeInterval the interval between probes. The kernel takes whole seconds. A dead peer
+	// is detected within about three seconds; the kernel of a busy peer still answers the
+	// probes.
 	probeIdle     = time.Second
 	probeInterval = time.Second
-	// probeCount is how many probes stay without an answer.
+	// probeCount is the number of unanswered probes after which the connection is closed.
 	probeCount = 2
 )
 
-// Dialer returns a dialer of probed connections. A connection that does not come up in
-// time fails.
+// Dialer returns a dialer for connections with keep-alive probes and a bound on unacknowledged
+// data. A dial fails after timeout.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
@@ -37,7 +38,8 @@
 	}
 }
 
-// Listen listens on an address for connections that are probed like those of Dialer.
+// Listen listens on a TCP address. Accepted connections have the same options as those of
+// Dialer.
 func Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		KeepAliveConfig: keepAliveConfig(),
@@ -51,8 +53,8 @@
 	}, nil
 }
 
-// listener bounds how long bytes sent on its connections may stay unacknowledged.
-// Those don't have that option from the socket that accepts them.
+// listener sets TCP_USER_TIMEOUT on each accepted connection, which the listening socket does
+// not pass on.
 type listener struct {
 	net.Listener
 }
@@ -65,14 +67,15 @@
 	}
 	if t, ok := c.(*net.TCPConn); ok {
 		if raw, err := t.SyscallConn(); err == nil {
-			// A connection that has ended is noticed at its first use.
+			// This fails if the connection is closed already; the first read then returns the
+			// error.
 			_ = setUserTimeout(raw)
 		}
 	}
 	return c, nil
 }
 
-// keepAliveConfig returns how connections are probed.
+// keepAliveConfig returns the keep-alive settings of all connections.
 func keepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{
 		Enable:   true,
@@ -82,14 +85,15 @@
 	}
 }
 
-// setOptions implements the hook of a net.Dialer.
+// setOptions implements net.Dialer.Control.
 func setOptions(_, _ string, c syscall.RawConn) error {
 	return setUserTimeout(c)
 }
 
-// setUserTimeout bounds how long bytes that are sent may stay unacknowledged.
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent data may stay
+// unacknowledged.
 func setUserTimeout(c syscall.RawConn) error {
-	// Where the option is missing, the time-outs of requests hold all the same.
+	// Without support for the option, only the time-outs of the requests apply.
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
--- a/internal/tcp/tcp_test.go
+++ b/internal/tcp/tcp_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestConnectionsAreProbed looks that the kernel gives up a connection whose other end
-// has lost power: nothing else ends a request that waits there.
+// TestConnectionsAreProbed guards against connections without keep-alive probes: a request on
+// a connection whose peer lost power would block forever.
 func TestConnectionsAreProbed(t *testing.T) {
 	is := is.New(t)
 	l, err := Listen("127.0.0.1:0")
@@ -28,7 +28,7 @@
 	t.Run("accepted", func(t *testing.T) { assertKeepAlive(t, accepted) })
 }
 
-// assertKeepAlive checks the options of a connection.
+// assertKeepAlive checks the socket options of a connection.
 func assertKeepAlive(t *testing.T, c net.Conn) {
 	t.Helper()
 	is := is.New(t)
--- a/internal/tcp/tcptest/proxy.go
+++ b/internal/tcp/tcptest/proxy.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package tcptest is a link between processes that can fail: it delays, resets, silences
-// or cuts connections, one way or for good.
+// Package tcptest provides a TCP proxy that injects network faults: it delays, blocks or
+// resets connections, in one or both directions.
 package tcptest
 
 import (
@@ -13,21 +13,23 @@
 	"github.com/go-faster/errors"
 )
 
-// Link is what a proxy does to connections. The zero value passes bytes on.
+// Link states the faults of a proxy's connections. The zero value forwards data without
+// faults.
 type Link struct {
-	// Delay holds each piece of data back.
+	// Delay is how long the proxy holds back each chunk of data.
 	Delay time.Duration
-	// Reset resets connections, and new ones at once.
+	// Reset makes the proxy reset all open connections, and new ones as soon as it accepts
+	// them.
 	Reset bool
-	// BlockUp silences the direction to the target.
+	// BlockUp holds back data to the target until the link changes.
 	BlockUp bool
-	// BlockDown silences the direction from the target.
+	// BlockDown holds back data from the target until the link changes.
 	BlockDown bool
 }
 
-// Proxy passes connections on to a target, through a link that can fail.
+// Proxy forwards TCP connections to a target and injects the faults of its Link.
 type Proxy struct {
-	// Address is where the proxy listens.
+	// Address is the host and port on which the proxy listens.
 	Address string
 
 	target string
@@ -37,13 +39,13 @@
 	closed      bool
 	link        Link
 	linkChanged chan struct{}
-	// conns are both ends of the connections that are passed on, and silent of those
-	// that went silent for good.
+	// conns holds both sides of all forwarded connections, and silent those whose data is
+	// discarded since a call of Silence.
 	conns  map[net.Conn]struct{}
 	silent map[net.Conn]struct{}
 }
 
-// NewProxy starts a proxy before a target. Close ends it.
+// NewProxy starts a proxy to a target address. The caller must call Close to stop it.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +63,7 @@
 	return p, nil
 }
 
-// Set changes the link.
+// Set replaces the faults of the link.
 func (p *Proxy) Set(l Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,17 +75,18 @@
 	}
 }
 
-// Refuse refuses connections, and resets those that are open, as the end of the target's
-// process does, until Accept.
+// Refuse resets all open connections and refuses new ones until Resume is called, as if the
+// target's process had ended.
 func (p *Proxy) Refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// It may be refusing already.
+	// The listener may be closed already.
 	_ = p.listener.Close()
 	p.resetAll()
 }
 
-// Resume ends what Refuse began, at the same address. The error is that of listening there.
+// Resume makes the proxy listen on its address again after Refuse. It returns the error of
+// listening.
 func (p *Proxy) Resume() error {
 	l, err := net.Listen("tcp", p.Address)
 	if err != nil {
@@ -99,8 +102,9 @@
 	return nil
 }
 
-// Silence makes all open connections silent for good: nothing comes through any more, and
-// neither end is told. New ones work.
+// Silence makes the proxy discard all further data of the connections that are open now,
+// without closing them. Neither side learns if the other closes its end. New connections are
+// not affected.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,17 +113,17 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	// Nothing is left to do about an error.
+	// An error has no consequence, as the proxy ends anyway.
 	_ = p.listener.Close()
 	p.resetAll()
 }
 
-// resetAll resets all connections. The caller holds the lock.
+// resetAll resets all connections. The caller holds p.mu.
 func (p *Proxy) resetAll() {
 	for c := range p.conns {
 		reset(c)
@@ -127,7 +131,7 @@
 	clear(p.conns)
 }
 
-// reset closes a connection so that its other side sees a reset.
+// reset closes a connection so that its peer receives a reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -135,7 +139,7 @@
 	_ = c.Close()
 }
 
-// accept serves the connections of a listener until that is closed.
+// accept serves the connections of a listener until it is closed.
 func (p *Proxy) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -146,7 +150,7 @@
 	}
 }
 
-// serve passes a connection on until both directions have ended.
+// serve forwards a connection until both directions have ended.
 func (p *Proxy) serve(c net.Conn) {
 	p.mu.Lock()
 	bad := p.link.Reset
@@ -172,7 +176,7 @@
 	p.drop(t)
 }
 
-// drop resets a connection and forgets it.
+// drop resets a connection and removes it from the proxy's records.
 func (p *Proxy) drop(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
@@ -181,11 +185,11 @@
 	reset(c)
 }
 
-// copyBytes is how much is passed on at once.
+// copyBytes is the size of the buffer of one direction, in bytes.
 const copyBytes = 16 << 10
 
-// copy passes one direction on while the link lets it. An end is passed on as an
-// end, an error as a reset.
+// copy forwards one direction of a connection. It forwards an end of file as a half-close and
+// an error as a reset.
 func (p *Proxy) copy(to, from net.Conn, silenced func(Link) bool) {
 	buf := make([]byte, copyBytes)
 	for {
@@ -216,7 +220,7 @@
 	}
 }
 
-// isSilent states whether a connection has gone silent for good.
+// isSilent reports whether the proxy discards the data of a connection.
 func (p *Proxy) isSilent(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,7 +228,7 @@
 	return silent
 }
 
-// hold holds data back while the link says so.
+// hold delays data by the delay of the link and blocks while the link blocks the direction.
 func (p *Proxy) hold(silenced func(Link) bool) {
 	for {
 		p.mu.Lock()
--- a/internal/tcp/tcptest/proxy_test.go
+++ b/internal/tcp/tcptest/proxy_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// echo serves what comes back.
+// echo starts a server that sends back what it receives, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +59,8 @@
 	}
 }
 
-// TestRefuse refuses connections for a while, as a process that has ended does.
+// TestRefuse guards against a proxy that accepts connections between Refuse and Resume, or
+// does not recover after it.
 func TestRefuse(t *testing.T) {
 	is := is.New(t)
 	p, err := NewProxy(echo(t))
@@ -72,7 +73,8 @@
 	is.Equal(echoFrom(t, p.Address), "hello")
 }
 
-// TestSilence makes a connection silent for good. The next one works.
+// TestSilence guards against data on a connection after Silence, and against an effect on
+// later connections.
 func TestSilence(t *testing.T) {
 	is := is.New(t)
 	p, err := NewProxy(echo(t))
@@ -87,8 +89,8 @@
 	is.Equal(echoFrom(t, p.Address), "hello")
 }
 
-// echoFrom says hello to an address and returns what comes back. A reset may already
-// be seen by the dial.
+// echoFrom sends "hello" to an address on a new connection and returns the reply. A link that
+// resets may do so already during the dial.
 func echoFrom(t *testing.T, address string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -102,7 +104,7 @@
 	return echoOn(c)
 }
 
-// echoOn says hello on a connection and returns what comes back.
+// echoOn sends "hello" on a connection and returns what arrives within 300 ms.
 func echoOn(c net.Conn) string {
 	c.Write([]byte("hello"))
 	c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// bufferBytes is the buffer of each direction of a connection: most requests and
-// many answers fit.
+// bufferBytes is the size of the read and the write buffer of a connection; most requests and
+// many responses fit.
 const bufferBytes = 8 << 10
 
 // Conn is a connection to an endpoint.
@@ -23,13 +23,13 @@
 	address string
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// idleSince is when the connection became idle, and keep how long the
-	// endpoint keeps it then.
+	// idleSince is when the connection became idle, and idleTimeout how long it may be reused
+	// from then on.
 	idleSince   time.Time
 	idleTimeout time.Duration
 }
 
-// newConn returns a fresh connection to an address.
+// newConn wraps a new connection to an address.
 func newConn(c net.Conn, address string) *Conn {
 	return &Conn{
 		net:         c,
@@ -40,8 +40,8 @@
 	}
 }
 
-// reusable states whether an idle connection is open and has nothing to read: a read
-// that would wait says so.
+// reusable reports whether an idle connection is still open and has no data to read, by a read
+// that does not block.
 func (c *Conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -64,7 +64,7 @@
 	return err == nil && quiet
 }
 
-// readKeepAlive takes over the idle time that an answer names.
+// readKeepAlive sets idleTimeout from the Keep-Alive header of a response, if there is one.
 func (c *Conn) readKeepAlive(h http.Header) {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -77,8 +77,8 @@
 	}
 }
 
-// close ends the connection.
+// close closes the connection.
 func (c *Conn) close() {
-	// Nothing more is wanted from it; there is nothing to do about an error.
+	// The connection is not used any more, so an error has no consequence.
 	_ = c.net.Close()
 }
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,12 +1,11 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package upstream is the connections of an instance to endpoints, HTTP/1.1
-// with the messages of net/http.
+// Package upstream sends requests of an instance to endpoints over HTTP/1.1 and pools the
+// connections. It uses the message types of net/http but not its client, which resends some
+// requests on its own, ignores the idle timeout that a server announces, and accepts any
+// response on a connection as the one to its request.
 //
-// net/http's own client sends some requests again by itself, does not heed the
-// idle time that a server names, and takes whatever comes next on a connection
-// for the answer that is due. Here a request is written once to one connection,
-// an error says whether any byte of it can have arrived, an answer that belongs
-// to another request is skipped, and a connection with anything unexpected on it
-// is closed.
+// In this package, a request is written once, to one connection, and the error states whether
+// the endpoint may have received any of it. Responses to other requests are skipped, and a
+// connection with unexpected data on it is closed.
 package upstream
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -18,33 +18,34 @@
 	Address string
 	// Method is the HTTP method.
 	Method string
-	// Target is the path with its query, as it is written on the wire.
+	// Target is the request target of the request line: path and query.
 	Target string
-	// Host is the host that the caller named.
+	// Host is the value of the Host header.
 	Host string
-	// Header is sent as it is; it holds neither Host nor Content-Length.
+	// Header holds the other headers, which are sent unchanged. It must contain neither Host
+	// nor Content-Length.
 	Header http.Header
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
-	// MaxIdle bounds how long a connection may have rested; zero means that a
-	// new one is opened.
+	// MaxIdle is the idle time from which on a pooled connection is not reused. With zero, a
+	// new connection is opened.
 	MaxIdle time.Duration
-	// Check is called once there is a connection, just before the request is sent; its error
-	// keeps it from being sent. Nil means no check.
+	// Check, if not nil, is called when a connection is available, before anything is sent. An
+	// error prevents the request from being sent and is the cause of the error of Do.
 	Check func() error
-	// Matches states whether an answer belongs to the request.
+	// Matches reports whether a response answers this request. Nil accepts any response.
 	Matches func(*http.Response) bool
 }
 
-// Error is a request without an answer.
+// Error reports that a request got no response.
 type Error struct {
-	// Sent states whether the endpoint may have got the request.
+	// Sent states whether the endpoint may have received part of the request.
 	Sent bool
 	// Err is the cause.
 	Err error
 }
 
-// Error returns the cause, and whether the request was sent.
+// Error returns the cause, prefixed with "sent: " or "not sent: ".
 func (e *Error) Error() string {
 	if e.Sent {
 		return "sent: " + e.Err.Error()
@@ -57,27 +58,27 @@
 	return e.Err
 }
 
-// Exchange is a request that is under way or answered.
+// Exchange is a request with its response.
 type Exchange struct {
-	// Response is the answer. Its body is read from the connection.
+	// Response is the response. Its body reads from the connection.
 	Response *http.Response
 
 	pool *Pool
 	conn *Conn
-	// stop keeps the end of the context from closing the connection. It returns
-	// false when that has happened.
+	// stop stops the closing of the connection at the end of the context. It returns false if
+	// the connection is being closed already.
 	stop func() bool
-	// written gets how the writing of the request ended.
+	// written receives the result of writing the request.
 	written chan error
-	// complete states that the body was read to its end.
+	// complete states whether the body was read to its end.
 	complete bool
 }
 
-// maxUnmatched bounds the answers to other requests that are skipped.
-const maxUnmatched = 4
+// maxResponses bounds the responses that are read for a request, provisional ones included.
+const maxResponses = 4
 
-// Do sends a request and returns when the head of its answer is there. The end
-// of ctx closes the connection, also later on. The caller closes the exchange. The
+// Do sends a request and returns once it has read the header of the response. The connection
+// is closed when ctx ends, even after Do has returned. The caller must close the exchange. The
 // error is an *Error.
 func (p *Pool) Do(ctx context.Context, r Request) (*Exchange, error) {
 	c, err := p.get(ctx, r.Address, r.MaxIdle)
@@ -111,7 +112,7 @@
 	return x, nil
 }
 
-// notSent returns the error of a request of which no byte was written.
+// notSent returns the error of a request of which nothing was written.
 func notSent(err error) *Error {
 	return &Error{
 		Sent: false,
@@ -119,9 +120,8 @@
 	}
 }
 
-// write sends the request. A body that may not fit into the connection's
-// buffers is sent beside the reading of the answer, as an endpoint may answer
-// before it has read it.
+// write sends the request. A body that may not fit into the buffers is sent by another
+// goroutine, because the endpoint may respond before it has read the body.
 func (x *Exchange) write(r Request) {
 	if len(r.Body) <= bufferBytes {
 		x.written <- x.conn.send(r)
@@ -135,7 +135,7 @@
 // send writes a request to the connection.
 func (c *Conn) send(r Request) error {
 	w := c.writer
-	// Errors of a buffered writer stay until Flush returns them.
+	// A bufio.Writer keeps its first error, and Flush returns it.
 	_, _ = fmt.Fprintf(w, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		_, _ = fmt.Fprintf(w, "Content-Length: %d\r\n", len(r.Body))
@@ -151,18 +151,19 @@
 	return nil
 }
 
-// readHead reads answers until there is one that belongs to the request.
+// readHead reads responses until one matches the request. It skips provisional responses and
+// those to other requests.
 func (x *Exchange) readHead(r Request) error {
-	asked := &http.Request{
+	req := &http.Request{
 		Method: r.Method,
 	}
-	for range maxUnmatched {
-		res, err := http.ReadResponse(x.conn.reader, asked)
+	for range maxResponses {
+		res, err := http.ReadResponse(x.conn.reader, req)
 		if err != nil {
 			return errors.Wrap(err, "read answer")
 		}
 		if res.StatusCode >= http.StatusContinue && res.StatusCode < http.StatusOK {
-			// It only announces the answer.
+			// A provisional response precedes the final one.
 			continue
 		}
 		if r.Matches == nil || r.Matches(res) {
@@ -170,13 +171,13 @@
 			return nil
 		}
 		if _, err := io.Copy(io.Discard, res.Body); err != nil || res.Close {
-			return errors.New("answer belongs to another request")
+			return errors.New("response belongs to another request")
 		}
 	}
-	return errors.New("answers belong to other requests")
+	return errors.New("responses belong to other requests")
 }
 
-// release gives back the connection of a request of which no byte was written.
+// release returns the connection of a request of which nothing was written to the pool.
 func (x *Exchange) release() {
 	if !x.stop() {
 		x.conn.close()
@@ -185,13 +186,14 @@
 	x.pool.put(x.conn)
 }
 
-// MarkComplete notes that the body was read to its end, so that the connection can
-// serve another request.
+// MarkComplete records that the body was read to its end. Otherwise Close closes the
+// connection.
 func (x *Exchange) MarkComplete() {
 	x.complete = true
 }
 
-// Close ends the exchange. A connection is kept only after a whole exchange.
+// Close ends the exchange. It returns the connection to the pool if the request was written
+// and the response read completely, and closes it otherwise.
 func (x *Exchange) Close() {
 	free := x.stop()
 	sent := false
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -15,42 +15,40 @@
 	"github.com/linkmast/linkmast/internal/tcp"
 )
 
-// The times of connections.
+// Time-outs of connections.
 const (
-	// defaultDialTimeout bounds the time in which a connection comes up.
+	// defaultDialTimeout bounds the establishment of a connection.
 	defaultDialTimeout = 400 * time.Millisecond
-	// defaultIdleTimeout is how long an idle connection is used again when the
-	// endpoint does not say how long it keeps one.
+	// defaultIdleTimeout is how long an idle connection may be reused if the endpoint sends no
+	// Keep-Alive time-out.
 	defaultIdleTimeout = 3 * time.Second
-	// idleTimeoutMargin is how much earlier a connection is given up than the
-	// endpoint says, for the time that the request is on its way.
+	// idleTimeoutMargin is subtracted from the time-out that the endpoint announces, so that a
+	// request does not arrive while the endpoint closes the connection.
 	idleTimeoutMargin = 700 * time.Millisecond
 )
 
-// maxIdlePerEndpoint bounds the idle connections to one endpoint: an engine of
-// today has 16 slots.
+// maxIdlePerEndpoint bounds the idle connections to one endpoint. It equals the usual number
+// of slots of an engine.
 const maxIdlePerEndpoint = 16
 
-// Settings are the measures of a Pool. A zero value means the default.
+// Settings configures a Pool. Zero values select the defaults.
 type Settings struct {
-	// DialTimeout bounds the time in which a connection comes up; the default is
-	// 400ms.
+	// DialTimeout bounds the establishment of a connection; the default is 400ms.
 	DialTimeout time.Duration
 }
 
-// Pool holds idle connections to endpoints.
+// Pool opens connections to endpoints and keeps idle ones for reuse.
 type Pool struct {
 	dialer *net.Dialer
-	// dials counts the connections that were opened.
+	// dials counts the attempts to open a connection.
 	dials atomic.Int64
 
 	mu sync.Mutex
-	// idle are the connections by address; the one that became idle last stands
-	// last.
+	// idle holds the idle connections by address, the most recently used last.
 	idle map[string][]*Conn
 }
 
-// New returns a pool.
+// New returns a pool without connections.
 func New(s Settings) *Pool {
 	if s.DialTimeout == 0 {
 		s.DialTimeout = defaultDialTimeout
@@ -61,20 +59,20 @@
 	}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns how many times the pool has tried to open a connection.
 func (p *Pool) Dials() int64 {
 	return p.dials.Load()
 }
 
-// get returns a connection that has rested for less than fresh, or a new one. The
+// get returns an idle connection that has been idle for less than maxIdle, or a new one. The
 // error is that of the dial.
-func (p *Pool) get(ctx context.Context, address string, fresh time.Duration) (*Conn, error) {
+func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration) (*Conn, error) {
 	for {
 		c := p.take(address)
 		if c == nil {
 			break
 		}
-		if rest := steady.Since(c.idleSince); rest < fresh && rest < c.idleTimeout && c.reusable() {
+		if idle := steady.Since(c.idleSince); idle < maxIdle && idle < c.idleTimeout && c.reusable() {
 			return c, nil
 		}
 		c.close()
@@ -87,7 +85,8 @@
 	return newConn(n, address), nil
 }
 
-// take returns the connection that became idle last; nil when there is none.
+// take removes and returns the idle connection to an address that was used last; nil if there
+// is none.
 func (p *Pool) take(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +99,8 @@
 	return c
 }
 
-// put keeps a connection for later.
+// put adds a connection to the idle ones. It closes the connection if the endpoint does not
+// keep it open, unexpected data is buffered, or the endpoint has too many idle connections.
 func (p *Pool) put(c *Conn) {
 	if c.idleTimeout <= 0 || c.reader.Buffered() > 0 {
 		c.close()
@@ -116,8 +116,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes the connections that rested for longer than their endpoints keep
-// them.
+// Sweep closes the connections whose idle time-out has passed.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -20,16 +20,16 @@
 	"github.com/linkmast/linkmast/internal/upstream"
 )
 
-// endpoint is a raw server: it reads requests and writes what a test says.
+// endpoint is an HTTP server that writes raw responses.
 type endpoint struct {
 	address string
-	// requests counts the requests that were read, and conns the connections.
+	// requests counts the requests that were read, and conns the accepted connections.
 	requests atomic.Int64
 	conns    atomic.Int64
 }
 
-// newEndpoint serves each request of a connection by answer, which gets its
-// number on the connection. It returns false to close the connection.
+// newEndpoint starts a server that calls answer for each request, with the index n of the
+// request on its connection. If answer returns false, the server closes the connection.
 func newEndpoint(t *testing.T, answer func(c net.Conn, r *http.Request, n int) bool) *endpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// do sends a request and reads the whole answer.
+// do sends a request and reads the complete response.
 func do(t *testing.T, p *upstream.Pool, r upstream.Request) (string, error) {
 	t.Helper()
 	x, err := p.Do(t.Context(), r)
@@ -117,11 +117,11 @@
 			io.WriteString(c, ok(r.Header.Get("Id"), "hi"))
 			return false
 		}, time.Minute, 20 * time.Millisecond, 3},
-		{"asked to close", func(c net.Conn, r *http.Request, _ int) bool {
+		{"endpoint sends Connection: close", func(c net.Conn, r *http.Request, _ int) bool {
 			io.WriteString(c, strings.Replace(ok(r.Header.Get("Id"), "hi"), "\r\n", "\r\nConnection: close\r\n", 1))
 			return true
 		}, time.Minute, 0, 3},
-		{"keeps none", func(c net.Conn, r *http.Request, _ int) bool {
+		{"endpoint sends Keep-Alive timeout of zero", func(c net.Conn, r *http.Request, _ int) bool {
 			io.WriteString(c, strings.Replace(ok(r.Header.Get("Id"), "hi"), "\r\n", "\r\nKeep-Alive: timeout=0\r\n", 1))
 			return true
 		}, time.Minute, 0, 3},
@@ -129,7 +129,7 @@
 			io.WriteString(c, ok(r.Header.Get("Id"), "hi")+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
 			return true
 		}, time.Minute, 20 * time.Millisecond, 3},
-		{"none fresh enough", func(c net.Conn, r *http.Request, _ int) bool {
+		{"idle for too long", func(c net.Conn, r *http.Request, _ int) bool {
 			io.WriteString(c, ok(r.Header.Get("Id"), "hi"))
 			return true
 		}, 10 * time.Millisecond, 30 * time.Millisecond, 3},
@@ -147,13 +147,13 @@
 				time.Sleep(row.pause)
 			}
 			is.Equal(e.conns.Load(), row.conns)
-			is.Equal(e.requests.Load(), int64(3)) // none is sent twice
+			is.Equal(e.requests.Load(), int64(3)) // no request is sent twice
 		})
 	}
 }
 
-// TestSuspended suspends the machine while a connection rests: its endpoint may have given it
-// up meanwhile, and a request that must not run twice would be lost.
+// TestSuspended guards against the reuse of a connection after the host was suspended: the
+// endpoint may have closed it, and a request that must not run twice would fail.
 func TestSuspended(t *testing.T) {
 	is := is.New(t)
 	m := steadytest.New(t)
@@ -172,8 +172,8 @@
 	is.Equal(e.conns.Load(), int64(2))
 }
 
-// TestLateExtraAnswer lets the answer to an earlier request come where the next
-// one is due.
+// TestLateExtraAnswer guards against a late response to an earlier request being taken for the
+// response to the next one.
 func TestLateExtraAnswer(t *testing.T) {
 	is := is.New(t)
 	e := newEndpoint(t, func(c net.Conn, r *http.Request, n int) bool {
@@ -192,18 +192,19 @@
 	is.Equal(e.conns.Load(), int64(1))
 }
 
-// TestNoAnswer is a table of exchanges without a whole answer. None is repeated.
+// TestNoAnswer guards against repeated requests, and errors that deny that the request was
+// sent, when there is no complete response.
 func TestNoAnswer(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		answer func(c net.Conn, r *http.Request, n int) bool
 	}{
 		{"closed", func(net.Conn, *http.Request, int) bool { return false }},
-		{"not an answer", func(c net.Conn, _ *http.Request, _ int) bool {
+		{"malformed response", func(c net.Conn, _ *http.Request, _ int) bool {
 			io.WriteString(c, "garbage\r\n\r\n")
 			return false
 		}},
-		{"foreign answers only", func(c net.Conn, _ *http.Request, _ int) bool {
+		{"only responses to other requests", func(c net.Conn, _ *http.Request, _ int) bool {
 			for range 6 {
 				io.WriteString(c, ok("other", "x"))
 			}
@@ -247,8 +248,8 @@
 	is.True(!u.Sent)
 }
 
-// TestEarlyAnswer answers before the body has been read. The rest of the body is
-// the only thing that may come after on the connection.
+// TestEarlyAnswer guards against reuse of a connection whose request was still being written
+// when the response was complete.
 func TestEarlyAnswer(t *testing.T) {
 	is := is.New(t)
 	big := strings.Repeat("b", 4<<20)
@@ -270,11 +271,11 @@
 	}
 	is.Equal(<-seen, "")
 	is.Equal(<-seen, "")
-	is.Equal(e.conns.Load(), int64(2)) // a connection with a rest is not used again
+	is.Equal(e.conns.Load(), int64(2)) // a connection with unsent data is not reused
 }
 
-// TestCheckBeforeSending looks that a request whose check fails is not sent, on a new and on a
-// kept connection, and that the connection serves the next one.
+// TestCheckBeforeSending guards against sending a request whose check fails, on a new or a
+// reused connection, and against losing that connection.
 func TestCheckBeforeSending(t *testing.T) {
 	e := newEndpoint(t, func(c net.Conn, r *http.Request, _ int) bool {
 		io.WriteString(c, ok(r.Header.Get("Id"), "answer"))
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,16 +1,16 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package version tells which version of the programs this is.
+// Package version provides the version of the programs.
 package version
 
 import (
 	"runtime/debug"
 )
 
-// number is the version of the source.
+// number is the semantic version of the source.
 const number = "0.1.0"
 
-// String returns the version, with the revision when it is known.
+// String returns the version, followed by "+" and the VCS revision if the build recorded one.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/wirehttp/wirehttp.go
+++ b/internal/wirehttp/wirehttp.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package wirehttp holds what the HTTP adapters share: a client with bounded
-// dial times, bodies that are never sent twice, and clean closing.
+// Package wirehttp holds HTTP helpers that the client and server adapters share: a client with
+// bounded dial times, request bodies that are never sent twice, and JSON responses.
 package wirehttp
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/linkmast/linkmast/internal/tcp"
 )
 
-// MaxErrorBody bounds how much of a refusal is read, in bytes.
+// MaxErrorBody bounds how much of an error response is read, in bytes.
 const MaxErrorBody = 64 << 10
 
-// The times of Client.
+// Time-outs of Client.
 const (
 	dialTimeout = 500 * time.Millisecond
 	idleTimeout = 30 * time.Second
@@ -28,15 +28,15 @@
 // idlePerHost bounds the idle connections to one address.
 const idlePerHost = 64
 
-// Client returns an HTTP client that dials within a bounded time, follows no
-// redirect and keeps connections open between calls. Time-outs of whole calls
-// are up to the caller's context.
+// Client returns an HTTP client that dials within a bounded time, follows no redirects and
+// keeps connections open between calls. The caller bounds the duration of a call by its
+// context.
 func Client() *http.Client {
 	return ClientMaxIdle(0)
 }
 
-// ClientMaxIdle returns a client like that of Client which keeps at most so many idle connections,
-// to all addresses together; zero means no bound.
+// ClientMaxIdle returns a client like that of Client that keeps at most the given number of
+// idle connections to all addresses together. Zero means no limit.
 func ClientMaxIdle(idle int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -52,8 +52,9 @@
 	}
 }
 
-// TraceConnection returns a context that notes whether a request made with it got a
-// connection. Without one, nothing of the request can have arrived.
+// TraceConnection returns a context and a flag that is set once a request made with the
+// context obtains a connection. While the flag is false, no byte of the request can have
+// reached the server.
 func TraceConnection(ctx context.Context) (context.Context, *atomic.Bool) {
 	connected := new(atomic.Bool)
 	trace := &httptrace.ClientTrace{
@@ -64,7 +65,7 @@
 	return httptrace.WithClientTrace(ctx, trace), connected
 }
 
-// once hides the type of a reader, and lets go of it at its end.
+// once hides the concrete type of a reader and releases the reader at its end.
 type once struct {
 	r io.Reader
 }
@@ -81,29 +82,27 @@
 	return n, err
 }
 
-// Once returns a body that net/http can't rewind. The transport sends a
-// request again by itself when it takes it for repeatable, and it does so for
-// a request with an idempotency key; a body that can't be had again keeps it
-// from that. What r holds is free once it has been sent, though the request
-// lives on with its answer.
+// Once returns a request body that net/http cannot rewind. The transport may resend a request
+// that it considers idempotent, such as one with an idempotency key, but only if it can read
+// the body again. The result releases r after r has been read to its end, although the request
+// stays referenced by its response.
 func Once(r io.Reader) io.Reader {
 	return &once{
 		r: r,
 	}
 }
 
-// Drain reads what is left of a small body and closes it, so that the
-// connection can be used again.
+// Drain reads the rest of a small body and closes it, so that the connection can be reused.
 func Drain(body io.ReadCloser) {
-	// The answer has been judged by now; a failed read changes nothing.
+	// The caller has already evaluated the response; an error here only prevents the reuse.
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, MaxErrorBody))
 	_ = body.Close()
 }
 
-// JSON sends v as a whole answer.
+// JSON sends a response with the given status and v encoded as JSON.
 func JSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may have gone; there is nobody left to tell.
+	// The client may have disconnected, in which case nobody can receive the error.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/zdelta/zdelta.go
+++ b/internal/zdelta/zdelta.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package zdelta packs texts, alone or as what they differ in from another text
-// that the reader has (zstd, RFC 8878, with the other text as its dictionary).
+// Package zdelta compresses texts with zstd (RFC 8878), optionally as a delta to a base text
+// that the reader has. The base serves as the dictionary.
 package zdelta
 
 import (
@@ -11,28 +11,28 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// MaxBytes is the size of the largest text that is unpacked, in bytes.
+// MaxBytes is the size of the largest text that Unpack accepts, in bytes.
 const MaxBytes = 8 << 20
 
-// dictID names the dictionary of deltas; there is only ever one.
+// dictID is the dictionary ID that all deltas carry.
 const dictID = 1
 
-// The bounds of the compressor's window, in bytes.
+// Bounds of the compressor's window, in bytes.
 const (
-	// minWindow is enough for short texts.
+	// minWindow is the smallest window, used for short texts.
 	minWindow = 1 << 16
-	// maxWindow spans a text and its base, both of the largest size.
+	// maxWindow spans a text and a base of MaxBytes each.
 	maxWindow = 2 * MaxBytes
 )
 
-// window returns the size of a window that spans n bytes: a power of two.
+// window returns the window size for n bytes, a power of two between minWindow and maxWindow.
 func window(n int) int {
 	w := 1 << bits.Len(uint(n))
 	return min(max(w, minWindow), maxWindow)
 }
 
-// Pack compresses text. With base, the result is a delta that only a reader who has
-// base can unpack.
+// Pack compresses text. With a base that is not empty, the result is a delta that Unpack can
+// only read with the same base.
 func Pack(text, base []byte) ([]byte, error) {
 	opts := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1),
@@ -53,8 +53,8 @@
 	return out, nil
 }
 
-// Unpack reverses Pack; base must be that of Pack. It fails on what is damaged, or
-// larger than MaxBytes when unpacked.
+// Unpack decompresses the result of Pack, given the same base. It fails if data is damaged, if
+// the base is not the one of Pack, or if the text is larger than MaxBytes.
 func Unpack(data, base []byte) ([]byte, error) {
 	opts := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
