--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time-outs after which the kernel closes a connection.
+// Timeouts after which the kernel closes a connection.
 const (
 	// unackedTimeout bounds how long sent data may stay unacknowledged.
 	unackedTimeout = 2500 * time.Millisecond
@@ -93,7 +93,7 @@
 // setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent data may stay
 // unacknowledged.
 func setUserTimeout(c syscall.RawConn) error {
-	// Without support for the option, only the time-outs of the requests apply.
+	// Without support for the option, only the timeouts of the requests apply.
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -15,14 +15,14 @@
 	"github.com/linkmast/linkmast/internal/tcp"
 )
 
-// Time-outs of connections.
+// Timeouts of connections.
 const (
 	// defaultDialTimeout bounds the establishment of a connection.
 	defaultDialTimeout = 400 * time.Millisecond
 	// defaultIdleTimeout is how long an idle connection may be reused if the endpoint sends no
-	// Keep-Alive time-out.
+	// Keep-Alive timeout.
 	defaultIdleTimeout = 3 * time.Second
-	// idleTimeoutMargin is subtracted from the time-out that the endpoint announces, so that a
+	// idleTimeoutMargin is subtracted from the timeout that the endpoint announces, so that a
 	// request does not arrive while the endpoint closes the connection.
 	idleTimeoutMargin = 700 * time.Millisecond
 )
@@ -116,7 +116,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes the connections whose idle time-out has passed.
+// Sweep closes the connections whose idle timeout has passed.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/wirehttp/wirehttp.go
+++ b/internal/wirehttp/wirehttp.go
@@ -19,7 +19,7 @@
 // MaxErrorBody bounds how much of an error response is read, in bytes.
 const MaxErrorBody = 64 << 10
 
-// Time-outs of Client.
+// Timeouts of Client.
 const (
 	dialTimeout = 500 * time.Millisecond
 	idleTimeout = 30 * time.Second
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -15,35 +15,35 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// Exchange is one request as its caller saw it.
+// Exchange is one request with its outcome, as the caller saw it.
 type Exchange struct {
-	// ID names the request.
+	// ID is the request ID.
 	ID string
-	// Path tells the route.
+	// Path is the request path, which selects the route.
 	Path string
-	// Key is the key that was sent.
+	// Key is the key that the caller sent.
 	Key string
-	// Body is the body that was sent.
+	// Body is the request body.
 	Body string
-	// Instance is who was asked.
+	// Instance is the index of the instance that received the request.
 	Instance int
-	// Sent is when the caller began.
+	// Sent is when the caller began to send the request.
 	Sent time.Time
-	// Ended is when the caller had the answer, or gave up.
+	// Ended is when the caller had read the response, failed or gave up.
 	Ended time.Time
-	// Status is that of the answer; zero without one.
+	// Status is the HTTP status; zero if there was no response.
 	Status int
-	// Answer is the body as far as it came.
+	// Answer is the body of the response as far as it was received.
 	Answer string
-	// Whole states that the answer looked whole.
+	// Whole states whether the body was read to its end without an error.
 	Whole bool
-	// Signed states that the answer carried a proof of origin.
+	// Signed states whether the response carried an endpoint's proof of origin.
 	Signed bool
-	// GaveUp states that the caller left on purpose.
+	// GaveUp states whether the caller was set to cancel the request early.
 	GaveUp bool
 }
 
-// callers send requests and keep what they saw.
+// callers sends requests to all instances and records the exchanges.
 type callers struct {
 	world *World
 
@@ -51,46 +51,45 @@
 	history []Exchange
 }
 
-// The measures of the load.
+// Parameters of the load.
 const (
-	// callersPerInstance is how many callers, each with its own connection, ask
-	// an instance.
+	// callersPerInstance is the number of callers, each with its own connection, per instance.
 	callersPerInstance = 4
-	// maxCallers bounds them over all instances: with 64 callers of 16 instances all 48 slots of
-	// the engines were in use, 0.7 of the requests were served after all faults had ended, and
-	// the others refused for want of a slot.
+	// maxCallers bounds the callers of all instances together, so that the engines do not run
+	// out of slots with many instances.
 	maxCallers = 40
-	// giveUpShare is the part of requests whose caller leaves early.
+	// giveUpShare is the share of requests that the caller cancels early.
 	giveUpShare = 0.05
-	// pauseMean is the mean pause between a caller's requests.
+	// pauseMean is the mean pause between two requests of a caller.
 	pauseMean = 60 * time.Millisecond
-	// maxBodyLength bounds the length of bodies, in bytes.
+	// maxBodyLength is the exclusive upper bound of the length of bodies, in bytes.
 	maxBodyLength = 3000
-	// maxLeaveDelay bounds when a caller leaves that leaves early: while its request is
-	// read, waits, runs, or its answer comes.
+	// maxLeaveDelay bounds when a caller cancels a request early, so that cancellations hit
+	// requests in all stages.
 	maxLeaveDelay = time.Second
-	// callerSlack is how much longer than the request's time a caller waits, for
-	// the refusal to arrive.
+	// callerSlack is how much longer than the time limit of the request a caller waits for the
+	// answer or refusal.
 	callerSlack = time.Second
-	// outputTokens is the length of answers that callers name.
+	// outputTokens is the expected length of the answer that callers announce.
 	outputTokens = 100
 )
 
-// The lengths of prompts, in tokens.
+// Lengths of prompts, in tokens.
 const (
-	// longPrompt takes several engines, and one in longOneIn is as long.
+	// longPrompt is long enough for a joint prefill by several engines. One in longOneIn
+	// prompts, on average, has this length.
 	longPrompt = 250_000
 	longOneIn  = 20
-	// minShortPrompt is the least, and shortSpread how much longer others are.
+	// minShortPrompt is the shortest length of other prompts, and shortSpread the range above
+	// it.
 	minShortPrompt = 500
 	shortSpread    = 5000
 )
 
-// paths are the routes that are called.
+// paths lists the routes that callers choose from.
 var paths = [...]string{streamPath, oncePath, safePath, unsafePath}
 
-// run sends requests until ctx ends. Each caller keeps its connection for as
-// long as the instance does.
+// run starts the callers and waits until they stop after the end of ctx.
 func (c *callers) run(ctx context.Context, seed uint64) {
 	var all sync.WaitGroup
 	each := max(min(callersPerInstance, maxCallers/len(c.world.processes)), 1)
@@ -103,7 +102,7 @@
 	all.Wait()
 }
 
-// runCaller is a caller: it sends runCaller request after the other.
+// runCaller sends requests to one instance, one after the other, until ctx ends.
 func (c *callers) runCaller(ctx context.Context, instance, number int, r *rand.Rand) {
 	client := &http.Client{
 		Transport: &http.Transport{
@@ -137,8 +136,7 @@
 	}
 }
 
-// promptOf draws the length of a prompt: most are short, some take several
-// engines.
+// promptOf draws the length of a prompt in tokens.
 func promptOf(r *rand.Rand) int {
 	if r.IntN(longOneIn) == 0 {
 		return longPrompt
@@ -146,8 +144,8 @@
 	return minShortPrompt + r.IntN(shortSpread)
 }
 
-// send makes one exchange. The caller leaves after a time; zero means that it waits for
-// the answer.
+// send sends the request of x and records the outcome in it. If leave is positive, the caller
+// cancels the request after that time.
 func (c *callers) send(client *http.Client, x *Exchange, leave time.Duration, prompt int) {
 	timeout := requestTimeout + callerSlack
 	if leave > 0 {
@@ -176,7 +174,7 @@
 
 // request returns the HTTP request of an exchange to an address.
 func (x *Exchange) request(ctx context.Context, address string, prompt int) (*http.Request, error) {
-	// A body that can't be had again keeps the client from sending twice.
+	// The client cannot rewind a MultiReader and therefore never resends the request.
 	body := io.MultiReader(strings.NewReader(x.Body))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+x.Path, body)
 	if err != nil {
@@ -194,7 +192,7 @@
 	return req, nil
 }
 
-// all returns what was seen so far.
+// all returns a copy of the exchanges recorded so far.
 func (c *callers) all() []Exchange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/check.go
+++ b/soak/check.go
@@ -12,24 +12,24 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// Violation is a promise that was broken.
+// Violation describes a broken promise.
 type Violation struct {
-	// Promise names it.
+	// Promise is the text of the promise.
 	Promise string
-	// Detail says what was seen.
+	// Detail states the observation that contradicts the promise.
 	Detail string
 }
 
-// String returns the violation in a line.
+// String formats the violation as one line.
 func (v Violation) String() string {
 	return v.Promise + ": " + v.Detail
 }
 
-// runSlack is how long after the bound a run may begin that was sent in time: a
-// request on its way.
+// runSlack is how long after a time limit a run may begin, because the request was in transit.
 const runSlack = 300 * time.Millisecond
 
-// check holds what callers and endpoints saw against the promises.
+// check checks the exchanges of the callers and the runs of the endpoints against the
+// promises.
 func (w *World) check(history []Exchange) []Violation {
 	runs := make(map[string][]platformtest.Run)
 	sent := make(map[string]*Exchange, len(history))
@@ -54,15 +54,15 @@
 	for id := range runs {
 		if sent[id] == nil {
 			out = append(out, Violation{
-				Promise: "only what callers sent runs",
-				Detail:  "request " + id + " ran and was not sent",
+				Promise: "endpoints run only requests of callers",
+				Detail:  "request " + id + " ran but no caller sent it",
 			})
 		}
 	}
 	return slices.Concat(out, w.checkCrashes(), w.checkStatements(sent), w.checkFinalState())
 }
 
-// checkExchange holds one exchange against the runs of its request.
+// checkExchange checks one exchange and the runs of its request.
 func (w *World) checkExchange(x *Exchange, runs []platformtest.Run) []Violation {
 	var out []Violation
 	wrong := func(promise, detail string) {
@@ -78,11 +78,11 @@
 	}
 	if x.Status == http.StatusServiceUnavailable || x.Status == http.StatusTooManyRequests {
 		if once && len(runs) > 0 {
-			wrong("refusals are true", "it ran though it was refused")
+			wrong("refused requests do not run", "it ran although it was refused")
 		}
 	}
 	if (x.Status == http.StatusUnauthorized || x.Status == http.StatusNotFound) && x.Key == steadyKey {
-		wrong("what is allowed is not denied", "its key holds at all times")
+		wrong("allowed requests are not denied", "its key is always valid")
 	}
 	if x.Status == http.StatusOK {
 		checkAnswer(x, runs, wrong)
@@ -94,20 +94,20 @@
 	return out
 }
 
-// checkAnswer checks a success.
+// checkAnswer checks the body and the origin of a successful answer.
 func checkAnswer(x *Exchange, runs []platformtest.Run, wrong func(promise, detail string)) {
 	want := x.expectedAnswer()
 	switch {
 	case x.Whole && x.Answer != want:
-		wrong("whole and own answer", fmt.Sprintf("the answer is %q", x.Answer))
+		wrong("answers are unaltered and belong to their requests", fmt.Sprintf("the complete answer is %q", x.Answer))
 	case !x.Whole && !strings.HasPrefix(want, x.Answer):
-		wrong("whole and own answer", fmt.Sprintf("the cut answer is %q", x.Answer))
+		wrong("answers are unaltered and belong to their requests", fmt.Sprintf("the truncated answer is %q", x.Answer))
 	case !x.Signed || len(runs) == 0:
-		wrong("whole and own answer", "no endpoint made it")
+		wrong("answers are unaltered and belong to their requests", "it is not signed or no endpoint ran the request")
 	}
 }
 
-// expectedAnswer returns what a whole answer to the request is.
+// expectedAnswer returns the complete answer to the request.
 func (x *Exchange) expectedAnswer() string {
 	if x.Path != streamPath && x.Path != oncePath {
 		return platformtest.PlainAnswer(x.ID, []byte(x.Body))
@@ -119,34 +119,35 @@
 	return b.String()
 }
 
-// checkRun checks what an endpoint got.
+// checkRun checks one run: the forwarded request, the customer, the validity of the key and
+// the time of the run.
 func (w *World) checkRun(x *Exchange, r *platformtest.Run, wrong func(promise, detail string)) {
 	switch {
 	case r.Method != http.MethodPost || r.Target != x.Path || r.Body != x.Body:
-		wrong("requests are passed on unchanged", fmt.Sprintf("%s %s with %d bytes", r.Method, r.Target, len(r.Body)))
+		wrong("requests are forwarded unchanged", fmt.Sprintf("%s %s with %d bytes", r.Method, r.Target, len(r.Body)))
 	case r.Key() != "" || r.Customer() != customer:
-		wrong("keys stay here", fmt.Sprintf("customer %q, key %q", r.Customer(), r.Key()))
+		wrong("endpoints receive the customer but not the key", fmt.Sprintf("customer %q, key %q", r.Customer(), r.Key()))
 	}
-	if gone := w.revokedAt(x.Key); !gone.IsZero() && x.Sent.After(w.refusedFrom(gone)) {
-		wrong("keys that were taken away are refused", fmt.Sprintf("taken away %s before", x.Sent.Sub(gone)))
+	if revoked := w.revokedAt(x.Key); !revoked.IsZero() && x.Sent.After(w.refusedFrom(revoked)) {
+		wrong("revoked keys are refused", fmt.Sprintf("revoked %s before", x.Sent.Sub(revoked)))
 	}
 	if r.At.After(x.Sent.Add(requestTimeout + runSlack)) {
-		wrong("nothing runs after its time", fmt.Sprintf("ran %s after it was sent", r.At.Sub(x.Sent)))
+		wrong("no run begins after the deadline of its request", fmt.Sprintf("run began %s after the request was sent", r.At.Sub(x.Sent)))
 	}
 }
 
-// revokedAt returns when a key was taken away; zero for one that was not.
+// revokedAt returns when a key was revoked; zero for a valid key.
 func (w *World) revokedAt(key string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.keys[key]
 }
 
-// refusedFrom returns from when on a key must be refused that was taken away at a
-// moment. Where the operator is not strict, an instance out of touch may serve it until
-// the faults are over.
-func (w *World) refusedFrom(gone time.Time) time.Time {
-	from := gone.Add(revoke)
+// refusedFrom returns the time from which a key must be refused that was revoked at the given
+// time. Without strict revocation, an instance out of touch with the store may accept the key
+// until the recovery from all faults.
+func (w *World) refusedFrom(revoked time.Time) time.Time {
+	from := revoked.Add(revoke)
 	if !w.strict && from.Before(w.recovered) {
 		return w.recovered
 	}
--- a/soak/check_abandoned.go
+++ b/soak/check_abandoned.go
@@ -9,11 +9,11 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// abandonSlack is how long after its caller has left a run may go on: a few messages,
-// and the pause of a busy machine.
+// abandonSlack is how long a run may continue after its caller canceled the request. It covers
+// a few messages and a scheduling delay of a busy host.
 const abandonSlack = 500 * time.Millisecond
 
-// checkAbandoned checks that a run ends when its caller leaves.
+// checkAbandoned checks that a run ends soon after its caller canceled the request.
 func (w *World) checkAbandoned(x *Exchange, r *platformtest.Run, wrong func(promise, detail string)) {
 	if !x.GaveUp || x.Whole || !r.At.Before(x.Ended) {
 		return
@@ -26,12 +26,12 @@
 	if late <= abandonSlack || w.disturbed(x, ended) {
 		return
 	}
-	wrong("what its caller leaves ends", fmt.Sprintf("it ran on for %s", late.Round(time.Millisecond)))
+	wrong("runs end when their callers cancel", fmt.Sprintf("it continued for %s", late.Round(time.Millisecond)))
 }
 
-// disturbed states whether, between the sending of a request and the end of its run,
-// there was a fault that keeps an endpoint from learning that the caller has left: the
-// caller's instance was stopped, or a link before any endpoint failed.
+// disturbed reports whether, between the sending of a request and the end of its run, a fault
+// kept an endpoint from learning of the cancellation: the instance of the request was stopped,
+// or the link to any endpoint was faulty.
 func (w *World) disturbed(x *Exchange, ended time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/soak/check_final.go
+++ b/soak/check_final.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// checkFinalState checks what is left once all callers have gone.
+// checkFinalState checks that no endpoint runs requests or holds reserved tokens after the
+// load has ended, and that no instance exited unexpectedly.
 func (w *World) checkFinalState() []Violation {
 	var out []Violation
 	for _, e := range w.endpoints {
 		if n := e.Running(); n > 0 {
 			out = append(out, Violation{
-				Promise: "what nobody waits for ends",
+				Promise: "no request runs after the load has ended",
 				Detail:  fmt.Sprintf("endpoint %s still runs %d requests", e.Name(), n),
 			})
 		}
 		if n := e.Held(); n > 0 {
 			out = append(out, Violation{
-				Promise: "memory is given back",
+				Promise: "reserved tokens are released",
 				Detail:  fmt.Sprintf("endpoint %s still holds %d tokens", e.Name(), n),
 			})
 		}
@@ -29,8 +30,8 @@
 		p.mu.Lock()
 		if p.unexpectedExits > 0 {
 			out = append(out, Violation{
-				Promise: "instances don't end by themselves",
-				Detail:  fmt.Sprintf("%s ended %d times", p.name, p.unexpectedExits),
+				Promise: "instances do not exit unexpectedly",
+				Detail:  fmt.Sprintf("%s exited unexpectedly %d times", p.name, p.unexpectedExits),
 			})
 		}
 		p.mu.Unlock()
@@ -38,7 +39,8 @@
 	return out
 }
 
-// checkRecovery checks that requests are served once all faults are lifted.
+// checkRecovery checks that requests sent from the given time on are served. It ignores
+// requests that were canceled early or used another key than steadyKey.
 func checkRecovery(history []Exchange, from time.Time) []Violation {
 	served, all := 0, 0
 	for _, x := range history {
@@ -54,10 +56,10 @@
 		return nil
 	}
 	return []Violation{{
-		Promise: "it recovers",
-		Detail:  fmt.Sprintf("%d of %d requests were served after all faults had ended", served, all),
+		Promise: "system recovers after the last fault",
+		Detail:  fmt.Sprintf("%d of %d requests were served after the time for recovery", served, all),
 	}}
 }
 
-// recoveredShare is the part of requests that must be served after recovery.
+// recoveredShare is the share of requests that must be served after recovery.
 const recoveredShare = 0.98
--- a/soak/configuration.go
+++ b/soak/configuration.go
@@ -13,50 +13,52 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// What the configuration names.
+// Names in the configuration.
 const (
-	// host is the host of all routes.
+	// host is the host name of all routes.
 	host = "api.example"
-	// steadyKey is a key that is never taken away.
+	// steadyKey is a key that is never revoked.
 	steadyKey = "k-steady"
-	// customer is the one customer, who holds all keys.
+	// customer is the only customer, who holds all keys.
 	customer = "c1"
-	// engineService has the engines, and plainService the other endpoints.
+	// engineService is the service of the engines, and plainService that of the plain
+	// endpoints.
 	engineService = "engines"
 	plainService  = "plain"
-	// streamPath is the prefix of streams that can be continued.
+	// streamPath is the path prefix of streams that can be resumed.
 	streamPath = "/stream/"
-	// oncePath is the prefix of streams that run at most once.
+	// oncePath is the path prefix of streams that run at most once.
 	oncePath = "/once/"
-	// safePath is the prefix of requests that may run again.
+	// safePath is the path prefix of plain requests that may be repeated.
 	safePath = "/safe/"
-	// unsafePath is the prefix of requests that run at most once.
+	// unsafePath is the path prefix of plain requests that run at most once.
 	unsafePath = "/unsafe/"
 )
 
-// The bounds of the configuration.
+// Limits in the configuration.
 const (
-	// requestTimeout is the time that a request has; longer than an instance
-	// takes to go over to another endpoint.
+	// requestTimeout is the time limit of a request. It is long enough for an instance to try
+	// another endpoint.
 	requestTimeout = 5 * time.Second
-	// requestTarget is when an answer, or the first event of a stream, is late.
+	// requestTarget is the time in which a plain answer, or the first event of a stream, is
+	// due.
 	requestTarget = 500 * time.Millisecond
-	// requestGap is the longest pause between events in time.
+	// requestGap is the longest pause between two events of a stream that counts as in time.
 	requestGap = 300 * time.Millisecond
-	// maxAttempts is how many endpoints a request is sent to.
+	// maxAttempts bounds the number of attempts for a request.
 	maxAttempts = 2
-	// maxBody bounds a request's body, in bytes; callers stay well below.
+	// maxBody bounds the body of a request, in bytes.
 	maxBody = 1 << 20
 )
 
-// publish writes the next version of the configuration.
+// publish writes the next version of the configuration, with the keys that are valid now.
 func (w *World) publish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
 	var keys []string
-	for k, gone := range w.keys {
-		if gone.IsZero() {
+	for k, revoked := range w.keys {
+		if revoked.IsZero() {
 			keys = append(keys, k)
 		}
 	}
@@ -74,7 +76,7 @@
 	}})
 }
 
-// routeOf returns the route of a path prefix to one service.
+// routeOf returns the route from a path prefix to one service.
 func routeOf(prefix string, kind route.Kind, service string, resumable bool) route.Route {
 	return route.Route{
 		Name:   prefix,
@@ -93,8 +95,8 @@
 	}
 }
 
-// engineModel is the cost model of the engines: quick ones, so that faults and not
-// the load decide what is late.
+// engineModel returns the cost model of the engines. They are fast, so that requests are late
+// because of faults and not because of load.
 func engineModel() *batch.Model {
 	return &batch.Model{
 		Slots:            endpointSlots,
@@ -105,15 +107,15 @@
 	}
 }
 
-// publishWithin bounds the time from when a key is noted as taken away until the
-// store has the version without it; keys noted earlier keep their time.
+// publishWithin bounds the time between the marking of a key as revoked and the publication of
+// the configuration without it. Keys that were marked longer ago keep their revocation time.
 const publishWithin = time.Second
 
-// rotateKey takes a key away and gives another one.
+// rotateKey revokes the current key and adds a new one.
 func (w *World) rotateKey() {
 	w.mu.Lock()
-	for k, gone := range w.keys {
-		if gone.IsZero() && k != steadyKey {
+	for k, revoked := range w.keys {
+		if revoked.IsZero() && k != steadyKey {
 			w.keys[k] = time.Now()
 		}
 	}
@@ -123,27 +125,27 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	for k, gone := range w.keys {
-		// The bound counts from when the store has the new version.
-		if !gone.IsZero() && now.Sub(gone) < publishWithin {
+	for k, revoked := range w.keys {
+		// The time limit for refusing the key starts when the store has the new version.
+		if !revoked.IsZero() && now.Sub(revoked) < publishWithin {
 			w.keys[k] = now
 		}
 	}
 }
 
-// currentKey returns a currentKey that holds now.
+// currentKey returns a valid key that may be revoked later, or steadyKey if there is none.
 func (w *World) currentKey() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for k, gone := range w.keys {
-		if gone.IsZero() && k != steadyKey {
+	for k, revoked := range w.keys {
+		if revoked.IsZero() && k != steadyKey {
 			return k
 		}
 	}
 	return steadyKey
 }
 
-// anyKey returns a key that holds or held.
+// anyKey returns a random key that is valid or was revoked.
 func (w *World) anyKey(r *rand.Rand) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -12,35 +12,37 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// requestCrashes has a caller send a request again and again that crashes each endpoint which
-// runs it, to one instance after the other.
+// requestCrashes repeatedly sends a request that crashes each endpoint that runs it, to the
+// instances in turn.
 const requestCrashes = "request crashes endpoints"
 
-// The measures of requests that crash endpoints.
+// Parameters of requests that crash endpoints.
 const (
-	// crashBody begins their bodies; those of other requests have none of its letters.
+	// crashBody is the prefix of their bodies. Bodies of other requests do not have it.
 	crashBody = "crash "
-	// crashInterval is between two tries.
+	// crashInterval is the pause between two sends.
 	crashInterval = 60 * time.Millisecond
-	// crashDowntime is for how long an endpoint is away after a crash, and crashRetry how often
-	// it tries to have its address again.
+	// crashDowntime is how long an endpoint refuses connections after a crash, and listenRetry
+	// how often it then tries to listen on its address again.
 	crashDowntime = 600 * time.Millisecond
 	listenRetry   = 10 * time.Millisecond
-	// crashesToDetect is after how many crashes a request must be kept from endpoints, crashKnownIn
-	// how soon, and crashesMore how often it may be sent to one all the same: what operators
-	// allow.
+	// crashesToDetect is the number of crashes after which instances must keep a request from
+	// endpoints, detectWithin how soon after the last of these crashes they must do so, and
+	// maxLateRuns the number of runs tolerated after that.
 	crashesToDetect = 3
 	detectWithin    = 3 * time.Second
 	maxLateRuns     = 3
 )
 
-// setFaults changes what goes wrong with an endpoint. Requests that crash it always do.
+// setFaults replaces the faults of an endpoint, which always crashes on requests that are
+// marked for it.
 func (e *endpoint) setFaults(f platformtest.EndpointFaults) {
 	f.CrashOn = crashBody
 	e.SetFaults(f)
 }
 
-// crash ends an endpoint and starts it again a moment later, under its name.
+// crash makes an endpoint refuse connections, and restarts it under its name after
+// crashDowntime.
 func (w *World) crash(e *endpoint) {
 	e.proxy.Refuse()
 	time.AfterFunc(crashDowntime, func() {
@@ -54,7 +56,8 @@
 	})
 }
 
-// sendCrashing sends a request of its own for the time of a step, whose target draws its route.
+// sendCrashing sends a request that crashes endpoints repeatedly for the duration of a step
+// and some time beyond. The step's target selects the route.
 func (w *World) sendCrashing(s Step) {
 	c := &callers{
 		world: w,
@@ -88,7 +91,7 @@
 	return w.crashSends
 }
 
-// checkCrashes checks that requests which crash endpoints reach few of them.
+// checkCrashes checks that instances soon stop sending a request that crashes endpoints.
 func (w *World) checkCrashes() []Violation {
 	runs := make(map[string][]time.Time)
 	for _, e := range w.endpoints {
@@ -102,7 +105,7 @@
 	for body, at := range runs {
 		if n := w.lateRuns(at); n > maxLateRuns {
 			out = append(out, Violation{
-				Promise: "a request that crashes endpoints reaches few",
+				Promise: "requests that crash endpoints reach few endpoints",
 				Detail:  fmt.Sprintf("%q ran %d times, %d of them %s after its third", body, len(at), n, detectWithin),
 			})
 		}
@@ -110,9 +113,9 @@
 	return out
 }
 
-// lateRuns returns how many runs of a request that crashes endpoints came later than instances may
-// take to know that. All that they know is lost when all of them end in an outage of the
-// store; they count anew after it.
+// lateRuns returns how many runs of a request began more than detectWithin after its third
+// crash. The count of crashes starts again whenever all instances were lost in an outage of
+// the store, as they lose their records then.
 func (w *World) lateRuns(runs []time.Time) int {
 	slices.SortFunc(runs, time.Time.Compare)
 	n, first := 0, 0
@@ -127,7 +130,8 @@
 	return n
 }
 
-// lostAll states whether all instances ended in an outage of the store between two moments.
+// lostAll reports whether all instances were killed in an outage of the store between two
+// times.
 func (w *World) lostAll(from, to time.Time) bool {
 	return slices.ContainsFunc(w.played, func(p playedStep) bool {
 		return p.step.Kind == "all lost in an outage" && p.began.Before(to) && p.ended().After(from)
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,16 +1,16 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package soak runs the real programs as separate processes over stand-ins,
-// injects faults from outside them, and holds what callers and endpoints saw
-// against what the system promises.
+// Package soak runs the real programs as separate processes against stand-ins of the platform,
+// injects faults from outside the processes, and checks the observations of callers and
+// endpoints against the promises of the system.
 //
-// A schedule is drawn from a seed: signals to processes (SIGTERM, SIGKILL,
-// SIGSTOP and SIGCONT, SIGHUP), faults of the store and of endpoints, loopback
-// proxies that delay, reset, silence or cut connections one way, keys that are
-// taken away, endpoints that leave, connections that go silent for good, the loss of
-// all instances in an outage of the store, callers that leave at any moment. Faults overlap and repeat. Callers keep
-// using their connections until the process is gone. At the end all faults are
-// lifted and the system must be well again.
+// A seed determines the schedule of faults: signals to processes (SIGTERM, SIGKILL, SIGSTOP
+// and SIGCONT, SIGHUP), faults of the store and of endpoints, proxies that delay, reset or
+// block connections in one or both directions, connections that discard all data, revoked
+// keys, endpoints that leave or restart, drained failure domains, requests that crash
+// endpoints, and the loss of all instances during an outage of the store. Faults may overlap
+// and repeat. Callers may cancel requests at any time and reuse a connection as long as the
+// process keeps it open. After the last fault, the system must recover.
 //
-// Only processes that the soak itself started are signalled, by their ids.
+// The package only signals processes that it has started itself.
 package soak
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -9,28 +9,28 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// The times of emptying.
+// Durations of drains.
 const (
-	// drainWithin is how long after the operator asked for it, or after a fault that keeps
-	// an instance from what the store says, an emptied failure domain may get requests, of
-	// the five seconds that operators allow. It holds for instances, too, that follow one
-	// that has just ended.
+	// drainWithin bounds how long a drained failure domain may still get requests, counted
+	// from the operator's order or from the end of a fault that kept the instance from reading
+	// the store. It includes the time that an instance needs to follow another one if the one
+	// that it follows has just ended.
 	drainWithin = 3 * time.Second
-	// minDrainExcess is how much longer a domain stays emptied at the least, so that there is
-	// something to judge beside other faults.
+	// minDrainExcess is how much longer than drainWithin a drain lasts at least, so that
+	// requests can be checked after the bound.
 	minDrainExcess = 3 * time.Second
 )
 
-// drainPeriod is a time for which a failure domain was emptied.
+// drainPeriod is a period in which a failure domain was drained.
 type drainPeriod struct {
 	domain string
 	from   time.Time
-	// to is when it was restored; zero while it is emptied.
+	// to is when the domain was undrained; zero while it is drained.
 	to time.Time
 }
 
-// drain empties a failure domain for longer than instances may take to know it, unless it
-// is emptied already.
+// drain drains a failure domain for longer than drainWithin and then undrains it. It does
+// nothing if the domain is drained already.
 func (w *World) drain(domain string, last time.Duration) {
 	i, ok := w.beginDrain(domain)
 	if !ok {
@@ -43,8 +43,8 @@
 	w.store.Restore(domain)
 }
 
-// beginDrain asks for a failure domain to be emptied, and returns the index of the
-// record; false when that was asked for before.
+// beginDrain writes the operator's order to drain a failure domain to the store. It returns
+// the index of the new period in drains, or false if the domain is drained already.
 func (w *World) beginDrain(domain string) (int, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,7 +61,8 @@
 	return len(w.drains) - 1, true
 }
 
-// checkDrained checks that endpoints of an emptied failure domain got nothing new.
+// checkDrained checks that a run of a request at an endpoint did not begin after the bound
+// within a drain of the endpoint's failure domain.
 func (w *World) checkDrained(x *Exchange, e *endpoint, r *platformtest.Run) (Violation, bool) {
 	for _, m := range w.drains {
 		if m.domain != e.domain || !m.to.IsZero() && r.At.After(m.to) {
@@ -72,7 +73,7 @@
 			continue
 		}
 		return Violation{
-			Promise: "an emptied failure domain gets nothing new",
+			Promise: "drained failure domains get no new requests",
 			Detail: fmt.Sprintf("request %s %s at instance %d ran at %s, %s after the bound", x.ID, x.Path,
 				x.Instance, e.Name(), late.Round(time.Millisecond)),
 		}, true
@@ -80,9 +81,9 @@
 	return Violation{}, false
 }
 
-// informedSince returns from when on the instance of a request could be told of what the store
-// says since a moment: the end of the last fault before another moment that kept it from
-// that, if there was one.
+// informedSince returns the time from which the instance of a request was able to read what
+// the store contains since the time since: the end of the last fault before until that blocked
+// the store, or since itself.
 func (w *World) informedSince(x *Exchange, since, until time.Time) time.Time {
 	for _, p := range w.played {
 		if p.began.Before(until) && w.blocksStore(&p, x) && p.ended().After(since) {
@@ -92,8 +93,8 @@
 	return since
 }
 
-// blocksStore states whether a fault keeps the instance of a request from what the store
-// says: the store answers nobody, the instance's link to it fails, or it stands still.
+// blocksStore reports whether a step kept the instance of a request from reading the store:
+// the store was faulty, the instance's link to it was, or the instance was stopped.
 func (w *World) blocksStore(p *playedStep, x *Exchange) bool {
 	if _, store := storeFaults[p.step.Kind]; store || p.step.Kind == "all lost in an outage" {
 		return true
--- a/soak/play.go
+++ b/soak/play.go
@@ -13,18 +13,19 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// playedStep is a step that was carried out, with when it began.
+// playedStep is a step with the time at which it began.
 type playedStep struct {
 	step  Step
 	began time.Time
 }
 
-// ended returns when the step was over.
+// ended returns when the step ends according to its duration.
 func (p *playedStep) ended() time.Time {
 	return p.began.Add(p.step.For)
 }
 
-// play carries a schedule out.
+// play carries out a schedule, calls note for each step, and returns when all steps have
+// ended.
 func (w *World) play(ctx context.Context, steps []Step, note func(Step)) {
 	begin := time.Now()
 	var playing sync.WaitGroup
@@ -41,7 +42,7 @@
 	}
 }
 
-// record keeps a step that begins now for the judge.
+// record stores a step that begins now for the checks at the end of the run.
 func (w *World) record(s Step) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,7 +52,7 @@
 	})
 }
 
-// do carries one step out and takes it back.
+// do injects the fault of one step, waits for its duration and removes the fault.
 func (w *World) do(s Step) {
 	p := w.processes[s.Target%len(w.processes)]
 	e := w.endpoints[s.Target%len(w.endpoints)]
@@ -88,7 +89,7 @@
 	w.doOther(s, p, e)
 }
 
-// storeFaults are the kinds that the store plays itself.
+// storeFaults maps kinds of steps to faults that the stand-in store simulates.
 var storeFaults = map[string]platformtest.StoreFaults{
 	"store refuses":      {Refuse: true},
 	"store silent":       {Silent: true},
@@ -96,20 +97,19 @@
 	"store loses writes": {LoseWrites: true},
 }
 
-// The delays of slow parts.
+// Parameters of the faults.
 const (
-	// storeDelay holds back each answer of the store: below the time-outs of
-	// reads.
+	// storeDelay delays each response of the store. It is below the timeouts of reads.
 	storeDelay = 400 * time.Millisecond
-	// linkDelay holds back each piece of data to and from an endpoint.
+	// linkDelay delays each chunk of data to and from an endpoint.
 	linkDelay = 100 * time.Millisecond
-	// slowFactor is how many times as long a slow endpoint takes.
+	// slowFactor is the factor by which the work of a slow endpoint takes longer.
 	slowFactor = 6
-	// cutAfter is the number of events after which streams are cut.
+	// cutAfter is the number of events after which an endpoint cuts a stream.
 	cutAfter = 3
 )
 
-// endpointFaults are the kinds that an endpoint plays itself.
+// endpointFaults maps kinds of steps to faults that the stand-in endpoint simulates.
 var endpointFaults = map[string]platformtest.EndpointFaults{
 	"endpoint rejects":       {Reject: true},
 	"endpoint fails":         {Fail: true},
@@ -119,21 +119,22 @@
 	"endpoint slow":          {Slow: slowFactor},
 }
 
-// storeLinks are the kinds of link between an instance and the store.
+// storeLinks maps kinds of steps to faults of the proxy between an instance and the store.
 var storeLinks = map[string]tcptest.Link{
 	"store link silent":  {BlockUp: true, BlockDown: true},
 	"store link one way": {BlockDown: true},
 	"store link reset":   {Reset: true},
 }
 
-// endpointLinks are the kinds of link before an endpoint.
+// endpointLinks maps kinds of steps to faults of the proxy before an endpoint.
 var endpointLinks = map[string]tcptest.Link{
 	"endpoint link slow":    {Delay: linkDelay},
 	"endpoint link reset":   {Reset: true},
 	"endpoint link one way": {BlockDown: true},
 }
 
-// doOther carries out signals and changes.
+// doOther carries out the steps that signal processes, silence connections, write to the store
+// or combine several faults.
 func (w *World) doOther(s Step, p *process, e *endpoint) {
 	switch s.Kind {
 	case "term":
@@ -172,8 +173,8 @@
 	}
 }
 
-// restartEndpoint lets an endpoint start again under its name: all that it had is cut, and its
-// entry tells another start.
+// restartEndpoint restarts an endpoint under its name: it resets the connections and writes an
+// entry with a new start time.
 func (w *World) restartEndpoint(e *endpoint, away time.Duration) {
 	e.proxy.Set(tcptest.Link{Reset: true})
 	time.Sleep(away / restartPart)
@@ -184,8 +185,8 @@
 	e.proxy.Set(tcptest.Link{})
 }
 
-// loseAll kills all instances while the store turns everybody away, and starts them
-// before it is back.
+// loseAll kills all instances while the store refuses requests, and restarts them before the
+// outage ends.
 func (w *World) loseAll(outage time.Duration) {
 	w.store.SetFaults(storeFaults["store refuses"])
 	var all sync.WaitGroup
@@ -200,27 +201,27 @@
 	all.Wait()
 }
 
-// restartPart divides a step's time into that for which an instance stays away after
-// it has ended.
+// restartPart is the divisor of a step's duration that yields how long an instance or endpoint
+// stays down.
 const restartPart = 4
 
-// graceSlack is how much longer than its grace an instance may take to end before
-// it is killed, as the platform does.
+// graceSlack is how much longer than grace an instance may take to stop before it is killed.
 const graceSlack = time.Second
 
-// restart starts an instance again after it has ended. When it was told to end
-// twice only the first starts it.
+// restart waits until an instance has exited, killing it if it exceeds its grace period, and
+// starts it again. If several calls wait for the same exit, only one of them starts the
+// instance.
 func (w *World) restart(p *process, after time.Duration) {
-	gone := p.done()
+	exited := p.done()
 	select {
-	case <-gone:
+	case <-exited:
 	case <-time.After(grace + graceSlack):
 		p.signal(syscall.SIGCONT, false)
 		p.signal(syscall.SIGKILL, true)
-		<-gone
+		<-exited
 	}
 	time.Sleep(after / restartPart)
-	if !p.claimStart(gone) {
+	if !p.claimStart(exited) {
 		return
 	}
 	if err := w.start(p); err != nil {
@@ -230,7 +231,8 @@
 	}
 }
 
-// leave lets an endpoint say that it leaves, and come back under another name.
+// leave marks the entry of an endpoint as leaving, removes the entry after a time, and enters
+// the endpoint again under a new name.
 func (w *World) leave(e *endpoint, after time.Duration) {
 	w.writeEntry(e, true)
 	time.Sleep(after)
--- a/soak/process.go
+++ b/soak/process.go
@@ -20,11 +20,11 @@
 	"github.com/linkmast/linkmast/internal/tcp/tcptest"
 )
 
-// process is one instance of the system.
+// process is one instance of the system. The operating system process changes with each
+// restart.
 type process struct {
 	name string
-	// listen is where callers connect, and ready where it says whether it is
-	// ready.
+	// listen is the address for callers, and ready the address of the readiness check.
 	listen string
 	ready  string
 	// settings is the path of its settings file.
@@ -35,27 +35,26 @@
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	exited chan struct{}
-	// unexpectedExits counts ends that nobody asked for.
+	// unexpectedExits counts exits that the schedule did not cause, and failed restarts.
 	unexpectedExits int
-	// exitExpected states that the process was told to end.
+	// exitExpected states whether the running process was sent a signal that ends it.
 	exitExpected bool
-	// starting states that somebody starts the instance again.
+	// starting states whether a call of restart is about to start the instance again.
 	starting bool
 }
 
-// The times that instances are set to.
+// Time limits in the settings of instances.
 const (
-	// revoke is how soon keys that were taken away must be refused.
+	// revoke bounds the time until revoked keys are refused.
 	revoke = 2 * time.Second
-	// grace is how long a planned stop may take.
+	// grace bounds the duration of a planned stop.
 	grace = 6 * time.Second
 )
 
-// readyTimeout bounds the question whether an instance is ready; one that is
-// frozen does not answer.
+// readyTimeout bounds a readiness check, since a stopped process does not respond.
 const readyTimeout = 300 * time.Millisecond
 
-// settingsText is the settings file of an instance, without its figures.
+// settingsText is the format of an instance's settings file.
 const settingsText = `id = %q
 region = "r"
 failure_domain = %q
@@ -75,18 +74,19 @@
 stop_within = "%s"
 `
 
-// The ports that instances listen on lie below those that the kernel gives to sockets
-// without one, so that no other socket takes one between its choice and its use.
+// Range of the ports that instances listen on. It lies below the kernel's range of ephemeral
+// ports, so that no other socket takes a port between its selection and its use.
 const (
 	firstPort = 20_000
 	portCount = 10_000
 )
 
-// nextPort is the next port to try, as its distance from firstPort. Processes that run at
-// once begin at different ones.
+// nextPort is the offset from firstPort of the port that was tried last. It starts at a value
+// that depends on the process ID, so that concurrent soaks try different ports.
 var nextPort = os.Getpid() * 97
 
-// freeAddress returns an address that nobody listens on. It is for one goroutine.
+// freeAddress returns a loopback address on which nothing listens. It is not safe for
+// concurrent use.
 func freeAddress() (string, error) {
 	for range portCount {
 		nextPort = (nextPort + 1) % portCount
@@ -97,17 +97,17 @@
 		defer func() { _ = l.Close() }()
 		return l.Addr().String(), nil
 	}
-	return "", errors.New("soak: no free port")
+	return "", errors.New("no free port for an instance")
 }
 
-// addProcess starts the instance with a number, behind a proxy to the store.
+// addProcess writes the settings of instance i and starts it, with a proxy to the store.
 func (w *World) addProcess(i int) error {
 	p := &process{
 		name: fmt.Sprintf("n-%d", i),
 	}
 	var err error
 	if p.store, err = tcptest.NewProxy(w.storeAddr); err != nil {
-		return errors.Wrap(err, "soak")
+		return errors.Wrap(err, "start proxy to the store")
 	}
 	own := ""
 	for _, into := range []*string{&p.listen, &p.ready, &own} {
@@ -121,13 +121,13 @@
 	p.settings = filepath.Join(w.dir, p.name+".toml")
 	text := fmt.Sprintf(settingsText, p.name, domainOf(i), p.listen, p.ready, own, quoted(w.contactAddresses), p.store.Address, revoke, w.strict, grace)
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
-		return errors.Wrap(err, "soak")
+		return errors.Wrap(err, "write settings of an instance")
 	}
 	w.processes = append(w.processes, p)
 	return w.start(p)
 }
 
-// quoted returns texts as a list in settings.
+// quoted formats texts as the elements of a TOML array.
 func quoted(texts []string) string {
 	var out []string
 	for _, t := range texts {
@@ -136,16 +136,16 @@
 	return strings.Join(out, ", ")
 }
 
-// start starts an instance.
+// start starts the program of an instance and appends its output to the instance's log.
 func (w *World) start(p *process) error {
 	out, err := os.OpenFile(filepath.Join(w.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "soak")
+		return errors.Wrap(err, "open log of an instance")
 	}
 	cmd := exec.Command(w.program, "--settings", p.settings)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
-		return errors.Wrap(err, "soak")
+		return errors.Wrap(err, "start instance")
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,21 +157,21 @@
 	return nil
 }
 
-// claimStart states whether the caller starts the instance again after an end: only
-// one of those that waited for it does.
-func (p *process) claimStart(gone <-chan struct{}) bool {
+// claimStart reports whether the caller may start the instance after the exit that closed the
+// channel exited. Only one caller per exit may.
+func (p *process) claimStart(exited <-chan struct{}) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.exited != gone || p.starting {
+	if p.exited != exited || p.starting {
 		return false
 	}
 	p.starting = true
 	return true
 }
 
-// wait notes the end of a process.
+// wait waits for a process to exit, counts an unexpected exit and closes exited.
 func (p *process) wait(cmd *exec.Cmd, out *os.File, exited chan struct{}) {
-	// How it ended is told by whether somebody wanted it.
+	// The exit status does not matter; exitExpected tells whether the exit is a fault.
 	_ = cmd.Wait()
 	_ = out.Close()
 	p.mu.Lock()
@@ -182,31 +182,31 @@
 	close(exited)
 }
 
-// signal sends a signal to the process that was started last, by its id. Ends
-// states that it is to end by it.
+// signal sends a signal to the current process. The argument ends states that the signal ends
+// the process.
 func (p *process) signal(s syscall.Signal, ends bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.exitExpected = p.exitExpected || ends
-	// A process that has ended already needs none.
+	// An error means that the process has exited already.
 	_ = p.cmd.Process.Signal(s)
 }
 
-// pid returns the id of the process that was started last.
+// pid returns the process ID of the current process.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// done returns what is closed when the process has ended.
+// done returns a channel that is closed when the current process has exited.
 func (p *process) done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// readyCount returns how many instances say that they are ready.
+// readyCount returns the number of instances whose readiness check succeeds.
 func (w *World) readyCount() int {
 	client := &http.Client{
 		Timeout: readyTimeout,
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -10,22 +10,22 @@
 
 // Step is one fault of a schedule.
 type Step struct {
-	// At is when it begins, from the start.
+	// At is when the fault begins, relative to the start of the schedule.
 	At time.Duration
-	// For is how long it lasts.
+	// For is how long the fault lasts.
 	For time.Duration
-	// Kind names the fault.
+	// Kind is the name of the fault.
 	Kind string
-	// Target is the number of the process or endpoint.
+	// Target is an index that selects the process or endpoint, modulo their number.
 	Target int
 }
 
-// String returns the step in a line.
+// String formats the step as one line.
 func (s Step) String() string {
 	return fmt.Sprintf("%6.2fs %s %d for %s", s.At.Seconds(), s.Kind, s.Target, s.For)
 }
 
-// kinds are the faults with how often each is drawn.
+// kinds lists the faults with their relative frequencies.
 var kinds = [...]struct {
 	name   string
 	weight int
@@ -40,11 +40,11 @@
 	{"domain emptied", 2}, {"endpoint starts again", 2}, {requestCrashes, 2},
 }
 
-// endpointsSilent lets the open connections to an endpoint go silent for good.
+// endpointsSilent discards all further data of the open connections to an endpoint.
 const endpointsSilent = "endpoint connections silent"
 
-// Draw returns the schedule of a seed: faults that come every second or so for a
-// time, some of them together.
+// Draw returns the schedule of a seed. The times between the beginnings of faults are
+// exponentially distributed, so faults may overlap.
 func Draw(seed uint64, length time.Duration, processes int) []Step {
 	r := rand.New(rand.NewPCG(seed, 1))
 	total := 0
@@ -64,7 +64,7 @@
 	return out
 }
 
-// kindAt returns the kind in whose share of the weights a number lies.
+// kindAt returns the kind that the number n selects among the cumulated weights.
 func kindAt(n int) string {
 	for _, k := range kinds {
 		if n < k.weight {
@@ -75,15 +75,14 @@
 	return ""
 }
 
-// The measures of a schedule.
+// Parameters of a schedule.
 const (
-	// firstStep is when the first fault comes: once the load has begun.
+	// firstStep is when the first fault begins, after the load has started.
 	firstStep = 500 * time.Millisecond
-	// meanPause is the mean pause between the beginnings of faults.
+	// meanPause is the mean time between the beginnings of two faults.
 	meanPause = time.Second
-	// minDurationMS is how long a fault lasts at the least, and spreadMS how much
-	// longer it may last, both in ms: some end before any time-out, others
-	// outlast most, and they overlap.
+	// minDurationMS is the shortest duration of a fault and durationSpreadMS the range above
+	// it, in ms. Some faults end before any timeout expires, others outlast most timeouts.
 	minDurationMS    = 300
 	durationSpreadMS = 4500
 )
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -13,44 +13,48 @@
 	"github.com/go-faster/errors"
 )
 
-// Settings are the measures of a run.
+// Settings configures a run.
 type Settings struct {
-	// Program is the program of an instance.
+	// Program is the path of the instance program.
 	Program string
-	// Seed draws the schedule and the load.
+	// Seed determines the schedule and the load. With an odd seed, instances also run with
+	// strict revocation of keys.
 	Seed uint64
-	// Length is how long faults come.
+	// Length is the period in which faults begin.
 	Length time.Duration
-	// Statements has endpoints make statements in their answers beside the schedule.
+	// Statements adds faults by which endpoints announce rate limits, back-offs or their
+	// leaving in responses.
 	Statements bool
-	// Processes is how many instances run.
+	// Processes is the number of instances.
 	Processes int
-	// Out gets the schedule and the result.
+	// Out receives the schedule and the result.
 	Out io.Writer
 }
 
-// strict states whether keys are refused in time by instances out of touch, which is the
-// operator's choice: with odd seeds.
+// strict reports whether instances out of touch with the store must refuse revoked keys in
+// time, too. This is a setting of the operator; runs with odd seeds enable it.
 func (s *Settings) strict() bool {
 	return s.Seed%2 == 1
 }
 
-// The times around the faults.
+// Time limits of a run.
 const (
-	// startWithin bounds the time until all instances are ready.
+	// startWithin bounds the time until all instances are ready after the start.
 	startWithin = 10 * time.Second
-	// readyPollInterval is how often they are asked.
+	// readyPollInterval is the pause between checks whether all instances are ready.
 	readyPollInterval = 50 * time.Millisecond
-	// recoverWithin is how long the system has to be well again after the last
-	// fault, and recoverFor how long it is looked at then.
+	// recoverWithin is the time that the system has to recover after the last fault, and
+	// recoverFor how long the load continues after it.
 	recoverWithin = 8 * time.Second
 	recoverFor    = 2 * time.Second
-	// settleFor is how long reservations and runs may outlast their callers.
+	// settleFor is the time after the end of the load in which endpoints may still run
+	// requests or hold reservations.
 	settleFor = 4500 * time.Millisecond
 )
 
-// Run plays one schedule. It returns the promises that were broken, and the end
-// of ctx as an error; any other error means that the run could not be set up.
+// Run plays one schedule and returns the promises that were broken. The error is that of ctx
+// if ctx ended during the run; any other error means that the run could not be prepared or
+// cleaned up.
 func Run(ctx context.Context, s Settings) ([]Violation, error) {
 	w, err := newWorld(s.Program, s.Processes, s.strict())
 	if err != nil {
@@ -64,16 +68,16 @@
 	broken := append(w.check(history), checkRecovery(history, w.recovered)...)
 	w.report(s, history, broken)
 	if len(broken) == 0 {
-		// The logs of a run without a finding are of no use.
+		// Keep the instances' logs only if a promise was broken.
 		if err := os.RemoveAll(w.dir); err != nil {
-			return nil, errors.Wrap(err, "soak")
+			return nil, errors.Wrap(err, "remove directory of the run")
 		}
 	}
 	return broken, ctx.Err()
 }
 
-// loadAndPlay plays the schedule under load and waits until all has settled. It
-// returns what the callers saw.
+// loadAndPlay plays the schedule under load, waits until the load has ended and for settleFor
+// after it, and returns the exchanges of the callers.
 func (w *World) loadAndPlay(ctx context.Context, s Settings) []Exchange {
 	c := &callers{
 		world: w,
@@ -100,7 +104,7 @@
 	return append(c.all(), w.crashExchanges()...)
 }
 
-// wait waits for a time, or until ctx ends.
+// wait sleeps for d or until ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -108,7 +112,7 @@
 	}
 }
 
-// awaitReady waits until all instances are ready.
+// awaitReady waits until all instances are ready, for at most startWithin.
 func (w *World) awaitReady(ctx context.Context) error {
 	for end := time.Now().Add(startWithin); time.Now().Before(end); wait(ctx, readyPollInterval) {
 		if w.readyCount() == len(w.processes) {
@@ -118,7 +122,8 @@
 	return errors.Errorf("instances are not ready after %s; %s", startWithin, w.logLocation())
 }
 
-// report writes the result.
+// report writes the number of requests and broken promises and, if there are any, their
+// details, the stalls and the location of the logs.
 func (w *World) report(s Settings, history []Exchange, broken []Violation) {
 	status := make(map[int]int)
 	for _, x := range history {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -11,7 +11,8 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// TestDraw looks that a seed gives one schedule, and that seeds differ.
+// TestDraw guards against schedules that are not reproducible, do not depend on the seed or
+// never contain some kind of fault.
 func TestDraw(t *testing.T) {
 	is := is.New(t)
 	a := Draw(7, time.Minute, 4)
@@ -25,10 +26,10 @@
 			seen[s.Kind] = true
 		}
 	}
-	is.Equal(len(seen), len(kinds)) // every kind is drawn by some seed
+	is.Equal(len(seen), len(kinds)) // some seed draws each kind
 }
 
-// runOf is a run for the customer at a moment.
+// runOf returns a run of a request of the customer that began at the given time.
 func runOf(id, target string, at time.Time) platformtest.Run {
 	return platformtest.Run{
 		ID:     id,
@@ -39,7 +40,7 @@
 	}
 }
 
-// servedAt is an exchange that was sent at a moment and went well.
+// servedAt returns a successful exchange that was sent at the given time.
 func servedAt(at time.Time) Exchange {
 	return Exchange{
 		ID:     "r",
@@ -53,16 +54,16 @@
 	}
 }
 
-// leaveEarly makes the caller of an exchange leave before the answer, and its run end
-// the given time after that.
+// leaveEarly changes an exchange to one whose caller canceled it, and its run to end the given
+// time after that.
 func leaveEarly(x *Exchange, runs *[]platformtest.Run, after time.Duration) {
 	x.GaveUp, x.Whole, x.Status, x.Answer = true, false, 0, ""
 	x.Ended = x.Sent.Add(maxLeaveDelay / 2)
 	(*runs)[0].Ended = x.Ended.Add(after)
 }
 
-// TestDisturbed looks that a run that goes on is not held against an instance that
-// stands still, or a link that fails.
+// TestDisturbed guards against violations reported for runs that outlast their callers because
+// of a stopped instance or a faulty link, and against excuses for other faults.
 func TestDisturbed(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
@@ -94,38 +95,39 @@
 	}
 }
 
-// TestJudge shows the judge what breaks each promise, and that it says so.
-func TestJudge(t *testing.T) {
+// TestCheckExchange guards against broken promises that the checks do not detect or report as
+// another promise.
+func TestCheckExchange(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
 		name    string
 		promise string
 		change  func(x *Exchange, runs *[]platformtest.Run)
 	}{
-		{"well", "", func(*Exchange, *[]platformtest.Run) {}},
+		{"served", "", func(*Exchange, *[]platformtest.Run) {}},
 		{"ran twice", "at most once", func(_ *Exchange, runs *[]platformtest.Run) {
 			*runs = append(*runs, runOf("r", "/unsafe/", now))
 		}},
-		{"refused and ran", "refusals are true", func(x *Exchange, _ *[]platformtest.Run) { x.Status = 503 }},
-		{"another's answer", "whole and own answer", func(x *Exchange, _ *[]platformtest.Run) {
+		{"refused and ran", "refused requests do not run", func(x *Exchange, _ *[]platformtest.Run) { x.Status = 503 }},
+		{"answer to another request", "answers are unaltered and belong to their requests", func(x *Exchange, _ *[]platformtest.Run) {
 			x.Answer = platformtest.PlainAnswer("other", nil)
 		}},
-		{"not signed", "whole and own answer", func(x *Exchange, _ *[]platformtest.Run) { x.Signed = false }},
-		{"denied", "what is allowed is not denied", func(x *Exchange, _ *[]platformtest.Run) { x.Status = 401 }},
-		{"changed", "requests are passed on unchanged", func(_ *Exchange, runs *[]platformtest.Run) {
+		{"not signed", "answers are unaltered and belong to their requests", func(x *Exchange, _ *[]platformtest.Run) { x.Signed = false }},
+		{"denied", "allowed requests are not denied", func(x *Exchange, _ *[]platformtest.Run) { x.Status = 401 }},
+		{"changed", "requests are forwarded unchanged", func(_ *Exchange, runs *[]platformtest.Run) {
 			(*runs)[0].Target = "/else/"
 		}},
-		{"key passed on", "keys stay here", func(_ *Exchange, runs *[]platformtest.Run) {
+		{"key forwarded", "endpoints receive the customer but not the key", func(_ *Exchange, runs *[]platformtest.Run) {
 			(*runs)[0].Header = platformtest.LeakedKey("c1")
 		}},
-		{"key taken away", "keys that were taken away are refused", func(x *Exchange, _ *[]platformtest.Run) { x.Key = "gone" }},
-		{"ran late", "nothing runs after its time", func(_ *Exchange, runs *[]platformtest.Run) {
+		{"key revoked", "revoked keys are refused", func(x *Exchange, _ *[]platformtest.Run) { x.Key = "gone" }},
+		{"ran late", "no run begins after the deadline of its request", func(_ *Exchange, runs *[]platformtest.Run) {
 			(*runs)[0].At = now.Add(time.Minute)
 		}},
-		{"caller left, run ended", "", func(x *Exchange, runs *[]platformtest.Run) {
+		{"caller canceled, run ended", "", func(x *Exchange, runs *[]platformtest.Run) {
 			leaveEarly(x, runs, 100*time.Millisecond)
 		}},
-		{"caller left, run went on", "what its caller leaves ends", func(x *Exchange, runs *[]platformtest.Run) {
+		{"caller canceled, run continued", "runs end when their callers cancel", func(x *Exchange, runs *[]platformtest.Run) {
 			leaveEarly(x, runs, time.Second)
 		}},
 	} {
@@ -147,8 +149,8 @@
 	}
 }
 
-// TestRefusedFrom looks from when on a key that was taken away must be refused: with
-// an operator who is not strict not before the faults are over.
+// TestRefusedFrom guards against a wrong deadline for refusing revoked keys. Without strict
+// revocation it is not before the end of the faults.
 func TestRefusedFrom(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
@@ -172,9 +174,9 @@
 	}
 }
 
-// TestJudgeEmptied looks which runs at endpoints of an emptied failure domain are held
-// against an instance.
-func TestJudgeEmptied(t *testing.T) {
+// TestCheckDrained guards against requests to drained failure domains that are not detected,
+// and against violations by instances that could not read the store.
+func TestCheckDrained(t *testing.T) {
 	now := time.Now()
 	after := func(d time.Duration) time.Time { return now.Add(drainWithin + runSlack + d) }
 	for _, row := range []struct {
@@ -184,16 +186,16 @@
 		fault  Step
 		wrong  bool
 	}{
-		{"at once", "d-1", now, Step{}, false},
+		{"immediately", "d-1", now, Step{}, false},
 		{"within the bound", "d-1", after(-time.Millisecond), Step{}, false},
-		{"after it", "d-1", after(time.Millisecond), Step{}, true},
+		{"after the bound", "d-1", after(time.Millisecond), Step{}, true},
 		{"in another domain", "d-2", after(time.Millisecond), Step{}, false},
-		{"after it was restored", "d-1", after(2 * time.Second), Step{}, false},
-		{"while the store was away", "d-1", after(time.Millisecond), Step{Kind: "store silent", For: time.Second}, false},
-		{"by an instance that stood still", "d-1", after(time.Millisecond), Step{Kind: "freeze", Target: 1, For: time.Second}, false},
-		{"while another one stood still", "d-1", after(time.Millisecond), Step{Kind: "freeze", Target: 2, For: time.Second}, true},
-		{"long after the store was back", "d-1", after(900 * time.Millisecond), Step{Kind: "store silent", For: 500 * time.Millisecond}, true},
-		{"while another one was killed", "d-1", after(time.Millisecond), Step{Kind: "kill", Target: 2, For: time.Second}, true},
+		{"after it was undrained", "d-1", after(2 * time.Second), Step{}, false},
+		{"while the store was silent", "d-1", after(time.Millisecond), Step{Kind: "store silent", For: time.Second}, false},
+		{"by a stopped instance", "d-1", after(time.Millisecond), Step{Kind: "freeze", Target: 1, For: time.Second}, false},
+		{"while another instance was stopped", "d-1", after(time.Millisecond), Step{Kind: "freeze", Target: 2, For: time.Second}, true},
+		{"long after the store recovered", "d-1", after(900 * time.Millisecond), Step{Kind: "store silent", For: 500 * time.Millisecond}, true},
+		{"while another instance was killed", "d-1", after(time.Millisecond), Step{Kind: "kill", Target: 2, For: time.Second}, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -224,8 +226,8 @@
 	}
 }
 
-// TestLate counts the runs of a request that crashes endpoints which come too late.
-func TestLate(t *testing.T) {
+// TestLateRuns guards against miscounted late runs of requests that crash endpoints.
+func TestLateRuns(t *testing.T) {
 	start := time.Now()
 	lost := playedStep{
 		step: Step{
@@ -236,17 +238,17 @@
 	}
 	for _, row := range []struct {
 		name string
-		// runs are in seconds.
+		// runs lists the times of the runs in seconds.
 		runs   []float64
 		played []playedStep
 		want   int
 	}{
-		{"three", []float64{0, 1, 2}, nil, 0},
+		{"three runs", []float64{0, 1, 2}, nil, 0},
 		{"in time after the third", []float64{0, 1, 2, 3, 4, 5}, nil, 0},
-		{"late", []float64{0, 1, 2, 5.1, 6, 7, 8}, nil, 4},
-		{"as found on several endpoints", []float64{8, 2, 0, 5.1, 1}, nil, 2},
-		{"all known lost in between", []float64{0, 1, 2, 12, 13, 14, 16}, []playedStep{lost}, 0},
-		{"late after that, too", []float64{0, 1, 2, 12, 13, 14, 18}, []playedStep{lost}, 1},
+		{"late runs", []float64{0, 1, 2, 5.1, 6, 7, 8}, nil, 4},
+		{"unsorted", []float64{8, 2, 0, 5.1, 1}, nil, 2},
+		{"all instances lost in between", []float64{0, 1, 2, 12, 13, 14, 16}, []playedStep{lost}, 0},
+		{"late runs after the loss of all instances", []float64{0, 1, 2, 12, 13, 14, 18}, []playedStep{lost}, 1},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			w := &World{
--- a/soak/stall.go
+++ b/soak/stall.go
@@ -13,32 +13,32 @@
 	"time"
 )
 
-// The measures of looking for stalls.
+// Parameters of the detection of stalls.
 const (
-	// stallInterval is how often it is looked how long threads had to wait for a processor.
+	// stallInterval is the interval between two readings of the threads' waiting times.
 	stallInterval = 250 * time.Millisecond
-	// stallShare is from which part of that time on a thread of a process counts as stalled:
-	// what callers and instances wait for each other is hundreds of ms at the least.
+	// stallShare is the share of an interval that a thread must have waited to count as
+	// stalled. Shorter waits are well below the time limits between callers and instances.
 	stallShare = 0.8
-	// maxStallsReported bounds the stalls that are written.
+	// maxStallsReported bounds the number of stalls in the report.
 	maxStallsReported = 20
 )
 
-// stall is a time in which a thread that was ready to run got no processor.
+// stall is an interval in which a runnable thread waited for a processor.
 type stall struct {
 	who    string
 	at     time.Time
 	waited time.Duration
 }
 
-// String returns the stall in a line.
+// String formats the stall as one line.
 func (s stall) String() string {
 	return fmt.Sprintf("%s: a thread of %s waited %d ms for a processor in the last %d",
 		s.at.Format("15:04:05.000"), s.who, s.waited.Milliseconds(), stallInterval.Milliseconds())
 }
 
-// watchStalls notes stalls of the soak's own process and of all instances until ctx ends. With
-// them a promise that was broken can be told from one that the machine had no time to keep.
+// watchStalls records stalls of this process and of all instances until ctx ends. They help to
+// distinguish faults of the system from an overloaded host when a promise was broken.
 func (w *World) watchStalls(ctx context.Context) {
 	before := make(map[string]time.Duration)
 	tick := time.NewTicker(stallInterval)
@@ -57,10 +57,11 @@
 	}
 }
 
-// recordStall notes the longest wait of a process's threads since the last look, if it is a stall.
-// Before is how long each thread had waited then.
+// recordStall records a stall if a thread of a process waited long enough since the previous
+// reading. The map before holds the total waiting time of each thread at the previous reading
+// and is updated.
 func (w *World) recordStall(pid int, who string, before map[string]time.Duration, now time.Time) {
-	// A process that has ended has no threads.
+	// A process that has exited has no threads, so Glob finds nothing.
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
 		return
@@ -85,8 +86,9 @@
 	})
 }
 
-// readWaitTime reads how long a thread has waited for a processor, ready to run: the second number
-// of schedstat, in ns.
+// readWaitTime returns the total time that a thread was runnable and waited for a processor,
+// which is the second field of schedstat, in ns. It returns false if the file cannot be read
+// or parsed.
 func readWaitTime(path string) (time.Duration, bool) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -100,7 +102,7 @@
 	return time.Duration(ns), err == nil
 }
 
-// writeStalls writes the stalls of a run that broke a promise.
+// writeStalls writes the number of stalls and the first of them.
 func (w *World) writeStalls(out io.Writer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -11,17 +11,17 @@
 	"github.com/matryer/is"
 )
 
-// TestWaitedFor reads what the kernel tells of a thread, and what it doesn't.
-func TestWaitedFor(t *testing.T) {
+// TestReadWaitTime guards against misread or accepted malformed schedstat files.
+func TestReadWaitTime(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		text   string
 		waited time.Duration
 		ok     bool
 	}{
-		{"a thread", "648981915 95941537 1337\n", 95941537 * time.Nanosecond, true},
-		{"nothing", "", 0, false},
-		{"no number", "1 x 2\n", 0, false},
+		{"valid", "648981915 95941537 1337\n", 95941537 * time.Nanosecond, true},
+		{"empty", "", 0, false},
+		{"not a number", "1 x 2\n", 0, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -36,17 +36,17 @@
 	is.New(t).True(!ok)
 }
 
-// TestStalls notes a stall of a process only where one of its threads waited for long since the
-// last look.
-func TestStalls(t *testing.T) {
+// TestRecordStall guards against stalls recorded without a previous reading, and stalls that
+// are missed.
+func TestRecordStall(t *testing.T) {
 	is := is.New(t)
 	w := &World{}
 	before := make(map[string]time.Duration)
 	w.recordStall(os.Getpid(), "this one", before, time.Now())
-	is.Equal(len(w.stalls), 0) // nothing to compare with yet
+	is.Equal(len(w.stalls), 0) // there is no previous reading
 	is.True(len(before) > 0)
 	for path := range before {
-		before[path] -= time.Second // as if it had waited since
+		before[path] -= time.Second // simulates a wait of one second since the previous reading
 	}
 	w.recordStall(os.Getpid(), "this one", before, time.Now())
 	is.Equal(len(w.stalls), 1)
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -13,41 +13,45 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// saysLeaving has an endpoint say in its answers that it leaves, while the store does not.
+// saysLeaving makes an endpoint announce in its responses that it leaves, while its entry in
+// the store does not say so.
 const saysLeaving = "endpoint says that it leaves"
 
-// The statements of endpoints in the schedule.
+// Values that endpoints announce.
 const (
-	// statedRate is the rate limit that they name, in requests a second.
+	// statedRate is the announced rate limit in requests per second.
 	statedRate = 2
-	// statedBackoff is for how long they want nothing.
+	// statedBackoff is the announced back-off.
 	statedBackoff = time.Second
 )
 
-// statementFaults are the statements that an endpoint makes for the time of a step.
+// statementFaults maps kinds of steps to what an endpoint announces in its responses.
 var statementFaults = map[string]platformtest.EndpointFaults{
 	"endpoint names a limit":       {Limit: fmt.Sprint(statedRate)},
 	"endpoint asks for a back-off": {Reject: true, RetryAfter: fmt.Sprint(statedBackoff.Seconds())},
 	"endpoint says no number":      {Limit: "few", Reject: true, RetryAfter: "soon"},
 }
 
-// The bounds that operators state.
+// Tolerances of the checks.
 const (
-	// leavingWithin is how soon after an answer that says that its endpoint leaves it must get
-	// nothing new from the instance that got it.
+	// leavingWithin bounds how long after a response that announces its leaving an endpoint
+	// may still get requests from the instance that received the response.
 	leavingWithin = 2 * time.Second
-	// backoffGrace is how soon a back-off must be kept, and backoffMost how many requests may come in it.
+	// backoffGrace is how long after its announcement a back-off need not be respected yet,
+	// and maxBackoffRequests the number of requests tolerated in the rest of it.
 	backoffGrace       = 500 * time.Millisecond
 	maxBackoffRequests = 2
-	// limitGrace is how soon a rate limit must be kept. In limitWindow limitFactor times what it
-	// allows may come, and limitSlack more.
+	// limitGrace is how long after its first announcement a rate limit need not be respected
+	// yet. Then limitFactor times the limit, plus limitSlack requests, is tolerated in each
+	// limitWindow.
 	limitGrace  = 3 * time.Second
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// DrawStatements returns the statements of endpoints that come beside the schedule of a seed.
+// DrawStatements returns the steps of a seed in which endpoints announce something in their
+// responses.
 func DrawStatements(seed uint64, length time.Duration) []Step {
 	kinds := append(slices.Sorted(maps.Keys(statementFaults)), saysLeaving)
 	r := rand.New(rand.NewPCG(seed, 2))
@@ -63,26 +67,27 @@
 	return out
 }
 
-// leaveByAnswers has an endpoint say in its answers alone that it leaves, for a time, and start
-// again under another name.
+// leaveByAnswers makes an endpoint announce in its responses, but not in the store, that it
+// leaves, and restarts it under another name after the given time.
 func (w *World) leaveByAnswers(e *endpoint, lasts time.Duration) {
 	e.setFaults(platformtest.EndpointFaults{
 		Leaving: true,
 	})
 	time.Sleep(lasts)
-	// Its next start does not say it.
+	// The next incarnation does not announce it.
 	e.setFaults(platformtest.EndpointFaults{})
 	w.leave(e, 0)
 }
 
-// arrival is a request at an endpoint, with the instance that sent it.
+// arrival is a request that arrived at an endpoint, with the index of the instance that sent
+// it.
 type arrival struct {
 	platformtest.Arrival
 	instance int
 }
 
-// checkStatements checks that endpoints got what they said that they take. Instances that were
-// disturbed meanwhile are excused.
+// checkStatements checks that instances respect what endpoints announce in their responses. It
+// excuses instances that were affected by other faults at the time.
 func (w *World) checkStatements(sent map[string]*Exchange) []Violation {
 	var out []Violation
 	for _, e := range w.endpoints {
@@ -100,25 +105,25 @@
 	return out
 }
 
-// checkLeaving checks that an endpoint got nothing from instances that its answers had told
-// that it leaves.
+// checkLeaving checks that an endpoint gets no further requests from an instance some time
+// after a response to that instance announced its leaving.
 func (w *World) checkLeaving(e *endpoint, all []arrival) []Violation {
 	var out []Violation
-	told := make(map[int]time.Time)
+	announced := make(map[int]time.Time)
 	for _, a := range all {
 		if !a.Said.Leaving {
 			continue
 		}
-		first, known := told[a.instance]
+		first, known := announced[a.instance]
 		if !known || a.At.Sub(first) > maxLeavingPeriod {
-			told[a.instance] = a.At
+			announced[a.instance] = a.At
 			continue
 		}
 		late := a.At.Sub(first.Add(answerWithin + leavingWithin + runSlack))
 		if late > 0 && !w.excused(a.instance, e, first, a.At) {
 			out = append(out, Violation{
-				Promise: "an endpoint that says that it leaves gets nothing new",
-				Detail: fmt.Sprintf("request %s of instance %d came to %s %s after the bound", a.ID, a.instance,
+				Promise: "leaving endpoints get no new requests",
+				Detail: fmt.Sprintf("request %s of instance %d reached %s %s after the bound", a.ID, a.instance,
 					e.Name(), late.Round(time.Millisecond)),
 			})
 		}
@@ -126,16 +131,17 @@
 	return out
 }
 
-// The measures of telling answers apart.
+// Times that delimit announcements of leaving.
 const (
-	// maxLeavingPeriod is longer than an endpoint says that it leaves.
+	// maxLeavingPeriod is longer than any period in which an endpoint announces its leaving. A
+	// later announcement belongs to another period.
 	maxLeavingPeriod = 2 * (2*minDurationMS + 2*durationSpreadMS) * time.Millisecond
-	// answerWithin is how long the head of an answer may take.
+	// answerWithin bounds the time until the instance has received the header of a response.
 	answerWithin = time.Second
 )
 
-// checkBackoffs checks that an endpoint that asked an instance for a back-off got two requests of it at most
-// meanwhile.
+// checkBackoffs checks that an instance sends an endpoint at most maxBackoffRequests requests
+// during a back-off that the endpoint announced to it.
 func (w *World) checkBackoffs(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	for i, asked := range all {
@@ -151,16 +157,16 @@
 		}
 		if in > maxBackoffRequests && !w.excused(asked.instance, e, asked.At, end) {
 			out = append(out, Violation{
-				Promise: "an endpoint that asks for a back-off has it",
-				Detail:  fmt.Sprintf("%d requests of instance %d came to %s within its back-off from %s on", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
+				Promise: "back-offs of endpoints are respected",
+				Detail:  fmt.Sprintf("%d requests of instance %d reached %s within its back-off that began at %s", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
 			})
 		}
 	}
 	return out
 }
 
-// checkLimits checks that an endpoint that names a rate limit got no more than that allows from
-// all instances together.
+// checkLimits checks that all instances together respect a rate limit that an endpoint
+// announces.
 func (w *World) checkLimits(e *endpoint, all []arrival) []Violation {
 	limited := func(a arrival) bool { return a.Said.Limit == fmt.Sprint(statedRate) }
 	var out []Violation
@@ -184,16 +190,16 @@
 		}
 		if allowed := limitFactor*statedRate*limitWindow.Seconds() + limitSlack; float64(in) > allowed {
 			out = append(out, Violation{
-				Promise: "an endpoint gets no more than the limit that it names",
-				Detail:  fmt.Sprintf("%d requests came to %s in %s up to %s, %.0f allowed", in, e.Name(), limitWindow, last.At.Format("15:04:05.000"), allowed),
+				Promise: "rate limits of endpoints are respected",
+				Detail:  fmt.Sprintf("%d requests reached %s in %s up to %s, %.0f allowed", in, e.Name(), limitWindow, last.At.Format("15:04:05.000"), allowed),
 			})
 		}
 	}
 	return out
 }
 
-// excused states whether, between two moments, an instance was stopped, killed or frozen, or the
-// link before an endpoint failed.
+// excused reports whether, between two times, an instance was terminated, killed or stopped,
+// all instances were lost in an outage of the store, or the link to an endpoint was faulty.
 func (w *World) excused(instance int, e *endpoint, from, to time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -216,11 +222,11 @@
 	return false
 }
 
-// excuseSlack is how long a fault excuses an instance after it has ended: until a process has
-// stopped in its grace and started again, or a frozen one has read what came meanwhile.
+// excuseSlack is how long an instance is excused after the end of a fault, while it restarts,
+// or processes the messages that arrived while it was stopped.
 const excuseSlack = 2 * time.Second
 
-// merge returns two schedules as one.
+// merge merges two schedules by the start of their steps.
 func merge(a, b []Step) []Step {
 	return slices.SortedStableFunc(slices.Values(slices.Concat(a, b)), func(x, y Step) int { return cmp.Compare(x.At, y.At) })
 }
--- a/soak/statements_test.go
+++ b/soak/statements_test.go
@@ -12,7 +12,8 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// arrivalsEvery returns arrivals from an instance, one each so often.
+// arrivalsEvery returns n arrivals from one instance at a fixed interval, with the given
+// announcements.
 func arrivalsEvery(begin time.Time, n int, every time.Duration, f platformtest.EndpointFaults) []arrival {
 	var out []arrival
 	for i := range n {
@@ -27,9 +28,9 @@
 	return out
 }
 
-// TestJudgeStatements looks that each statement which is not heard is found, and that an instance
-// that was frozen is excused.
-func TestJudgeStatements(t *testing.T) {
+// TestCheckStatements guards against announcements of endpoints that are ignored without being
+// detected, and against violations by an instance that was stopped.
+func TestCheckStatements(t *testing.T) {
 	begin := time.Now()
 	leaving := platformtest.EndpointFaults{Leaving: true}
 	limit := statementFaults["endpoint names a limit"]
@@ -37,15 +38,15 @@
 	leave := (*World).checkLeaving
 	for _, c := range []struct {
 		name  string
-		judge func(*World, *endpoint, []arrival) []Violation
+		check func(*World, *endpoint, []arrival) []Violation
 		all   []arrival
 		wrong bool
 	}{
-		{"leaving, in time", leave, arrivalsEvery(begin, 20, 100*time.Millisecond, leaving), false},
-		{"leaving, too late", leave, arrivalsEvery(begin, 5, time.Second, leaving), true},
+		{"leaving, requests in time", leave, arrivalsEvery(begin, 20, 100*time.Millisecond, leaving), false},
+		{"leaving, late requests", leave, arrivalsEvery(begin, 5, time.Second, leaving), true},
 		{"not leaving", leave, arrivalsEvery(begin, 5, time.Second, platformtest.EndpointFaults{}), false},
 		{"limit kept", (*World).checkLimits, arrivalsEvery(begin, 20, 500*time.Millisecond, limit), false},
-		{"limit passed", (*World).checkLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, limit), true},
+		{"limit exceeded", (*World).checkLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, limit), true},
 		{"no limit", (*World).checkLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, platformtest.EndpointFaults{}), false},
 		{"back-off kept", (*World).checkBackoffs, arrivalsEvery(begin, 5, statedBackoff, backoff), false},
 		{"back-off broken", (*World).checkBackoffs, arrivalsEvery(begin, 20, 100*time.Millisecond, backoff), true},
@@ -58,12 +59,12 @@
 				processes: make([]*process, 1),
 				endpoints: []*endpoint{e},
 			}
-			is.New(t).Equal(len(c.judge(w, e, c.all)) > 0, c.wrong)
+			is.New(t).Equal(len(c.check(w, e, c.all)) > 0, c.wrong)
 			w.played = []playedStep{{
 				step:  Step{Kind: "freeze", For: time.Hour},
 				began: begin,
 			}}
-			is.New(t).Equal(len(c.judge(w, e, c.all)), 0)
+			is.New(t).Equal(len(c.check(w, e, c.all)), 0)
 		})
 	}
 }
--- a/soak/world.go
+++ b/soak/world.go
@@ -18,69 +18,70 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// The size of the deployment, small enough for one machine.
+// Size of the deployment, small enough for one host.
 const (
-	// engines is how many endpoints are engines, each with a stream to write.
+	// engines is the number of endpoints that are engines, which answer with streams.
 	engines = 6
-	// services is how many endpoints are plain.
+	// services is the number of endpoints of the plain service.
 	services = 3
-	// streamEvents is the number of events in a stream: more than a second of
-	// them, so that a run that goes on without its caller is seen.
+	// streamEvents is the number of events of a stream. Streams take more than a second, so
+	// that a run that outlasts its caller is detected.
 	streamEvents = 60
-	// plainWork is the time that a plain endpoint takes for a request.
+	// plainWork is how long a plain endpoint takes for a request.
 	plainWork = 10 * time.Millisecond
-	// endpointSlots is how many requests an endpoint works on at once.
+	// endpointSlots is the number of slots of an endpoint.
 	endpointSlots = 8
-	// domains is how many failure domains there are, each with a third of the endpoints of
-	// either service.
+	// domains is the number of failure domains. Each holds a third of the endpoints of each
+	// service.
 	domains = 3
 )
 
-// headerTimeout bounds how long the stand-ins wait for the header of a request;
-// longer than any fault lasts.
+// headerTimeout bounds how long the stand-ins wait for the header of a request. It is longer
+// than any fault.
 const headerTimeout = time.Minute
 
-// endpoint is a stand-in behind a proxy.
+// endpoint is a stand-in of an endpoint behind a proxy.
 type endpoint struct {
 	*platformtest.Endpoint
 
 	service string
 	domain  string
 	proxy   *tcptest.Proxy
-	// startedAt is when its life started; zero until it starts again.
+	// startedAt is when the endpoint last restarted under its name; zero before that.
 	startedAt time.Time
 }
 
-// World is a deployment under test.
+// World is the deployment under test, with the records of a run.
 type World struct {
 	program string
-	// strict states that keys which were taken away must be refused in time also by
-	// instances that are out of touch.
+	// strict states that instances out of touch with the store must refuse revoked keys in
+	// time, too.
 	strict    bool
 	dir       string
 	store     *platformtest.Store
 	storeAddr string
 	processes []*process
-	// contactAddresses are where those instances listen for others that all others ask when they
-	// start; the first ones.
+	// contactAddresses lists the peer addresses of the first instances, from which all
+	// instances learn of the others when they start.
 	contactAddresses []string
 	endpoints        []*endpoint
 	servers          []*http.Server
 
-	// recovered is when the system must be well again after the last fault.
+	// recovered is the deadline for recovery after the last fault.
 	recovered time.Time
 
 	mu      sync.Mutex
 	version int
-	// played are the faults that have begun.
+	// played lists the steps of the schedule that have begun.
 	played []playedStep
-	// drains are the times for which failure domains were drains.
+	// drains lists the periods in which failure domains were drained.
 	drains []drainPeriod
-	// crashSends are the exchanges of requests that crash endpoints.
+	// crashSends lists the exchanges of requests that crash endpoints.
 	crashSends []Exchange
-	// stalls are the times in which the machine had no processor for a process.
+	// stalls lists the periods in which a thread waited for a processor.
 	stalls []stall
-	// keys are the customer's keys by name, with when each was taken away.
+	// keys maps each of the customer's keys to the time of its revocation; zero for valid
+	// keys.
 	keys map[string]time.Time
 }
 
@@ -88,7 +89,7 @@
 func newWorld(program string, instances int, strict bool) (*World, error) {
 	dir, err := os.MkdirTemp("", "linkmast-soak-")
 	if err != nil {
-		return nil, errors.Wrap(err, "soak")
+		return nil, errors.Wrap(err, "create directory of the run")
 	}
 	w := &World{
 		program: program,
@@ -124,14 +125,14 @@
 	return w, nil
 }
 
-// maxContacts is how many instances the others ask when they start.
+// maxContacts bounds the number of instances that serve as contacts of the others.
 const maxContacts = 3
 
-// serve serves a stand-in on a free address, which it returns.
+// serve serves a stand-in on a free port and returns its address.
 func (w *World) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", errors.Wrap(err, "soak")
+		return "", errors.Wrap(err, "listen for a stand-in")
 	}
 	s := &http.Server{
 		Handler:           h,
@@ -139,14 +140,14 @@
 	}
 	w.servers = append(w.servers, s)
 	go func() {
-		// It ends when it is closed.
+		// Serve always returns an error after Close.
 		_ = s.Serve(l)
 	}()
 	return l.Addr().String(), nil
 }
 
-// addEndpoint starts the endpoint with a number behind a proxy and enters it in
-// the store: first the engines, then the plain ones.
+// addEndpoint starts endpoint i behind a proxy and writes its entry to the store. The first
+// endpoints are engines, the others plain.
 func (w *World) addEndpoint(i int) error {
 	e := &endpoint{
 		Endpoint: &platformtest.Endpoint{
@@ -166,7 +167,7 @@
 		return err
 	}
 	if e.proxy, err = tcptest.NewProxy(address); err != nil {
-		return errors.Wrap(err, "soak")
+		return errors.Wrap(err, "start proxy to an endpoint")
 	}
 	e.Crash = func([]string) { w.crash(e) }
 	e.setFaults(platformtest.EndpointFaults{})
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// close ends everything.
+// close kills the instances and stops the proxies and stand-ins.
 func (w *World) close() {
 	for _, p := range w.processes {
 		p.signal(syscall.SIGCONT, false)
@@ -191,13 +192,13 @@
 	}
 }
 
-// domainOf names the failure domain of the thing with a number.
+// domainOf returns the failure domain of the endpoint or instance with index i.
 func domainOf(i int) string {
 	return fmt.Sprintf("d-%d", i%domains)
 }
 
-// writeEntry writes an endpoint's entry to the store. Leaving states that it gets no
-// new request.
+// writeEntry writes an endpoint's entry to the store. If leaving is set, the entry states that
+// the endpoint takes no new requests.
 func (w *World) writeEntry(e *endpoint, leaving bool) {
 	w.mu.Lock()
 	born := e.startedAt
@@ -213,7 +214,7 @@
 	})
 }
 
-// logLocation says where the instances' logLocation are.
+// logLocation returns a text that states where the instances' logs are.
 func (w *World) logLocation() string {
 	return "logs in " + strings.TrimSuffix(w.dir, "/")
 }
