--- a/standin/answer.go
+++ b/standin/answer.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tokenAt returns the token at place i of the answer to a prompt of hash h.
-func tokenAt(h uint64, i int) string {
+// answerToken returns the token at place i of the answer to a prompt of hash h.
+func answerToken(h uint64, i int) string {
 	const spread = 0x9e3779b97f4a7c15
 	v := (h + uint64(i)*spread) >> 48
 	return " w" + strconv.FormatUint(v, 36)
@@ -22,7 +22,7 @@
 	h := xxhash.Sum64String(prompt)
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(tokenAt(h, i))
+		b.WriteString(answerToken(h, i))
 	}
 	return b.String()
 }
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		c.blocks[b] = c.order.PushFront(b)
-		c.note(b, false)
+		c.recordEvent(b, false)
 	}
 	c.shrink(limit)
 }
@@ -57,11 +57,11 @@
 		e := c.order.Back()
 		b := c.order.Remove(e).(uint64)
 		delete(c.blocks, b)
-		c.note(b, true)
+		c.recordEvent(b, true)
 	}
 }
 
-func (c *cache) note(block uint64, dropped bool) {
+func (c *cache) recordEvent(block uint64, dropped bool) {
 	c.seq++
 	c.events = append(c.events, engine.CacheEvent{
 		Seq:     c.seq,
--- a/standin/client.go
+++ b/standin/client.go
@@ -14,17 +14,17 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// lifeInterval is how often a stream without tokens shows a sign of life.
-const lifeInterval = 500 * time.Millisecond
+// heartbeatInterval is how often a stream without tokens shows a sign of life.
+const heartbeatInterval = 500 * time.Millisecond
 
-// errCut is a connection that broke.
-var errCut = errors.New("connection broke")
+// errConnectionLost is a connection that broke.
+var errConnectionLost = errors.New("connection broke")
 
-// gate waits while the engine is frozen, and fails when it is dead.
-func (e *Engine) gate(ctx context.Context) error {
+// awaitAvailable waits while the engine is frozen, and fails when it is dead.
+func (e *Engine) awaitAvailable(ctx context.Context) error {
 	for {
 		e.mu.Lock()
-		dead, thawed := e.faults.Dead, e.thawed
+		dead, thawed := e.faults.Dead, e.unfrozen
 		frozen := e.faults.Frozen
 		e.mu.Unlock()
 		if dead {
@@ -51,36 +51,36 @@
 
 // Run implements engine.Client.
 func (e *Engine) Run(ctx context.Context, a engine.Attempt) (engine.Stream, error) {
-	if err := e.gate(ctx); err != nil {
+	if err := e.awaitAvailable(ctx); err != nil {
 		return nil, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if take(&e.faults.RefuseBefore) {
+	if consume(&e.faults.RefuseBefore) {
 		return nil, runError(problem.NotRun, engine.RefusedFault, errors.New("refused before the start"))
 	}
-	r, no := e.start(a)
+	r, no := e.admit(a)
 	if no != nil {
 		return nil, runError(problem.NotRun, no.Code, errors.New(no.Detail))
 	}
-	if e.faults.crashes(a.Prompt) {
+	if e.faults.crashesOn(a.Prompt) {
 		e.crashes++
 		e.faults.Dead = true
 		e.dropAll()
-		return nil, runError(problem.MayHaveRun, engine.Unreachable, errCut)
+		return nil, runError(problem.MayHaveRun, engine.Unreachable, errConnectionLost)
 	}
-	if take(&e.faults.RefuseAfter) {
+	if consume(&e.faults.RefuseAfter) {
 		return nil, runError(problem.MayHaveRun, engine.RefusedFault, errors.New("refused after the start"))
 	}
-	if take(&e.faults.LoseAnswer) {
-		return nil, runError(problem.MayHaveRun, engine.Unreachable, errCut)
+	if consume(&e.faults.LoseAnswer) {
+		return nil, runError(problem.MayHaveRun, engine.Unreachable, errConnectionLost)
 	}
 	return e.reader(ctx, r, 1), nil
 }
 
 // Resume implements engine.Client.
 func (e *Engine) Resume(ctx context.Context, id string, seq int) (engine.Stream, error) {
-	if err := e.gate(ctx); err != nil {
+	if err := e.awaitAvailable(ctx); err != nil {
 		return nil, err
 	}
 	e.mu.Lock()
@@ -94,17 +94,17 @@
 
 // Cancel implements engine.Client.
 func (e *Engine) Cancel(ctx context.Context, id string) error {
-	if err := e.gate(ctx); err != nil {
+	if err := e.awaitAvailable(ctx); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if take(&e.faults.LoseCancel) {
+	if consume(&e.faults.LoseCancel) {
 		return nil
 	}
 	if r := e.runs[id]; r != nil {
-		r.gone = true
-		e.finish(r)
+		r.removed = true
+		e.releaseRun(r)
 		close(r.changed)
 		r.changed = make(chan struct{})
 	}
@@ -117,7 +117,7 @@
 
 // Reserve implements engine.Client.
 func (e *Engine) Reserve(ctx context.Context, r engine.Reservation) error {
-	if err := e.gate(ctx); err != nil {
+	if err := e.awaitAvailable(ctx); err != nil {
 		return err
 	}
 	e.mu.Lock()
@@ -126,25 +126,25 @@
 	if _, ok := e.reserved[r.ID]; ok {
 		return nil
 	}
-	if take(&e.faults.RefuseBefore) || e.held+bytes > e.settings.MemoryBytes {
+	if consume(&e.faults.RefuseBefore) || e.held+bytes > e.settings.MemoryBytes {
 		return runError(problem.NotRun, engine.RefusedMemory, errors.New("memory is taken"))
 	}
 	e.held += bytes
-	e.cache.shrink(e.cacheRoom())
+	e.cache.shrink(e.cacheCapacity())
 	e.reserved[r.ID] = reservation{
 		Reservation: r,
 		began:       e.now(),
 		bytes:       bytes,
 	}
-	if take(&e.faults.LoseAnswer) {
-		return runError(problem.MayHaveRun, engine.Unreachable, errCut)
+	if consume(&e.faults.LoseAnswer) {
+		return runError(problem.MayHaveRun, engine.Unreachable, errConnectionLost)
 	}
 	return nil
 }
 
 // Status implements engine.Client.
 func (e *Engine) Status(ctx context.Context, list bool) (engine.Status, error) {
-	if err := e.gate(ctx); err != nil {
+	if err := e.awaitAvailable(ctx); err != nil {
 		return engine.Status{}, err
 	}
 	e.mu.Lock()
@@ -158,7 +158,7 @@
 		Adapters:  append([]string{}, e.adapters...),
 	}
 	for _, r := range e.runs {
-		s.PrefillTokens += r.left
+		s.PrefillTokens += r.prefillLeft
 	}
 	if list {
 		s.Running = e.running()
@@ -175,7 +175,7 @@
 			ID:     id,
 			Holder: r.attempt.Holder,
 			Bytes:  r.bytes,
-			Age:    now.Sub(r.began),
+			Age:    now.Sub(r.startedAt),
 		})
 	}
 	for id, r := range e.reserved {
@@ -191,7 +191,7 @@
 
 // Order implements engine.Client.
 func (e *Engine) Order(ctx context.Context, o engine.Order) error {
-	if err := e.gate(ctx); err != nil {
+	if err := e.awaitAvailable(ctx); err != nil {
 		return err
 	}
 	e.mu.Lock()
@@ -203,15 +203,15 @@
 	e.settings.Model = o.Model
 	e.settings.Version = o.Version
 	e.adapters = append([]string{}, o.Adapters...)
-	if take(&e.faults.LoseAnswer) {
-		return runError(problem.MayHaveRun, engine.Unreachable, errCut)
+	if consume(&e.faults.LoseAnswer) {
+		return runError(problem.MayHaveRun, engine.Unreachable, errConnectionLost)
 	}
 	return nil
 }
 
 // Events implements engine.Client.
 func (e *Engine) Events(ctx context.Context, after int64) ([]engine.CacheEvent, error) {
-	if err := e.gate(ctx); err != nil {
+	if err := e.awaitAvailable(ctx); err != nil {
 		return nil, err
 	}
 	e.mu.Lock()
@@ -253,7 +253,7 @@
 
 // Next implements engine.Stream.
 func (d *reader) Next() (engine.Chunk, error) {
-	life := time.NewTimer(lifeInterval)
+	life := time.NewTimer(heartbeatInterval)
 	defer life.Stop()
 	for {
 		if len(d.queue) > 0 {
@@ -261,7 +261,7 @@
 			d.queue = d.queue[1:]
 			return k, nil
 		}
-		changed, err := d.fill()
+		changed, err := d.queueNext()
 		if err != nil {
 			return engine.Chunk{}, err
 		}
@@ -271,7 +271,7 @@
 		select {
 		case <-changed:
 		case <-life.C:
-			if err := d.engine.gate(d.ctx); err != nil {
+			if err := d.engine.awaitAvailable(d.ctx); err != nil {
 				return engine.Chunk{}, err
 			}
 			return engine.Chunk{
@@ -283,21 +283,21 @@
 	}
 }
 
-// fill queues the next chunk, with the faults that strike it. It returns what
+// queueNext queues the next chunk, with the faults that strike it. It returns what
 // to wait for when there is none yet.
-func (d *reader) fill() (<-chan struct{}, error) {
+func (d *reader) queueNext() (<-chan struct{}, error) {
 	e := d.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Frozen {
-		return e.thawed, nil
+		return e.unfrozen, nil
 	}
 	if e.faults.CutAfter > 0 && d.sent >= e.faults.CutAfter {
-		return nil, errCut
+		return nil, errConnectionLost
 	}
 	if d.seq > len(d.run.chunks) {
-		if d.run.gone {
-			return nil, errCut
+		if d.run.removed {
+			return nil, errConnectionLost
 		}
 		if d.run.ended {
 			return nil, io.EOF
@@ -307,20 +307,20 @@
 	k := d.run.chunks[d.seq-1]
 	d.seq++
 	d.sent++
-	d.queue = append(d.queue, e.strike(k)...)
+	d.queue = append(d.queue, e.applyFaults(k)...)
 	return nil, nil
 }
 
-// strike returns a chunk as the faults in force deliver it.
-func (e *Engine) strike(k engine.Chunk) []engine.Chunk {
+// applyFaults returns a chunk as the faults in force deliver it.
+func (e *Engine) applyFaults(k engine.Chunk) []engine.Chunk {
 	switch {
-	case k.End != "" && take(&e.faults.DropEnd):
+	case k.End != "" && consume(&e.faults.DropEnd):
 		return nil
-	case k.End == "" && take(&e.faults.DropChunks):
+	case k.End == "" && consume(&e.faults.DropChunks):
 		return nil
-	case take(&e.faults.DoubleChunks):
+	case consume(&e.faults.DoubleChunks):
 		return []engine.Chunk{k, k}
-	case take(&e.faults.CrossChunks):
+	case consume(&e.faults.CrossChunks):
 		other := k
 		other.Attempt = "other-" + k.Attempt
 		return []engine.Chunk{other, k}
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -25,8 +25,8 @@
 // Each contract holds for the stand-in itself and for the adapter over HTTP
 // before the stand-in's handler. Another adapter is proved by one more way.
 
-// engineWays are the ways to reach an engine.
-func engineWays(t *testing.T, e *Engine) map[string]engine.Client {
+// engineClients are the ways to reach an engine.
+func engineClients(t *testing.T, e *Engine) map[string]engine.Client {
 	t.Helper()
 	s := httptest.NewServer(e.Handler())
 	t.Cleanup(s.Close)
@@ -109,7 +109,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newTestEngine(t)
-			for way, client := range engineWays(t, e) {
+			for way, client := range engineClients(t, e) {
 				t.Run(way, func(t *testing.T) {
 					is := is.New(t)
 					e.SetFaults(c.faults)
@@ -140,7 +140,7 @@
 
 func TestEngineMemoryContract(t *testing.T) {
 	e := newTestEngine(t)
-	for way, client := range engineWays(t, e) {
+	for way, client := range engineClients(t, e) {
 		t.Run(way, func(t *testing.T) {
 			is := is.New(t)
 			ctx := t.Context()
@@ -180,7 +180,7 @@
 func TestEngineOrderContract(t *testing.T) {
 	e := newTestEngine(t)
 	fence := int64(10)
-	for way, client := range engineWays(t, e) {
+	for way, client := range engineClients(t, e) {
 		t.Run(way, func(t *testing.T) {
 			is := is.New(t)
 			fence += 10
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -65,7 +65,7 @@
 	mu       sync.Mutex
 	settings EngineSettings
 	faults   Faults
-	thawed   chan struct{}
+	unfrozen chan struct{}
 	runs     map[string]*run
 	reserved map[string]reservation
 	cache    *cache
@@ -79,19 +79,19 @@
 
 // run is one attempt that an engine works on.
 type run struct {
-	attempt engine.Attempt
-	order   int
-	began   time.Time
-	bytes   int64
-	hash    uint64
-	tokens  int
-	blocks  []uint64
-	cached  int
-	left    int
-	chunks  []engine.Chunk
-	ended   bool
-	gone    bool
-	changed chan struct{}
+	attempt     engine.Attempt
+	arrival     int
+	startedAt   time.Time
+	bytes       int64
+	hash        uint64
+	tokens      int
+	blocks      []uint64
+	cached      int
+	prefillLeft int
+	chunks      []engine.Chunk
+	ended       bool
+	removed     bool
+	changed     chan struct{}
 }
 
 // reservation is memory held for a group.
@@ -110,13 +110,13 @@
 		wake:     make(chan struct{}, 1),
 		now:      time.Now,
 		settings: s,
-		thawed:   make(chan struct{}),
+		unfrozen: make(chan struct{}),
 		runs:     make(map[string]*run),
 		reserved: make(map[string]reservation),
 		cache:    newCache(),
 		started:  make(map[uint64]int),
 	}
-	close(e.thawed)
+	close(e.unfrozen)
 	go e.loop()
 	return e
 }
@@ -137,12 +137,12 @@
 		e.dropAll()
 	}
 	if f.Frozen && !was {
-		e.thawed = make(chan struct{})
+		e.unfrozen = make(chan struct{})
 	}
 	if !f.Frozen && was {
-		close(e.thawed)
+		close(e.unfrozen)
 	}
-	e.poke()
+	e.wakeLoop()
 }
 
 // Faults returns what goes wrong now.
@@ -181,7 +181,7 @@
 	return e.cache.order.Len()
 }
 
-func (e *Engine) poke() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -191,7 +191,7 @@
 // dropAll forgets everything, as a process that dies.
 func (e *Engine) dropAll() {
 	for _, r := range e.runs {
-		r.gone = true
+		r.removed = true
 		close(r.changed)
 		r.changed = make(chan struct{})
 	}
@@ -223,15 +223,15 @@
 	}
 }
 
-// share is the prefill that one attempt gets in a step.
-type share struct {
+// prefillShare is the prefill that one attempt gets in a step.
+type prefillShare struct {
 	run    *run
 	tokens int
 }
 
 // plan returns the time of the next step and its prefill. The time is zero
 // when there is nothing to do.
-func (e *Engine) plan() (time.Duration, []share) {
+func (e *Engine) plan() (time.Duration, []prefillShare) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Frozen || e.faults.Dead {
@@ -242,7 +242,7 @@
 	for _, r := range e.runs {
 		switch {
 		case r.ended:
-		case r.left > 0:
+		case r.prefillLeft > 0:
 			waiting = append(waiting, r)
 		default:
 			decodes = true
@@ -263,9 +263,9 @@
 }
 
 // prefill shares out the chunk of a step and returns the time that it takes.
-func (e *Engine) prefill(waiting []*run) ([]share, time.Duration) {
+func (e *Engine) prefill(waiting []*run) ([]prefillShare, time.Duration) {
 	slices.SortFunc(waiting, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(a.attempt.Priority, b.attempt.Priority), cmp.Compare(a.order, b.order))
+		return cmp.Or(cmp.Compare(a.attempt.Priority, b.attempt.Priority), cmp.Compare(a.arrival, b.arrival))
 	})
 	rate := e.settings.PrefillTokensPerSecond
 	if len(e.reserved) > 0 {
@@ -273,16 +273,16 @@
 	}
 	budget := e.settings.ChunkTokens
 	seconds := 0.0
-	var work []share
+	var work []prefillShare
 	for _, r := range waiting {
 		if budget == 0 {
 			break
 		}
-		n := min(r.left, budget)
+		n := min(r.prefillLeft, budget)
 		budget -= n
 		group := float64(1 + len(r.attempt.Members))
 		seconds += float64(n) / (rate * group)
-		work = append(work, share{
+		work = append(work, prefillShare{
 			run:    r,
 			tokens: n,
 		})
@@ -292,7 +292,7 @@
 
 // apply ends a step: prompts advance, and each finished prompt's attempt gets
 // a token.
-func (e *Engine) apply(work []share) {
+func (e *Engine) apply(work []prefillShare) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Frozen || e.faults.Dead {
@@ -300,30 +300,30 @@
 	}
 	decoding := make([]*run, 0, len(e.runs))
 	for _, r := range e.runs {
-		if r.left == 0 && !r.ended {
+		if r.prefillLeft == 0 && !r.ended {
 			decoding = append(decoding, r)
 		}
 	}
 	for _, s := range work {
-		s.run.left -= s.tokens
-		if s.run.left <= 0 && !s.run.gone {
-			s.run.left = 0
-			e.cache.add(s.run.blocks, e.cacheRoom())
+		s.run.prefillLeft -= s.tokens
+		if s.run.prefillLeft <= 0 && !s.run.removed {
+			s.run.prefillLeft = 0
+			e.cache.add(s.run.blocks, e.cacheCapacity())
 			decoding = append(decoding, s.run)
 		}
 	}
 	for _, r := range decoding {
-		e.token(r)
+		e.appendToken(r)
 	}
 }
 
-// token adds the next token, and after the last one the end.
-func (e *Engine) token(r *run) {
+// appendToken adds the next appendToken, and after the last one the end.
+func (e *Engine) appendToken(r *run) {
 	place := len(r.chunks)
 	r.chunks = append(r.chunks, engine.Chunk{
 		Attempt: r.attempt.ID,
 		Seq:     place + 1,
-		Text:    tokenAt(r.hash, place),
+		Text:    answerToken(r.hash, place),
 	})
 	if len(r.chunks) >= r.attempt.MaxTokens {
 		r.chunks = append(r.chunks, engine.Chunk{
@@ -333,28 +333,28 @@
 			PromptTokens: r.tokens,
 			CachedTokens: r.cached,
 		})
-		e.finish(r)
+		e.releaseRun(r)
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// finish returns the memory of an attempt that has ended. Its chunks stay for
+// releaseRun returns the memory of an attempt that has ended. Its chunks stay for
 // whoever still reads them.
-func (e *Engine) finish(r *run) {
+func (e *Engine) releaseRun(r *run) {
 	r.ended = true
 	e.held -= r.bytes
 	delete(e.runs, r.attempt.ID)
 }
 
-// cacheRoom returns how many blocks the free memory holds.
-func (e *Engine) cacheRoom() int {
+// cacheCapacity returns how many blocks the free memory holds.
+func (e *Engine) cacheCapacity() int {
 	free := e.settings.MemoryBytes - e.held
 	return int(free / (engine.BlockTokens * e.settings.KVBytesPerToken))
 }
 
-// start admits an attempt, or says why not. The caller holds the lock.
-func (e *Engine) start(a engine.Attempt) (*run, *engine.Refusal) {
+// admit admits an attempt, or says why not. The caller holds the lock.
+func (e *Engine) admit(a engine.Attempt) (*run, *engine.Refusal) {
 	tokens := engine.Tokens(len(a.Prompt))
 	group := 1 + len(a.Members)
 	bytes := int64((tokens+group-1)/group+a.MaxTokens) * e.settings.KVBytesPerToken
@@ -369,26 +369,26 @@
 		return nil, refusal(engine.RefusedDoubled, "the attempt runs already")
 	}
 	r := &run{
-		attempt: a,
-		order:   e.arrivals,
-		began:   e.now(),
-		bytes:   bytes,
-		hash:    xxhash.Sum64String(a.Prompt),
-		tokens:  tokens,
-		blocks:  engine.Blocks(a.Model+"/"+a.Adapter, a.Prompt, e.cacheRoom()),
-		changed: make(chan struct{}),
+		attempt:   a,
+		arrival:   e.arrivals,
+		startedAt: e.now(),
+		bytes:     bytes,
+		hash:      xxhash.Sum64String(a.Prompt),
+		tokens:    tokens,
+		blocks:    engine.Blocks(a.Model+"/"+a.Adapter, a.Prompt, e.cacheCapacity()),
+		changed:   make(chan struct{}),
 	}
 	hit := e.cache.hit(r.blocks) * engine.BlockTokens
 	r.cached = min(hit, max(tokens-1, 0))
-	r.left = max(tokens-r.cached, 1)
+	r.prefillLeft = max(tokens-r.cached, 1)
 	e.arrivals++
 	e.held += bytes
-	e.cache.shrink(e.cacheRoom())
+	e.cache.shrink(e.cacheCapacity())
 	e.runs[a.ID] = r
 	e.started[r.hash]++
 	// A long prompt is not kept for as long as its answer takes.
 	r.attempt.Prompt = ""
-	e.poke()
+	e.wakeLoop()
 	return r, nil
 }
 
--- a/standin/enginehttp.go
+++ b/standin/enginehttp.go
@@ -21,20 +21,20 @@
 	mux.HandleFunc("POST /v1/attempts", e.serveRun)
 	mux.HandleFunc("GET /v1/attempts/{id}", e.serveResume)
 	mux.HandleFunc("DELETE /v1/attempts/{id}", func(w http.ResponseWriter, r *http.Request) {
-		finish(w, struct{}{}, e.Cancel(r.Context(), r.PathValue("id")))
+		respond(w, struct{}{}, e.Cancel(r.Context(), r.PathValue("id")))
 	})
 	mux.HandleFunc("POST /v1/reservations", func(w http.ResponseWriter, r *http.Request) {
 		if v, ok := read[engine.Reservation](w, r); ok {
-			finish(w, struct{}{}, e.Reserve(r.Context(), v))
+			respond(w, struct{}{}, e.Reserve(r.Context(), v))
 		}
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) {
 		s, err := e.Status(r.Context(), r.FormValue("list") == "true")
-		finish(w, s, err)
+		respond(w, s, err)
 	})
 	mux.HandleFunc("POST /v1/orders", func(w http.ResponseWriter, r *http.Request) {
 		if v, ok := read[engine.Order](w, r); ok {
-			finish(w, struct{}{}, e.Order(r.Context(), v))
+			respond(w, struct{}{}, e.Order(r.Context(), v))
 		}
 	})
 	mux.HandleFunc("GET /v1/events", func(w http.ResponseWriter, r *http.Request) {
@@ -44,7 +44,7 @@
 			return
 		}
 		events, err := e.Events(r.Context(), after)
-		finish(w, events, err)
+		respond(w, events, err)
 	})
 	serveFaults(mux, e.SetFaults)
 	return mux
@@ -70,9 +70,9 @@
 	return v, true
 }
 
-// finish answers a request with v, or with the refusal that err stands for. An
+// respond answers a request with v, or with the refusal that err stands for. An
 // answer that was lost becomes a broken connection.
-func finish(w http.ResponseWriter, v any, err error) {
+func respond(w http.ResponseWriter, v any, err error) {
 	if err == nil {
 		wirehttp.JSON(w, http.StatusOK, v)
 		return
@@ -95,10 +95,10 @@
 	}
 	s, err := e.Run(r.Context(), a)
 	if err != nil {
-		finish(w, nil, err)
+		respond(w, nil, err)
 		return
 	}
-	relay(w, s)
+	writeStream(w, s)
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
@@ -109,15 +109,15 @@
 	}
 	s, err := e.Resume(r.Context(), r.PathValue("id"), seq)
 	if err != nil {
-		finish(w, nil, err)
+		respond(w, nil, err)
 		return
 	}
-	relay(w, s)
+	writeStream(w, s)
 }
 
-// relay writes an answer line by line. A stream that breaks breaks the
+// writeStream writes an answer line by line. A stream that breaks breaks the
 // connection.
-func relay(w http.ResponseWriter, s engine.Stream) {
+func writeStream(w http.ResponseWriter, s engine.Stream) {
 	// Closing a reader only lets go of it.
 	defer func() { _ = s.Close() }()
 	w.Header().Set("Content-Type", "application/x-ndjson")
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -48,8 +48,8 @@
 	Outage bool `json:"outage"`
 }
 
-// take uses up one strike of a counted fault. It states whether it strikes.
-func take(n *int) bool {
+// consume uses up one strike of a counted fault. It states whether it strikes.
+func consume(n *int) bool {
 	switch {
 	case *n == 0:
 		return false
@@ -59,7 +59,7 @@
 	return true
 }
 
-// crashes states whether what an endpoint is to run makes it Dead.
-func (f *Faults) crashes(what string) bool {
+// crashesOn states whether what an endpoint is to run makes it Dead.
+func (f *Faults) crashesOn(what string) bool {
 	return f.CrashOn != "" && strings.HasPrefix(what, f.CrashOn)
 }
--- a/standin/log.go
+++ b/standin/log.go
@@ -125,10 +125,10 @@
 	l.appends++
 	close(s.changed)
 	s.changed = make(chan struct{})
-	if take(&l.faults.LoseAnswer) {
+	if consume(&l.faults.LoseAnswer) {
 		return 0, &logsvc.Error{
 			Unknown: true,
-			Err:     errCut,
+			Err:     errConnectionLost,
 		}
 	}
 	return first, nil
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -99,14 +99,14 @@
 	}
 	for _, s := range l.history {
 		if since > 0 && s.list.Version == since && since <= list.Version {
-			return change(s.list, list), nil
+			return listChange(s.list, list), nil
 		}
 	}
 	return list, nil
 }
 
-// change returns the change from one list to another.
-func change(from, to instances.List) instances.List {
+// listChange returns the listChange from one list to another.
+func listChange(from, to instances.List) instances.List {
 	out := instances.List{
 		Version: to.Version,
 		Since:   from.Version,
--- a/standin/service.go
+++ b/standin/service.go
@@ -34,12 +34,12 @@
 	instance string
 	work     time.Duration
 
-	mu     sync.Mutex
-	faults Faults
-	thawed chan struct{}
-	calls  map[string]int
-	// requests are the ids of the calls that took effect.
-	requests map[string]bool
+	mu       sync.Mutex
+	faults   Faults
+	unfrozen chan struct{}
+	calls    map[string]int
+	// executed are the ids of the calls that took effect.
+	executed map[string]bool
 	crashes  int
 }
 
@@ -59,11 +59,11 @@
 	v := &Service{
 		instance: s.Instance,
 		work:     s.Work,
-		thawed:   make(chan struct{}),
+		unfrozen: make(chan struct{}),
 		calls:    make(map[string]int),
-		requests: make(map[string]bool),
+		executed: make(map[string]bool),
 	}
-	close(v.thawed)
+	close(v.unfrozen)
 	return v
 }
 
@@ -74,10 +74,10 @@
 	was := v.faults.Frozen
 	v.faults = f
 	if f.Frozen && !was {
-		v.thawed = make(chan struct{})
+		v.unfrozen = make(chan struct{})
 	}
 	if !f.Frozen && was {
-		close(v.thawed)
+		close(v.unfrozen)
 	}
 }
 
@@ -106,7 +106,7 @@
 func (v *Service) Ran(request string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.requests[request]
+	return v.executed[request]
 }
 
 func hash(body []byte) string {
@@ -117,7 +117,7 @@
 // Probe implements plain.Client.
 func (v *Service) Probe(ctx context.Context) error {
 	v.mu.Lock()
-	dead, thawed := v.faults.Dead, v.thawed
+	dead, thawed := v.faults.Dead, v.unfrozen
 	v.mu.Unlock()
 	if dead {
 		return errors.New("connection refused")
@@ -153,7 +153,7 @@
 	case <-ctx.Done():
 		return plain.Answer{}, callError(problem.MayHaveRun, "caller has gone")
 	}
-	if err := v.lost(); err != nil {
+	if err := v.loseAnswer(); err != nil {
 		return plain.Answer{}, err
 	}
 	// An Echo always encodes.
@@ -176,26 +176,26 @@
 	if c.Instance != "" && c.Instance != v.instance {
 		return callError(problem.NotRun, "this is instance "+v.instance)
 	}
-	if take(&v.faults.RefuseBefore) {
+	if consume(&v.faults.RefuseBefore) {
 		return callError(problem.NotRun, "refused before the start")
 	}
-	if v.faults.crashes(string(c.Body)) {
+	if v.faults.crashesOn(string(c.Body)) {
 		v.crashes++
 		v.faults.Dead = true
 		return callError(problem.MayHaveRun, "connection broke")
 	}
 	v.calls[hash(c.Body)]++
-	v.requests[c.Request] = true
-	if take(&v.faults.RefuseAfter) {
+	v.executed[c.Request] = true
+	if consume(&v.faults.RefuseAfter) {
 		return callError(problem.MayHaveRun, "refused after the start")
 	}
 	return nil
 }
 
-func (v *Service) lost() error {
+func (v *Service) loseAnswer() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if take(&v.faults.LoseAnswer) {
+	if consume(&v.faults.LoseAnswer) {
 		return callError(problem.MayHaveRun, "connection broke")
 	}
 	return nil
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -36,9 +36,9 @@
 	bytes int64
 	limit *rate.Limiter
 
-	mu     sync.Mutex
-	faults Faults
-	given  int
+	mu      sync.Mutex
+	faults  Faults
+	permits int
 }
 
 // NewWeights returns a weight store.
@@ -76,9 +76,9 @@
 			After: d,
 		}
 	}
-	s.given++
+	s.permits++
 	return weights.Permit{
-		ID:    model + "@" + version + "#" + strconv.Itoa(s.given),
+		ID:    model + "@" + version + "#" + strconv.Itoa(s.permits),
 		Bytes: s.bytes,
 	}, nil
 }
