--- a/standin/answer.go
+++ b/standin/answer.go
@@ -9,15 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// answerToken returns the token at place i of the answer to a prompt of hash h.
+// answerToken returns token i of the answer to a prompt with hash h.
 func answerToken(h uint64, i int) string {
 	const spread = 0x9e3779b97f4a7c15
 	v := (h + uint64(i)*spread) >> 48
 	return " w" + strconv.FormatUint(v, 36)
 }
 
-// Answer returns the whole answer of n tokens that every Engine gives to a
-// prompt. A caller can so tell its own answer from any other.
+// Answer returns the answer of n tokens that every Engine gives to a prompt. It depends on the
+// prompt, so a caller can detect the answer to another prompt.
 func Answer(prompt string, n int) string {
 	h := xxhash.Sum64String(prompt)
 	var b strings.Builder
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -8,10 +8,10 @@
 	"github.com/linkmast/linkmast/engine"
 )
 
-// maxCacheEvents bounds the events that are kept for readers.
+// maxCacheEvents is the number of latest events that are always kept.
 const maxCacheEvents = 4096
 
-// cache is a prefix cache that drops the block that was used longest ago.
+// cache is a prefix cache that evicts the least recently used block.
 type cache struct {
 	order  *list.List
 	blocks map[uint64]*list.Element
@@ -19,6 +19,7 @@
 	seq    int64
 }
 
+// newCache returns an empty cache.
 func newCache() *cache {
 	return &cache{
 		order:  list.New(),
@@ -26,7 +27,7 @@
 	}
 }
 
-// hit returns how many leading blocks are cached, and marks them as used.
+// hit returns the number of leading blocks that are cached and marks them as used.
 func (c *cache) hit(blocks []uint64) int {
 	for i, b := range blocks {
 		e, ok := c.blocks[b]
@@ -38,7 +39,8 @@
 	return len(blocks)
 }
 
-// add puts blocks into the cache, which then holds at most limit of them.
+// add inserts blocks or marks them as used, and then evicts blocks until at most limit are
+// left.
 func (c *cache) add(blocks []uint64, limit int) {
 	for _, b := range blocks {
 		if e, ok := c.blocks[b]; ok {
@@ -51,7 +53,7 @@
 	c.shrink(limit)
 }
 
-// shrink drops blocks until at most limit are left.
+// shrink evicts blocks until at most limit are left.
 func (c *cache) shrink(limit int) {
 	for c.order.Len() > max(limit, 0) {
 		e := c.order.Back()
@@ -61,6 +63,7 @@
 	}
 }
 
+// recordEvent records that a block was added or dropped, and discards old events.
 func (c *cache) recordEvent(block uint64, dropped bool) {
 	c.seq++
 	c.events = append(c.events, engine.CacheEvent{
@@ -73,7 +76,7 @@
 	}
 }
 
-// after returns the events after seq that are still kept.
+// after returns the recorded events with a sequence number above seq.
 func (c *cache) after(seq int64) []engine.CacheEvent {
 	out := make([]engine.CacheEvent, 0)
 	for _, e := range c.events {
--- a/standin/client.go
+++ b/standin/client.go
@@ -14,13 +14,14 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// heartbeatInterval is how often a stream without tokens shows a sign of life.
+// heartbeatInterval is the interval at which a stream without new tokens returns a chunk
+// without text, which shows that the engine is alive.
 const heartbeatInterval = 500 * time.Millisecond
 
-// errConnectionLost is a connection that broke.
+// errConnectionLost simulates a connection that broke.
 var errConnectionLost = errors.New("connection broke")
 
-// awaitAvailable waits while the engine is frozen, and fails when it is dead.
+// awaitAvailable waits while the engine is frozen. It fails if the engine is dead or ctx ends.
 func (e *Engine) awaitAvailable(ctx context.Context) error {
 	for {
 		e.mu.Lock()
@@ -41,6 +42,7 @@
 	}
 }
 
+// runError returns an engine.RunError with the given fields.
 func runError(ran problem.Ran, code string, err error) *engine.RunError {
 	return &engine.RunError{
 		Ran:  ran,
@@ -166,7 +168,7 @@
 	return s, nil
 }
 
-// running lists what holds memory. The caller holds the lock.
+// running lists the attempts and reservations that hold memory. The caller holds e.mu.
 func (e *Engine) running() []engine.Held {
 	out := make([]engine.Held, 0, len(e.runs)+len(e.reserved))
 	now := e.now()
@@ -229,7 +231,7 @@
 	return events, nil
 }
 
-// reader streams a run. It is one answer on its way to one holder.
+// reader implements engine.Stream for one run. Several readers may read the same run.
 type reader struct {
 	engine *Engine
 	ctx    context.Context
@@ -240,6 +242,7 @@
 	queue  []engine.Chunk
 }
 
+// reader returns a reader that starts at the chunk with sequence number seq.
 func (e *Engine) reader(ctx context.Context, r *run, seq int) *reader {
 	ctx, cancel := context.WithCancel(ctx)
 	return &reader{
@@ -283,8 +286,8 @@
 	}
 }
 
-// queueNext queues the next chunk, with the faults that strike it. It returns what
-// to wait for when there is none yet.
+// queueNext queues the next chunk after applying the faults. If no chunk is available yet, it
+// returns a channel that is closed when the state of the run or the engine changes.
 func (d *reader) queueNext() (<-chan struct{}, error) {
 	e := d.engine
 	e.mu.Lock()
@@ -311,7 +314,8 @@
 	return nil, nil
 }
 
-// applyFaults returns a chunk as the faults in force deliver it.
+// applyFaults returns the chunks that a reader delivers in place of k under the current
+// faults.
 func (e *Engine) applyFaults(k engine.Chunk) []engine.Chunk {
 	switch {
 	case k.End != "" && consume(&e.faults.DropEnd):
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -22,10 +22,10 @@
 	"github.com/linkmast/linkmast/weights"
 )
 
-// Each contract holds for the stand-in itself and for the adapter over HTTP
-// before the stand-in's handler. Another adapter is proved by one more way.
-
-// engineClients are the ways to reach an engine.
+// Each contract test covers the stand-in itself and the HTTP adapter connected to the
+// stand-in's handler.
+//
+// engineClients returns the clients that reach an engine directly and over HTTP.
 func engineClients(t *testing.T, e *Engine) map[string]engine.Client {
 	t.Helper()
 	s := httptest.NewServer(e.Handler())
@@ -36,6 +36,7 @@
 	}
 }
 
+// newTestEngine starts a fast engine that checks the fences of orders.
 func newTestEngine(t *testing.T) *Engine {
 	t.Helper()
 	e := NewEngine(EngineSettings{
@@ -49,6 +50,7 @@
 	return e
 }
 
+// attempt returns an attempt whose prompt depends on its ID.
 func attempt(id string) engine.Attempt {
 	return engine.Attempt{
 		ID:        id,
@@ -60,7 +62,7 @@
 	}
 }
 
-// collect reads a stream to its end.
+// collect reads a stream to its end and returns the text.
 func collect(s engine.Stream, id string) (string, error) {
 	c := engine.Check{
 		Attempt: id,
@@ -82,18 +84,20 @@
 	}
 }
 
+// TestEngineContract guards against attempts whose start or completeness the engine or its
+// HTTP client reports wrongly under faults.
 func TestEngineContract(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults Faults
 		change func(*engine.Attempt)
-		// refused is what is known of the start when Run fails; broken is true
-		// when the answer is not whole.
+		// refused states what is known of the start if Run fails; empty if Run succeeds.
+		// broken states whether the stream fails before the end of the answer.
 		refused problem.Ran
 		broken  bool
 		starts  int
 	}{
-		{"whole", Faults{}, nil, "", false, 1},
+		{"complete", Faults{}, nil, "", false, 1},
 		{"wrong instance", Faults{}, func(a *engine.Attempt) { a.Instance = "e1-0" }, problem.NotRun, false, 0},
 		{"any instance", Faults{}, func(a *engine.Attempt) { a.Instance = "" }, "", false, 1},
 		{"wrong model", Faults{}, func(a *engine.Attempt) { a.Model = "m2" }, problem.NotRun, false, 0},
@@ -138,6 +142,8 @@
 	}
 }
 
+// TestEngineMemoryContract guards against lost or doubled accounting of the memory of attempts
+// and reservations.
 func TestEngineMemoryContract(t *testing.T) {
 	e := newTestEngine(t)
 	for way, client := range engineClients(t, e) {
@@ -150,7 +156,7 @@
 			is.NoErr(err)
 			defer s.Close()
 			is.NoErr(client.Reserve(ctx, engine.Reservation{ID: "r", Holder: "n1", Tokens: 10}))
-			is.NoErr(client.Reserve(ctx, engine.Reservation{ID: "r", Holder: "n1", Tokens: 10})) // again is the same
+			is.NoErr(client.Reserve(ctx, engine.Reservation{ID: "r", Holder: "n1", Tokens: 10})) // a repeated reservation has no effect
 			st, err := client.Status(ctx, true)
 			is.NoErr(err)
 			is.Equal(len(st.Running), 2)
@@ -166,7 +172,7 @@
 			is.NoErr(err)
 			is.Equal(k.Seq, 3)
 			again.Close()
-			for range 2 { // a cancel that is sent again is no error
+			for range 2 { // a repeated cancel is no error
 				is.NoErr(client.Cancel(ctx, a.ID))
 				is.NoErr(client.Cancel(ctx, "r"))
 			}
@@ -177,6 +183,7 @@
 	}
 }
 
+// TestEngineOrderContract guards against orders with a stale fence taking effect.
 func TestEngineOrderContract(t *testing.T) {
 	e := newTestEngine(t)
 	fence := int64(10)
@@ -196,6 +203,8 @@
 	}
 }
 
+// TestLogContract guards against appends whose outcome is reported wrongly and reads that miss
+// records.
 func TestLogContract(t *testing.T) {
 	p := NewPlatform(LogSettings{AppendsPerSecond: 1000})
 	s := httptest.NewServer(p.Handler())
@@ -217,7 +226,7 @@
 			is.Equal(b.Next, int64(3))
 			p.Log.SetFaults(Faults{LoseAnswer: 1})
 			_, err = log.Append(ctx, way, [][]byte{[]byte("c")})
-			is.True(logsvc.IsUnknown(err)) // it took effect all the same
+			is.True(logsvc.IsUnknown(err)) // the append took effect nevertheless
 			b, err = log.Read(ctx, way, 3, time.Second)
 			is.NoErr(err)
 			is.Equal(string(b.Records[0].Data), "c")
@@ -231,13 +240,15 @@
 				time.Sleep(20 * time.Millisecond)
 				log.Append(context.Background(), way, [][]byte{[]byte("e")})
 			}()
-			b, err = log.Read(ctx, way, 4, 5*time.Second) // waits for the record
+			b, err = log.Read(ctx, way, 4, 5*time.Second) // waits until the record is appended
 			is.NoErr(err)
 			is.Equal(string(b.Records[0].Data), "e")
 		})
 	}
 }
 
+// TestInstancesContract guards against wrong lists of instances and wrong changes between two
+// versions of the list.
 func TestInstancesContract(t *testing.T) {
 	p := NewPlatform(LogSettings{})
 	s := httptest.NewServer(p.Handler())
@@ -262,7 +273,7 @@
 			now := whole.Apply(change)
 			is.Equal(len(now.Instances), 1)
 			is.Equal(now.Instances[0].State, instances.Leaving)
-			unknown, err := l.List(t.Context(), 1<<40) // a version that never was
+			unknown, err := l.List(t.Context(), 1<<40) // a version that never existed
 			is.NoErr(err)
 			is.Equal(unknown.Since, int64(0))
 			p.Instances.SetFaults(Faults{Outage: true})
@@ -273,6 +284,8 @@
 	}
 }
 
+// TestWeightsContract guards against permits beyond the rate limit, and outages reported as
+// rate limiting.
 func TestWeightsContract(t *testing.T) {
 	for _, way := range []string{"direct", "http"} {
 		t.Run(way, func(t *testing.T) {
@@ -298,6 +311,8 @@
 	}
 }
 
+// TestPlainContract guards against calls whose effect the service or its HTTP client reports
+// wrongly under faults.
 func TestPlainContract(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,20 +1,21 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package standin holds small stand-ins for what surrounds the system: model
-// engines, plain services, and the platform's log, list of instances and
-// weight store. They serve the demo, the load tool and the contract tests.
+// Package standin provides simple simulations of the systems around the serving layer: model
+// engines, plain services, and the platform's log, list of instances and weight store. The
+// demo, the load tool and the contract tests use them.
 //
-// An Engine models continuous batching in steps. A step gives one token to
-// each attempt whose prompt is done, and up to ChunkTokens of prefill to the
-// attempts whose prompt is not, in order of priority and arrival:
+// An Engine simulates continuous batching in steps. A step appends one token to each attempt
+// that decodes, and prefills up to ChunkTokens tokens of the other attempts in order of
+// priority and arrival:
 //
-//	step time = max(decode step if any decodes, prefill tokens / prefill rate)
+//	step time = max(decode step if any attempt decodes, prefill tokens / prefill rate)
 //
-// An attempt holds the memory of its prompt and its longest answer from start
-// to end. An attempt over a group of g engines prefills at g times the rate,
-// and a member prefills its own attempts at half its rate meanwhile. Blocks of
-// prompts stay in the prefix cache as long as memory lasts.
+// An attempt holds memory for its prompt and for MaxTokens tokens of answer from start to end.
+// In a joint prefill by g engines, it prefills at g times the rate, and each engine holds the
+// memory of 1/g of the prompt. While an engine holds a reservation, which it does for the
+// joint prefill of an attempt of another engine, it prefills its own attempts at half the
+// rate. Blocks of prompts stay in the prefix cache while memory is free.
 //
-// All types work in real time and inside a testing/synctest bubble. Faults are
-// set at run time.
+// All types run in real time or inside a testing/synctest bubble. Faults can be changed at run
+// time.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -13,26 +13,27 @@
 	"github.com/linkmast/linkmast/engine"
 )
 
-// EngineSettings are the measures of a stand-in engine. A zero value means the
-// default.
+// EngineSettings configures an Engine. Zero values select the defaults.
 type EngineSettings struct {
-	// Instance names the endpoint instance.
+	// Instance is the name of the endpoint's incarnation.
 	Instance string
-	// Model and Version are what is loaded at the start.
+	// Model is the model that is loaded at the start.
 	Model string
-	// Version is the version of the weights.
+	// Version is the version of the loaded weights.
 	Version string
-	// MemoryBytes is the KV memory; the default is 400 000 tokens.
+	// MemoryBytes is the size of the KV memory; the default is 400 000 tokens.
 	MemoryBytes int64
-	// KVBytesPerToken is the memory of one token; the default is 1024.
+	// KVBytesPerToken is the KV memory of one token; the default is 1024.
 	KVBytesPerToken int64
 	// PrefillTokensPerSecond is the prefill rate; the default is 40 000.
 	PrefillTokensPerSecond float64
-	// ChunkTokens bounds the prefill of one step; the default is 1024.
+	// ChunkTokens bounds the tokens prefilled in one step; the default is 1024.
 	ChunkTokens int
-	// DecodeStep is the time of a step that only decodes; the default is 20ms.
+	// DecodeStep is the shortest duration of a step in which an attempt decodes; the default
+	// is 20ms.
 	DecodeStep time.Duration
-	// ChecksOrders states whether stale fences are refused.
+	// ChecksOrders states whether the engine refuses orders with a fence below the highest one
+	// it has received.
 	ChecksOrders bool
 }
 
@@ -44,6 +45,7 @@
 	defaultDecodeStep   = 20 * time.Millisecond
 )
 
+// setDefaults replaces zero values by the defaults.
 func (s *EngineSettings) setDefaults() {
 	s.KVBytesPerToken = cmp.Or(s.KVBytesPerToken, defaultKVBytes)
 	s.MemoryBytes = cmp.Or(s.MemoryBytes, defaultMemoryTokens*s.KVBytesPerToken)
@@ -52,8 +54,8 @@
 	s.DecodeStep = cmp.Or(s.DecodeStep, defaultDecodeStep)
 }
 
-// Engine is a stand-in model engine. It implements engine.Client, so a test
-// can use it without a network.
+// Engine simulates a model engine. It implements engine.Client, so tests can use it without a
+// network.
 type Engine struct {
 	// Done is closed when the engine has stopped.
 	Done chan struct{}
@@ -77,7 +79,7 @@
 	crashes  int
 }
 
-// run is one attempt that an engine works on.
+// run is the state of one attempt.
 type run struct {
 	attempt     engine.Attempt
 	arrival     int
@@ -94,14 +96,14 @@
 	changed     chan struct{}
 }
 
-// reservation is memory held for a group.
+// reservation is memory held for the joint prefill of another engine's attempt.
 type reservation struct {
 	engine.Reservation
 	began time.Time
 	bytes int64
 }
 
-// NewEngine starts a stand-in engine. Stop ends it.
+// NewEngine starts an engine. The caller must call Stop to end its goroutine.
 func NewEngine(s EngineSettings) *Engine {
 	s.setDefaults()
 	e := &Engine{
@@ -121,13 +123,14 @@
 	return e
 }
 
-// Stop ends the engine and waits for it.
+// Stop ends the engine and waits until it has stopped. It must be called once.
 func (e *Engine) Stop() {
 	close(e.stop)
 	<-e.Done
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults. The fault Dead also removes all attempts, reservations and
+// cached blocks.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,42 +148,43 @@
 	e.wakeLoop()
 }
 
-// Faults returns what goes wrong now.
+// Faults returns the current faults.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// HeldBytes returns the memory that attempts and reservations hold.
+// HeldBytes returns the memory held by attempts and reservations.
 func (e *Engine) HeldBytes() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.held
 }
 
-// Started returns how often a prompt was started. Tests hold it against what
-// callers were told.
+// Started returns how many attempts with the given prompt were started. Tests use it to detect
+// prompts that ran more often than reported.
 func (e *Engine) Started(prompt string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.started[xxhash.Sum64String(prompt)]
 }
 
-// Crashes returns how often an attempt has ended the engine.
+// Crashes returns how many attempts have crashed the engine.
 func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.crashes
 }
 
-// CachedBlocks returns how many blocks the prefix cache holds.
+// CachedBlocks returns the number of blocks in the prefix cache.
 func (e *Engine) CachedBlocks() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cache.order.Len()
 }
 
+// wakeLoop makes the loop check for work, without blocking.
 func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
@@ -188,7 +192,8 @@
 	}
 }
 
-// dropAll forgets everything, as a process that dies.
+// dropAll removes all attempts, reservations and cached blocks, as the end of the process
+// does. The caller holds e.mu.
 func (e *Engine) dropAll() {
 	for _, r := range e.runs {
 		r.removed = true
@@ -201,7 +206,7 @@
 	e.held = 0
 }
 
-// loop runs steps while there is work.
+// loop runs steps while there is work, until Stop is called.
 func (e *Engine) loop() {
 	defer close(e.Done)
 	for {
@@ -223,14 +228,14 @@
 	}
 }
 
-// prefillShare is the prefill that one attempt gets in a step.
+// prefillShare is the number of tokens of a run that a step prefills.
 type prefillShare struct {
 	run    *run
 	tokens int
 }
 
-// plan returns the time of the next step and its prefill. The time is zero
-// when there is nothing to do.
+// plan returns the duration of the next step and its prefill. The duration is zero if there is
+// no work.
 func (e *Engine) plan() (time.Duration, []prefillShare) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -262,7 +267,8 @@
 	return step, work
 }
 
-// prefill shares out the chunk of a step and returns the time that it takes.
+// prefill distributes the prefill tokens of a step over the waiting runs and returns the
+// shares and their duration. It sorts waiting.
 func (e *Engine) prefill(waiting []*run) ([]prefillShare, time.Duration) {
 	slices.SortFunc(waiting, func(a, b *run) int {
 		return cmp.Or(cmp.Compare(a.attempt.Priority, b.attempt.Priority), cmp.Compare(a.arrival, b.arrival))
@@ -290,8 +296,8 @@
 	return work, time.Duration(seconds * float64(time.Second))
 }
 
-// apply ends a step: prompts advance, and each finished prompt's attempt gets
-// a token.
+// apply completes a step: it advances the prefill by the given shares and appends a token to
+// each run whose prefill is complete.
 func (e *Engine) apply(work []prefillShare) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -317,7 +323,8 @@
 	}
 }
 
-// appendToken adds the next appendToken, and after the last one the end.
+// appendToken appends the next token to a run, followed by the final chunk if it is the last
+// one.
 func (e *Engine) appendToken(r *run) {
 	place := len(r.chunks)
 	r.chunks = append(r.chunks, engine.Chunk{
@@ -339,21 +346,20 @@
 	r.changed = make(chan struct{})
 }
 
-// releaseRun returns the memory of an attempt that has ended. Its chunks stay for
-// whoever still reads them.
+// releaseRun ends a run and releases its memory. Its chunks stay available to current readers.
 func (e *Engine) releaseRun(r *run) {
 	r.ended = true
 	e.held -= r.bytes
 	delete(e.runs, r.attempt.ID)
 }
 
-// cacheCapacity returns how many blocks the free memory holds.
+// cacheCapacity returns how many blocks fit into the free memory.
 func (e *Engine) cacheCapacity() int {
 	free := e.settings.MemoryBytes - e.held
 	return int(free / (engine.BlockTokens * e.settings.KVBytesPerToken))
 }
 
-// admit admits an attempt, or says why not. The caller holds the lock.
+// admit starts an attempt or returns the reason for refusing it. The caller holds e.mu.
 func (e *Engine) admit(a engine.Attempt) (*run, *engine.Refusal) {
 	tokens := engine.Tokens(len(a.Prompt))
 	group := 1 + len(a.Members)
@@ -386,12 +392,13 @@
 	e.cache.shrink(e.cacheCapacity())
 	e.runs[a.ID] = r
 	e.started[r.hash]++
-	// A long prompt is not kept for as long as its answer takes.
+	// The prompt may be long and is not needed for the answer.
 	r.attempt.Prompt = ""
 	e.wakeLoop()
 	return r, nil
 }
 
+// refusal returns the refusal of an attempt that was not started.
 func refusal(code, detail string) *engine.Refusal {
 	return &engine.Refusal{
 		Code:    code,
@@ -400,7 +407,7 @@
 	}
 }
 
-// Rename makes the engine another instance at the same address.
+// Rename changes the name of the incarnation without changing any other state.
 func (e *Engine) Rename(instance string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/enginehttp.go
+++ b/standin/enginehttp.go
@@ -15,7 +15,7 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// Handler serves the protocol of package engine, and PUT /faults.
+// Handler serves the HTTP protocol of package engine, and PUT /faults to set the faults.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/attempts", e.serveRun)
@@ -50,7 +50,7 @@
 	return mux
 }
 
-// serveFaults lets a tester change what goes wrong at run time.
+// serveFaults registers PUT /faults, which replaces the faults.
 func serveFaults(mux *http.ServeMux, set func(Faults)) {
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
 		if f, ok := read[Faults](w, r); ok {
@@ -60,7 +60,8 @@
 	})
 }
 
-// read decodes a request body. It answers the request when it can't.
+// read decodes the JSON body of a request. If that fails, it answers with status 400 and
+// returns false.
 func read[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
 	var v T
 	if err := json.NewDecoder(r.Body).Decode(&v); err != nil {
@@ -70,8 +71,8 @@
 	return v, true
 }
 
-// respond answers a request with v, or with the refusal that err stands for. An
-// answer that was lost becomes a broken connection.
+// respond answers a request with v, or with the refusal that err describes. If err states that
+// the engine is unreachable, or is no engine.RunError, respond aborts the connection.
 func respond(w http.ResponseWriter, v any, err error) {
 	if err == nil {
 		wirehttp.JSON(w, http.StatusOK, v)
@@ -88,6 +89,7 @@
 	})
 }
 
+// serveRun starts an attempt and streams its answer.
 func (e *Engine) serveRun(w http.ResponseWriter, r *http.Request) {
 	a, ok := read[engine.Attempt](w, r)
 	if !ok {
@@ -101,6 +103,7 @@
 	writeStream(w, s)
 }
 
+// serveResume streams the answer of a running attempt from a given chunk on.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	seq, err := strconv.Atoi(r.FormValue("from"))
 	if err != nil {
@@ -115,10 +118,10 @@
 	writeStream(w, s)
 }
 
-// writeStream writes an answer line by line. A stream that breaks breaks the
-// connection.
+// writeStream writes the chunks of a stream as lines of JSON. It aborts the connection if the
+// stream fails.
 func writeStream(w http.ResponseWriter, s engine.Stream) {
-	// Closing a reader only lets go of it.
+	// Closing a reader never fails.
 	defer func() { _ = s.Close() }()
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -7,48 +7,51 @@
 	"time"
 )
 
-// Faults are what goes wrong at a stand-in. The zero value is no fault. A
-// number counts how many times the fault still strikes; a negative one strikes
-// for ever.
+// Faults configures the faults of a stand-in. The zero value means no faults. An int field
+// other than CutAfter and EventGap counts how many more times the fault occurs; a negative
+// count never runs out.
 type Faults struct {
-	// Dead refuses everything, as a process that has gone.
+	// Dead makes the stand-in refuse everything, as if its process had ended.
 	Dead bool `json:"dead"`
-	// CrashOn begins the prompts and bodies that make an endpoint Dead as it begins to run them;
-	// empty means none.
+	// CrashOn is the prefix of the prompts and bodies that make an endpoint Dead when it
+	// starts to process them; empty means none.
 	CrashOn string `json:"crash_on"`
-	// Frozen answers nothing and makes no progress.
+	// Frozen makes the stand-in stop responding and making progress.
 	Frozen bool `json:"frozen"`
-	// Slow multiplies every step; zero means one.
+	// Slow is the factor by which the duration of every step of an Engine is multiplied; zero
+	// counts as one.
 	Slow float64 `json:"slow"`
-	// RefuseBefore refuses attempts before they start, and says so.
+	// RefuseBefore refuses attempts and calls before they start, with an error that says so,
+	// and reservations.
 	RefuseBefore int `json:"refuse_before"`
-	// RefuseAfter answers 503 to attempts that it has started.
+	// RefuseAfter refuses attempts and calls after they have started.
 	RefuseAfter int `json:"refuse_after"`
-	// LoseAnswer breaks the connection after the effect.
+	// LoseAnswer breaks the connection after an operation took effect.
 	LoseAnswer int `json:"lose_answer"`
-	// CutAfter breaks streams after that many tokens; zero means never.
+	// CutAfter breaks streams after this number of chunks; zero means never.
 	CutAfter int `json:"cut_after"`
-	// CrossChunks puts chunks of another attempt into answers.
+	// CrossChunks inserts a chunk with the ID of another attempt.
 	CrossChunks int `json:"cross_chunks"`
-	// DoubleChunks sends chunks twice.
+	// DoubleChunks sends a chunk twice.
 	DoubleChunks int `json:"double_chunks"`
-	// DropChunks leaves chunks out.
+	// DropChunks omits a chunk.
 	DropChunks int `json:"drop_chunks"`
-	// DropEnd leaves out the end of answers.
+	// DropEnd omits the final chunk of an answer.
 	DropEnd int `json:"drop_end"`
-	// LoseCancel ignores cancels, and answers them as if done.
+	// LoseCancel ignores a cancellation but reports success.
 	LoseCancel int `json:"lose_cancel"`
-	// EventGap leaves out every so manieth cache event; zero means none.
+	// EventGap omits the cache events whose sequence number is a multiple of it; zero means
+	// none.
 	EventGap int `json:"event_gap"`
-	// Lag is how old lists of instances are.
+	// Lag is the age of the lists of instances that are returned.
 	Lag time.Duration `json:"lag"`
-	// ReadOutage answers the reads of the log with an error.
+	// ReadOutage makes reads of the log fail.
 	ReadOutage bool `json:"read_outage"`
-	// Outage answers every call of the platform with an error.
+	// Outage makes every operation of the platform fail.
 	Outage bool `json:"outage"`
 }
 
-// consume uses up one strike of a counted fault. It states whether it strikes.
+// consume reports whether a counted fault occurs now, and decrements a positive count.
 func consume(n *int) bool {
 	switch {
 	case *n == 0:
@@ -59,7 +62,7 @@
 	return true
 }
 
-// crashesOn states whether what an endpoint is to run makes it Dead.
+// crashesOn reports whether a prompt or body crashes the endpoint.
 func (f *Faults) crashesOn(what string) bool {
 	return f.CrashOn != "" && strings.HasPrefix(what, f.CrashOn)
 }
--- a/standin/log.go
+++ b/standin/log.go
@@ -13,10 +13,9 @@
 	"github.com/linkmast/linkmast/logsvc"
 )
 
-// LogSettings are the measures of a stand-in log. A zero value means the
-// default.
+// LogSettings configures a Log. Zero values select the defaults.
 type LogSettings struct {
-	// AppendsPerSecond bounds the appends of all streams; the default is 100.
+	// AppendsPerSecond bounds the rate of appends to all streams together; the default is 100.
 	AppendsPerSecond float64
 	// Retention is how long records are kept; the default is 24h.
 	Retention time.Duration
@@ -27,10 +26,10 @@
 	defaultRetention = 24 * time.Hour
 )
 
-// readLimit bounds the records of one answer.
+// readLimit bounds the number of records that one read returns.
 const readLimit = 512
 
-// Log is a stand-in log. It implements logsvc.Log.
+// Log is an append-only log in memory. It implements logsvc.Log.
 type Log struct {
 	limit     *rate.Limiter
 	retention time.Duration
@@ -41,7 +40,7 @@
 	appends int
 }
 
-// stream is one sequence of records.
+// stream is one sequence of records with the times of their appends.
 type stream struct {
 	records []logsvc.Record
 	times   []time.Time
@@ -64,22 +63,22 @@
 	}
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults.
 func (l *Log) SetFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Appends returns how many appends took effect.
+// Appends returns the number of appends that took effect.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends
 }
 
-// stream returns a stream that exists from its first use on. The caller holds
-// the lock.
+// stream returns the stream with the given name, which it creates if necessary, and removes
+// records older than the retention. The caller holds l.mu.
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
@@ -155,6 +154,8 @@
 	}
 }
 
+// read returns the records available from an offset, and a channel that is closed at the next
+// append to the stream.
 func (l *Log) read(name string, from int64) (logsvc.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -17,7 +17,7 @@
 	"github.com/linkmast/linkmast/logsvc"
 )
 
-// Instances is a stand-in list of instances. It implements instances.Lister.
+// Instances is a list of instances with its history. It implements instances.Lister.
 type Instances struct {
 	mu      sync.Mutex
 	faults  Faults
@@ -26,13 +26,13 @@
 	history []snapshot
 }
 
-// snapshot is the list as it was from a moment on.
+// snapshot is the list as of a point in time.
 type snapshot struct {
 	at   time.Time
 	list instances.List
 }
 
-// maxSnapshots bounds how far a lagging list can look back.
+// maxSnapshots bounds the length of the history.
 const maxSnapshots = 256
 
 // NewInstances returns an empty list.
@@ -42,14 +42,14 @@
 	}
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults.
 func (l *Instances) SetFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Put adds or changes an instance.
+// Put adds or replaces an instance.
 func (l *Instances) Put(i instances.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 	l.record()
 }
 
-// Remove takes an instance off the list.
+// Remove removes an instance from the list.
 func (l *Instances) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,6 +65,7 @@
 	l.record()
 }
 
+// record adds the current list to the history as a new version. The caller holds l.mu.
 func (l *Instances) record() {
 	l.version++
 	list := instances.List{
@@ -83,7 +84,8 @@
 	}
 }
 
-// List implements instances.Lister. It returns the list as it was Lag ago.
+// List implements instances.Lister. It returns the list as of Faults.Lag ago, as a change if
+// the version since is still in the history.
 func (l *Instances) List(_ context.Context, since int64) (instances.List, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +107,7 @@
 	return list, nil
 }
 
-// listChange returns the listChange from one list to another.
+// listChange returns the difference between two versions of the list.
 func listChange(from, to instances.List) instances.List {
 	out := instances.List{
 		Version: to.Version,
@@ -127,7 +129,8 @@
 	return out
 }
 
-// Platform is the stand-in log and list of instances behind one address.
+// Platform combines the log, the list of instances and the weight store behind one HTTP
+// handler.
 type Platform struct {
 	// Log is the append-only log.
 	Log *Log
@@ -137,7 +140,8 @@
 	Weights *Weights
 }
 
-// NewPlatform returns a platform with an empty log and list.
+// NewPlatform returns a platform with an empty log, an empty list of instances and a weight
+// store with default settings.
 func NewPlatform(s LogSettings) *Platform {
 	return &Platform{
 		Log:       NewLog(s),
@@ -146,8 +150,9 @@
 	}
 }
 
-// Handler serves the protocols of packages logsvc, instances and weights,
-// PUT and DELETE on /v1/instances/{id}, and PUT /faults.
+// Handler serves the HTTP protocols of packages logsvc, instances and weights. It also serves
+// PUT and DELETE on /v1/instances/{id} to change the list, and PUT /faults to set the faults
+// of all parts.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/streams/{name}", p.serveAppend)
@@ -185,6 +190,8 @@
 	return mux
 }
 
+// serveAppend appends records to a stream. It aborts the connection if the outcome must stay
+// unknown to the client.
 func (p *Platform) serveAppend(w http.ResponseWriter, r *http.Request) {
 	body, ok := read[logsvc.AppendBody](w, r)
 	if !ok {
@@ -203,6 +210,7 @@
 	})
 }
 
+// serveRead returns the records of a stream from an offset on.
 func (p *Platform) serveRead(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.FormValue("from"), 10, 64)
 	if err != nil {
--- a/standin/service.go
+++ b/standin/service.go
@@ -19,9 +19,9 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// ServiceSettings are the measures of a stand-in plain service.
+// ServiceSettings configures a Service.
 type ServiceSettings struct {
-	// Instance names the endpoint instance.
+	// Instance is the name of the endpoint's incarnation.
 	Instance string
 	// Work is how long a call takes; the default is 5ms.
 	Work time.Duration
@@ -29,7 +29,7 @@
 
 const defaultCallTime = 5 * time.Millisecond
 
-// Service is a stand-in plain service. It implements plain.Client.
+// Service simulates a plain service. It implements plain.Client.
 type Service struct {
 	instance string
 	work     time.Duration
@@ -38,20 +38,20 @@
 	faults   Faults
 	unfrozen chan struct{}
 	calls    map[string]int
-	// executed are the ids of the calls that took effect.
+	// executed holds the IDs of the requests whose calls took effect.
 	executed map[string]bool
 	crashes  int
 }
 
-// Echo is the body of a stand-in's answer.
+// Echo is the JSON body of a service's answer.
 type Echo struct {
-	// Path is the path that was called.
+	// Path is the path of the call.
 	Path string `json:"path"`
-	// SHA256 is the hash of the body that was received.
+	// SHA256 is the hash of the received body in hexadecimal.
 	SHA256 string `json:"sha256"`
 }
 
-// NewService returns a stand-in plain service.
+// NewService returns a service without faults.
 func NewService(s ServiceSettings) *Service {
 	if s.Work == 0 {
 		s.Work = defaultCallTime
@@ -67,7 +67,7 @@
 	return v
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults.
 func (v *Service) SetFaults(f Faults) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -81,40 +81,41 @@
 	}
 }
 
-// Faults returns what goes wrong now.
+// Faults returns the current faults.
 func (v *Service) Faults() Faults {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.faults
 }
 
-// Crashes returns how often a call has ended the service.
+// Crashes returns how many calls have crashed the service.
 func (v *Service) Crashes() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.crashes
 }
 
-// Calls returns how often a body took effect.
+// Calls returns how many calls with the given body took effect.
 func (v *Service) Calls(body []byte) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.calls[hash(body)]
 }
 
-// Ran states whether the call of a request took effect.
+// Ran reports whether a call with the given request ID took effect.
 func (v *Service) Ran(request string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.executed[request]
 }
 
+// hash returns the SHA-256 of a body in hexadecimal.
 func hash(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
-// Probe implements plain.Client.
+// Probe implements plain.Client. It waits while the service is frozen.
 func (v *Service) Probe(ctx context.Context) error {
 	v.mu.Lock()
 	dead, thawed := v.faults.Dead, v.unfrozen
@@ -130,6 +131,7 @@
 	}
 }
 
+// callError returns a plain.CallError with the given reason.
 func callError(ran problem.Ran, reason string) *plain.CallError {
 	return &plain.CallError{
 		Ran: ran,
@@ -156,7 +158,7 @@
 	if err := v.loseAnswer(); err != nil {
 		return plain.Answer{}, err
 	}
-	// An Echo always encodes.
+	// Encoding an Echo cannot fail.
 	body, _ := json.Marshal(Echo{
 		Path:   c.Path,
 		SHA256: hash(c.Body),
@@ -168,8 +170,8 @@
 	}, nil
 }
 
-// begin lets a call take effect, unless a fault or a wrong instance keeps it
-// from that.
+// begin records that a call takes effect, unless the call names another incarnation or a fault
+// prevents it.
 func (v *Service) begin(c plain.Call) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -192,6 +194,7 @@
 	return nil
 }
 
+// loseAnswer returns an error if the fault LoseAnswer occurs.
 func (v *Service) loseAnswer() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -201,8 +204,8 @@
 	return nil
 }
 
-// Handler serves every path as a call, GET /healthz as a probe, and PUT
-// /faults.
+// Handler serves every path as a call, GET /healthz as a probe, and PUT /faults to set the
+// faults.
 func (v *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(_ http.ResponseWriter, r *http.Request) {
@@ -215,6 +218,8 @@
 	return mux
 }
 
+// serveCall serves an HTTP request as a call. If the call failed and may have run, it aborts
+// the connection.
 func (v *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -237,12 +242,13 @@
 	default:
 		w.Header().Set("Content-Type", a.ContentType)
 		w.WriteHeader(a.Status)
-		// The caller may have gone; the call took effect all the same.
+		// The call took effect even if the caller has disconnected.
 		_, _ = w.Write(a.Body)
 	}
 }
 
-// AllCalls returns how often each body took effect, by its SHA-256.
+// AllCalls returns how many calls took effect for each body, by the body's SHA-256 in
+// hexadecimal.
 func (v *Service) AllCalls() map[string]int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -17,10 +17,9 @@
 	"github.com/linkmast/linkmast/weights"
 )
 
-// WeightSettings are the measures of a stand-in weight store. A zero value
-// means the default.
+// WeightSettings configures a Weights. Zero values select the defaults.
 type WeightSettings struct {
-	// FetchesPerMinute bounds the fetches; the default is 60.
+	// FetchesPerMinute bounds the rate of permits; the default is 60.
 	FetchesPerMinute float64
 	// Bytes is the size of every model; the default is 1 GiB.
 	Bytes int64
@@ -31,7 +30,7 @@
 	defaultWeights = 1 << 30
 )
 
-// Weights is a stand-in weight store. It implements weights.Store.
+// Weights is a weight store that only issues permits. It implements weights.Store.
 type Weights struct {
 	bytes int64
 	limit *rate.Limiter
@@ -55,14 +54,15 @@
 	}
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults.
 func (s *Weights) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Permit implements weights.Store.
+// Permit implements weights.Store. It returns a weights.LimitedError if the rate limit is
+// exceeded.
 func (s *Weights) Permit(_ context.Context, model, version string) (weights.Permit, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,6 +83,7 @@
 	}, nil
 }
 
+// serve registers the handler for permits.
 func (s *Weights) serve(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/weights/{model}/{version}/permits", func(w http.ResponseWriter, r *http.Request) {
 		p, err := s.Permit(r.Context(), r.PathValue("model"), r.PathValue("version"))
