--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -177,7 +177,8 @@
 	return errors.New("responses belong to other requests")
 }
 
-// release returns the connection of a request of which nothing was written to the pool.
+// release returns the connection of a request of which nothing was written to the pool, or
+// closes it if the context has ended.
 func (x *Exchange) release() {
 	if !x.stop() {
 		x.conn.close()
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -64,8 +64,8 @@
 	pauseMean = 60 * time.Millisecond
 	// maxBodyLength is the exclusive upper bound of the length of bodies, in bytes.
 	maxBodyLength = 3000
-	// maxLeaveDelay bounds when a caller cancels a request early, so that cancellations hit
-	// requests in all stages.
+	// maxLeaveDelay is the longest delay after which a caller cancels a request early. The
+	// delay is random, so that cancellations hit requests in all stages.
 	maxLeaveDelay = time.Second
 	// callerSlack is how much longer than the time limit of the request a caller waits for the
 	// answer or refusal.
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -61,8 +61,8 @@
 	return len(w.drains) - 1, true
 }
 
-// checkDrained checks that a run of a request at an endpoint did not begin after the bound
-// within a drain of the endpoint's failure domain.
+// checkDrained checks that an endpoint of a drained failure domain did not begin a run of a
+// request after the bound.
 func (w *World) checkDrained(x *Exchange, e *endpoint, r *platformtest.Run) (Violation, bool) {
 	for _, m := range w.drains {
 		if m.domain != e.domain || !m.to.IsZero() && r.At.After(m.to) {
@@ -81,9 +81,9 @@
 	return Violation{}, false
 }
 
-// informedSince returns the time from which the instance of a request was able to read what
-// the store contains since the time since: the end of the last fault before until that blocked
-// the store, or since itself.
+// informedSince returns the time from which the instance of a request was able to read the
+// order that was written to the store at the time since. This is since itself, or the end of
+// the last fault that began before until and blocked the store for the instance.
 func (w *World) informedSince(x *Exchange, since, until time.Time) time.Time {
 	for _, p := range w.played {
 		if p.began.Before(until) && w.blocksStore(&p, x) && p.ended().After(since) {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -62,8 +62,8 @@
 	(*runs)[0].Ended = x.Ended.Add(after)
 }
 
-// TestDisturbed guards against violations reported for runs that outlast their callers because
-// of a stopped instance or a faulty link, and against excuses for other faults.
+// TestDisturbed guards against wrong excuses of runs that outlast their callers. Only a
+// stopped instance of the caller and a faulty link to an endpoint are excuses.
 func TestDisturbed(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestCheckExchange guards against broken promises that the checks do not detect or report as
-// another promise.
+// TestCheckExchange guards against broken promises that are not detected, or that are reported
+// as other promises.
 func TestCheckExchange(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestCheckDrained guards against requests to drained failure domains that are not detected,
-// and against violations by instances that could not read the store.
+// TestCheckDrained guards against undetected requests to drained failure domains, and against
+// violations reported for instances that could not read the store.
 func TestCheckDrained(t *testing.T) {
 	now := time.Now()
 	after := func(d time.Duration) time.Time { return now.Add(drainWithin + runSlack + d) }
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -11,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// TestReadWaitTime guards against misread or accepted malformed schedstat files.
+// TestReadWaitTime guards against wrong waiting times and against malformed schedstat files
+// being accepted.
 func TestReadWaitTime(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -36,8 +37,8 @@
 	is.New(t).True(!ok)
 }
 
-// TestRecordStall guards against stalls recorded without a previous reading, and stalls that
-// are missed.
+// TestRecordStall guards against stalls recorded without a previous reading, and against
+// missed stalls.
 func TestRecordStall(t *testing.T) {
 	is := is.New(t)
 	w := &World{}
--- a/soak/statements_test.go
+++ b/soak/statements_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// TestCheckStatements guards against announcements of endpoints that are ignored without being
-// detected, and against violations by an instance that was stopped.
+// TestCheckStatements guards against undetected requests that disregard an endpoint's
+// announcement, and against violations reported for a stopped instance.
 func TestCheckStatements(t *testing.T) {
 	begin := time.Now()
 	leaving := platformtest.EndpointFaults{Leaving: true}
--- a/soak/world.go
+++ b/soak/world.go
@@ -67,7 +67,7 @@
 	endpoints        []*endpoint
 	servers          []*http.Server
 
-	// recovered is the deadline for recovery after the last fault.
+	// recovered is when the system must have recovered from the last fault.
 	recovered time.Time
 
 	mu      sync.Mutex
--- a/standin/client.go
+++ b/standin/client.go
@@ -25,7 +25,7 @@
 func (e *Engine) awaitAvailable(ctx context.Context) error {
 	for {
 		e.mu.Lock()
-		dead, thawed := e.faults.Dead, e.unfrozen
+		dead, unfrozen := e.faults.Dead, e.unfrozen
 		frozen := e.faults.Frozen
 		e.mu.Unlock()
 		if dead {
@@ -35,7 +35,7 @@
 			return nil
 		}
 		select {
-		case <-thawed:
+		case <-unfrozen:
 		case <-ctx.Done():
 			return runError(problem.MayHaveRun, engine.Unreachable, ctx.Err())
 		}
@@ -61,9 +61,9 @@
 	if consume(&e.faults.RefuseBefore) {
 		return nil, runError(problem.NotRun, engine.RefusedFault, errors.New("refused before the start"))
 	}
-	r, no := e.admit(a)
-	if no != nil {
-		return nil, runError(problem.NotRun, no.Code, errors.New(no.Detail))
+	r, refused := e.admit(a)
+	if refused != nil {
+		return nil, runError(problem.NotRun, refused.Code, errors.New(refused.Detail))
 	}
 	if e.faults.crashesOn(a.Prompt) {
 		e.crashes++
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// newTestEngine starts a fast engine that checks the fences of orders.
+// newTestEngine starts a fast engine that refuses orders with stale fences.
 func newTestEngine(t *testing.T) *Engine {
 	t.Helper()
 	e := NewEngine(EngineSettings{
--- a/standin/service.go
+++ b/standin/service.go
@@ -118,13 +118,13 @@
 // Probe implements plain.Client. It waits while the service is frozen.
 func (v *Service) Probe(ctx context.Context) error {
 	v.mu.Lock()
-	dead, thawed := v.faults.Dead, v.unfrozen
+	dead, unfrozen := v.faults.Dead, v.unfrozen
 	v.mu.Unlock()
 	if dead {
 		return errors.New("connection refused")
 	}
 	select {
-	case <-thawed:
+	case <-unfrozen:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
