--- a/internal/days/main.go
+++ b/internal/days/main.go
@@ -28,13 +28,13 @@
 
 // options holds the command-line flags.
 type options struct {
-	Player string   `long:"player" required:"true" description:"program that plays days"`
-	Site   string   `long:"site" required:"true" description:"file that describes the deployment"`
+	Player string   `long:"player" required:"true" description:"the program that plays days"`
+	Site   string   `long:"site" required:"true" description:"file of the deployment"`
 	Days   []string `long:"day" required:"true" description:"name of a day; may be repeated"`
-	Seeds  []int64  `long:"seed" required:"true" description:"seed; may be repeated"`
-	Small  bool     `long:"small" description:"play the scaled-down variants of the days"`
-	Jobs   int      `long:"jobs" default:"4" description:"number of days played at the same time"`
-	Why    string   `long:"why" default:"round" description:"reason that is passed to the player"`
+	Seeds  []int64  `long:"seed" required:"true" description:"a seed; may be repeated"`
+	Small  bool     `long:"small" description:"play the small twins of large days"`
+	Jobs   int      `long:"jobs" default:"4" description:"days played at once"`
+	Why    string   `long:"why" default:"round" description:"a line for the journal"`
 }
 
 func main() {
