--- a/engine/http.go
+++ b/engine/http.go
@@ -118,7 +118,7 @@
 // it returns a *RunError. Its Ran is NotRun if no connection was established or
 // the engine refused the request as not started, and MayHaveRun otherwise.
 func (h *HTTP) send(ctx context.Context, method, path string, in any) (*http.Response, error) {
-	ctx, connected := wirehttp.Watch(ctx)
+	ctx, connected := wirehttp.TraceConnection(ctx)
 	var body io.Reader
 	size := 0
 	if in != nil {
@@ -165,7 +165,7 @@
 		Code:    RefusedFault,
 		Started: true,
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, wirehttp.MaxRefusal)).Decode(&r); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, wirehttp.MaxErrorBody)).Decode(&r); err != nil {
 		r.Started = true
 	}
 	e := &RunError{
--- a/internal/days/report.go
+++ b/internal/days/report.go
@@ -14,35 +14,35 @@
 	"github.com/go-faster/errors"
 )
 
-// report is what is read of one played day.
+// report holds the fields of a player's report that the table shows.
 type report struct {
-	// Worth is what the day earned, less prices.
+	// Worth is the score of the day after the deduction of prices.
 	Worth float64 `json:"G"`
-	// Served is the part of what was owed that was earned.
+	// Served is the share of the attainable score that was reached.
 	Served float64 `json:"served"`
-	// Breaks are the broken rules.
+	// Breaks holds the violated rules by name.
 	Breaks map[string]any `json:"breaks"`
-	// Fault is why the day counts for nothing; nil for a sound one.
+	// Fault says why the score of the day is invalid; nil for a valid day.
 	Fault any `json:"fault"`
-	// Short are the parts of the day that earned less than their floor.
+	// Short lists the parts of the day that scored less than their minimum.
 	Short []any `json:"short"`
-	// Parts are the rows of name, weight and figure that Worth is made of.
+	// Parts holds rows of name, weight and value, of which Worth is composed.
 	Parts [][]any `json:"parts"`
-	// Prices are the rows of name, amount and price that Worth is less by.
+	// Prices holds rows of name, amount and price; the prices are deducted from Worth.
 	Prices [][]any `json:"prices"`
 }
 
-// parseReport reads a report.
+// parseReport decodes a report in JSON.
 func parseReport(data []byte) (report, error) {
 	var r report
 	if err := json.Unmarshal(data, &r); err != nil {
-		return report{}, errors.Wrap(err, "report")
+		return report{}, errors.Wrap(err, "decode report")
 	}
 	return r, nil
 }
 
-// number returns the figure in the row of a name; zero when there is none.
-func number(rows [][]any, name string) float64 {
+// rowValue returns the value in the row with the given name, or zero if there is no such row.
+func rowValue(rows [][]any, name string) float64 {
 	for _, row := range rows {
 		if len(row) == 3 && row[0] == name {
 			v, _ := row[2].(float64)
@@ -52,8 +52,8 @@
 	return 0
 }
 
-// sum returns what a report lost to prices.
-func (r *report) sum() float64 {
+// priceTotal returns the sum of all prices of a report.
+func (r *report) priceTotal() float64 {
 	s := 0.0
 	for _, row := range r.Prices {
 		if len(row) == 3 {
@@ -64,8 +64,9 @@
 	return s
 }
 
-// meanOf returns the mean of a figure, and its standard deviation.
-func meanOf(list []report, figure func(*report) float64) (mean, deviation float64) {
+// meanAndDeviation returns the mean and the sample standard deviation of a value of the
+// reports. The deviation of a single report is zero.
+func meanAndDeviation(list []report, figure func(*report) float64) (mean, deviation float64) {
 	for i := range list {
 		mean += figure(&list[i])
 	}
@@ -80,19 +81,20 @@
 	return mean, deviation
 }
 
-// columns are the figures of the table beside worth.
+// columns lists the columns between the spread and the faults, with the value that each shows
+// the mean of.
 var columns = []struct {
 	name   string
 	figure func(*report) float64
 }{
-	{"day", func(r *report) float64 { return number(r.Parts, "whole day") }},
-	{"windows", func(r *report) float64 { return number(r.Parts, "worst windows") }},
-	{"kind", func(r *report) float64 { return number(r.Parts, "worst class") }},
-	{"prices", (*report).sum},
+	{"day", func(r *report) float64 { return rowValue(r.Parts, "whole day") }},
+	{"windows", func(r *report) float64 { return rowValue(r.Parts, "worst windows") }},
+	{"kind", func(r *report) float64 { return rowValue(r.Parts, "worst class") }},
+	{"prices", (*report).priceTotal},
 }
 
-// table writes a row for each day, and one for all.
-func table(out io.Writer, days []string, reports [][]report) error {
+// writeTable writes a row for each day and a last row for all days together.
+func writeTable(out io.Writer, days []string, reports [][]report) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(w, "day\tplays\tworth\tspread")
 	for _, c := range columns {
@@ -100,26 +102,26 @@
 	}
 	fmt.Fprintln(w, "\tbroken")
 	for i, day := range days {
-		row(w, day, reports[i])
+		writeRow(w, day, reports[i])
 	}
-	row(w, "all", slices.Concat(reports...))
+	writeRow(w, "all", slices.Concat(reports...))
 	return w.Flush()
 }
 
-// row writes the row of some plays.
-func row(w io.Writer, name string, list []report) {
-	mean, deviation := meanOf(list, func(r *report) float64 { return r.Worth })
+// writeRow writes one row for the given reports.
+func writeRow(w io.Writer, name string, list []report) {
+	mean, deviation := meanAndDeviation(list, func(r *report) float64 { return r.Worth })
 	fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f", name, len(list), mean, deviation)
 	for _, c := range columns {
-		mean, _ := meanOf(list, c.figure)
+		mean, _ := meanAndDeviation(list, c.figure)
 		fmt.Fprintf(w, "\t%.3f", mean)
 	}
-	fmt.Fprintf(w, "\t%s\n", broken(list))
+	fmt.Fprintf(w, "\t%s\n", faults(list))
 }
 
-// broken returns the rules that any of the plays broke and what fell short of its
-// floor, in order; a dash for none.
-func broken(list []report) string {
+// faults returns the names of the violated rules, the parts below their minimum and the faults
+// of the reports, sorted and without duplicates, or "-" if there are none.
+func faults(list []report) string {
 	var names []string
 	for _, r := range list {
 		for name := range r.Breaks {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -15,66 +15,64 @@
 	"github.com/linkmast/linkmast/internal/tcp"
 )
 
-// The times of connections.
+// Timeouts of connections.
 const (
-	// defaultDial bounds the time in which a connection comes up.
-	defaultDial = 400 * time.Millisecond
-	// defaultKeep is how long an idle connection is used again when the
-	// endpoint does not say how long it keeps one.
-	defaultKeep = 3 * time.Second
-	// keepMargin is how much earlier a connection is given up than the
-	// endpoint says, for the time that the request is on its way.
-	keepMargin = 700 * time.Millisecond
+	// defaultDialTimeout bounds the establishment of a connection.
+	defaultDialTimeout = 400 * time.Millisecond
+	// defaultIdleTimeout is how long an idle connection may be reused if the endpoint sends no
+	// Keep-Alive timeout.
+	defaultIdleTimeout = 3 * time.Second
+	// idleTimeoutMargin is subtracted from the timeout that the endpoint announces, so that a
+	// request does not arrive while the endpoint closes the connection.
+	idleTimeoutMargin = 700 * time.Millisecond
 )
 
-// maxIdle bounds the idle connections to one endpoint: an engine of
-// today has 16 slots.
-const maxIdle = 16
+// maxIdlePerEndpoint bounds the idle connections to one endpoint. It equals the usual number
+// of slots of an engine.
+const maxIdlePerEndpoint = 16
 
-// Settings are the measures of a Pool. A zero value means the default.
+// Settings configures a Pool. Zero values select the defaults.
 type Settings struct {
-	// Dial bounds the time in which a connection comes up; the default is
-	// 400ms.
-	Dial time.Duration
+	// DialTimeout bounds the establishment of a connection; the default is 400ms.
+	DialTimeout time.Duration
 }
 
-// Pool holds idle connections to endpoints.
+// Pool opens connections to endpoints and keeps idle ones for reuse.
 type Pool struct {
 	dialer *net.Dialer
-	// dials counts the connections that were opened.
+	// dials counts the attempts to open a connection.
 	dials atomic.Int64
 
 	mu sync.Mutex
-	// idle are the connections by address; the one that became idle last stands
-	// last.
+	// idle holds the idle connections by address, the most recently used last.
 	idle map[string][]*Conn
 }
 
-// New returns a pool.
+// New returns a pool without connections.
 func New(s Settings) *Pool {
-	if s.Dial == 0 {
-		s.Dial = defaultDial
+	if s.DialTimeout == 0 {
+		s.DialTimeout = defaultDialTimeout
 	}
 	return &Pool{
-		dialer: tcp.Dialer(s.Dial),
+		dialer: tcp.Dialer(s.DialTimeout),
 		idle:   make(map[string][]*Conn),
 	}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns how many times the pool has tried to open a connection.
 func (p *Pool) Dials() int64 {
 	return p.dials.Load()
 }
 
-// get returns a connection that has rested for less than fresh, or a new one. The
+// get returns an idle connection that has been idle for less than maxIdle, or a new one. The
 // error is that of the dial.
-func (p *Pool) get(ctx context.Context, address string, fresh time.Duration) (*Conn, error) {
+func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration) (*Conn, error) {
 	for {
 		c := p.take(address)
 		if c == nil {
 			break
 		}
-		if rest := steady.Since(c.rested); rest < fresh && rest < c.keep && c.quiet() {
+		if idle := steady.Since(c.idleSince); idle < maxIdle && idle < c.idleTimeout && c.reusable() {
 			return c, nil
 		}
 		c.close()
@@ -87,7 +85,8 @@
 	return newConn(n, address), nil
 }
 
-// take returns the connection that became idle last; nil when there is none.
+// take removes and returns the idle connection to an address that was used last; nil if there
+// is none.
 func (p *Pool) take(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,24 +99,24 @@
 	return c
 }
 
-// put keeps a connection for later.
+// put adds a connection to the idle ones. It closes the connection if the endpoint does not
+// keep it open, unexpected data is buffered, or the endpoint has too many idle connections.
 func (p *Pool) put(c *Conn) {
-	if c.keep <= 0 || c.reader.Buffered() > 0 {
+	if c.idleTimeout <= 0 || c.reader.Buffered() > 0 {
 		c.close()
 		return
 	}
-	c.rested = steady.Now()
+	c.idleSince = steady.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= maxIdle {
+	if len(p.idle[c.address]) >= maxIdlePerEndpoint {
 		c.close()
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes the connections that rested for longer than their endpoints keep
-// them.
+// Sweep closes the connections whose idle timeout has passed.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +124,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.rested) >= c.keep {
+			if now.Sub(c.idleSince) >= c.idleTimeout {
 				c.close()
 				continue
 			}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -58,7 +58,7 @@
 
 // streamEnd forwards what is left of a stream after its endpoint ended it.
 func (t *attempt) streamEnd(x *upstream.Exchange, rest []byte) result {
-	x.Whole()
+	x.MarkComplete()
 	out := t.job.out
 	if !out.headSent || len(rest) > 0 {
 		out.stream(x.Response, rest)
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -44,7 +44,7 @@
 	}
 	t.recordFirstEvent()
 	if len(data) <= maxWhole {
-		x.Whole()
+		x.MarkComplete()
 		j.out.send(x.Response, data)
 		return r
 	}
@@ -53,7 +53,7 @@
 
 // keepFailure keeps an endpoint's own error answer in case all other attempts fail.
 func (t *attempt) keepFailure(x *upstream.Exchange, data []byte) result {
-	x.Whole()
+	x.MarkComplete()
 	t.job.failure = &failure{
 		response: x.Response,
 		body:     data,
@@ -94,7 +94,7 @@
 		t.job.disallowRetries()
 		return r
 	}
-	x.Whole()
+	x.MarkComplete()
 	return r
 }
 
--- a/soak/judge_end.go
+++ b/soak/check_final.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// judgeEnd checks what is left once all callers have gone.
-func (w *World) judgeEnd() []Violation {
+// checkFinalState checks that no endpoint runs requests or holds reserved tokens after the
+// load has ended, and that no instance exited unexpectedly.
+func (w *World) checkFinalState() []Violation {
 	var out []Violation
 	for _, e := range w.endpoints {
 		if n := e.Running(); n > 0 {
 			out = append(out, Violation{
-				Promise: "what nobody waits for ends",
+				Promise: "no request runs after the load has ended",
 				Detail:  fmt.Sprintf("endpoint %s still runs %d requests", e.Name(), n),
 			})
 		}
 		if n := e.ReservedTokens(); n > 0 {
 			out = append(out, Violation{
-				Promise: "memory is given back",
+				Promise: "reserved tokens are released",
 				Detail:  fmt.Sprintf("endpoint %s still holds %d tokens", e.Name(), n),
 			})
 		}
 	}
 	for _, p := range w.processes {
 		p.mu.Lock()
-		if p.ended > 0 {
+		if p.unexpectedExits > 0 {
 			out = append(out, Violation{
-				Promise: "instances don't end by themselves",
-				Detail:  fmt.Sprintf("%s ended %d times", p.name, p.ended),
+				Promise: "instances do not exit unexpectedly",
+				Detail:  fmt.Sprintf("%s exited unexpectedly %d times", p.name, p.unexpectedExits),
 			})
 		}
 		p.mu.Unlock()
@@ -38,8 +39,9 @@
 	return out
 }
 
-// judgeRecovery checks that requests are served once all faults are lifted.
-func judgeRecovery(history []Exchange, from time.Time) []Violation {
+// checkRecovery checks that requests sent from the given time on are served. It ignores
+// requests that were canceled early or used another key than steadyKey.
+func checkRecovery(history []Exchange, from time.Time) []Violation {
 	served, all := 0, 0
 	for _, x := range history {
 		if x.Sent.Before(from) || x.GaveUp || x.Key != steadyKey {
@@ -54,10 +56,10 @@
 		return nil
 	}
 	return []Violation{{
-		Promise: "it recovers",
-		Detail:  fmt.Sprintf("%d of %d requests were served after all faults had ended", served, all),
+		Promise: "system recovers after the last fault",
+		Detail:  fmt.Sprintf("%d of %d requests were served after the time for recovery", served, all),
 	}}
 }
 
-// recoveredShare is the part of requests that must be served after recovery.
+// recoveredShare is the share of requests that must be served after recovery.
 const recoveredShare = 0.98
--- /dev/null
+++ b/soak/drain.go
@@ -0,0 +1,105 @@
+// Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
+
+package soak
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/linkmast/linkmast/platform/platformtest"
+)
+
+// Durations of drains.
+const (
+	// drainWithin bounds how long a drained failure domain may still get requests, counted
+	// from the operator's order or from the end of a fault that kept the instance from reading
+	// the store. It includes the time that an instance needs to follow another one if the one
+	// that it follows has just ended.
+	drainWithin = 3 * time.Second
+	// minDrainExcess is how much longer than drainWithin a drain lasts at least, so that
+	// requests can be checked after the bound.
+	minDrainExcess = 3 * time.Second
+)
+
+// drainPeriod is a period in which a failure domain was drained.
+type drainPeriod struct {
+	domain string
+	from   time.Time
+	// to is when the domain was undrained; zero while it is drained.
+	to time.Time
+}
+
+// drain drains a failure domain for longer than drainWithin and then undrains it. It does
+// nothing if the domain is drained already.
+func (w *World) drain(domain string, last time.Duration) {
+	i, ok := w.beginDrain(domain)
+	if !ok {
+		return
+	}
+	time.Sleep(drainWithin + minDrainExcess + last)
+	w.mu.Lock()
+	w.drains[i].to = time.Now()
+	w.mu.Unlock()
+	w.store.UndrainDomain(domain)
+}
+
+// beginDrain writes the operator's order to drain a failure domain to the store. It returns
+// the index of the new period in drains, or false if the domain is drained already.
+func (w *World) beginDrain(domain string) (int, bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, e := range w.drains {
+		if e.domain == domain && e.to.IsZero() {
+			return 0, false
+		}
+	}
+	w.store.DrainDomain(domain)
+	w.drains = append(w.drains, drainPeriod{
+		domain: domain,
+		from:   time.Now(),
+	})
+	return len(w.drains) - 1, true
+}
+
+// checkDrained checks that an endpoint of a drained failure domain did not begin a run of a
+// request after the bound.
+func (w *World) checkDrained(x *Exchange, e *endpoint, r *platformtest.Run) (Violation, bool) {
+	for _, m := range w.drains {
+		if m.domain != e.domain || !m.to.IsZero() && r.At.After(m.to) {
+			continue
+		}
+		late := r.At.Sub(w.informedSince(x, m.from, r.At).Add(drainWithin + runSlack))
+		if late < 0 {
+			continue
+		}
+		return Violation{
+			Promise: "drained failure domains get no new requests",
+			Detail: fmt.Sprintf("request %s %s at instance %d ran at %s, %s after the bound", x.ID, x.Path,
+				x.Instance, e.Name(), late.Round(time.Millisecond)),
+		}, true
+	}
+	return Violation{}, false
+}
+
+// informedSince returns the time from which the instance of a request was able to read the
+// order that was written to the store at the time since. This is since itself, or the end of
+// the last fault that began before until and blocked the store for the instance.
+func (w *World) informedSince(x *Exchange, since, until time.Time) time.Time {
+	for _, p := range w.played {
+		if p.began.Before(until) && w.blocksStore(&p, x) && p.ended().After(since) {
+			since = p.ended()
+		}
+	}
+	return since
+}
+
+// blocksStore reports whether a step kept the instance of a request from reading the store:
+// the store was faulty, the instance's link to it was, or the instance was stopped.
+func (w *World) blocksStore(p *playedStep, x *Exchange) bool {
+	if _, store := storeFaults[p.step.Kind]; store || p.step.Kind == "all lost in an outage" {
+		return true
+	}
+	_, link := storeLinks[p.step.Kind]
+	link = link || p.step.Kind == "store connections silent"
+	return (link || p.step.Kind == "freeze") && p.step.Target%len(w.processes) == x.Instance
+}
--- a/soak/stall.go
+++ b/soak/stall.go
@@ -13,35 +13,35 @@
 	"time"
 )
 
-// The measures of looking for stalls.
+// Parameters of the detection of stalls.
 const (
-	// stallLook is how often it is looked how long threads had to wait for a processor.
-	stallLook = 250 * time.Millisecond
-	// stallShare is from which part of that time on a thread of a process counts as stalled:
-	// what callers and instances wait for each other is hundreds of ms at the least.
+	// stallInterval is the interval between two readings of the threads' waiting times.
+	stallInterval = 250 * time.Millisecond
+	// stallShare is the share of an interval that a thread must have waited to count as
+	// stalled. Shorter waits are well below the time limits between callers and instances.
 	stallShare = 0.8
-	// stallsTold bounds the stalls that are written.
-	stallsTold = 20
+	// maxStallsReported bounds the number of stalls in the report.
+	maxStallsReported = 20
 )
 
-// stall is a time in which a thread that was ready to run got no processor.
+// stall is an interval in which a runnable thread waited for a processor.
 type stall struct {
 	who    string
 	at     time.Time
 	waited time.Duration
 }
 
-// String returns the stall in a line.
+// String formats the stall as one line.
 func (s stall) String() string {
 	return fmt.Sprintf("%s: a thread of %s waited %d ms for a processor in the last %d",
-		s.at.Format("15:04:05.000"), s.who, s.waited.Milliseconds(), stallLook.Milliseconds())
+		s.at.Format("15:04:05.000"), s.who, s.waited.Milliseconds(), stallInterval.Milliseconds())
 }
 
-// watchStalls notes stalls of the soak's own process and of all instances until ctx ends. With
-// them a promise that was broken can be told from one that the machine had no time to keep.
+// watchStalls records stalls of this process and of all instances until ctx ends. They help to
+// distinguish faults of the system from an overloaded host when a promise was broken.
 func (w *World) watchStalls(ctx context.Context) {
 	before := make(map[string]time.Duration)
-	tick := time.NewTicker(stallLook)
+	tick := time.NewTicker(stallInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -50,30 +50,31 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		w.lookFor(os.Getpid(), "the soak", before, now)
+		w.recordStall(os.Getpid(), "the soak", before, now)
 		for _, p := range w.processes {
-			w.lookFor(p.pid(), p.name, before, now)
+			w.recordStall(p.pid(), p.name, before, now)
 		}
 	}
 }
 
-// lookFor notes the longest wait of a process's threads since the last look, if it is a stall.
-// Before is how long each thread had waited then.
-func (w *World) lookFor(pid int, who string, before map[string]time.Duration, now time.Time) {
-	// A process that has ended has no threads.
+// recordStall records a stall if a thread of a process waited long enough since the previous
+// reading. The map before holds the total waiting time of each thread at the previous reading
+// and is updated.
+func (w *World) recordStall(pid int, who string, before map[string]time.Duration, now time.Time) {
+	// A process that has exited has no threads, so Glob finds nothing.
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
 		return
 	}
 	longest := time.Duration(0)
 	for _, path := range threads {
-		waited, ok := waitedFor(path)
+		waited, ok := readWaitTime(path)
 		if last, known := before[path]; ok && known {
 			longest = max(longest, waited-last)
 		}
 		before[path] = waited
 	}
-	if longest < time.Duration(stallShare*float64(stallLook)) {
+	if longest < time.Duration(stallShare*float64(stallInterval)) {
 		return
 	}
 	w.mu.Lock()
@@ -85,9 +86,10 @@
 	})
 }
 
-// waitedFor reads how long a thread has waited for a processor, ready to run: the second number
-// of schedstat, in ns.
-func waitedFor(path string) (time.Duration, bool) {
+// readWaitTime returns the total time that a thread was runnable and waited for a processor,
+// which is the second field of schedstat, in ns. It returns false if the file cannot be read
+// or parsed.
+func readWaitTime(path string) (time.Duration, bool) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return 0, false
@@ -100,12 +102,12 @@
 	return time.Duration(ns), err == nil
 }
 
-// tellStalls writes the stalls of a run that broke a promise.
-func (w *World) tellStalls(out io.Writer) {
+// writeStalls writes the number of stalls and the first of them.
+func (w *World) writeStalls(out io.Writer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, _ = fmt.Fprintf(out, "  %d stalls of %d ms or more\n", len(w.stalls), int(stallShare*float64(stallLook.Milliseconds())))
-	for _, s := range w.stalls[:min(len(w.stalls), stallsTold)] {
+	_, _ = fmt.Fprintf(out, "  %d stalls of %d ms or more\n", len(w.stalls), int(stallShare*float64(stallInterval.Milliseconds())))
+	for _, s := range w.stalls[:min(len(w.stalls), maxStallsReported)] {
 		_, _ = fmt.Fprintln(out, "    "+s.String())
 	}
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -13,26 +13,27 @@
 	"github.com/linkmast/linkmast/engine"
 )
 
-// EngineSettings are the measures of a stand-in engine. A zero value means the
-// default.
+// EngineSettings configures an Engine. Zero values select the defaults.
 type EngineSettings struct {
-	// Instance names the endpoint instance.
+	// Instance is the name of the endpoint's incarnation.
 	Instance string
-	// Model and Version are what is loaded at the start.
+	// Model is the model that is loaded at the start.
 	Model string
-	// Version is the version of the weights.
+	// Version is the version of the loaded weights.
 	Version string
-	// MemoryBytes is the KV memory; the default is 400 000 tokens.
+	// MemoryBytes is the size of the KV memory; the default is 400 000 tokens.
 	MemoryBytes int64
-	// KVBytesPerToken is the memory of one token; the default is 1024.
+	// KVBytesPerToken is the KV memory of one token; the default is 1024.
 	KVBytesPerToken int64
 	// PrefillTokensPerSecond is the prefill rate; the default is 40 000.
 	PrefillTokensPerSecond float64
-	// ChunkTokens bounds the prefill of one step; the default is 1024.
+	// ChunkTokens bounds the tokens prefilled in one step; the default is 1024.
 	ChunkTokens int
-	// DecodeStep is the time of a step that only decodes; the default is 20ms.
+	// DecodeStep is the shortest duration of a step in which an attempt decodes; the default
+	// is 20ms.
 	DecodeStep time.Duration
-	// ChecksOrders states whether stale fences are refused.
+	// ChecksOrders states whether the engine refuses orders with a fence below the highest one
+	// it has received.
 	ChecksOrders bool
 }
 
@@ -44,6 +45,7 @@
 	defaultDecodeStep   = 20 * time.Millisecond
 )
 
+// setDefaults replaces zero values by the defaults.
 func (s *EngineSettings) setDefaults() {
 	s.KVBytesPerToken = cmp.Or(s.KVBytesPerToken, defaultKVBytes)
 	s.MemoryBytes = cmp.Or(s.MemoryBytes, defaultMemoryTokens*s.KVBytesPerToken)
@@ -52,8 +54,8 @@
 	s.DecodeStep = cmp.Or(s.DecodeStep, defaultDecodeStep)
 }
 
-// Engine is a stand-in model engine. It implements engine.Client, so a test
-// can use it without a network.
+// Engine simulates a model engine. It implements engine.Client, so tests can use it without a
+// network.
 type Engine struct {
 	// Done is closed when the engine has stopped.
 	Done chan struct{}
@@ -65,7 +67,7 @@
 	mu       sync.Mutex
 	settings EngineSettings
 	faults   Faults
-	thawed   chan struct{}
+	unfrozen chan struct{}
 	runs     map[string]*run
 	reserved map[string]reservation
 	cache    *cache
@@ -77,31 +79,31 @@
 	crashes  int
 }
 
-// run is one attempt that an engine works on.
+// run is the state of one attempt.
 type run struct {
-	attempt engine.Attempt
-	order   int
-	began   time.Time
-	bytes   int64
-	hash    uint64
-	tokens  int
-	blocks  []uint64
-	cached  int
-	left    int
-	chunks  []engine.Chunk
-	ended   bool
-	gone    bool
-	changed chan struct{}
+	attempt     engine.Attempt
+	arrival     int
+	startedAt   time.Time
+	bytes       int64
+	hash        uint64
+	tokens      int
+	blocks      []uint64
+	cached      int
+	prefillLeft int
+	chunks      []engine.Chunk
+	ended       bool
+	removed     bool
+	changed     chan struct{}
 }
 
-// reservation is memory held for a group.
+// reservation is memory held for the joint prefill of another engine's attempt.
 type reservation struct {
 	engine.Reservation
 	began time.Time
 	bytes int64
 }
 
-// NewEngine starts a stand-in engine. Stop ends it.
+// NewEngine starts an engine. The caller must call Stop to end its goroutine.
 func NewEngine(s EngineSettings) *Engine {
 	s.setDefaults()
 	e := &Engine{
@@ -110,24 +112,25 @@
 		wake:     make(chan struct{}, 1),
 		now:      time.Now,
 		settings: s,
-		thawed:   make(chan struct{}),
+		unfrozen: make(chan struct{}),
 		runs:     make(map[string]*run),
 		reserved: make(map[string]reservation),
 		cache:    newCache(),
 		started:  make(map[uint64]int),
 	}
-	close(e.thawed)
+	close(e.unfrozen)
 	go e.loop()
 	return e
 }
 
-// Stop ends the engine and waits for it.
+// Stop ends the engine and waits until it has stopped. It must be called once.
 func (e *Engine) Stop() {
 	close(e.stop)
 	<-e.Done
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults. The fault Dead also removes all attempts, reservations and
+// cached blocks.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -137,61 +140,63 @@
 		e.dropAll()
 	}
 	if f.Frozen && !was {
-		e.thawed = make(chan struct{})
+		e.unfrozen = make(chan struct{})
 	}
 	if !f.Frozen && was {
-		close(e.thawed)
+		close(e.unfrozen)
 	}
-	e.poke()
+	e.wakeLoop()
 }
 
-// Faults returns what goes wrong now.
+// Faults returns the current faults.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// HeldBytes returns the memory that attempts and reservations hold.
+// HeldBytes returns the memory held by attempts and reservations.
 func (e *Engine) HeldBytes() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.held
 }
 
-// Started returns how often a prompt was started. Tests hold it against what
-// callers were told.
+// Started returns how many attempts with the given prompt were started. Tests use it to detect
+// prompts that ran more often than reported.
 func (e *Engine) Started(prompt string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.started[xxhash.Sum64String(prompt)]
 }
 
-// Crashes returns how often an attempt has ended the engine.
+// Crashes returns how many attempts have crashed the engine.
 func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.crashes
 }
 
-// CachedBlocks returns how many blocks the prefix cache holds.
+// CachedBlocks returns the number of blocks in the prefix cache.
 func (e *Engine) CachedBlocks() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cache.order.Len()
 }
 
-func (e *Engine) poke() {
+// wakeLoop makes the loop check for work, without blocking.
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// dropAll forgets everything, as a process that dies.
+// dropAll removes all attempts, reservations and cached blocks, as the end of the process
+// does. The caller holds e.mu.
 func (e *Engine) dropAll() {
 	for _, r := range e.runs {
-		r.gone = true
+		r.removed = true
 		close(r.changed)
 		r.changed = make(chan struct{})
 	}
@@ -201,7 +206,7 @@
 	e.held = 0
 }
 
-// loop runs steps while there is work.
+// loop runs steps while there is work, until Stop is called.
 func (e *Engine) loop() {
 	defer close(e.Done)
 	for {
@@ -223,15 +228,15 @@
 	}
 }
 
-// share is the prefill that one attempt gets in a step.
-type share struct {
+// prefillShare is the number of tokens of a run that a step prefills.
+type prefillShare struct {
 	run    *run
 	tokens int
 }
 
-// plan returns the time of the next step and its prefill. The time is zero
-// when there is nothing to do.
-func (e *Engine) plan() (time.Duration, []share) {
+// plan returns the duration of the next step and its prefill. The duration is zero if there is
+// no work.
+func (e *Engine) plan() (time.Duration, []prefillShare) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Frozen || e.faults.Dead {
@@ -242,7 +247,7 @@
 	for _, r := range e.runs {
 		switch {
 		case r.ended:
-		case r.left > 0:
+		case r.prefillLeft > 0:
 			waiting = append(waiting, r)
 		default:
 			decodes = true
@@ -262,10 +267,11 @@
 	return step, work
 }
 
-// prefill shares out the chunk of a step and returns the time that it takes.
-func (e *Engine) prefill(waiting []*run) ([]share, time.Duration) {
+// prefill distributes the prefill tokens of a step over the waiting runs and returns the
+// shares and their duration. It sorts waiting.
+func (e *Engine) prefill(waiting []*run) ([]prefillShare, time.Duration) {
 	slices.SortFunc(waiting, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(a.attempt.Priority, b.attempt.Priority), cmp.Compare(a.order, b.order))
+		return cmp.Or(cmp.Compare(a.attempt.Priority, b.attempt.Priority), cmp.Compare(a.arrival, b.arrival))
 	})
 	rate := e.settings.PrefillTokensPerSecond
 	if len(e.reserved) > 0 {
@@ -273,16 +279,16 @@
 	}
 	budget := e.settings.ChunkTokens
 	seconds := 0.0
-	var work []share
+	var work []prefillShare
 	for _, r := range waiting {
 		if budget == 0 {
 			break
 		}
-		n := min(r.left, budget)
+		n := min(r.prefillLeft, budget)
 		budget -= n
 		group := float64(1 + len(r.attempt.Members))
 		seconds += float64(n) / (rate * group)
-		work = append(work, share{
+		work = append(work, prefillShare{
 			run:    r,
 			tokens: n,
 		})
@@ -290,9 +296,9 @@
 	return work, time.Duration(seconds * float64(time.Second))
 }
 
-// apply ends a step: prompts advance, and each finished prompt's attempt gets
-// a token.
-func (e *Engine) apply(work []share) {
+// apply completes a step: it advances the prefill by the given shares and appends a token to
+// each run whose prefill is complete.
+func (e *Engine) apply(work []prefillShare) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Frozen || e.faults.Dead {
@@ -300,30 +306,31 @@
 	}
 	decoding := make([]*run, 0, len(e.runs))
 	for _, r := range e.runs {
-		if r.left == 0 && !r.ended {
+		if r.prefillLeft == 0 && !r.ended {
 			decoding = append(decoding, r)
 		}
 	}
 	for _, s := range work {
-		s.run.left -= s.tokens
-		if s.run.left <= 0 && !s.run.gone {
-			s.run.left = 0
-			e.cache.add(s.run.blocks, e.cacheRoom())
+		s.run.prefillLeft -= s.tokens
+		if s.run.prefillLeft <= 0 && !s.run.removed {
+			s.run.prefillLeft = 0
+			e.cache.add(s.run.blocks, e.cacheCapacity())
 			decoding = append(decoding, s.run)
 		}
 	}
 	for _, r := range decoding {
-		e.token(r)
+		e.appendToken(r)
 	}
 }
 
-// token adds the next token, and after the last one the end.
-func (e *Engine) token(r *run) {
+// appendToken appends the next token to a run, followed by the final chunk if it is the last
+// one.
+func (e *Engine) appendToken(r *run) {
 	place := len(r.chunks)
 	r.chunks = append(r.chunks, engine.Chunk{
 		Attempt: r.attempt.ID,
 		Seq:     place + 1,
-		Text:    tokenAt(r.hash, place),
+		Text:    answerToken(r.hash, place),
 	})
 	if len(r.chunks) >= r.attempt.MaxTokens {
 		r.chunks = append(r.chunks, engine.Chunk{
@@ -333,28 +340,27 @@
 			PromptTokens: r.tokens,
 			CachedTokens: r.cached,
 		})
-		e.finish(r)
+		e.releaseRun(r)
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// finish returns the memory of an attempt that has ended. Its chunks stay for
-// whoever still reads them.
-func (e *Engine) finish(r *run) {
+// releaseRun ends a run and releases its memory. Its chunks stay available to current readers.
+func (e *Engine) releaseRun(r *run) {
 	r.ended = true
 	e.held -= r.bytes
 	delete(e.runs, r.attempt.ID)
 }
 
-// cacheRoom returns how many blocks the free memory holds.
-func (e *Engine) cacheRoom() int {
+// cacheCapacity returns how many blocks fit into the free memory.
+func (e *Engine) cacheCapacity() int {
 	free := e.settings.MemoryBytes - e.held
 	return int(free / (engine.BlockTokens * e.settings.KVBytesPerToken))
 }
 
-// start admits an attempt, or says why not. The caller holds the lock.
-func (e *Engine) start(a engine.Attempt) (*run, *engine.Refusal) {
+// admit starts an attempt or returns the reason for refusing it. The caller holds e.mu.
+func (e *Engine) admit(a engine.Attempt) (*run, *engine.Refusal) {
 	tokens := engine.Tokens(len(a.Prompt))
 	group := 1 + len(a.Members)
 	bytes := int64((tokens+group-1)/group+a.MaxTokens) * e.settings.KVBytesPerToken
@@ -369,29 +375,30 @@
 		return nil, refusal(engine.RefusedDuplicate, "the attempt runs already")
 	}
 	r := &run{
-		attempt: a,
-		order:   e.arrivals,
-		began:   e.now(),
-		bytes:   bytes,
-		hash:    xxhash.Sum64String(a.Prompt),
-		tokens:  tokens,
-		blocks:  engine.BlockHashes(a.Model+"/"+a.Adapter, a.Prompt, e.cacheRoom()),
-		changed: make(chan struct{}),
+		attempt:   a,
+		arrival:   e.arrivals,
+		startedAt: e.now(),
+		bytes:     bytes,
+		hash:      xxhash.Sum64String(a.Prompt),
+		tokens:    tokens,
+		blocks:    engine.BlockHashes(a.Model+"/"+a.Adapter, a.Prompt, e.cacheCapacity()),
+		changed:   make(chan struct{}),
 	}
 	hit := e.cache.hit(r.blocks) * engine.BlockTokens
 	r.cached = min(hit, max(tokens-1, 0))
-	r.left = max(tokens-r.cached, 1)
+	r.prefillLeft = max(tokens-r.cached, 1)
 	e.arrivals++
 	e.held += bytes
-	e.cache.shrink(e.cacheRoom())
+	e.cache.shrink(e.cacheCapacity())
 	e.runs[a.ID] = r
 	e.started[r.hash]++
-	// A long prompt is not kept for as long as its answer takes.
+	// The prompt may be long and is not needed for the answer.
 	r.attempt.Prompt = ""
-	e.poke()
+	e.wakeLoop()
 	return r, nil
 }
 
+// refusal returns the refusal of an attempt that was not started.
 func refusal(code, detail string) *engine.Refusal {
 	return &engine.Refusal{
 		Code:    code,
@@ -400,7 +407,7 @@
 	}
 }
 
-// Rename makes the engine another instance at the same address.
+// Rename changes the name of the incarnation without changing any other state.
 func (e *Engine) Rename(instance string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/service.go
+++ b/standin/service.go
@@ -19,9 +19,9 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// ServiceSettings are the measures of a stand-in plain service.
+// ServiceSettings configures a Service.
 type ServiceSettings struct {
-	// Instance names the endpoint instance.
+	// Instance is the name of the endpoint's incarnation.
 	Instance string
 	// Work is how long a call takes; the default is 5ms.
 	Work time.Duration
@@ -29,29 +29,29 @@
 
 const defaultCallTime = 5 * time.Millisecond
 
-// Service is a stand-in plain service. It implements plain.Client.
+// Service simulates a plain service. It implements plain.Client.
 type Service struct {
 	instance string
 	work     time.Duration
 
-	mu     sync.Mutex
-	faults Faults
-	thawed chan struct{}
-	calls  map[string]int
-	// requests are the ids of the calls that took effect.
-	requests map[string]bool
+	mu       sync.Mutex
+	faults   Faults
+	unfrozen chan struct{}
+	calls    map[string]int
+	// executed holds the IDs of the requests whose calls took effect.
+	executed map[string]bool
 	crashes  int
 }
 
-// Echo is the body of a stand-in's answer.
+// Echo is the JSON body of a service's answer.
 type Echo struct {
-	// Path is the path that was called.
+	// Path is the path of the call.
 	Path string `json:"path"`
-	// SHA256 is the hash of the body that was received.
+	// SHA256 is the hash of the received body in hexadecimal.
 	SHA256 string `json:"sha256"`
 }
 
-// NewService returns a stand-in plain service.
+// NewService returns a service without faults.
 func NewService(s ServiceSettings) *Service {
 	if s.Work == 0 {
 		s.Work = defaultCallTime
@@ -59,77 +59,79 @@
 	v := &Service{
 		instance: s.Instance,
 		work:     s.Work,
-		thawed:   make(chan struct{}),
+		unfrozen: make(chan struct{}),
 		calls:    make(map[string]int),
-		requests: make(map[string]bool),
+		executed: make(map[string]bool),
 	}
-	close(v.thawed)
+	close(v.unfrozen)
 	return v
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults.
 func (v *Service) SetFaults(f Faults) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	was := v.faults.Frozen
 	v.faults = f
 	if f.Frozen && !was {
-		v.thawed = make(chan struct{})
+		v.unfrozen = make(chan struct{})
 	}
 	if !f.Frozen && was {
-		close(v.thawed)
+		close(v.unfrozen)
 	}
 }
 
-// Faults returns what goes wrong now.
+// Faults returns the current faults.
 func (v *Service) Faults() Faults {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.faults
 }
 
-// Crashes returns how often a call has ended the service.
+// Crashes returns how many calls have crashed the service.
 func (v *Service) Crashes() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.crashes
 }
 
-// Calls returns how often a body took effect.
+// Calls returns how many calls with the given body took effect.
 func (v *Service) Calls(body []byte) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.calls[hash(body)]
 }
 
-// Ran states whether the call of a request took effect.
+// Ran reports whether a call with the given request ID took effect.
 func (v *Service) Ran(request string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.requests[request]
+	return v.executed[request]
 }
 
+// hash returns the SHA-256 of a body in hexadecimal.
 func hash(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
-// Probe implements plain.Client.
+// Probe implements plain.Client. It waits while the service is frozen.
 func (v *Service) Probe(ctx context.Context) error {
 	v.mu.Lock()
-	dead, thawed := v.faults.Dead, v.thawed
+	dead, unfrozen := v.faults.Dead, v.unfrozen
 	v.mu.Unlock()
 	if dead {
 		return errors.New("connection refused")
 	}
 	select {
-	case <-thawed:
+	case <-unfrozen:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
+// callError returns a plain.CallError with the given reason.
 func callError(ran problem.Ran, reason string) *plain.CallError {
 	return &plain.CallError{
 		Ran: ran,
@@ -153,10 +155,10 @@
 	case <-ctx.Done():
 		return plain.Answer{}, callError(problem.MayHaveRun, "caller has gone")
 	}
-	if err := v.lost(); err != nil {
+	if err := v.loseAnswer(); err != nil {
 		return plain.Answer{}, err
 	}
-	// An Echo always encodes.
+	// Encoding an Echo cannot fail.
 	body, _ := json.Marshal(Echo{
 		Path:   c.Path,
 		SHA256: hash(c.Body),
@@ -168,41 +170,42 @@
 	}, nil
 }
 
-// begin lets a call take effect, unless a fault or a wrong instance keeps it
-// from that.
+// begin records that a call takes effect, unless the call names another incarnation or a fault
+// prevents it.
 func (v *Service) begin(c plain.Call) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if c.Instance != "" && c.Instance != v.instance {
 		return callError(problem.NotRun, "this is instance "+v.instance)
 	}
-	if take(&v.faults.RefuseBefore) {
+	if consume(&v.faults.RefuseBefore) {
 		return callError(problem.NotRun, "refused before the start")
 	}
-	if v.faults.crashes(string(c.Body)) {
+	if v.faults.crashesOn(string(c.Body)) {
 		v.crashes++
 		v.faults.Dead = true
 		return callError(problem.MayHaveRun, "connection broke")
 	}
 	v.calls[hash(c.Body)]++
-	v.requests[c.Request] = true
-	if take(&v.faults.RefuseAfter) {
+	v.executed[c.Request] = true
+	if consume(&v.faults.RefuseAfter) {
 		return callError(problem.MayHaveRun, "refused after the start")
 	}
 	return nil
 }
 
-func (v *Service) lost() error {
+// loseAnswer returns an error if the fault LoseAnswer occurs.
+func (v *Service) loseAnswer() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if take(&v.faults.LoseAnswer) {
+	if consume(&v.faults.LoseAnswer) {
 		return callError(problem.MayHaveRun, "connection broke")
 	}
 	return nil
 }
 
-// Handler serves every path as a call, GET /healthz as a probe, and PUT
-// /faults.
+// Handler serves every path as a call, GET /healthz as a probe, and PUT /faults to set the
+// faults.
 func (v *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(_ http.ResponseWriter, r *http.Request) {
@@ -215,6 +218,8 @@
 	return mux
 }
 
+// serveCall serves an HTTP request as a call. If the call failed and may have run, it aborts
+// the connection.
 func (v *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -237,12 +242,13 @@
 	default:
 		w.Header().Set("Content-Type", a.ContentType)
 		w.WriteHeader(a.Status)
-		// The caller may have gone; the call took effect all the same.
+		// The call took effect even if the caller has disconnected.
 		_, _ = w.Write(a.Body)
 	}
 }
 
-// AllCalls returns how often each body took effect, by its SHA-256.
+// AllCalls returns how many calls took effect for each body, by the body's SHA-256 in
+// hexadecimal.
 func (v *Service) AllCalls() map[string]int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
