--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -62,9 +62,9 @@
 type Dialer interface {
 	// Conn returns the connection to an address.
 	Conn(address string) (*grpc.ClientConn, error)
-	// Forsake closes the connection to an address, so that the next use opens a new
+	// Disconnect closes the connection to an address, so that the next use opens a new
 	// one.
-	Forsake(address string)
+	Disconnect(address string)
 }
 
 // Catalog follows the store.
--- a/catalog/following.go
+++ b/catalog/following.go
@@ -92,7 +92,7 @@
 	}
 	if errors.Is(err, errSilent) {
 		// The connection may have gone silent for good, while a new one works.
-		c.dialer.Forsake(p.Address)
+		c.dialer.Disconnect(p.Address)
 	}
 	c.log.Info("no longer follows", "peer", p.ID, "cause", err.Error(), "ms", after.Milliseconds())
 }
--- a/catalog/joining.go
+++ b/catalog/joining.go
@@ -188,7 +188,7 @@
 	c.adoptPeers(known, int(reply.GetTotal()), "contact "+address, ownEntryCheckInterval)
 	if !slices.ContainsFunc(known, func(p Peer) bool { return p.Address == address }) {
 		// It answers all that start; most of them don't need it again.
-		c.dialer.Forsake(address)
+		c.dialer.Disconnect(address)
 	}
 	return nil
 }
--- a/catalog/virtual_test.go
+++ b/catalog/virtual_test.go
@@ -105,8 +105,8 @@
 	return c, err
 }
 
-// Forsake implements catalog.Dialer.
-func (d *memoryDialer) Forsake(address string) {
+// Disconnect implements catalog.Dialer.
+func (d *memoryDialer) Disconnect(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c := d.conns[address]; c != nil {
@@ -121,7 +121,7 @@
 	addresses := slices.Collect(maps.Keys(d.conns))
 	d.mu.Unlock()
 	for _, address := range addresses {
-		d.Forsake(address)
+		d.Disconnect(address)
 	}
 }
 
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// Forsake closes the connection to an address, which may have stopped responding. The next use
+// Disconnect closes the connection to an address, which may have stopped responding. The next use
 // opens a new one.
-func (p *Pool) Forsake(address string) {
+func (p *Pool) Disconnect(address string) {
 	p.CloseUnless(func(a string) bool { return a != address })
 }
 
