--- a/cmd/linkmastctl/configuration.go
+++ b/cmd/linkmastctl/configuration.go
@@ -137,7 +137,7 @@
 }
 
 // inForce returns the configuration in force as the log tells it.
-func inForce(o *platformOptions) (*rollout.Judge, []rollout.Verdict, error) {
+func inForce(o *platformOptions) (*rollout.Evaluator, []rollout.Verdict, error) {
 	log, ctx, cancel := o.open()
 	defer cancel()
 	j, verdicts, err := rollout.Replay(ctx, log)
--- a/fleet/vnode_test.go
+++ b/fleet/vnode_test.go
@@ -141,7 +141,7 @@
 	if err := n.fleet.gate(ctx, n.id, address); err != nil {
 		return nil, err
 	}
-	return n.fleet.nodes[address].rollout.Answer(in)
+	return n.fleet.nodes[address].rollout.HandlePull(in)
 }
 
 // Reader implements rollout.Peers.
--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -14,25 +14,25 @@
 // adminHandler serves the metrics.
 func (g *Gateway) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /metrics", g.metrics)
+	mux.HandleFunc("GET /metrics", g.handleMetrics)
 	return mux
 }
 
-// metrics writes all counters as one JSON object.
-func (g *Gateway) metrics(w http.ResponseWriter, _ *http.Request) {
+// handleMetrics writes all counters as one JSON object.
+func (g *Gateway) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	all := new(expvar.Map).Init()
 	all.Set("relay", g.relay.Metrics.Vars)
 	all.Set("pools", expvar.Func(func() any { return g.pools.Stats() }))
-	all.Set("store", expvar.Func(func() any { return g.storeFigures() }))
+	all.Set("store", expvar.Func(func() any { return g.storeStats() }))
 	all.Set("quarantine", expvar.Func(func() any { return g.quarantine.Stats() }))
-	all.Set("process", expvar.Func(func() any { return g.processFigures() }))
+	all.Set("process", expvar.Func(func() any { return g.processStats() }))
 	w.Header().Set("Content-Type", "application/json")
 	// The reader may have gone; there is nobody left to tell.
 	_, _ = fmt.Fprintln(w, all.String())
 }
 
-// storeFigures are what is known from the store.
-type storeFigures struct {
+// storeStats are what is known from the store.
+type storeStats struct {
 	// Version is that of the configuration in force.
 	Version int64 `json:"version"`
 	// AgeMS is how old it may be, in ms.
@@ -45,9 +45,9 @@
 	Following catalog.Stats `json:"following"`
 }
 
-// storeFigures returns the figures; zero while nothing is known.
-func (g *Gateway) storeFigures() storeFigures {
-	f := storeFigures{
+// storeStats returns the figures; zero while nothing is known.
+func (g *Gateway) storeStats() storeStats {
+	f := storeStats{
 		Following: g.catalog.Stats(),
 	}
 	if s := g.catalog.Snapshot(); s != nil {
@@ -62,8 +62,8 @@
 	return f
 }
 
-// processFigures are those of the process.
-type processFigures struct {
+// processStats are those of the process.
+type processStats struct {
 	Goroutines int `json:"goroutines"`
 	// InFlight counts the requests that are being served.
 	InFlight int64 `json:"in_flight"`
@@ -75,13 +75,13 @@
 	LinesDropped int64 `json:"lines_dropped"`
 }
 
-// processFigures returns the figures of now.
-func (g *Gateway) processFigures() processFigures {
-	return processFigures{
+// processStats returns the figures of now.
+func (g *Gateway) processStats() processStats {
+	return processStats{
 		Goroutines:   runtime.NumGoroutine(),
 		InFlight:     g.relay.InFlight(),
-		Connections:  g.open.count(),
+		Connections:  g.callerConns.count(),
 		Dials:        g.upstream.Dials(),
-		LinesDropped: g.dropped(),
+		LinesDropped: g.droppedLines(),
 	}
 }
--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -43,16 +43,16 @@
 		Poll:       time.Duration(f.Times.Revoke) / pollsPerRevoke,
 	}, store, g.peers, g.log.WithName("catalog"))
 	g.notices = notice.New(steady.Now, g.log.WithName("notice"))
-	g.quarantine = quarantine.New(steady.Now, g.turn, g.log.WithName("quarantine"))
+	g.quarantine = quarantine.New(steady.Now, g.retestTurn, g.log.WithName("quarantine"))
 	g.assemblePools()
 	g.recorder = quarantine.NewRecorder(g.quarantine, store, g.placer.CountsCrashes, g.log.WithName("quarantine"))
 	g.assembleServer()
 	g.assembleRelay(client)
 }
 
-// idleQuestions bounds the connections that are kept for questions to engines: those that are
+// maxIdleReportConns bounds the connections that are kept for questions to engines: those that are
 // asked again and again, as they are slow.
-const idleQuestions = 128
+const maxIdleReportConns = 128
 
 // assemblePools makes the scheduler of pools and the client that asks other
 // instances.
@@ -70,7 +70,7 @@
 			Overage: f.Cold.Overage,
 			Slack:   f.Cold.Slack,
 		},
-		SlowdownQuerier: platform.NewReports(wirehttp.Bounded(idleQuestions), g.heardAt, g.log.WithName("reports")),
+		SlowdownQuerier: platform.NewReports(wirehttp.Bounded(maxIdleReportConns), g.recordStatements, g.log.WithName("reports")),
 		Check:           tcp.Check,
 		Worth:           f.Worth,
 		Quarantine:      g.quarantine,
@@ -79,8 +79,8 @@
 	g.placer = pool.NewClient(g.self, g.pools, g.peers, log)
 }
 
-// turn returns the place of this instance in showing whether a request still crashes endpoints.
-func (g *Gateway) turn(id quarantine.Identity) quarantine.RetestTurn {
+// retestTurn returns the place of this instance in showing whether a request still crashes endpoints.
+func (g *Gateway) retestTurn(id quarantine.Identity) quarantine.RetestTurn {
 	before, of := g.catalog.Rank("ban/" + id.String())
 	return quarantine.RetestTurn{
 		Position:  before,
@@ -90,8 +90,8 @@
 
 // assembleServer makes what serves other instances.
 func (g *Gateway) assembleServer() {
-	g.rpc = grpc.NewServer(grpc.ReadBufferSize(rpcBuffer), grpc.WriteBufferSize(rpcBuffer))
-	poolpb.RegisterPoolServer(g.rpc, pool.NewServer(g.pools, g.known, g.stopping))
+	g.rpc = grpc.NewServer(grpc.ReadBufferSize(rpcBufferBytes), grpc.WriteBufferSize(rpcBufferBytes))
+	poolpb.RegisterPoolServer(g.rpc, pool.NewServer(g.pools, g.poolsReady, g.stopping))
 	catalogpb.RegisterCatalogServer(g.rpc, catalog.NewServer(g.catalog, g.stopping))
 }
 
@@ -111,15 +111,15 @@
 		Check:      tcp.Check,
 		Notices:    g.placer,
 		Wire:       platform.Wire{},
-		Memory:     platform.NewOrders(client, g.heardAt),
+		Memory:     platform.NewOrders(client, g.recordStatements),
 		Upstream:   g.upstream,
 		Log:        g.log.WithName("relay"),
 	})
 }
 
-// thousandths of a processor core are the unit of an instance's capacity, as
+// capacityPerCore of a processor core are the unit of an instance's capacity, as
 // settings give shares of cores.
-const thousandths = 1000
+const capacityPerCore = 1000
 
 // capacityPerMbps is how much of a core the work takes that a Mbit/s carries, in
 // thousandths: 200 Mbit/s go with a whole core.
@@ -128,16 +128,16 @@
 // capacity returns what an instance can carry, by its processor or its link,
 // whichever binds.
 func capacity(f *settings.File) int {
-	c := f.ProcessorShare * thousandths
+	c := f.ProcessorShare * capacityPerCore
 	if f.LinkMbps > 0 {
 		c = min(c, f.LinkMbps*capacityPerMbps)
 	}
 	return max(int(c), 1)
 }
 
-// rpcBuffer is the buffer of each direction of a connection between instances, in
+// rpcBufferBytes is the buffer of each direction of a connection between instances, in
 // bytes. Most messages are far smaller.
-const rpcBuffer = 16 << 10
+const rpcBufferBytes = 16 << 10
 
 // pollsPerRevoke is how many polls for configurations fit into the time in which
 // keys must be refused. With 5 s a reader that the store no longer answers is
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -14,13 +14,13 @@
 // samples a fifth were in the relay, a tenth of all in the exchange with the endpoint, the
 // rest in system calls and in the library at both ends.
 func BenchmarkServe(b *testing.B) {
-	w := newWorld(b, 1)
+	w := newCluster(b, 1)
 	for _, e := range w.endpoints {
 		e.Work = 0
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		g := w.ask(0, call{
+		g := w.send(0, request{
 			id:     fmt.Sprintf("%016x", i),
 			method: http.MethodGet,
 			path:   "/safe/x",
--- a/gateway/storm_test.go
+++ b/gateway/configchange_test.go
@@ -16,7 +16,7 @@
 )
 
 // publishLarge publishes the next version with so many routes more.
-func (w *world) publishLarge(more int) {
+func (w *cluster) publishLarge(more int) {
 	w.version++
 	routes := []route.Route{{
 		Name:        "/safe/",
@@ -40,12 +40,12 @@
 	}, 1<<20, []route.Customer{{ID: "c1", Keys: []string{"k1"}}})
 }
 
-// TestAcceptsInStorm opens new connections to instances while configurations come in
+// TestAcceptsDuringConfigurationChanges opens new connections to instances while configurations come in
 // quick succession, each with 1,400 routes more. Each is taken and its request answered
 // soon, and the last version is in force at the end.
-func TestAcceptsInStorm(t *testing.T) {
+func TestAcceptsDuringConfigurationChanges(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3)
+	w := newCluster(t, 3)
 	const versions, connections = 20, 100
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -54,13 +54,13 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 	})
-	answers := make([]got, connections)
+	answers := make([]response, connections)
 	took := make([]time.Duration, connections)
 	for i := range connections {
 		all.Go(func() {
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 			began := time.Now()
-			answers[i] = w.ask(i%3, call{id: "c" + strconv.Itoa(i), path: "/safe/"})
+			answers[i] = w.send(i%3, request{id: "c" + strconv.Itoa(i), path: "/safe/"})
 			took[i] = time.Since(began)
 		})
 	}
@@ -71,7 +71,7 @@
 	}
 	for i := range w.gateways {
 		w.await("last version", func() bool {
-			return w.ask(i, call{id: fmt.Sprint("more", i), path: "/more1399/"}).status == 200
+			return w.send(i, request{id: fmt.Sprint("more", i), path: "/more1399/"}).status == 200
 		})
 	}
 }
--- a/gateway/connections.go
+++ b/gateway/connections.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// note implements the ConnState hook of an http.Server.
-func (c *connections) note(conn net.Conn, s http.ConnState) {
+// handleState implements the ConnState hook of an http.Server.
+func (c *connections) handleState(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch s {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -39,8 +39,8 @@
 
 	settings *settings.File
 	log      logr.Logger
-	// dropped returns how many log lines were dropped so far.
-	dropped func() int64
+	// droppedLines returns how many log lines were droppedLines so far.
+	droppedLines func() int64
 	// self is what other instances are told.
 	self    catalog.Peer
 	catalog *catalog.Catalog
@@ -61,16 +61,16 @@
 	rpc   *grpc.Server
 	// servers are all HTTP servers, callers the one of these for callers, and
 	// open its connections.
-	servers []*http.Server
-	callers *http.Server
-	open    *connections
-	// known is closed once the pools know their endpoints.
-	known chan struct{}
+	servers     []*http.Server
+	callers     *http.Server
+	callerConns *connections
+	// poolsReady is closed once the pools know their endpoints.
+	poolsReady chan struct{}
 	// stopping is closed when a stop begins, and cancel ends the parts.
-	stopping chan struct{}
-	cancel   context.CancelFunc
-	parts    sync.WaitGroup
-	stop     sync.Once
+	stopping   chan struct{}
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	stopOnce   sync.Once
 }
 
 // New starts an instance. Stop ends it as planned, Close at once. Dropped returns
@@ -78,14 +78,14 @@
 // can't be listened on.
 func New(f *settings.File, log logr.Logger, dropped func() int64) (*Gateway, error) {
 	g := &Gateway{
-		Done:     make(chan struct{}),
-		settings: f,
-		log:      log,
-		dropped:  dropped,
-		upstream: upstream.New(upstream.Settings{}),
-		open:     newConnections(),
-		known:    make(chan struct{}),
-		stopping: make(chan struct{}),
+		Done:         make(chan struct{}),
+		settings:     f,
+		log:          log,
+		droppedLines: dropped,
+		upstream:     upstream.New(upstream.Settings{}),
+		callerConns:  newConnections(),
+		poolsReady:   make(chan struct{}),
+		stopping:     make(chan struct{}),
 	}
 	l, err := tcp.Listen(f.PeerListen)
 	if err != nil {
@@ -99,18 +99,18 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
-	g.parts.Go(func() { g.ended("peers", g.rpc.Serve(l)) })
-	g.parts.Go(func() { g.placer.Run(ctx) })
-	g.parts.Go(func() { g.catalog.Run(ctx) })
-	g.parts.Go(func() { g.pools.Run(ctx) })
-	g.parts.Go(func() { g.recorder.Run(ctx) })
-	g.parts.Go(func() { g.follow(ctx) })
-	g.parts.Go(func() { g.sweep(ctx) })
+	g.goroutines.Go(func() { g.logServerEnd("peers", g.rpc.Serve(l)) })
+	g.goroutines.Go(func() { g.placer.Run(ctx) })
+	g.goroutines.Go(func() { g.catalog.Run(ctx) })
+	g.goroutines.Go(func() { g.pools.Run(ctx) })
+	g.goroutines.Go(func() { g.recorder.Run(ctx) })
+	g.goroutines.Go(func() { g.followCatalog(ctx) })
+	g.goroutines.Go(func() { g.closeIdleUpstream(ctx) })
 	return g, nil
 }
 
-// follow hands on what the catalog learns until ctx ends.
-func (g *Gateway) follow(ctx context.Context) {
+// followCatalog hands on what the catalog learns until ctx ends.
+func (g *Gateway) followCatalog(ctx context.Context) {
 	known := false
 	var banned map[quarantine.Identity]quarantine.Verdict
 	for {
@@ -131,7 +131,7 @@
 			}
 			if !known && s.Complete {
 				known = true
-				close(g.known)
+				close(g.poolsReady)
 				g.log.Info("ready", "version", s.Table.Version, "endpoints", len(s.Endpoints))
 			}
 		}
@@ -143,12 +143,12 @@
 	}
 }
 
-// sweepEvery is how often connections that rested for too long are closed.
-const sweepEvery = time.Second
+// idleCheckInterval is how often connections that rested for too long are closed.
+const idleCheckInterval = time.Second
 
-// sweep closes connections to endpoints that rested for too long until ctx ends.
-func (g *Gateway) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+// closeIdleUpstream closes connections to endpoints that rested for too long until ctx ends.
+func (g *Gateway) closeIdleUpstream(ctx context.Context) {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -15,13 +15,13 @@
 )
 
 func TestServe(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	t.Run("plain", func(t *testing.T) {
 		is := is.New(t)
-		g := w.ask(0, call{id: "a1", path: "/unsafe/x?q=%2F", body: "hello"})
+		g := w.send(0, request{id: "a1", path: "/unsafe/x?q=%2F", body: "hello"})
 		assertWhole(t, g)
 		is.Equal(g.body, platformtest.PlainAnswer("a1", []byte("hello")))
-		r := w.find("a1")
+		r := w.findRun("a1")
 		is.Equal(r.Target, "/unsafe/x?q=%2F")
 		is.Equal(r.Body, "hello")
 		is.Equal(r.Customer(), "c1")
@@ -30,29 +30,29 @@
 	})
 	t.Run("stream", func(t *testing.T) {
 		is := is.New(t)
-		g := w.ask(1, call{id: "a2", path: "/stream/x", tokens: 1000})
+		g := w.send(1, request{id: "a2", path: "/stream/x", tokens: 1000})
 		assertWhole(t, g)
 		is.Equal(g.body, events("a2", 10))
 	})
 	t.Run("no route", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(w.ask(0, call{id: "a3", path: "/other/"}).status, http.StatusNotFound)
+		is.Equal(w.send(0, request{id: "a3", path: "/other/"}).status, http.StatusNotFound)
 	})
 	t.Run("unknown key", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(w.ask(0, call{id: "a4", path: "/safe/", key: "stolen"}).status, http.StatusUnauthorized)
+		is.Equal(w.send(0, request{id: "a4", path: "/safe/", key: "stolen"}).status, http.StatusUnauthorized)
 		is.Equal(w.runs("a4"), 0)
 	})
 	t.Run("body too large", func(t *testing.T) {
 		is := is.New(t)
-		g := w.ask(0, call{id: "a5", path: "/safe/", body: string(make([]byte, 1<<20+1))})
+		g := w.send(0, request{id: "a5", path: "/safe/", body: string(make([]byte, 1<<20+1))})
 		is.Equal(g.status, http.StatusRequestEntityTooLarge)
 		is.Equal(w.runs("a5"), 0)
 	})
 }
 
-// find returns the only run of a request.
-func (w *world) find(id string) platformtest.Run {
+// findRun returns the only run of a request.
+func (w *cluster) findRun(id string) platformtest.Run {
 	w.t.Helper()
 	for _, e := range w.endpoints {
 		for _, r := range e.Runs() {
@@ -90,7 +90,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1)
+			w := newCluster(t, 1)
 			w.endpoints["p1"].SetFaults(row.faults)
 			if row.all {
 				w.endpoints["p2"].SetFaults(row.faults)
@@ -98,7 +98,7 @@
 			// Twice as many as endpoints, so that the faulty one is met.
 			for i := range 4 {
 				id := "r" + strconv.Itoa(i)
-				g := w.ask(0, call{id: id, path: row.path, method: method(row.path)})
+				g := w.send(0, request{id: id, path: row.path, method: method(row.path)})
 				is.NoErr(g.err)
 				is.Equal(g.status, row.status)
 				is.True(w.runs(id) <= row.runs)
@@ -117,14 +117,14 @@
 	return http.MethodPost
 }
 
-// TestStreamBreaksOff cuts streams in the middle of an event.
-func TestStreamBreaksOff(t *testing.T) {
+// TestStreamInterrupted cuts streams in the middle of an event.
+func TestStreamInterrupted(t *testing.T) {
 	t.Run("resumable", func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 1)
+		w := newCluster(t, 1)
 		w.endpoints["e1"].SetFaults(platformtest.EndpointFaults{CutAfter: 4})
 		for i := range 4 {
-			g := w.ask(0, call{id: "s" + strconv.Itoa(i), path: "/stream/", tokens: 500})
+			g := w.send(0, request{id: "s" + strconv.Itoa(i), path: "/stream/", tokens: 500})
 			assertWhole(t, g)
 			is.Equal(g.body, events("s"+strconv.Itoa(i), 10)) // each event once and in order
 		}
@@ -132,21 +132,21 @@
 	})
 	t.Run("not resumable", func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 1)
+		w := newCluster(t, 1)
 		for _, name := range []string{"e1", "e2"} {
 			w.endpoints[name].SetFaults(platformtest.EndpointFaults{CutAfter: 4})
 		}
-		g := w.ask(0, call{id: "s", path: "/once/", tokens: 500})
+		g := w.send(0, request{id: "s", path: "/once/", tokens: 500})
 		is.True(g.err != nil) // a cut answer must not look whole
 		is.Equal(w.runs("s"), 1)
 	})
 	t.Run("silent", func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 1)
+		w := newCluster(t, 1)
 		w.endpoints["e1"].SetFaults(platformtest.EndpointFaults{Silent: true})
 		w.endpoints["e2"].SetFaults(platformtest.EndpointFaults{})
 		for i := range 2 {
-			g := w.ask(0, call{id: "s" + strconv.Itoa(i), path: "/stream/", tokens: 500})
+			g := w.send(0, request{id: "s" + strconv.Itoa(i), path: "/stream/", tokens: 500})
 			assertWhole(t, g)
 			is.Equal(g.body, events("s"+strconv.Itoa(i), 10))
 		}
@@ -170,7 +170,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1)
+			w := newCluster(t, 1)
 			w.addEndpoint("e3", "engines", fastEngine())
 			w.addEndpoint("e4", "engines", fastEngine())
 			for _, name := range []string{"e1", "e2", "e3", "e4"} {
@@ -178,15 +178,15 @@
 			}
 			for i := range 3 {
 				id := "n" + strconv.Itoa(i)
-				w.ask(0, call{id: id, path: "/stream/", tokens: 500})
+				w.send(0, request{id: id, path: "/stream/", tokens: 500})
 				is.True(w.runs(id) <= row.most)
 			}
 		})
 	}
 }
 
-// TestKeyTakenAway takes a key away while instances can't learn of it.
-func TestKeyTakenAway(t *testing.T) {
+// TestKeyRevoked takes a key away while instances can't learn of it.
+func TestKeyRevoked(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		faults platformtest.StoreFaults
@@ -198,20 +198,20 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1)
-			assertWhole(t, w.ask(0, call{id: "before", path: "/safe/", key: "k2"}))
+			w := newCluster(t, 1)
+			assertWhole(t, w.send(0, request{id: "before", path: "/safe/", key: "k2"}))
 			w.store.SetFaults(row.faults)
-			w.configure("k1")
+			w.publish("k1")
 			time.Sleep(revoke)
-			g := w.ask(0, call{id: "after", path: "/safe/", key: "k2"})
+			g := w.send(0, request{id: "after", path: "/safe/", key: "k2"})
 			is.True(g.status == http.StatusUnauthorized || g.status == http.StatusServiceUnavailable)
 			is.Equal(w.runs("after"), 0)
 			w.store.SetFaults(platformtest.StoreFaults{})
 			w.await("key refused", func() bool {
-				return w.ask(0, call{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
+				return w.send(0, request{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
 			})
 			w.await("other key served", func() bool {
-				return w.ask(0, call{id: "other", path: "/safe/"}).status == http.StatusOK
+				return w.send(0, request{id: "other", path: "/safe/"}).status == http.StatusOK
 			})
 			is.Equal(w.runs("again"), 0)
 		})
@@ -223,66 +223,66 @@
 // uncertain, not as forbidden, and a key that was taken away once that is known.
 func TestKeysNotStrict(t *testing.T) {
 	is := is.New(t)
-	w := newLenientWorld(t, 1)
+	w := newLenientCluster(t, 1)
 	w.store.SetFaults(platformtest.StoreFaults{Refuse: true})
-	w.configure("k1")
+	w.publish("k1")
 	time.Sleep(revoke)
-	assertWhole(t, w.ask(0, call{id: "kept", path: "/safe/"}))
-	assertWhole(t, w.ask(0, call{id: "taken", path: "/safe/", key: "k2"}))
-	assertRefused(t, w.ask(0, call{id: "unknown key", path: "/safe/", key: "k3"}))
-	assertRefused(t, w.ask(0, call{id: "unknown route", path: "/other/"}))
+	assertWhole(t, w.send(0, request{id: "kept", path: "/safe/"}))
+	assertWhole(t, w.send(0, request{id: "taken", path: "/safe/", key: "k2"}))
+	assertRefused(t, w.send(0, request{id: "unknown key", path: "/safe/", key: "k3"}))
+	assertRefused(t, w.send(0, request{id: "unknown route", path: "/other/"}))
 	w.store.SetFaults(platformtest.StoreFaults{})
 	w.await("key refused", func() bool {
-		return w.ask(0, call{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
+		return w.send(0, request{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
 	})
-	is.Equal(w.ask(0, call{id: "no route", path: "/other/"}).status, http.StatusNotFound)
+	is.Equal(w.send(0, request{id: "no route", path: "/other/"}).status, http.StatusNotFound)
 }
 
 // TestStartWithoutStore starts an instance while the store is down.
 func TestStartWithoutStore(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	w.store.SetFaults(platformtest.StoreFaults{Refuse: true})
 	g := w.start(1)
 	time.Sleep(300 * time.Millisecond)
 	is.True(!w.ready(g))
-	assertRefused(t, w.ask(1, call{id: "early", path: "/safe/"}))
+	assertRefused(t, w.send(1, request{id: "early", path: "/safe/"}))
 	w.store.SetFaults(platformtest.StoreFaults{})
 	w.await("ready", func() bool { return w.ready(g) })
-	assertWhole(t, w.ask(1, call{id: "late", path: "/safe/"}))
+	assertWhole(t, w.send(1, request{id: "late", path: "/safe/"}))
 }
 
 // TestRequestDuringStart sends a request to an instance that can't know the
 // configuration yet, and does shortly after.
 func TestRequestDuringStart(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	w.store.SetFaults(platformtest.StoreFaults{Refuse: true})
 	w.start(1)
 	time.AfterFunc(100*time.Millisecond, func() { w.store.SetFaults(platformtest.StoreFaults{}) })
-	assertWhole(t, w.ask(1, call{id: "early", path: "/safe/"}))
+	assertWhole(t, w.send(1, request{id: "early", path: "/safe/"}))
 }
 
-// TestLeaving lets an endpoint leave.
-func TestLeaving(t *testing.T) {
+// TestEndpointLeaves lets an endpoint leave.
+func TestEndpointLeaves(t *testing.T) {
 	for _, row := range []struct {
 		name  string
-		leave func(w *world)
+		leave func(w *cluster)
 	}{
-		{"says so", func(w *world) { w.entry("p1", "plain", true) }},
-		{"entry removed", func(w *world) { w.store.Remove("p1") }},
-		{"entry removed and forgotten", func(w *world) {
+		{"says so", func(w *cluster) { w.register("p1", "plain", true) }},
+		{"entry removed", func(w *cluster) { w.store.Remove("p1") }},
+		{"entry removed and forgotten", func(w *cluster) {
 			w.store.Remove("p1")
 			w.store.Forget(platformtest.TopicEndpoints)
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1)
+			w := newCluster(t, 1)
 			row.leave(w)
-			w.awaitAll("that it leaves", func(f figures) bool { return f.Store.Departed == 1 })
+			w.awaitAll("that it leaves", func(f stats) bool { return f.Store.Departed == 1 })
 			before := len(w.endpoints["p1"].Runs())
 			for range 20 {
-				assertWhole(t, w.ask(0, call{id: "y", path: "/safe/"}))
+				assertWhole(t, w.send(0, request{id: "y", path: "/safe/"}))
 			}
 			is.Equal(len(w.endpoints["p1"].Runs()), before)
 		})
@@ -292,11 +292,11 @@
 // TestAddressReused gives an endpoint's address to another one.
 func TestAddressReused(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	w.addresses["p3"] = w.addresses["p1"]
 	w.endpoints["p1"].Instance = "q1"
 	for i := range 6 {
-		assertWhole(t, w.ask(0, call{id: "u" + strconv.Itoa(i), path: "/unsafe/"}))
+		assertWhole(t, w.send(0, request{id: "u" + strconv.Itoa(i), path: "/unsafe/"}))
 	}
 	is.Equal(len(w.endpoints["p1"].Runs()), 0)
 }
@@ -304,15 +304,15 @@
 // TestPlannedStop stops an instance with streams open.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].Events = 60
 	}
 	var wait sync.WaitGroup
-	answers := make([]got, 6)
+	answers := make([]response, 6)
 	for i := range answers {
 		wait.Go(func() {
-			answers[i] = w.ask(i%2, call{id: "t" + strconv.Itoa(i), path: "/once/", tokens: 500})
+			answers[i] = w.send(i%2, request{id: "t" + strconv.Itoa(i), path: "/once/", tokens: 500})
 		})
 	}
 	w.await("streams run", func() bool {
@@ -324,7 +324,7 @@
 		close(done)
 	}()
 	w.await("not ready", func() bool { return !w.ready(w.gateways[0]) })
-	assertWhole(t, w.ask(0, call{id: "while", path: "/safe/"}))
+	assertWhole(t, w.send(0, request{id: "while", path: "/safe/"}))
 	wait.Wait()
 	for i, g := range answers {
 		assertWhole(t, g)
@@ -333,11 +333,11 @@
 	<-done
 }
 
-// TestLateDuringStop sends streams to an instance while it stops. Each is
+// TestNewStreamsDuringStop sends streams to an instance while it stops. Each is
 // answered whole or not taken, and the instance ends with the last of them.
-func TestLateDuringStop(t *testing.T) {
+func TestNewStreamsDuringStop(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].Events = 100
 	}
@@ -349,7 +349,7 @@
 		time.Sleep(250 * time.Millisecond)
 		wait.Go(func() {
 			id := "late" + strconv.Itoa(i)
-			g := w.ask(0, call{id: id, path: "/once/", tokens: 500})
+			g := w.send(0, request{id: id, path: "/once/", tokens: 500})
 			if g.err != nil {
 				is.Equal(w.runs(id), 0)
 				return
@@ -367,10 +367,10 @@
 	is.True(time.Since(last) < time.Second)
 }
 
-// TestCallerGone gives a stream up in the middle.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnects gives a stream up in the middle.
+func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].Events = 400
 	}
@@ -398,38 +398,38 @@
 // that the memory is given back.
 func TestLargePrompt(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
-	g := w.ask(0, call{id: "big", path: "/stream/", tokens: 300_000})
+	w := newCluster(t, 1)
+	g := w.send(0, request{id: "big", path: "/stream/", tokens: 300_000})
 	assertWhole(t, g)
 	is.Equal(g.body, events("big", 10))
-	r := w.find("big")
+	r := w.findRun("big")
 	is.True(r.Readers() != "")
 	w.await("memory given back", func() bool {
 		return w.endpoints["e1"].Held()+w.endpoints["e2"].Held() == 0
 	})
 }
 
-// TestDomainEmptied empties a failure domain, with instances that read the store and that
+// TestDomainDrained empties a failure domain, with instances that read the store and that
 // follow others, and restores it.
-func TestDomainEmptied(t *testing.T) {
+func TestDomainDrained(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3)
+	w := newCluster(t, 3)
 	w.addEndpointIn("d2", "e3", "engines", fastEngine())
 	w.addEndpointIn("d2", "p3", "plain", nil)
-	w.awaitAll("all endpoints known", func(f figures) bool { return f.Store.Endpoints == 6 })
+	w.awaitAll("all endpoints known", func(f stats) bool { return f.Store.Endpoints == 6 })
 	// ask asks each instance some times, and returns how many requests ran in the domain.
 	ask := func() int {
-		before := w.ran("e1", "e2", "p1", "p2")
+		before := w.totalRuns("e1", "e2", "p1", "p2")
 		for i := range w.gateways {
 			for range 6 {
-				assertWhole(t, w.ask(i, call{id: "y", path: "/safe/"}))
-				assertWhole(t, w.ask(i, call{id: "z", path: "/stream/", tokens: 100}))
+				assertWhole(t, w.send(i, request{id: "y", path: "/safe/"}))
+				assertWhole(t, w.send(i, request{id: "z", path: "/stream/", tokens: 100}))
 			}
 		}
-		return w.ran("e1", "e2", "p1", "p2") - before
+		return w.totalRuns("e1", "e2", "p1", "p2") - before
 	}
-	emptied := func(n int) func(f figures) bool {
-		return func(f figures) bool { return len(f.Store.Following.Emptied) == n }
+	emptied := func(n int) func(f stats) bool {
+		return func(f stats) bool { return len(f.Store.Following.Drained) == n }
 	}
 	is.True(ask() > 0)
 	w.store.Empty("d1")
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -25,8 +25,8 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// world is a platform with instances of the system on it.
-type world struct {
+// cluster is a platform with instances of the system on it.
+type cluster struct {
 	t         testing.TB
 	store     *platformtest.Store
 	storeAddr string
@@ -56,23 +56,23 @@
 	}
 }
 
-// newWorld starts a store with a configuration, two engines, two plain endpoints
+// newCluster starts a store with a configuration, two engines, two plain endpoints
 // and some instances.
-func newWorld(t testing.TB, instances int) *world {
+func newCluster(t testing.TB, instances int) *cluster {
 	t.Helper()
-	return startWorld(t, instances, false)
+	return startCluster(t, instances, false)
 }
 
-// newLenientWorld starts the same with instances that serve keys on by the newest
+// newLenientCluster starts the same with instances that serve keys on by the newest
 // configuration that they know.
-func newLenientWorld(t testing.TB, instances int) *world {
+func newLenientCluster(t testing.TB, instances int) *cluster {
 	t.Helper()
-	return startWorld(t, instances, true)
+	return startCluster(t, instances, true)
 }
 
-func startWorld(t testing.TB, instances int, lenient bool) *world {
+func startCluster(t testing.TB, instances int, lenient bool) *cluster {
 	t.Helper()
-	w := &world{
+	w := &cluster{
 		t:         t,
 		lenient:   lenient,
 		store:     platformtest.NewStore(),
@@ -80,7 +80,7 @@
 		addresses: make(map[string]string),
 	}
 	w.storeAddr = serve(t, w.store)
-	w.configure("k1", "k2")
+	w.publish("k1", "k2")
 	for _, name := range []string{"e1", "e2"} {
 		w.addEndpoint(name, "engines", fastEngine())
 	}
@@ -94,7 +94,7 @@
 		w.await("ready", func() bool { return w.ready(g) })
 	}
 	// Instances that start may know of an endpoint later than the store.
-	w.awaitAll("endpoints known", func(f figures) bool { return f.Store.Endpoints == len(w.endpoints) })
+	w.awaitAll("endpoints known", func(f stats) bool { return f.Store.Endpoints == len(w.endpoints) })
 	return w
 }
 
@@ -112,12 +112,12 @@
 	return l.Addr().String()
 }
 
-func (w *world) addEndpoint(name, service string, m *batch.Model) {
+func (w *cluster) addEndpoint(name, service string, m *batch.Model) {
 	w.addEndpointIn("d1", name, service, m)
 }
 
 // addEndpointIn adds an endpoint in a failure domain.
-func (w *world) addEndpointIn(domain, name, service string, m *batch.Model) {
+func (w *cluster) addEndpointIn(domain, name, service string, m *batch.Model) {
 	e := &platformtest.Endpoint{
 		Instance: name,
 		Engine:   m,
@@ -126,16 +126,16 @@
 	}
 	w.endpoints[name] = e
 	w.addresses[name] = serve(w.t, e)
-	w.enter(name, service, domain, false)
+	w.registerIn(name, service, domain, false)
 }
 
-// entry writes the entry of an endpoint.
-func (w *world) entry(name, service string, leaving bool) {
-	w.enter(name, service, "d1", leaving)
+// register writes the register of an endpoint.
+func (w *cluster) register(name, service string, leaving bool) {
+	w.registerIn(name, service, "d1", leaving)
 }
 
-// enter writes the entry of an endpoint in a failure domain.
-func (w *world) enter(name, service, domain string, leaving bool) {
+// registerIn writes the entry of an endpoint in a failure domain.
+func (w *cluster) registerIn(name, service, domain string, leaving bool) {
 	w.store.Enter(platformtest.Entry{
 		Instance: name,
 		Service:  service,
@@ -146,8 +146,8 @@
 	})
 }
 
-// configure publishes the next version, with one customer that has the keys.
-func (w *world) configure(keys ...string) {
+// publish publishes the next version, with one customer that has the keys.
+func (w *cluster) publish(keys ...string) {
 	w.version++
 	one := func(prefix string, kind route.Kind, service string, resumable bool) route.Route {
 		return route.Route{
@@ -175,7 +175,7 @@
 	}, 1<<20, []route.Customer{{ID: "c1", Keys: keys}})
 }
 
-func (w *world) start(i int) *gateway.Gateway {
+func (w *cluster) start(i int) *gateway.Gateway {
 	strict := !w.lenient
 	f := &settings.File{
 		ID:            "node-" + strconv.Itoa(i),
@@ -209,7 +209,7 @@
 	return g
 }
 
-func (w *world) ready(g *gateway.Gateway) bool {
+func (w *cluster) ready(g *gateway.Gateway) bool {
 	res, err := http.Get("http://" + g.ReadyListen + "/ready")
 	if err != nil {
 		return false
@@ -218,28 +218,28 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// figures are some of what an instance tells on its admin address.
-type figures struct {
+// stats are some of what an instance tells on its admin address.
+type stats struct {
 	Pools      map[string]pool.Stats `json:"pools"`
 	Quarantine quarantine.Stats      `json:"quarantine"`
 	Store      struct {
 		Endpoints int `json:"endpoints"`
 		Departed  int `json:"departed"`
 		Following struct {
-			Emptied []string `json:"emptied"`
+			Drained []string `json:"emptied"`
 		} `json:"following"`
 	} `json:"store"`
 }
 
-// figures returns what an instance tells.
-func (w *world) figures(g *gateway.Gateway) figures {
+// stats returns what an instance tells.
+func (w *cluster) stats(g *gateway.Gateway) stats {
 	w.t.Helper()
 	res, err := http.Get("http://" + g.AdminListen + "/metrics")
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	defer res.Body.Close()
-	var f figures
+	var f stats
 	if err := json.NewDecoder(res.Body).Decode(&f); err != nil {
 		w.t.Fatal(err)
 	}
@@ -247,15 +247,15 @@
 }
 
 // awaitAll waits until what each instance tells is as it should be.
-func (w *world) awaitAll(what string, ok func(f figures) bool) {
+func (w *cluster) awaitAll(what string, ok func(f stats) bool) {
 	w.t.Helper()
 	for _, g := range w.gateways {
-		w.await(what, func() bool { return ok(w.figures(g)) })
+		w.await(what, func() bool { return ok(w.stats(g)) })
 	}
 }
 
 // await waits until something holds.
-func (w *world) await(what string, ok func() bool) {
+func (w *cluster) await(what string, ok func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if ok() {
@@ -265,8 +265,8 @@
 	w.t.Fatalf("not in time: %s", what)
 }
 
-// call is a request of a caller.
-type call struct {
+// request is a request of a caller.
+type request struct {
 	id     string
 	method string
 	path   string
@@ -277,8 +277,8 @@
 	wait   int
 }
 
-// got is an answer as the caller sees it.
-type got struct {
+// response is an answer as the caller sees it.
+type response struct {
 	status int
 	body   string
 	header http.Header
@@ -286,8 +286,8 @@
 	err error
 }
 
-// ask sends a request to an instance on a connection of its own.
-func (w *world) ask(i int, c call) got {
+// send sends a request to an instance on a connection of its own.
+func (w *cluster) send(i int, c request) response {
 	if c.method == "" {
 		c.method = http.MethodPost
 	}
@@ -312,13 +312,13 @@
 	}.Set(req.Header)
 	res, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return got{
+		return response{
 			err: err,
 		}
 	}
 	defer res.Body.Close()
 	data, err := io.ReadAll(res.Body)
-	return got{
+	return response{
 		status: res.StatusCode,
 		body:   string(data),
 		header: res.Header,
@@ -336,7 +336,7 @@
 }
 
 // runs returns how often the endpoints ran a request.
-func (w *world) runs(id string) int {
+func (w *cluster) runs(id string) int {
 	n := 0
 	for _, e := range w.endpoints {
 		for _, r := range e.Runs() {
@@ -348,8 +348,8 @@
 	return n
 }
 
-// ran returns how many requests some endpoints ran.
-func (w *world) ran(names ...string) int {
+// totalRuns returns how many requests some endpoints totalRuns.
+func (w *cluster) totalRuns(names ...string) int {
 	n := 0
 	for _, name := range names {
 		n += len(w.endpoints[name].Runs())
@@ -358,7 +358,7 @@
 }
 
 // assertWhole checks a whole answer with a proof of origin.
-func assertWhole(t *testing.T, g got) {
+func assertWhole(t *testing.T, g response) {
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(g.err)
@@ -370,7 +370,7 @@
 }
 
 // assertRefused checks a refusal that says when to come back.
-func assertRefused(t *testing.T, g got) {
+func assertRefused(t *testing.T, g response) {
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(g.err)
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -23,8 +23,8 @@
 	limitSlack  = 5
 )
 
-// limit makes endpoints name a rate limit.
-func (w *world) limit(rate string, names ...string) {
+// setRateLimit makes endpoints name a rate setRateLimit.
+func (w *cluster) setRateLimit(rate string, names ...string) {
 	for _, name := range names {
 		w.endpoints[name].SetFaults(platformtest.EndpointFaults{
 			Limit: rate,
@@ -32,8 +32,8 @@
 	}
 }
 
-// most returns the greatest number of arrivals in some window that ends after a moment.
-func most(arrivals []platformtest.Arrival, after time.Time, window time.Duration) int {
+// maxInWindow returns the greatest number of arrivals in some window that ends after a moment.
+func maxInWindow(arrivals []platformtest.Arrival, after time.Time, window time.Duration) int {
 	n := 0
 	for i, end := range arrivals {
 		if end.At.Before(after) {
@@ -52,12 +52,12 @@
 
 // assertLimited checks that endpoints got no more than the limit that they named at a moment
 // allows, and that each of them was still used.
-func assertLimited(t *testing.T, w *world, rate float64, named time.Time, names ...string) {
+func assertLimited(t *testing.T, w *cluster, rate float64, named time.Time, names ...string) {
 	t.Helper()
 	allowed := limitFactor*rate*limitWindow.Seconds() + limitSlack
 	for _, name := range names {
 		arrivals := w.endpoints[name].Arrivals()
-		got := most(arrivals, named.Add(limitGrace), limitWindow)
+		got := maxInWindow(arrivals, named.Add(limitGrace), limitWindow)
 		t.Logf("%s: %d requests in %v, %.0f allowed", name, got, limitWindow, allowed)
 		is.New(t).True(float64(got) <= allowed)
 		is.New(t).True(got > 0)
@@ -81,24 +81,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 3)
-			w.load("before", call{path: c.path, tokens: 500}, time.Second)
-			w.limit("1", c.limited...)
+			w := newCluster(t, 3)
+			w.load("before", request{path: c.path, tokens: 500}, time.Second)
+			w.setRateLimit("1", c.limited...)
 			named := time.Now()
-			rejected := w.load("during", call{path: c.path, tokens: 500}, 8*time.Second)
+			rejected := w.load("during", request{path: c.path, tokens: 500}, 8*time.Second)
 			assertLimited(t, w, 1, named, c.limited...)
 			if !c.none {
 				is.New(t).Equal(len(rejected), 0)
 				return
 			}
-			assertRefusedAtOnce(t, rejected)
+			assertRefusedPromptly(t, rejected)
 		})
 	}
 }
 
-// endSeenWithin is how soon after its limit has ended an endpoint must be used as before: one
+// recoverWithin is how soon after its limit has ended an endpoint must be used as before: one
 // request each second tells.
-const endSeenWithin = 2 * time.Second
+const recoverWithin = 2 * time.Second
 
 // TestRateLimitEnds looks that endpoints whose limit has ended are soon used as before.
 func TestRateLimitEnds(t *testing.T) {
@@ -112,12 +112,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 3)
-			w.limit("1", c.limited...)
-			w.load("during", call{path: c.path, tokens: 500}, 3*time.Second)
-			w.limit("", c.limited...)
-			w.load("ending", call{path: c.path, tokens: 500}, endSeenWithin)
-			is.New(t).Equal(len(w.load("after", call{path: c.path, tokens: 500}, time.Second)), 0)
+			w := newCluster(t, 3)
+			w.setRateLimit("1", c.limited...)
+			w.load("during", request{path: c.path, tokens: 500}, 3*time.Second)
+			w.setRateLimit("", c.limited...)
+			w.load("ending", request{path: c.path, tokens: 500}, recoverWithin)
+			is.New(t).Equal(len(w.load("after", request{path: c.path, tokens: 500}, time.Second)), 0)
 		})
 	}
 }
--- a/gateway/load_test.go
+++ b/gateway/load_test.go
@@ -12,43 +12,43 @@
 	"github.com/matryer/is"
 )
 
-// refusedAtOnce is how soon a caller must hear that no endpoint takes its request.
-const refusedAtOnce = 500 * time.Millisecond
+// refuseWithin is how soon a caller must hear that no endpoint takes its request.
+const refuseWithin = 500 * time.Millisecond
 
-// loadEvery is the time between two requests.
-const loadEvery = 25 * time.Millisecond
+// loadInterval is the time between two requests.
+const loadInterval = 25 * time.Millisecond
 
 // rejection is a request that was refused, with how long that took.
 type rejection struct {
-	got  got
-	took time.Duration
+	response response
+	took     time.Duration
 }
 
 // load sends requests to all instances in turn for a time, and returns those that were
 // refused.
-func (w *world) load(name string, c call, lasts time.Duration) []rejection {
+func (w *cluster) load(name string, c request, lasts time.Duration) []rejection {
 	var (
 		callers  sync.WaitGroup
 		mu       sync.Mutex
 		rejected []rejection
 	)
-	tick := time.NewTicker(loadEvery)
+	tick := time.NewTicker(loadInterval)
 	defer tick.Stop()
-	for i := range int(lasts / loadEvery) {
+	for i := range int(lasts / loadInterval) {
 		<-tick.C
 		one := c
 		one.id = fmt.Sprint(name, "-", i)
 		callers.Go(func() {
 			began := time.Now()
-			g := w.ask(i%len(w.gateways), one)
+			g := w.send(i%len(w.gateways), one)
 			if g.status == http.StatusOK {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			rejected = append(rejected, rejection{
-				got:  g,
-				took: time.Since(began),
+				response: g,
+				took:     time.Since(began),
 			})
 		})
 	}
@@ -56,11 +56,11 @@
 	return rejected
 }
 
-// assertRefusedAtOnce checks that requests were refused at once, with a time to come back.
-func assertRefusedAtOnce(t *testing.T, rejected []rejection) {
+// assertRefusedPromptly checks that requests were refused at once, with a time to come back.
+func assertRefusedPromptly(t *testing.T, rejected []rejection) {
 	t.Helper()
 	for _, r := range rejected {
-		assertRefused(t, r.got)
-		is.New(t).True(r.took < refusedAtOnce)
+		assertRefused(t, r.response)
+		is.New(t).True(r.took < refuseWithin)
 	}
 }
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -17,7 +17,7 @@
 const drainWithin = 2 * time.Second
 
 // assertNothingSince checks that endpoints got no request after a moment.
-func assertNothingSince(t *testing.T, w *world, since time.Time, names ...string) {
+func assertNothingSince(t *testing.T, w *cluster, since time.Time, names ...string) {
 	t.Helper()
 	for _, name := range names {
 		arrivals := w.endpoints[name].Arrivals()
@@ -27,9 +27,9 @@
 	}
 }
 
-// TestLeavingHeardInAnswers guards against requests to endpoints whose answers say that they
+// TestLeavingAnnouncedInAnswers guards against requests to endpoints whose answers say that they
 // leave while the store does not.
-func TestLeavingHeardInAnswers(t *testing.T) {
+func TestLeavingAnnouncedInAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		path    string
@@ -46,47 +46,47 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 3)
+			w := newCluster(t, 3)
 			for _, name := range c.leaving {
 				w.endpoints[name].SetFaults(platformtest.EndpointFaults{
 					Leaving: true,
 				})
 			}
 			began := time.Now()
-			rejected := w.load("leaving", call{path: c.path, tokens: 500}, 4*time.Second)
+			rejected := w.load("leaving", request{path: c.path, tokens: 500}, 4*time.Second)
 			assertNothingSince(t, w, began.Add(drainWithin), c.leaving...)
 			if c.none {
 				is.New(t).True(len(rejected) > 0)
 			} else {
 				is.New(t).Equal(len(rejected), 0)
 			}
-			assertRefusedAtOnce(t, rejected)
+			assertRefusedPromptly(t, rejected)
 		})
 	}
 }
 
-// TestLeavingByARejection has an endpoint say that it leaves in answers that are not passed on.
-func TestLeavingByARejection(t *testing.T) {
-	w := newWorld(t, 3)
+// TestLeavingAnnouncedInRejections has an endpoint say that it leaves in answers that are not passed on.
+func TestLeavingAnnouncedInRejections(t *testing.T) {
+	w := newCluster(t, 3)
 	w.endpoints["e1"].SetFaults(platformtest.EndpointFaults{
 		Leaving: true,
 		Reject:  true,
 	})
 	began := time.Now()
-	rejected := w.load("leaving", call{path: "/stream/a", tokens: 500}, 4*time.Second)
+	rejected := w.load("leaving", request{path: "/stream/a", tokens: 500}, 4*time.Second)
 	assertNothingSince(t, w, began.Add(drainWithin), "e1")
 	is.New(t).Equal(len(rejected), 0)
 }
 
 // The bound on requests to an endpoint that asks an instance for a back-off.
 const (
-	backoffFor   = 3 * time.Second
-	backoffGrace = 500 * time.Millisecond
-	backoffMost  = 2
+	backoffFor       = 3 * time.Second
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// ofKind returns the arrivals whose body begins with a word.
-func ofKind(arrivals []platformtest.Arrival, word string) []platformtest.Arrival {
+// withBodyPrefix returns the arrivals whose body begins with a word.
+func withBodyPrefix(arrivals []platformtest.Arrival, word string) []platformtest.Arrival {
 	var out []platformtest.Arrival
 	for _, a := range arrivals {
 		if strings.HasPrefix(a.Body, word) {
@@ -96,13 +96,13 @@
 	return out
 }
 
-// assertBacksOff checks that no more than two requests of one instance, whose bodies begin with a
+// assertBackoffKept checks that no more than two requests of one instance, whose bodies begin with a
 // word, came to an endpoint in the back-off that began with the first of them, and that some did
 // again soon after it where it is needed.
-func assertBacksOff(t *testing.T, w *world, word string, needed bool, names ...string) {
+func assertBackoffKept(t *testing.T, w *cluster, word string, needed bool, names ...string) {
 	t.Helper()
 	for _, name := range names {
-		arrivals := ofKind(w.endpoints[name].Arrivals(), word)
+		arrivals := withBodyPrefix(w.endpoints[name].Arrivals(), word)
 		if len(arrivals) == 0 {
 			t.Fatalf("%s got no request", name)
 		}
@@ -110,7 +110,7 @@
 		in := arrivedBefore(arrivals, end) - arrivedBefore(arrivals, arrivals[0].At.Add(backoffGrace))
 		after := arrivedBefore(arrivals, end.Add(time.Second)) - arrivedBefore(arrivals, end)
 		t.Logf("%s: %d requests in its back-off, %d in the second after it", name, in, after)
-		is.New(t).True(in <= backoffMost)
+		is.New(t).True(in <= maxDuringBackoff)
 		is.New(t).True(after > 0 || !needed)
 	}
 }
@@ -135,8 +135,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 1)
-			w.ask(0, call{id: "first", path: c.path, tokens: 500})
+			w := newCluster(t, 1)
+			w.send(0, request{id: "first", path: c.path, tokens: 500})
 			chosen := c.endpoints
 			if !c.all {
 				chosen = slices.DeleteFunc(slices.Clone(chosen), func(name string) bool { return len(w.endpoints[name].Arrivals()) == 0 })
@@ -147,18 +147,18 @@
 					RetryAfter: "3",
 				})
 			}
-			rejected := w.load("backoff", call{path: c.path, body: "decline", tokens: 500}, 4500*time.Millisecond)
-			assertBacksOff(t, w, "decline", c.needed, chosen...)
+			rejected := w.load("backoff", request{path: c.path, body: "decline", tokens: 500}, 4500*time.Millisecond)
+			assertBackoffKept(t, w, "decline", c.needed, chosen...)
 			is.New(t).Equal(len(rejected) > 0, c.all)
-			assertRefusedAtOnce(t, rejected)
+			assertRefusedPromptly(t, rejected)
 		})
 	}
 }
 
-// TestBackoffConcernsOneInstance looks that others go on using an endpoint that has asked one
+// TestBackoffIsPerInstance looks that others go on using an endpoint that has asked one
 // instance for a back-off.
-func TestBackoffConcernsOneInstance(t *testing.T) {
-	w := newWorld(t, 3)
+func TestBackoffIsPerInstance(t *testing.T) {
+	w := newCluster(t, 3)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].SetFaults(platformtest.EndpointFaults{
 			RejectOn:   "decline",
@@ -166,21 +166,21 @@
 		})
 	}
 	for i := range 3 {
-		w.ask(i, call{id: "warm" + string(rune('0'+i)), path: "/stream/a", tokens: 500})
+		w.send(i, request{id: "warm" + string(rune('0'+i)), path: "/stream/a", tokens: 500})
 	}
-	w.ask(0, call{id: "asked", path: "/stream/a", body: "decline", tokens: 500})
+	w.send(0, request{id: "asked", path: "/stream/a", body: "decline", tokens: 500})
 	end := time.Now().Add(backoffFor - backoffGrace)
 	for n := 0; time.Now().Before(end); n++ {
 		id := "r" + string(rune('a'+n%26)) + time.Now().Format("050000")
 		if n%3 == 0 {
 			began := time.Now()
-			g := w.ask(0, call{id: id, path: "/stream/a", body: "decline", tokens: 500})
-			assertRefusedAtOnce(t, []rejection{{got: g, took: time.Since(began)}})
+			g := w.send(0, request{id: id, path: "/stream/a", body: "decline", tokens: 500})
+			assertRefusedPromptly(t, []rejection{{response: g, took: time.Since(began)}})
 			continue
 		}
-		assertWhole(t, w.ask(n%3, call{id: id, path: "/stream/a", tokens: 500}))
+		assertWhole(t, w.send(n%3, request{id: id, path: "/stream/a", tokens: 500}))
 	}
-	declined := len(ofKind(w.endpoints["e1"].Arrivals(), "decline")) + len(ofKind(w.endpoints["e2"].Arrivals(), "decline"))
+	declined := len(withBodyPrefix(w.endpoints["e1"].Arrivals(), "decline")) + len(withBodyPrefix(w.endpoints["e2"].Arrivals(), "decline"))
 	t.Logf("%d requests of the instance that was asked", declined)
-	is.New(t).True(declined <= 2+2*backoffMost)
+	is.New(t).True(declined <= 2+2*maxDuringBackoff)
 }
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -7,9 +7,9 @@
 	"github.com/linkmast/linkmast/notice"
 )
 
-// heardAt takes over what an answer to a question or an order says of the endpoint at an
+// recordStatements takes over what an answer to a question or an order says of the endpoint at an
 // address. Where several are listed there it is not known which of them gave it.
-func (g *Gateway) heardAt(address string, s notice.Statements) {
+func (g *Gateway) recordStatements(address string, s notice.Statements) {
 	snap := g.catalog.Snapshot()
 	if snap == nil {
 		return
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -26,7 +26,7 @@
 func (g *Gateway) serve() error {
 	f := g.settings
 	g.callers = newServer(g.relay)
-	g.callers.ConnState = g.open.note
+	g.callers.ConnState = g.callerConns.handleState
 	for _, one := range []struct {
 		name    string
 		address string
@@ -34,7 +34,7 @@
 		into    *string
 	}{
 		{"callers", f.Listen, g.callers, &g.Listen},
-		{"ready", f.ReadyListen, newServer(http.HandlerFunc(g.ready)), &g.ReadyListen},
+		{"ready", f.ReadyListen, newServer(http.HandlerFunc(g.handleReady)), &g.ReadyListen},
 		{"admin", f.AdminListen, newServer(g.adminHandler()), &g.AdminListen},
 	} {
 		l, err := net.Listen("tcp", one.address)
@@ -44,7 +44,7 @@
 		}
 		*one.into = l.Addr().String()
 		g.servers = append(g.servers, one.server)
-		g.parts.Go(func() { g.ended(one.name, one.server.Serve(l)) })
+		g.goroutines.Go(func() { g.logServerEnd(one.name, one.server.Serve(l)) })
 	}
 	return nil
 }
@@ -59,15 +59,15 @@
 	}
 }
 
-// ended notes the end of a server; one that was not closed is an error.
-func (g *Gateway) ended(name string, err error) {
+// logServerEnd notes the end of a server; one that was not closed is an error.
+func (g *Gateway) logServerEnd(name string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		g.log.Error(err, "server ended", "server", name)
 	}
 }
 
-// ready answers the balancer.
-func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
+// handleReady answers the balancer.
+func (g *Gateway) handleReady(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-g.stopping:
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/gateway/pace_test.go
+++ b/gateway/slowdown_test.go
@@ -13,14 +13,14 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// poolFigures are the figures of the pool of engines on the admin address.
-type poolFigures struct {
+// engineStats are the figures of the pool of engines on the admin address.
+type engineStats struct {
 	Slow  int `json:"slow"`
 	Asked int `json:"pace_asked"`
 }
 
-// engineFigures returns them for an instance.
-func (w *world) engineFigures(i int) poolFigures {
+// engineStats returns them for an instance.
+func (w *cluster) engineStats(i int) engineStats {
 	w.t.Helper()
 	res, err := http.Get("http://" + w.gateways[i].AdminListen + "/metrics")
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	defer res.Body.Close()
 	var all struct {
-		Pools map[string]poolFigures `json:"pools"`
+		Pools map[string]engineStats `json:"pools"`
 	}
 	if err := json.NewDecoder(res.Body).Decode(&all); err != nil {
 		w.t.Fatal(err)
@@ -40,11 +40,11 @@
 // from what the engine tells.
 func TestSlowEngine(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	n := 0
 	stream := func() {
 		n++
-		g := w.ask(0, call{
+		g := w.send(0, request{
 			id:     "s" + strconv.Itoa(n),
 			path:   "/stream/",
 			tokens: 60_000,
@@ -54,7 +54,7 @@
 	slow := func(want int) func() bool {
 		return func() bool {
 			stream()
-			return w.engineFigures(0).Slow == want
+			return w.engineStats(0).Slow == want
 		}
 	}
 	stream()
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -11,9 +11,9 @@
 
 // The times of a planned stop.
 const (
-	// settle is how long the balancer may go on sending new connections: it
+	// balancerDelay is how long the balancer may go on sending new connections: it
 	// asks every second and takes an instance out after two answers.
-	settle = 2200 * time.Millisecond
+	balancerDelay = 2200 * time.Millisecond
 	// stopMargin is how long before the platform ends the process the instance
 	// ends by itself.
 	stopMargin = 700 * time.Millisecond
@@ -24,8 +24,8 @@
 // takes nothing new and ends with the last request, so that the next process is
 // there as soon as can be.
 func (g *Gateway) Stop(ctx context.Context) {
-	g.stop.Do(func() {
-		g.log.Info("stopping", "in_flight", g.relay.InFlight(), "connections", g.open.count())
+	g.stopOnce.Do(func() {
+		g.log.Info("stopping", "in_flight", g.relay.InFlight(), "connections", g.callerConns.count())
 		close(g.stopping)
 		g.relay.Stop()
 		within := time.Duration(g.settings.Times.StopWithin) - stopMargin
@@ -35,21 +35,21 @@
 		defer cancel()
 		select {
 		case <-ctx.Done():
-		case <-time.After(settle):
+		case <-time.After(balancerDelay):
 		}
 		if err := g.callers.Shutdown(ctx); err != nil {
 			g.log.Info("requests cut off by the end of the stop", "in_flight", g.relay.InFlight())
 		}
-		g.shut()
+		g.shutdown()
 	})
 	<-g.Done
 }
 
 // Close ends the instance at once.
 func (g *Gateway) Close() {
-	g.stop.Do(func() {
+	g.stopOnce.Do(func() {
 		close(g.stopping)
-		g.shut()
+		g.shutdown()
 	})
 	<-g.Done
 }
@@ -62,13 +62,13 @@
 	}
 }
 
-// shut ends all parts.
-func (g *Gateway) shut() {
+// shutdown ends all parts.
+func (g *Gateway) shutdown() {
 	defer close(g.Done)
 	g.cancel()
 	g.closeServers()
 	g.rpc.Stop()
-	g.parts.Wait()
+	g.goroutines.Wait()
 	g.peers.Close()
 	g.log.Info("stopped")
 }
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -13,37 +13,37 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// TestKeyTakenAwayInSuspension takes a key away while the machine is suspended. The first request
+// TestKeyRevokedDuringSuspension takes a key away while the machine is suspended. The first request
 // after it comes before anything can have been read.
-func TestKeyTakenAwayInSuspension(t *testing.T) {
+func TestKeyRevokedDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	m := steadytest.New(t)
-	w := newWorld(t, 1)
-	assertWhole(t, w.ask(0, call{id: "before", path: "/safe/", key: "k2"}))
+	w := newCluster(t, 1)
+	assertWhole(t, w.send(0, request{id: "before", path: "/safe/", key: "k2"}))
 	w.store.SetFaults(platformtest.StoreFaults{
 		Silent: true,
 	})
-	w.configure("k1")
+	w.publish("k1")
 	m.Suspend(2 * revoke)
-	assertRefused(t, w.ask(0, call{id: "after", path: "/safe/", key: "k2"}))
-	assertRefused(t, w.ask(0, call{id: "other", path: "/safe/"}))
+	assertRefused(t, w.send(0, request{id: "after", path: "/safe/", key: "k2"}))
+	assertRefused(t, w.send(0, request{id: "other", path: "/safe/"}))
 	is.Equal(w.runs("after"), 0)
 	w.store.SetFaults(platformtest.StoreFaults{})
 	w.await("key refused", func() bool {
-		return w.ask(0, call{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
+		return w.send(0, request{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
 	})
-	assertWhole(t, w.ask(0, call{id: "later", path: "/safe/"}))
+	assertWhole(t, w.send(0, request{id: "later", path: "/safe/"}))
 }
 
 // TestStopOverSuspension suspends the machine during a planned stop: what is left of the time that
 // the platform gives it is counted from the start of the stop.
 func TestStopOverSuspension(t *testing.T) {
 	m := steadytest.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].Events = 2000
 	}
-	go w.ask(0, call{id: "long", path: "/once/", tokens: 500, wait: 60_000})
+	go w.send(0, request{id: "long", path: "/once/", tokens: 500, wait: 60_000})
 	w.await("stream runs", func() bool { return w.endpoints["e1"].Running()+w.endpoints["e2"].Running() == 1 })
 	go w.gateways[0].Stop(t.Context())
 	time.Sleep(200 * time.Millisecond)
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -24,14 +24,14 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-func quiet(s *settings.File) {
+func disableDecisionLog(s *settings.File) {
 	no := false
 	s.LogDecisions = &no
 }
 
 func startFleet(b *testing.B, s fleet.Settings) *fleet.Fleet {
 	b.Helper()
-	s.Node = quiet
+	s.Node = disableDecisionLog
 	f, err := fleet.Start(s)
 	if err != nil {
 		b.Fatal(err)
@@ -40,9 +40,9 @@
 	return f
 }
 
-// quick is an engine without delays of its own, so that what is left is the
+// fastEngine is an engine without delays of its own, so that what is left is the
 // node's.
-func quick() standin.EngineSettings {
+func fastEngine() standin.EngineSettings {
 	return standin.EngineSettings{
 		PrefillTokensPerSecond: 1e9,
 		DecodeStep:             100 * time.Microsecond,
@@ -55,7 +55,7 @@
 	f := startFleet(b, fleet.Settings{
 		Nodes:   1,
 		Engines: 1,
-		Engine:  quick(),
+		Engine:  fastEngine(),
 	})
 	prompt := strings.Repeat("abcdefgh", 500)
 	client := wirehttp.Client()
@@ -80,7 +80,7 @@
 		direct = append(direct, time.Since(start))
 		s.Close()
 		start = time.Now()
-		body := ask(b, client, f.Nodes[0].Listen, prompt, 1)
+		body := complete(b, client, f.Nodes[0].Listen, prompt, 1)
 		var one [1]byte
 		if _, err := io.ReadFull(body, one[:]); err != nil {
 			b.Fatal(err)
@@ -89,15 +89,15 @@
 		wirehttp.Drain(body)
 	}
 	for _, q := range []float64{0.5, 0.99} {
-		d, t := at(direct, q), at(through, q)
+		d, t := quantile(direct, q), quantile(through, q)
 		b.ReportMetric(float64(d.Microseconds()), fmt.Sprintf("direct-p%g-µs", q*100))
 		b.ReportMetric(float64(t.Microseconds()), fmt.Sprintf("node-p%g-µs", q*100))
 		b.ReportMetric(float64((t - d).Microseconds()), fmt.Sprintf("added-p%g-µs", q*100))
 	}
 }
 
-// ask asks a node for a streamed completion and returns its body.
-func ask(b *testing.B, client *http.Client, address, prompt string, tokens int) io.ReadCloser {
+// complete asks a node for a streamed completion and returns its body.
+func complete(b *testing.B, client *http.Client, address, prompt string, tokens int) io.ReadCloser {
 	b.Helper()
 	data, err := json.Marshal(map[string]any{
 		"model":      fleet.Model,
@@ -125,14 +125,14 @@
 	return res.Body
 }
 
-// at returns a quantile.
-func at(d []time.Duration, q float64) time.Duration {
+// quantile returns a quantile.
+func quantile(d []time.Duration, q float64) time.Duration {
 	sorted := slices.Sorted(slices.Values(d))
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// processor returns the processor time that this process has used.
-func processor() time.Duration {
+// processorTime returns the processorTime time that this process has used.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -150,21 +150,21 @@
 			f := startFleet(b, fleet.Settings{
 				Nodes:   1,
 				Engines: 4,
-				Engine:  paced(),
+				Engine:  steadyEngine(),
 			})
 			client := wirehttp.Client()
 			var direct, through time.Duration
 			rounds := 0
 			for b.Loop() {
 				rounds++
-				start := processor()
-				together(n, func(i int) { drainEngine(b, client, f, rounds*1000+i, tokens) })
-				direct += processor() - start
-				start = processor()
-				together(n, func(i int) {
-					wirehttpDrainAll(ask(b, client, f.Nodes[0].Listen, fmt.Sprintf("prompt %d", i), tokens))
+				start := processorTime()
+				runConcurrently(n, func(i int) { drainEngine(b, client, f, rounds*1000+i, tokens) })
+				direct += processorTime() - start
+				start = processorTime()
+				runConcurrently(n, func(i int) {
+					drain(complete(b, client, f.Nodes[0].Listen, fmt.Sprintf("prompt %d", i), tokens))
 				})
-				through += processor() - start
+				through += processorTime() - start
 			}
 			all := float64(rounds * n * tokens)
 			b.ReportMetric(float64(direct.Nanoseconds())/all, "direct-cpu-ns/token")
@@ -173,15 +173,15 @@
 	}
 }
 
-// paced is an engine whose tokens come one by one.
-func paced() standin.EngineSettings {
+// steadyEngine is an engine whose tokens come one by one.
+func steadyEngine() standin.EngineSettings {
 	return standin.EngineSettings{
 		PrefillTokensPerSecond: 1e9,
 		DecodeStep:             2 * time.Millisecond,
 	}
 }
 
-func together(n int, f func(int)) {
+func runConcurrently(n int, f func(int)) {
 	var all sync.WaitGroup
 	for i := range n {
 		all.Go(func() { f(i) })
@@ -189,7 +189,7 @@
 	all.Wait()
 }
 
-func wirehttpDrainAll(body io.ReadCloser) {
+func drain(body io.ReadCloser) {
 	io.Copy(io.Discard, body)
 	body.Close()
 }
@@ -213,7 +213,7 @@
 		b.Error(err)
 		return
 	}
-	wirehttpDrainAll(res.Body)
+	drain(res.Body)
 }
 
 // BenchmarkSlopeStreamMemory reports the memory of n open streams: heap and
@@ -252,7 +252,7 @@
 					f.Engines[i%8].Engine.Cancel(context.Background(), fmt.Sprintf("direct-%d", i))
 				}
 				through = openMemory(func(c *http.Client, i int) io.Closer {
-					return ask(b, c, f.Nodes[0].Listen, fmt.Sprintf("prompt %d", i), tokens)
+					return complete(b, c, f.Nodes[0].Listen, fmt.Sprintf("prompt %d", i), tokens)
 				}, n)
 				f.WaitFree(10 * time.Second)
 			}
@@ -268,7 +268,7 @@
 	}
 	before := memory()
 	streams := make([]io.Closer, n)
-	together(n, func(i int) { streams[i] = open(client, i) })
+	runConcurrently(n, func(i int) { streams[i] = open(client, i) })
 	time.Sleep(200 * time.Millisecond)
 	after := memory()
 	for _, s := range streams {
@@ -299,9 +299,9 @@
 			const look = 3 * time.Second
 			var cpu time.Duration
 			for b.Loop() {
-				start := processor()
+				start := processorTime()
 				time.Sleep(look)
-				cpu = processor() - start
+				cpu = processorTime() - start
 			}
 			perNode := cpu.Seconds() / look.Seconds() / float64(len(f.Nodes))
 			b.ReportMetric(perNode*100, "core-percent/node")
--- a/node/follow.go
+++ b/node/follow.go
@@ -18,12 +18,12 @@
 // refreshInterval is how often everything is derived anew without a change.
 const refreshInterval = 15 * time.Second
 
-// follow derives what the instance owns, and what the entry knows, from each
+// followChanges derives what the instance owns, and what the entry knows, from each
 // change of the configuration and of the instances.
-func (n *Node) follow(ctx context.Context) {
+func (n *Node) followChanges(ctx context.Context) {
 	for {
 		members, configuration := n.member.Changed(), n.rollout.Changed()
-		n.derive()
+		n.applyChanges()
 		select {
 		case <-ctx.Done():
 			return
@@ -34,8 +34,8 @@
 	}
 }
 
-// derive sets the endpoints that the instance owns.
-func (n *Node) derive() {
+// applyChanges sets the endpoints that the instance owns.
+func (n *Node) applyChanges() {
 	v, m := n.rollout.View(), n.member.View()
 	if v == nil {
 		return
@@ -75,9 +75,9 @@
 	n.pool.CloseUnless(func(a string) bool { return known[a] })
 }
 
-// watchAll keeps a watch on every instance of the region that may own
+// watchOwners keeps a watch on every instance of the region that may own
 // endpoints, and looks at the instance's own endpoints.
-func (n *Node) watchAll(ctx context.Context) {
+func (n *Node) watchOwners(ctx context.Context) {
 	watches := make(map[string]context.CancelFunc)
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -87,7 +87,7 @@
 		}
 	}()
 	var seen *member.View
-	look := time.NewTicker(localLook)
+	look := time.NewTicker(localInterval)
 	defer look.Stop()
 	for {
 		n.entry.UpdateSummaries(n.owner.Summaries())
@@ -109,7 +109,7 @@
 			}
 			watch, cancel := context.WithCancel(ctx)
 			watches[i.ID] = cancel
-			all.Go(func() { n.watch(watch, i) })
+			all.Go(func() { n.watchInstance(watch, i) })
 		}
 		for id, cancel := range watches {
 			if !wanted[id] {
@@ -126,8 +126,8 @@
 
 // The bytes of a message with summaries, as measured: docs/CAPACITY.md.
 const (
-	watchFrame   = 29
-	watchSummary = 28
+	watchFrameBytes   = 29
+	watchSummaryBytes = 28
 )
 
 // watchInterval returns how often one of the watched owners tells of its
@@ -140,25 +140,25 @@
 	}
 	nodes := max(len(m.Nodes), 1)
 	watched := min(nodes-1, maxWatched)
-	bytes := watched * (watchFrame + watchSummary*len(v.File.Endpoints)/nodes)
+	bytes := watched * (watchFrameBytes + watchSummaryBytes*len(v.File.Endpoints)/nodes)
 	return max(set, time.Duration(bytes)*time.Second/time.Duration(n.settings.Times.WatchBytesPerSecond))
 }
 
 // The times of watches.
 const (
-	// localLook is how often the instance's own endpoints are looked at.
-	localLook = 20 * time.Millisecond
-	// watchRetry is when a watch that broke is tried again.
-	watchRetry = 300 * time.Millisecond
+	// localInterval is how often the instance's own endpoints are looked at.
+	localInterval = 20 * time.Millisecond
+	// watchRetryDelay is when a watch that broke is tried again.
+	watchRetryDelay = 300 * time.Millisecond
 )
 
-// watch takes over the summaries of one instance until ctx ends.
-func (n *Node) watch(ctx context.Context, i instances.Instance) {
+// watchInstance takes over the summaries of one instance until ctx ends.
+func (n *Node) watchInstance(ctx context.Context, i instances.Instance) {
 	for ctx.Err() == nil {
 		n.watchOnce(ctx, i)
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry):
+		case <-time.After(watchRetryDelay):
 		}
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -68,33 +68,33 @@
 	writer     *claim.Writer
 	claimer    *claim.Claimer
 	lender     *limit.Lender
-	// book has the requests that crash endpoints, and sharing tells other instances of them.
-	book     *quarantine.Registry
-	sharing  *quarantine.PeerGuard
-	borrower *limit.Borrower
+	// quarantine has the requests that crash endpoints, and sharing tells other instances of them.
+	quarantine *quarantine.Registry
+	peerGuard  *quarantine.PeerGuard
+	borrower   *limit.Borrower
 
 	callers *http.Server
 	admin   *http.Server
 	rpc     *grpc.Server
 	// closing ends the streams of watchers.
-	closing chan struct{}
-	cancel  context.CancelFunc
-	parts   sync.WaitGroup
-	stop    sync.Once
+	closing    chan struct{}
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	stopOnce   sync.Once
 }
 
-// endpoints makes the adapters to endpoints over one HTTP client.
-type endpoints struct {
+// endpointClients makes the adapters to endpointClients over one HTTP client.
+type endpointClients struct {
 	client *http.Client
 }
 
 // Engine implements owner.Endpoints.
-func (e *endpoints) Engine(address string) engine.Client {
+func (e *endpointClients) Engine(address string) engine.Client {
 	return engine.NewHTTP(e.client, address)
 }
 
 // Plain implements owner.Endpoints.
-func (e *endpoints) Plain(address string) plain.Client {
+func (e *endpointClients) Plain(address string) plain.Client {
 	return plain.NewHTTP(e.client, address)
 }
 
@@ -136,7 +136,7 @@
 
 // New starts a node. Stop ends it as planned, Close at once.
 func New(f *settings.File, log logr.Logger) (*Node, error) {
-	client, server, err := transport(f.TLS)
+	client, server, err := transportCredentials(f.TLS)
 	if err != nil {
 		return nil, err
 	}
@@ -169,9 +169,9 @@
 	}
 	n.assemble()
 	n.serve(l, server)
-	n.parts.Go(func() { n.follow(ctx) })
-	n.parts.Go(func() { n.sharing.Run(ctx) })
-	n.parts.Go(func() { n.watchAll(ctx) })
+	n.goroutines.Go(func() { n.followChanges(ctx) })
+	n.goroutines.Go(func() { n.peerGuard.Run(ctx) })
+	n.goroutines.Go(func() { n.watchOwners(ctx) })
 	return n, nil
 }
 
@@ -199,16 +199,16 @@
 		ProbeInterval: time.Duration(f.Times.Probe),
 	}, instances.NewHTTP(client, f.Platform.Instances), member.NewRPC(n.pool), n.Generation, n.log.WithName("member"))
 	n.writer = claim.NewWriter(claim.Settings{}, log)
-	n.claimer = claim.NewClaimer(n.peers.route)
+	n.claimer = claim.NewClaimer(n.peers.claimServices)
 	n.lender = limit.NewLender(0)
 	n.borrower = limit.NewBorrower(f.ID, n.peers)
 	n.rollout = rollout.New(rollout.Settings{
 		RepeatAfter: time.Duration(f.Times.RepeatConfiguration),
 	}, log, n.peers, n.log.WithName("rollout"))
 	n.generation.Store(n.rollout)
-	n.book = quarantine.New(steady.Now, n.peers.turn, n.log.WithName("quarantine"))
-	n.sharing = quarantine.NewPeerGuard(n.book, n.peers, n.log.WithName("quarantine"))
-	adapters := &endpoints{
+	n.quarantine = quarantine.New(steady.Now, n.peers.retestTurn, n.log.WithName("quarantine"))
+	n.peerGuard = quarantine.NewPeerGuard(n.quarantine, n.peers, n.log.WithName("quarantine"))
+	adapters := &endpointClients{
 		client: client,
 	}
 	n.entry = entry.New(entry.Settings{
@@ -222,7 +222,7 @@
 		Endpoints:     adapters,
 		Claimer:       n.claimer,
 		Borrower:      n.borrower,
-		Quarantine:    n.sharing,
+		Quarantine:    n.peerGuard,
 		Check:         tcp.Check,
 		Attach:        entry.NewRemote(n.peers),
 		Log:           decisions.WithName("entry"),
@@ -231,12 +231,12 @@
 		Strategy:      strategy,
 		SweepInterval: time.Duration(f.Times.Sweep),
 		ConfirmAfter:  time.Duration(f.Times.Confirm),
-	}, adapters, n.peers, n.orders(client, log), decisions.WithName("owner"))
+	}, adapters, n.peers, n.newReconciler(client, log), decisions.WithName("owner"))
 }
 
-// orders returns what brings endpoints to their desired states, or nil when no
+// newReconciler returns what brings endpoints to their desired states, or nil when no
 // weight store is set.
-func (n *Node) orders(client *http.Client, log logsvc.Log) *order.Reconciler {
+func (n *Node) newReconciler(client *http.Client, log logsvc.Log) *order.Reconciler {
 	if n.settings.Platform.Weights == "" {
 		return nil
 	}
@@ -264,8 +264,8 @@
 // serve starts the servers.
 func (n *Node) serve(l *listeners, creds credentials.TransportCredentials) {
 	opts := []grpc.ServerOption{
-		grpc.ReadBufferSize(rpcBuffer),
-		grpc.WriteBufferSize(rpcBuffer),
+		grpc.ReadBufferSize(rpcBufferBytes),
+		grpc.WriteBufferSize(rpcBufferBytes),
 		grpc.MaxRecvMsgSize(config.MaxBytes * 2),
 	}
 	if creds != nil {
@@ -278,19 +278,19 @@
 	ownerpb.RegisterHolderServer(n.rpc, n.entry.Registry)
 	claimpb.RegisterClaimsServer(n.rpc, claim.NewServer(n.writer))
 	claimpb.RegisterAnswersServer(n.rpc, n.entry.Answers)
-	quarantinepb.RegisterQuarantineServer(n.rpc, quarantine.NewServer(n.book))
-	limitpb.RegisterLenderServer(n.rpc, limit.NewServer(n.lender, n.bounds))
-	n.callers = server(n.entry.Handler())
-	n.admin = server(n.adminHandler())
-	n.parts.Go(func() { n.ended("peers", n.rpc.Serve(l.peers)) })
-	n.parts.Go(func() { n.ended("callers", n.callers.Serve(l.callers)) })
-	n.parts.Go(func() { n.ended("admin", n.admin.Serve(l.admin)) })
+	quarantinepb.RegisterQuarantineServer(n.rpc, quarantine.NewServer(n.quarantine))
+	limitpb.RegisterLenderServer(n.rpc, limit.NewServer(n.lender, n.quota))
+	n.callers = newServer(n.entry.Handler())
+	n.admin = newServer(n.adminHandler())
+	n.goroutines.Go(func() { n.logServerEnd("peers", n.rpc.Serve(l.peers)) })
+	n.goroutines.Go(func() { n.logServerEnd("callers", n.callers.Serve(l.callers)) })
+	n.goroutines.Go(func() { n.logServerEnd("admin", n.admin.Serve(l.admin)) })
 }
 
-// rpcBuffer is the buffer of each direction of a connection between instances.
-const rpcBuffer = 16 << 10
+// rpcBufferBytes is the buffer of each direction of a connection between instances.
+const rpcBufferBytes = 16 << 10
 
-func server(h http.Handler) *http.Server {
+func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
@@ -299,8 +299,8 @@
 	}
 }
 
-// ended notes why a server ended.
-func (n *Node) ended(name string, err error) {
+// logServerEnd notes why a server logServerEnd.
+func (n *Node) logServerEnd(name string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		n.log.Error(err, "server ended", "server", name)
 	}
@@ -314,8 +314,8 @@
 	return 0
 }
 
-// bounds returns a customer's limits under the configuration in force.
-func (n *Node) bounds(customer string) (limit.Quota, bool) {
+// quota returns a customer's limits under the configuration in force.
+func (n *Node) quota(customer string) (limit.Quota, bool) {
 	v := n.rollout.View()
 	if v == nil {
 		return limit.Quota{}, false
--- a/node/peers.go
+++ b/node/peers.go
@@ -28,8 +28,8 @@
 // readersPerDomain is how many instances of each failure domain read the log.
 const readersPerDomain = 2
 
-// claimWriters is how many instances are tried to write a claim.
-const claimWriters = 2
+// claimWriterCount is how many instances are tried to write a claim.
+const claimWriterCount = 2
 
 // peers reaches the other instances, or this one's own parts.
 type peers struct {
@@ -154,10 +154,10 @@
 	return len(p.view().Nodes)
 }
 
-// route returns the instances that may write a partition's claims.
-func (p *peers) route(partition int) []claim.Service {
+// claimServices returns the instances that may write a partition's claims.
+func (p *peers) claimServices(partition int) []claim.Service {
 	var out []claim.Service
-	for _, i := range p.view().Ranked(claim.StreamName(partition), claimWriters) {
+	for _, i := range p.view().Ranked(claim.StreamName(partition), claimWriterCount) {
 		if i.ID == p.self.ID {
 			out = append(out, p.local.writer)
 			continue
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -11,8 +11,8 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// crashCounters is how many instances count the crashes of a request: one may end.
-const crashCounters = 2
+// countingInstances is how many instances count the crashes of a request: one may end.
+const countingInstances = 2
 
 // crashKey is what the order of instances is made from that count the crashes of an identity,
 // and that let a request run again after its ban.
@@ -22,11 +22,11 @@
 
 // CountingInstances implements quarantine.Peers.
 func (p *peers) CountingInstances(id quarantine.Identity) []string {
-	return idsOf(p.view().Ranked(crashKey(id), crashCounters))
+	return idsOf(p.view().Ranked(crashKey(id), countingInstances))
 }
 
-// turn returns the place of this instance in showing whether a request still crashes endpoints.
-func (p *peers) turn(id quarantine.Identity) quarantine.RetestTurn {
+// retestTurn returns the place of this instance in showing whether a request still crashes endpoints.
+func (p *peers) retestTurn(id quarantine.Identity) quarantine.RetestTurn {
 	v := p.view()
 	return quarantine.RetestTurn{
 		Position:  max(slices.Index(idsOf(v.Ranked(crashKey(id), len(v.Nodes))), p.self.ID), 0),
--- a/node/stop.go
+++ b/node/stop.go
@@ -13,11 +13,11 @@
 // flight run to their end. It returns when the node has stopped, or, with what
 // is left cut off, when ctx ends.
 func (n *Node) Stop(ctx context.Context) {
-	n.stop.Do(func() {
+	n.stopOnce.Do(func() {
 		n.log.Info("stopping", "in_flight", n.entry.InFlight())
 		n.entry.Stop()
 		n.member.Stop()
-		wait(ctx, time.Duration(n.settings.Times.Drain))
+		sleep(ctx, time.Duration(n.settings.Times.Drain))
 		within, cancel := context.WithTimeout(ctx, time.Duration(n.settings.Times.StopWithin))
 		defer cancel()
 		if err := n.callers.Shutdown(within); err != nil {
@@ -26,13 +26,13 @@
 		if err := n.entry.Wait(within); err != nil {
 			n.log.Info("errands left", "in_flight", n.entry.InFlight())
 		}
-		n.freeClaims(within)
-		n.shut()
+		n.awaitFreedClaims(within)
+		n.shutdown()
 	})
 	<-n.Done
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -41,16 +41,16 @@
 
 // The wait for claims that were given up to be freed.
 const (
-	freeWait = 5 * time.Second
-	freeLook = 50 * time.Millisecond
+	claimFreeTimeout  = 5 * time.Second
+	claimPollInterval = 50 * time.Millisecond
 )
 
-// freeClaims waits a little for the claims that were given up.
-func (n *Node) freeClaims(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, freeWait)
+// awaitFreedClaims waits a little for the claims that were given up.
+func (n *Node) awaitFreedClaims(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, claimFreeTimeout)
 	defer cancel()
 	for n.claimer.Pending() > 0 && ctx.Err() == nil {
-		wait(ctx, freeLook)
+		sleep(ctx, claimPollInterval)
 	}
 	if left := n.claimer.Pending(); left > 0 {
 		n.log.Info("claims not freed; their keys stay taken until they end", "claims", left)
@@ -59,12 +59,12 @@
 
 // Close ends the node at once, as a test's stand-in for its death.
 func (n *Node) Close() {
-	n.stop.Do(n.shut)
+	n.stopOnce.Do(n.shutdown)
 	<-n.Done
 }
 
-// shut ends all parts.
-func (n *Node) shut() {
+// shutdown ends all parts.
+func (n *Node) shutdown() {
 	defer close(n.Done)
 	close(n.closing)
 	n.cancel()
@@ -72,7 +72,7 @@
 	_ = n.callers.Close()
 	_ = n.admin.Close()
 	n.rpc.Stop()
-	n.parts.Wait()
+	n.goroutines.Wait()
 	n.claimer.Close()
 	n.borrower.Close()
 	n.writer.Close()
--- a/node/tls.go
+++ b/node/tls.go
@@ -13,10 +13,10 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// transport returns the credentials for both directions of connections between
+// transportCredentials returns the credentials for both directions of connections between
 // instances; nil without key files. Each side checks that the other's
 // certificate was signed by the authorities, and the name or address in it.
-func transport(t settings.TLS) (client, server credentials.TransportCredentials, err error) {
+func transportCredentials(t settings.TLS) (client, server credentials.TransportCredentials, err error) {
 	if t == (settings.TLS{}) {
 		return nil, nil, nil
 	}
--- a/node/wire_test.go
+++ b/node/wire_test.go
@@ -19,20 +19,20 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// counted is a connection that counts its bytes in both directions.
-type counted struct {
+// countingConn is a connection that counts its bytes in both directions.
+type countingConn struct {
 	net.Conn
 
 	n *atomic.Int64
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.n.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.n.Add(int64(n))
 	return n, err
@@ -50,7 +50,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &counted{
+			return &countingConn{
 				Conn: conn,
 				n:    n,
 			}, nil
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/linkmast/linkmast/internal/zdelta"
 )
 
-// file returns a configuration with n endpoints, in which one figure of one
+// configText returns a configuration with n endpoints, in which one figure of one
 // endpoint depends on version.
-func file(n, version int) []byte {
+func configText(n, version int) []byte {
 	var b strings.Builder
 	b.WriteString("format = 1\n[[regions]]\nid = \"r1\"\n")
 	for d := range 12 {
@@ -44,7 +44,7 @@
 func BenchmarkSlopeParse(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			text := file(n, 0)
+			text := configText(n, 0)
 			for b.Loop() {
 				if _, err := config.Parse(text); err != nil {
 					b.Fatal(err)
@@ -58,7 +58,7 @@
 func BenchmarkSlopeDelta(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			old, text := file(n, 0), file(n, 7)
+			old, text := configText(n, 0), configText(n, 7)
 			var delta []byte
 			for b.Loop() {
 				var err error
@@ -79,7 +79,7 @@
 func BenchmarkSlopeUndelta(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			old, text := file(n, 0), file(n, 7)
+			old, text := configText(n, 0), configText(n, 7)
 			delta, err := zdelta.Pack(text, old)
 			if err != nil {
 				b.Fatal(err)
@@ -96,7 +96,7 @@
 func BenchmarkSlopeViewMemory(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			text := file(n, 0)
+			text := configText(n, 0)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
--- a/rollout/judge.go
+++ b/rollout/evaluator.go
@@ -65,16 +65,16 @@
 	Written time.Time
 }
 
-// Judge follows the configuration's stream. The zero value starts before the
+// Evaluator follows the configuration's stream. The zero value starts before the
 // first record.
-type Judge struct {
+type Evaluator struct {
 	// InForce is the configuration in force.
 	InForce State
 	// Next is the offset to read next; zero means from the start.
 	Next int64
 
-	// unsure is true when records were missed.
-	unsure bool
+	// uncertain is true when records were missed.
+	uncertain bool
 	// pending are publications that depend on missed records.
 	pending []pending
 }
@@ -86,46 +86,46 @@
 	state    State
 }
 
-// Sure states whether every record up to Next was judged.
-func (j *Judge) Sure() bool {
-	return !j.unsure
+// Certain states whether every record up to Next was judged.
+func (e *Evaluator) Certain() bool {
+	return !e.uncertain
 }
 
-// Skip takes over what a peer has judged up to an offset.
-func (j *Judge) Skip(s State, next int64, sure bool) {
-	if s.Generation > j.InForce.Generation {
-		j.InForce = s
+// Adopt takes over what a peer has judged up to an offset.
+func (e *Evaluator) Adopt(s State, next int64, sure bool) {
+	if s.Generation > e.InForce.Generation {
+		e.InForce = s
 	}
-	if next > j.Next {
-		j.Next = next
-		j.unsure = !sure
-		j.pending = nil
+	if next > e.Next {
+		e.Next = next
+		e.uncertain = !sure
+		e.pending = nil
 	}
 }
 
 // Apply judges the records of a batch that are due, in order.
-func (j *Judge) Apply(b logsvc.Batch) []Verdict {
-	if j.Next == 0 {
-		j.Next = 1
+func (e *Evaluator) Apply(b logsvc.Batch) []Verdict {
+	if e.Next == 0 {
+		e.Next = 1
 	}
-	if b.Earliest > j.Next {
-		j.unsure = true
-		j.pending = nil
-		j.Next = b.Earliest
+	if b.Earliest > e.Next {
+		e.uncertain = true
+		e.pending = nil
+		e.Next = b.Earliest
 	}
 	var out []Verdict
 	for _, r := range b.Records {
-		if r.Offset != j.Next {
+		if r.Offset != e.Next {
 			continue
 		}
-		out = append(out, j.one(r))
-		j.Next++
+		out = append(out, e.evaluate(r))
+		e.Next++
 	}
 	return out
 }
 
-// one judges one record.
-func (j *Judge) one(r logsvc.Record) Verdict {
+// evaluate judges evaluate record.
+func (e *Evaluator) evaluate(r logsvc.Record) Verdict {
 	v := Verdict{
 		Offset: r.Offset,
 	}
@@ -136,27 +136,27 @@
 	v.ID = rec.Id
 	v.Operator = rec.Operator
 	if rec.Format != config.Format {
-		j.unsure = true
+		e.uncertain = true
 		return v.with(Unjudged, "format is not known to this version")
 	}
 	var base []byte
 	if rec.Delta {
 		switch {
-		case j.unsure:
+		case e.uncertain:
 			return v.with(Unjudged, "is a change of a file that is not known for sure")
-		case rec.Replaces != j.InForce.Generation || rec.Repeats > 0:
+		case rec.Replaces != e.InForce.Generation || rec.Repeats > 0:
 			return v.with(Overtaken, "another generation is in force")
 		}
-		base = j.InForce.Text
+		base = e.InForce.Text
 	}
-	state, err := open(&rec, base)
+	state, err := decode(&rec, base)
 	if err != nil {
 		return v.with(Invalid, err.Error())
 	}
 	if rec.Repeats > 0 {
-		return j.repeat(v, &rec, state)
+		return e.evaluateRepeat(v, &rec, state)
 	}
-	return j.publication(v, &rec, state)
+	return e.evaluatePublication(v, &rec, state)
 }
 
 func (v Verdict) with(o Outcome, reason string) Verdict {
@@ -165,60 +165,60 @@
 	return v
 }
 
-// repeat judges a record that carries an accepted generation.
-func (j *Judge) repeat(v Verdict, rec *rolloutpb.Record, s State) Verdict {
+// evaluateRepeat judges a record that carries an accepted generation.
+func (e *Evaluator) evaluateRepeat(v Verdict, rec *rolloutpb.Record, s State) Verdict {
 	switch {
 	case rec.Repeats >= v.Offset:
 		return v.with(Invalid, "repeats a record that stands behind it")
-	case rec.Repeats < j.InForce.Generation:
+	case rec.Repeats < e.InForce.Generation:
 		return v.with(Stale, "a newer generation is in force")
-	case !j.unsure && rec.Repeats > j.InForce.Generation:
+	case !e.uncertain && rec.Repeats > e.InForce.Generation:
 		return v.with(Invalid, "repeats a record that was not accepted")
 	}
 	s.Generation = rec.Repeats
-	j.InForce = s
-	if j.unsure {
-		j.resolve()
+	e.InForce = s
+	if e.uncertain {
+		e.resolvePending()
 	}
 	return v.with(Repeated, "")
 }
 
-// resolve judges what had to wait for a record that names the generation in
+// resolvePending judges what had to wait for a record that names the generation in
 // force.
-func (j *Judge) resolve() {
-	waiting := j.pending
-	j.pending = nil
-	j.unsure = false
+func (e *Evaluator) resolvePending() {
+	waiting := e.pending
+	e.pending = nil
+	e.uncertain = false
 	for _, p := range waiting {
-		if p.offset > j.InForce.Generation && p.replaces == j.InForce.Generation {
-			j.InForce = p.state
+		if p.offset > e.InForce.Generation && p.replaces == e.InForce.Generation {
+			e.InForce = p.state
 		}
 	}
 }
 
-// publication judges a new file.
-func (j *Judge) publication(v Verdict, rec *rolloutpb.Record, s State) Verdict {
+// evaluatePublication judges a new file.
+func (e *Evaluator) evaluatePublication(v Verdict, rec *rolloutpb.Record, s State) Verdict {
 	s.Generation = v.Offset
 	switch {
 	case rec.Replaces == 0:
-		j.unsure = false
-		j.pending = nil
-	case j.unsure:
-		j.pending = append(j.pending, pending{
+		e.uncertain = false
+		e.pending = nil
+	case e.uncertain:
+		e.pending = append(e.pending, pending{
 			offset:   v.Offset,
 			replaces: rec.Replaces,
 			state:    s,
 		})
 		return v.with(Unjudged, "depends on records that are no longer kept")
-	case rec.Replaces != j.InForce.Generation:
+	case rec.Replaces != e.InForce.Generation:
 		return v.with(Overtaken, "another generation is in force")
 	}
-	j.InForce = s
+	e.InForce = s
 	return v.with(Accepted, "")
 }
 
-// open reads the file of a record; base is the file that a delta is against.
-func open(rec *rolloutpb.Record, base []byte) (State, error) {
+// decode reads the file of a record; base is the file that a delta is against.
+func decode(rec *rolloutpb.Record, base []byte) (State, error) {
 	text, err := zdelta.Unpack(rec.Body, base)
 	if err != nil {
 		return State{}, errors.Wrap(err, "unpack")
--- a/rollout/judge_test.go
+++ b/rollout/evaluator_test.go
@@ -25,9 +25,9 @@
 	replaces, format, sum := rec.Replaces, rec.Format, rec.Sha256
 	var base []byte
 	if rec.Delta {
-		base = file(1, baseVersion(rec))
+		base = configText(1, baseVersion(rec))
 	}
-	data, err := encode(file(1, version), base, rec)
+	data, err := encode(configText(1, version), base, rec)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,13 +72,13 @@
 	}
 }
 
-func odd(change func(*rolloutpb.Record)) func(testing.TB) []byte {
+func altered(change func(*rolloutpb.Record)) func(testing.TB) []byte {
 	return func(t testing.TB) []byte {
 		return record(t, 99, change)
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestEvaluator(t *testing.T) {
 	raw := func(testing.TB) []byte { return []byte("no record") }
 	for _, c := range []struct {
 		name     string
@@ -102,7 +102,7 @@
 		{"delta", 1, list(publication(1, 0), delta(2, 1), delta(3, 2)), "accepted accepted accepted", 3},
 		{"deltas race", 1, list(publication(1, 0), delta(2, 1), delta(3, 1)), "accepted accepted overtaken", 2},
 		{"delta of what is not in force", 1, list(publication(1, 0), delta(2, 7)), "accepted overtaken", 1},
-		{"delta with a wrong hash", 1, list(publication(1, 0), odd(func(r *rolloutpb.Record) {
+		{"delta with a wrong hash", 1, list(publication(1, 0), altered(func(r *rolloutpb.Record) {
 			r.Replaces = 1
 			r.Delta = true
 			r.Sha256 = make([]byte, 32)
@@ -110,12 +110,12 @@
 		{"delta before its base is known", 10, list(delta(2, 4), repeat(4, 4), delta(5, 4)),
 			"unjudged repeated accepted", 12},
 		{"malformed", 1, list(raw, publication(1, 0)), "invalid accepted", 2},
-		{"wrong hash", 1, list(publication(1, 0), odd(func(r *rolloutpb.Record) { r.Sha256 = make([]byte, 32) })),
+		{"wrong hash", 1, list(publication(1, 0), altered(func(r *rolloutpb.Record) { r.Sha256 = make([]byte, 32) })),
 			"accepted invalid", 1},
-		{"other format", 1, list(publication(1, 0), odd(func(r *rolloutpb.Record) { r.Format = 2 }), publication(2, 1)),
+		{"other format", 1, list(publication(1, 0), altered(func(r *rolloutpb.Record) { r.Format = 2 }), publication(2, 1)),
 			"accepted unjudged unjudged", 1},
 		{"other format, then a whole answer", 1, list(publication(1, 0),
-			odd(func(r *rolloutpb.Record) { r.Format = 2 }), publication(2, 1), repeat(2, 3)),
+			altered(func(r *rolloutpb.Record) { r.Format = 2 }), publication(2, 1), repeat(2, 3)),
 			"accepted unjudged unjudged repeated", 3},
 		{"start in the middle", 10, list(repeat(1, 4), publication(2, 4)), "repeated accepted", 11},
 		{"start in the middle, base trimmed", 10, list(publication(2, 4), repeat(2, 10)), "unjudged repeated", 10},
@@ -126,7 +126,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			j := &Judge{}
+			j := &Evaluator{}
 			b := logsvc.Batch{
 				Earliest: c.earliest,
 				Next:     c.earliest + int64(len(c.records)),
@@ -149,11 +149,11 @@
 
 func list(r ...func(testing.TB) []byte) []func(testing.TB) []byte { return r }
 
-// TestJudgesAgree compares the verdicts of a reader from the start with those
+// TestEvaluatorsAgree compares the verdicts of a reader from the start with those
 // of a naive replay of the rules, and with readers that start in the middle or
 // take over from a peer: all must end with the same configuration in force, or
 // know that they can't tell.
-func TestJudgesAgree(t *testing.T) {
+func TestEvaluatorsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 10).Draw(t, "records")
 		var records []logsvc.Record
@@ -179,7 +179,7 @@
 				inForce = offset
 			}
 		}
-		whole := &Judge{}
+		whole := &Evaluator{}
 		whole.Apply(logsvc.Batch{
 			Earliest: 1,
 			Next:     int64(n + 1),
@@ -189,14 +189,14 @@
 			t.Fatalf("generation %d is in force, the naive rules say %d", whole.InForce.Generation, inForce)
 		}
 		cut := rapid.IntRange(0, n).Draw(t, "cut")
-		first := &Judge{}
+		first := &Evaluator{}
 		first.Apply(logsvc.Batch{
 			Earliest: 1,
 			Next:     int64(cut + 1),
 			Records:  records[:cut],
 		})
-		second := &Judge{}
-		second.Skip(first.InForce, first.Next, first.Sure())
+		second := &Evaluator{}
+		second.Adopt(first.InForce, first.Next, first.Certain())
 		second.Apply(logsvc.Batch{
 			Earliest: 1,
 			Next:     int64(n + 1),
--- a/rollout/grpc.go
+++ b/rollout/grpc.go
@@ -24,5 +24,5 @@
 
 // Pull implements rolloutpb.RolloutServer.
 func (s *Server) Pull(_ context.Context, in *rolloutpb.PullRequest) (*rolloutpb.PullReply, error) {
-	return s.rollout.Answer(in)
+	return s.rollout.HandlePull(in)
 }
--- a/rollout/publish.go
+++ b/rollout/publish.go
@@ -32,9 +32,9 @@
 	Base []byte
 }
 
-// settleWait is how long to wait before reading again when the effect of an
+// rereadDelay is how long to wait before reading again when the effect of an
 // append is unknown.
-const settleWait = 200 * time.Millisecond
+const rereadDelay = 200 * time.Millisecond
 
 // Publish checks a file, appends it, and returns its verdict. An answer that
 // was lost is settled by reading; when that fails too, the error says that the
@@ -70,7 +70,7 @@
 		select {
 		case <-ctx.Done():
 			return Verdict{}, errors.Wrap(err, "outcome unknown, look up publication "+p.ID)
-		case <-time.After(settleWait):
+		case <-time.After(rereadDelay):
 		}
 	}
 }
@@ -90,8 +90,8 @@
 }
 
 // Replay judges the whole stream as it is kept now.
-func Replay(ctx context.Context, log logsvc.Log) (*Judge, []Verdict, error) {
-	j := &Judge{}
+func Replay(ctx context.Context, log logsvc.Log) (*Evaluator, []Verdict, error) {
+	j := &Evaluator{}
 	var all []Verdict
 	for {
 		b, err := log.Read(ctx, Stream, max(j.Next, 1), 0)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -44,8 +44,8 @@
 	defaultCall   = 2 * time.Second
 )
 
-// keptTexts is how many files are kept to make deltas against.
-const keptTexts = 4
+// maxBases is how many files are kept to make deltas against.
+const maxBases = 4
 
 // readSlack is how much longer than its wait a read of the log may take.
 const readSlack = 2 * time.Second
@@ -80,8 +80,8 @@
 	Repeater() bool
 }
 
-// kept is a file that deltas can be made against.
-type kept struct {
+// baseText is a file that deltas can be made against.
+type baseText struct {
 	sum  [sha256.Size]byte
 	text []byte
 }
@@ -98,13 +98,13 @@
 	cancel   context.CancelFunc
 	view     atomic.Pointer[config.View]
 
-	mu      sync.Mutex
-	judge   Judge
-	sum     [sha256.Size]byte
-	texts   []kept
-	deltas  map[[sha256.Size]byte][]byte
-	heard   time.Time
-	changed chan struct{}
+	mu          sync.Mutex
+	evaluator   Evaluator
+	sum         [sha256.Size]byte
+	bases       []baseText
+	deltas      map[[sha256.Size]byte][]byte
+	lastContact time.Time
+	changed     chan struct{}
 }
 
 // New starts a rollout. Close ends it.
@@ -154,7 +154,7 @@
 func (r *Rollout) Text() ([]byte, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.judge.InForce.Text, r.judge.InForce.Generation
+	return r.evaluator.InForce.Text, r.evaluator.InForce.Generation
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -190,13 +190,13 @@
 func (r *Rollout) stale() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return steady.Since(r.heard) > r.settings.StaleAfter
+	return steady.Since(r.lastContact) > r.settings.StaleAfter
 }
 
 // read takes over the next records of the log.
 func (r *Rollout) read(ctx context.Context) error {
 	r.mu.Lock()
-	next := max(r.judge.Next, 1)
+	next := max(r.evaluator.Next, 1)
 	r.mu.Unlock()
 	call, cancel := context.WithTimeout(ctx, r.settings.ReadWait+readSlack)
 	defer cancel()
@@ -206,33 +206,33 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard = steady.Now()
-	for _, v := range r.judge.Apply(b) {
+	r.lastContact = steady.Now()
+	for _, v := range r.evaluator.Apply(b) {
 		r.logger.Info("configuration record", "offset", v.Offset, "publication", v.ID, "operator", v.Operator,
 			"outcome", string(v.Outcome), "reason", v.Reason)
 	}
-	if r.judge.Next >= b.Next {
-		r.publishView()
+	if r.evaluator.Next >= b.Next {
+		r.activate()
 	}
 	return nil
 }
 
-// publishView puts the judged state into force. A start reads to the end of
+// activate puts the judged state into force. A start reads to the end of
 // the log first, so that it passes through no old file. The caller holds the
 // lock.
-func (r *Rollout) publishView() {
-	s := &r.judge.InForce
+func (r *Rollout) activate() {
+	s := &r.evaluator.InForce
 	if s.Generation <= r.Generation() {
 		return
 	}
 	r.view.Store(config.NewView(s.File, s.Generation))
 	r.sum = sha256.Sum256(s.Text)
-	r.texts = append(r.texts, kept{
+	r.bases = append(r.bases, baseText{
 		sum:  r.sum,
 		text: s.Text,
 	})
-	if len(r.texts) > keptTexts {
-		r.texts = r.texts[1:]
+	if len(r.bases) > maxBases {
+		r.bases = r.bases[1:]
 	}
 	clear(r.deltas)
 	r.logger.Info("configuration in force", "generation", s.Generation, "bytes", len(s.Text))
@@ -243,8 +243,8 @@
 // repeat writes the file to the log again when it has grown old there.
 func (r *Rollout) repeat(ctx context.Context) {
 	r.mu.Lock()
-	s := r.judge.InForce
-	sure := r.judge.Sure()
+	s := r.evaluator.InForce
+	sure := r.evaluator.Certain()
 	r.mu.Unlock()
 	if s.Generation == 0 || !sure || time.Since(s.Written) < r.settings.RepeatAfter || !r.peers.Repeater() {
 		return
@@ -284,10 +284,10 @@
 func (r *Rollout) pull(ctx context.Context, address string) {
 	r.mu.Lock()
 	in := &rolloutpb.PullRequest{
-		Generation: r.judge.InForce.Generation,
+		Generation: r.evaluator.InForce.Generation,
 		Sha256:     bytes.Clone(r.sum[:]),
 	}
-	base := r.judge.InForce.Text
+	base := r.evaluator.InForce.Text
 	r.mu.Unlock()
 	call, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
@@ -301,7 +301,7 @@
 	if len(reply.Body) == 0 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.heard = steady.Now()
+		r.lastContact = steady.Now()
 		return
 	}
 	if !reply.Delta {
@@ -312,37 +312,37 @@
 		var s State
 		if s, err = parse(text, reply.Sha256, reply.WrittenMs); err == nil {
 			s.Generation = reply.Generation
-			r.take(s, reply)
+			r.adopt(s, reply)
 			return
 		}
 	}
 	r.logger.Info("configuration of peer not taken", "peer", address, "generation", reply.Generation, "cause", err.Error())
 }
 
-func (r *Rollout) take(s State, reply *rolloutpb.PullReply) {
+func (r *Rollout) adopt(s State, reply *rolloutpb.PullReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard = steady.Now()
-	r.judge.Skip(s, reply.NextOffset, reply.Sure)
-	r.publishView()
+	r.lastContact = steady.Now()
+	r.evaluator.Adopt(s, reply.NextOffset, reply.Sure)
+	r.activate()
 }
 
-// Answer answers a pull.
-func (r *Rollout) Answer(in *rolloutpb.PullRequest) (*rolloutpb.PullReply, error) {
+// HandlePull answers a pull.
+func (r *Rollout) HandlePull(in *rolloutpb.PullRequest) (*rolloutpb.PullReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := &r.judge.InForce
+	s := &r.evaluator.InForce
 	out := &rolloutpb.PullReply{
 		Generation: r.Generation(),
 		Sha256:     bytes.Clone(r.sum[:]),
-		NextOffset: r.judge.Next,
+		NextOffset: r.evaluator.Next,
 		WrittenMs:  s.Written.UnixMilli(),
-		Sure:       r.judge.Sure(),
+		Sure:       r.evaluator.Certain(),
 	}
 	if in.Generation >= out.Generation || s.Generation != out.Generation {
 		return out, nil
 	}
-	base := r.base(in.Sha256)
+	base := r.findBase(in.Sha256)
 	var key [sha256.Size]byte
 	if base != nil {
 		key = [sha256.Size]byte(in.Sha256)
@@ -360,12 +360,12 @@
 	return out, nil
 }
 
-// base returns the kept file of a hash. The caller holds the lock.
-func (r *Rollout) base(sum []byte) []byte {
+// findBase returns the kept file of a hash. The caller holds the lock.
+func (r *Rollout) findBase(sum []byte) []byte {
 	if len(sum) != sha256.Size {
 		return nil
 	}
-	for _, k := range r.texts {
+	for _, k := range r.bases {
 		if k.sum == [sha256.Size]byte(sum) {
 			return k.text
 		}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -20,8 +20,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// group is some instances that can be cut off from the log and each other.
-type group struct {
+// cluster is some instances that can be cut off from the log and each other.
+type cluster struct {
 	log     *standin.Log
 	members []*instance
 }
@@ -30,19 +30,19 @@
 type instance struct {
 	current atomic.Pointer[Rollout]
 
-	group  *group
+	group  *cluster
 	index  int
 	noLog  atomic.Bool
 	noPeer atomic.Bool
 	reader bool
 }
 
-var errCut = errors.New("cut off")
+var errUnreachable = errors.New("cut off")
 
 func (i *instance) Append(ctx context.Context, s string, r [][]byte) (int64, error) {
 	if i.noLog.Load() {
 		return 0, &logsvc.Error{
-			Err: errCut,
+			Err: errUnreachable,
 		}
 	}
 	return i.group.log.Append(ctx, s, r)
@@ -50,7 +50,7 @@
 
 func (i *instance) Read(ctx context.Context, s string, from int64, wait time.Duration) (logsvc.Batch, error) {
 	if i.noLog.Load() {
-		return logsvc.Batch{}, errCut
+		return logsvc.Batch{}, errUnreachable
 	}
 	return i.group.log.Read(ctx, s, from, wait)
 }
@@ -70,16 +70,16 @@
 	fmt.Sscan(address, &k)
 	other := i.group.members[k]
 	if i.noPeer.Load() || other.noPeer.Load() || other.current.Load() == nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
-	return other.current.Load().Answer(in)
+	return other.current.Load().HandlePull(in)
 }
 
 func (i *instance) Reader() bool   { return i.reader }
 func (i *instance) Repeater() bool { return i.index == 0 }
 
-func newGroup(n, readers int, s standin.LogSettings) *group {
-	g := &group{
+func newCluster(n, readers int, s standin.LogSettings) *cluster {
+	g := &cluster{
 		log: standin.NewLog(s),
 	}
 	for k := range n {
@@ -92,20 +92,20 @@
 	return g
 }
 
-func (g *group) start(k int) {
+func (g *cluster) start(k int) {
 	i := g.members[k]
 	i.current.Store(New(Settings{
 		RepeatAfter: 4 * time.Minute,
 	}, i, i, logr.Discard()))
 }
 
-func (g *group) startAll() {
+func (g *cluster) startAll() {
 	for k := range g.members {
 		g.start(k)
 	}
 }
 
-func (g *group) stop() {
+func (g *cluster) stop() {
 	for _, i := range g.members {
 		if r := i.current.Load(); r != nil {
 			r.Close()
@@ -113,12 +113,12 @@
 	}
 }
 
-func (g *group) publish(t *testing.T, version int, replaces int64) Verdict {
+func (g *cluster) publish(t *testing.T, version int, replaces int64) Verdict {
 	t.Helper()
 	v, err := Publish(t.Context(), g.log, Publication{
 		ID:       fmt.Sprintf("p%d", version),
 		Replaces: replaces,
-		Text:     file(1, version),
+		Text:     configText(1, version),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -126,9 +126,9 @@
 	return v
 }
 
-// wantAll fails unless a generation is in force on every instance within the
+// assertInForce fails unless a generation is in force on every instance within the
 // time.
-func (g *group) wantAll(t *testing.T, generation int64, within time.Duration) {
+func (g *cluster) assertInForce(t *testing.T, generation int64, within time.Duration) {
 	t.Helper()
 	time.Sleep(within)
 	for _, i := range g.members {
@@ -143,13 +143,13 @@
 func TestInForceEverywhere(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		run  func(t *testing.T, g *group)
+		run  func(t *testing.T, g *cluster)
 	}{
-		{"published", func(t *testing.T, g *group) {
+		{"published", func(t *testing.T, g *cluster) {
 			g.publish(t, 2, 1)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"two operators at one moment", func(t *testing.T, g *group) {
+		{"two operators at one moment", func(t *testing.T, g *cluster) {
 			outcomes := make(chan Outcome, 2)
 			for k := range 2 {
 				go func() { outcomes <- g.publish(t, 10+k, 1).Outcome }()
@@ -157,24 +157,24 @@
 			is := is.New(t)
 			first, second := <-outcomes, <-outcomes
 			is.True(first != second) // one is told that it was overtaken
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"answer of the log lost", func(t *testing.T, g *group) {
+		{"answer of the log lost", func(t *testing.T, g *cluster) {
 			g.log.SetFaults(standin.Faults{LoseAnswer: 1})
 			is := is.New(t)
 			is.Equal(g.publish(t, 2, 1).Outcome, Accepted)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"log down right after one has read", func(t *testing.T, g *group) {
+		{"log down right after one has read", func(t *testing.T, g *cluster) {
 			for _, i := range g.members[1:] {
 				i.noLog.Store(true)
 			}
 			g.publish(t, 2, 1)
 			time.Sleep(100 * time.Millisecond)
 			g.members[0].noLog.Store(true)
-			g.wantAll(t, 2, 18*time.Second)
+			g.assertInForce(t, 2, 18*time.Second)
 		}},
-		{"one cut off, then back", func(t *testing.T, g *group) {
+		{"one cut off, then back", func(t *testing.T, g *cluster) {
 			last := g.members[5]
 			last.noLog.Store(true)
 			last.noPeer.Store(true)
@@ -184,52 +184,52 @@
 			is.Equal(last.current.Load().Generation(), int64(1))
 			last.noLog.Store(false)
 			last.noPeer.Store(false)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"a start during an outage", func(t *testing.T, g *group) {
+		{"a start during an outage", func(t *testing.T, g *cluster) {
 			g.log.SetFaults(standin.Faults{Outage: true})
 			g.members[5].current.Load().Close()
 			g.start(5)
-			g.wantAll(t, 1, 8*time.Second)
+			g.assertInForce(t, 1, 8*time.Second)
 		}},
-		{"an old one appended again", func(t *testing.T, g *group) {
+		{"an old one appended again", func(t *testing.T, g *cluster) {
 			g.publish(t, 2, 1)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 			// An instance that was paused before generation 2 repeats what it
 			// holds.
-			data, err := encode(file(1, 1), nil, &rolloutpb.Record{
+			data, err := encode(configText(1, 1), nil, &rolloutpb.Record{
 				Repeats: 1,
 			})
 			is := is.New(t)
 			is.NoErr(err)
 			_, err = g.log.Append(t.Context(), Stream, [][]byte{data})
 			is.NoErr(err)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 			g.members[4].current.Load().Close()
 			g.start(4)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"retention passing", func(t *testing.T, g *group) {
+		{"retention passing", func(t *testing.T, g *cluster) {
 			// The record of generation 1 is trimmed after 10 minutes, and all
 			// instances are replaced together later.
 			time.Sleep(45 * time.Minute)
 			g.stop()
 			g.startAll()
-			g.wantAll(t, 1, 8*time.Second)
-			g.wantAll(t, g.publish(t, 2, 1).Offset, 8*time.Second)
+			g.assertInForce(t, 1, 8*time.Second)
+			g.assertInForce(t, g.publish(t, 2, 1).Offset, 8*time.Second)
 		}},
-		{"an invalid record", func(t *testing.T, g *group) {
+		{"an invalid record", func(t *testing.T, g *cluster) {
 			is := is.New(t)
 			_, err := g.log.Append(t.Context(), Stream, [][]byte{[]byte("no record")})
 			is.NoErr(err)
-			g.wantAll(t, 1, 8*time.Second)
+			g.assertInForce(t, 1, 8*time.Second)
 			g.publish(t, 2, 1)
-			g.wantAll(t, 3, 8*time.Second)
+			g.assertInForce(t, 3, 8*time.Second)
 		}},
-		{"an outage of hours", func(t *testing.T, g *group) {
+		{"an outage of hours", func(t *testing.T, g *cluster) {
 			g.log.SetFaults(standin.Faults{Outage: true})
 			time.Sleep(6 * time.Hour)
-			g.wantAll(t, 1, 0)
+			g.assertInForce(t, 1, 0)
 			g.log.SetFaults(standin.Faults{})
 			time.Sleep(10 * time.Second)
 			// The record was trimmed meanwhile, and must be back.
@@ -237,27 +237,27 @@
 			is := is.New(t)
 			is.NoErr(err)
 			is.True(len(verdicts) > 0)
-			g.wantAll(t, g.publish(t, 2, 1).Offset, 8*time.Second)
+			g.assertInForce(t, g.publish(t, 2, 1).Offset, 8*time.Second)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(6, 2, standin.LogSettings{
+				g := newCluster(6, 2, standin.LogSettings{
 					Retention: 10 * time.Minute,
 				})
 				g.startAll()
 				defer g.stop()
 				g.publish(t, 1, 0)
-				g.wantAll(t, 1, 8*time.Second)
+				g.assertInForce(t, 1, 8*time.Second)
 				c.run(t, g)
 			})
 		})
 	}
 }
 
-// TestPublishRefuses proves that a file that nodes would refuse is not
+// TestPublishRejectsInvalidFile proves that a file that nodes would refuse is not
 // appended.
-func TestPublishRefuses(t *testing.T) {
+func TestPublishRejectsInvalidFile(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog(standin.LogSettings{})
 	_, err := Publish(t.Context(), log, Publication{
@@ -273,7 +273,7 @@
 	for _, n := range []int{1, 100, 2_000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			old, text := file(n, 1), file(n, 2)
+			old, text := configText(n, 1), configText(n, 2)
 			delta, err := zdelta.Pack(text, old)
 			is.NoErr(err)
 			got, err := zdelta.Unpack(delta, old)
@@ -292,14 +292,14 @@
 	for _, n := range []int{8, 30, 100, 300, 1200} {
 		t.Run(fmt.Sprintf("n=%d", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(n, min(n, 24), standin.LogSettings{})
+				g := newCluster(n, min(n, 24), standin.LogSettings{})
 				g.publish(t, 1, 0)
 				g.startAll()
 				defer g.stop()
 				time.Sleep(30 * time.Second)
 				g.publish(t, 2, 1)
 				start := time.Now()
-				for !g.all(2) {
+				for !g.inForceEverywhere(2) {
 					time.Sleep(100 * time.Millisecond)
 					if time.Since(start) > 18*time.Second {
 						t.Fatal("not in force everywhere after 18 s")
@@ -311,8 +311,8 @@
 	}
 }
 
-// all states whether a generation is in force on every instance.
-func (g *group) all(generation int64) bool {
+// inForceEverywhere states whether a generation is in force on every instance.
+func (g *cluster) inForceEverywhere(generation int64) bool {
 	for _, i := range g.members {
 		if i.current.Load().Generation() != generation {
 			return false
