--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/linkmast/linkmast/internal/zdelta"
 )
 
-// configText returns a configuration with n endpoints, in which one figure of one
-// endpoint depends on version.
+// configText returns a configuration with n endpoints. Two versions differ in one setting of one
+// endpoint.
 func configText(n, version int) []byte {
 	var b strings.Builder
 	b.WriteString("format = 1\n[[regions]]\nid = \"r1\"\n")
@@ -41,6 +41,7 @@
 
 var sizes = []int{10, 100, 1_000, 10_000}
 
+// BenchmarkSlopeParse reports the time to parse a configuration, and its size.
 func BenchmarkSlopeParse(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -55,6 +56,8 @@
 	}
 }
 
+// BenchmarkSlopeDelta reports the time to pack a delta, and the sizes of the delta and the whole
+// packed file.
 func BenchmarkSlopeDelta(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -76,6 +79,7 @@
 	}
 }
 
+// BenchmarkSlopeUndelta reports the time to unpack a delta.
 func BenchmarkSlopeUndelta(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -93,6 +97,7 @@
 	}
 }
 
+// BenchmarkSlopeViewMemory reports the heap that a parsed configuration and its view occupy.
 func BenchmarkSlopeViewMemory(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,23 +1,23 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package rollout brings published configurations into force everywhere.
+// Package rollout distributes published configurations to all instances.
 //
-// A configuration is a record in a stream of the platform's log, and its
-// generation is the record's offset. Whether a record is accepted follows from
-// the stream alone (Judge), so every instance comes to the same result:
+// A configuration is a record in a stream of the platform's log, and its generation is the offset
+// of the record. The records before it determine whether a record is accepted (see Evaluator), so
+// all instances come to the same result:
 //
-//   - a publication that replaces no particular generation is accepted;
-//   - one that replaces generation G is accepted when G is in force where the
-//     record stands, so that of two racing operators one is refused;
-//   - one that carries only the delta against the file of G is accepted by the
-//     same rule, and means nothing where G is not in force;
-//   - a repeat of an accepted generation G changes nothing unless G is newer
-//     than what the reader has; it carries the file beyond the log's retention.
+//   - A publication that replaces no particular generation is accepted.
+//   - A publication that replaces generation G is accepted if G is in force at that point of the
+//     stream. If two operators publish at the same time, one of them is therefore refused.
+//   - A publication that carries a delta against the file of G is accepted by the same rule. It
+//     can't be decoded unless G is in force.
+//   - A repeat of the generation in force carries its file beyond the log's retention time. It
+//     changes the configuration only of a reader that has an older one or none.
 //
-// A newer generation always wins and an older one never does, also when an
-// instance that was paused appends an old one again.
+// A newer generation replaces an older one and never the reverse, even if an instance that was
+// paused repeats an old generation.
 //
-// Some instances of each failure domain read the log; all others pull from
-// random peers, which answer with a delta against the file that the caller
-// has. An instance that hears of nothing for StaleAfter reads the log itself.
+// A few instances of each failure domain read the log. All instances also pull from random peers,
+// which answer with a delta against the caller's file if they still have that file. An instance
+// that has had no successful read or pull for StaleAfter reads the log itself.
 package rollout
--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -16,82 +16,89 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// Stream is the name of the configuration's stream.
+// Stream is the name of the log stream that holds the configurations.
 const Stream = "config"
 
-// Outcome is what became of a record.
+// Outcome says whether a record was accepted, and if not, why.
 type Outcome string
 
 // The outcomes of records.
 const (
-	// Accepted records are in force until a newer one is.
+	// Accepted is a publication that came into force.
 	Accepted Outcome = "accepted"
-	// Repeated records carry a generation that was accepted before.
+	// Repeated is a repeat of the generation in force, or, if records were missed, of a newer
+	// generation than the known one.
 	Repeated Outcome = "repeated"
-	// Stale records repeat a generation that is no longer in force.
+	// Stale is a repeat of a generation older than the one in force.
 	Stale Outcome = "stale"
-	// Overtaken records replace a generation that was not in force.
+	// Overtaken is a publication whose Replaces is not the generation in force, or a repeat that
+	// carries a delta.
 	Overtaken Outcome = "overtaken"
-	// Invalid records hold no valid file.
+	// Invalid is a malformed record, a record without a valid file, or a repeat of a generation
+	// that was not accepted.
 	Invalid Outcome = "invalid"
-	// Unjudged records depend on records that are no longer kept, or have a
-	// format that this version does not know.
+	// Unjudged is a record that can't be evaluated because its format is unknown, or because it
+	// depends on records that are missing or have an unknown format. A publication that isn't a
+	// delta may still come into force after the next repeat.
 	Unjudged Outcome = "unjudged"
 )
 
-// Verdict is the outcome of one record.
+// Verdict is the result of evaluating one record.
 type Verdict struct {
-	// Offset is the record's place.
+	// Offset is the record's offset in the stream.
 	Offset int64
-	// ID names the publication.
+	// ID names the publication. It is empty if the record is malformed.
 	ID string
-	// Operator is who published.
+	// Operator is the name of the publisher.
 	Operator string
-	// Outcome is what became of the record.
+	// Outcome says whether the record was accepted.
 	Outcome Outcome
-	// Reason explains a refusal.
+	// Reason says why the record was not accepted. It is empty for accepted and repeated records.
 	Reason string
 }
 
-// State is the configuration in force.
+// State is a configuration and its generation.
 type State struct {
 	// Generation is the offset of the accepted record; zero means none yet.
 	Generation int64
-	// Text is the file.
+	// Text is the configuration file in TOML.
 	Text []byte
-	// File is the file as read.
+	// File is the parsed file.
 	File *config.File
-	// Written is when the file was last written to the log.
+	// Written is when the file was last written to the log, by the writer's clock.
 	Written time.Time
 }
 
-// Evaluator follows the configuration's stream. The zero value starts before the
-// first record.
+// Evaluator evaluates the records of the configuration stream in order. The zero value starts
+// before the first record.
 type Evaluator struct {
-	// InForce is the configuration in force.
+	// InForce is the newest configuration that is known to have been accepted.
 	InForce State
 	// Next is the offset to read next; zero means from the start.
 	Next int64
 
-	// uncertain is true when records were missed.
+	// uncertain is true if InForce may be outdated, because a record was missed or has an unknown
+	// format.
 	uncertain bool
-	// pending are publications that depend on missed records.
+	// pending are the publications that were read while uncertain was true.
 	pending []pending
 }
 
-// pending is a publication that can't be judged yet.
+// pending is a publication whose acceptance depends on which generation was in force before it.
 type pending struct {
 	offset   int64
 	replaces int64
 	state    State
 }
 
-// Certain states whether every record up to Next was judged.
+// Certain reports whether InForce is known to be the configuration in force before offset Next.
 func (e *Evaluator) Certain() bool {
 	return !e.uncertain
 }
 
-// Adopt takes over what a peer has judged up to an offset.
+// Adopt applies the state of a peer that has read the stream up to offset next. A configuration
+// that is not newer than InForce is ignored, and so is an offset that is not above Next. sure is
+// the peer's Certain.
 func (e *Evaluator) Adopt(s State, next int64, sure bool) {
 	if s.Generation > e.InForce.Generation {
 		e.InForce = s
@@ -103,7 +110,9 @@
 	}
 }
 
-// Apply judges the records of a batch that are due, in order.
+// Apply evaluates the records of a batch in order, starting with the one at offset Next, and
+// returns their verdicts. If the log no longer holds that record, Apply continues with the
+// earliest one that it holds.
 func (e *Evaluator) Apply(b logsvc.Batch) []Verdict {
 	if e.Next == 0 {
 		e.Next = 1
@@ -124,7 +133,7 @@
 	return out
 }
 
-// evaluate judges evaluate record.
+// evaluate evaluates the record at offset Next.
 func (e *Evaluator) evaluate(r logsvc.Record) Verdict {
 	v := Verdict{
 		Offset: r.Offset,
@@ -165,7 +174,8 @@
 	return v
 }
 
-// evaluateRepeat judges a record that carries an accepted generation.
+// evaluateRepeat evaluates a repeat. If the state is uncertain, it takes the repeated generation as
+// the one in force and evaluates the pending publications, which makes the state certain.
 func (e *Evaluator) evaluateRepeat(v Verdict, rec *rolloutpb.Record, s State) Verdict {
 	switch {
 	case rec.Repeats >= v.Offset:
@@ -183,8 +193,8 @@
 	return v.with(Repeated, "")
 }
 
-// resolvePending judges what had to wait for a record that names the generation in
-// force.
+// resolvePending evaluates the pending publications newer than InForce, after a repeat has set
+// InForce.
 func (e *Evaluator) resolvePending() {
 	waiting := e.pending
 	e.pending = nil
@@ -196,7 +206,7 @@
 	}
 }
 
-// evaluatePublication judges a new file.
+// evaluatePublication evaluates a publication.
 func (e *Evaluator) evaluatePublication(v Verdict, rec *rolloutpb.Record, s State) Verdict {
 	s.Generation = v.Offset
 	switch {
@@ -217,7 +227,7 @@
 	return v.with(Accepted, "")
 }
 
-// decode reads the file of a record; base is the file that a delta is against.
+// decode returns the configuration that a record carries. base is the file that a delta refers to.
 func decode(rec *rolloutpb.Record, base []byte) (State, error) {
 	text, err := zdelta.Unpack(rec.Body, base)
 	if err != nil {
@@ -226,7 +236,7 @@
 	return parse(text, rec.Sha256, rec.WrittenMs)
 }
 
-// parse checks the hash and reads the file.
+// parse checks the SHA-256 hash of a file and parses it. written is in milliseconds since 1970.
 func parse(text, sum []byte, written int64) (State, error) {
 	if have := sha256.Sum256(text); !bytes.Equal(have[:], sum) {
 		return State{}, errors.New("hash does not match")
--- a/rollout/evaluator_test.go
+++ b/rollout/evaluator_test.go
@@ -16,7 +16,8 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// record returns a record of a small file that a version tells apart.
+// record returns a marshalled record whose file depends on version, after change has set its other
+// fields. A format or hash that change sets is kept even if it is wrong.
 func record(t interface{ Fatal(...any) }, version int, change func(*rolloutpb.Record)) []byte {
 	rec := &rolloutpb.Record{
 		Id: fmt.Sprintf("p%d", version),
@@ -43,26 +44,27 @@
 	return data
 }
 
-// baseVersion returns the version of the file that a delta is against: tests
-// publish version g as generation g.
+// baseVersion returns the version of a delta's base. The tests publish version g as generation g.
 func baseVersion(rec *rolloutpb.Record) int {
 	return int(rec.Replaces)
 }
 
+// publication returns a constructor of a publication that replaces a generation.
 func publication(version int, replaces int64) func(testing.TB) []byte {
 	return func(t testing.TB) []byte {
 		return record(t, version, func(r *rolloutpb.Record) { r.Replaces = replaces })
 	}
 }
 
+// repeat returns a constructor of a repeat of a generation.
 func repeat(version int, generation int64) func(testing.TB) []byte {
 	return func(t testing.TB) []byte {
 		return record(t, version, func(r *rolloutpb.Record) { r.Repeats = generation })
 	}
 }
 
-// delta is a publication that carries the change from the file of version base,
-// published as generation base.
+// delta returns a constructor of a publication that carries a delta against the file of version
+// base, published as generation base.
 func delta(version int, base int64) func(testing.TB) []byte {
 	return func(t testing.TB) []byte {
 		return record(t, version, func(r *rolloutpb.Record) {
@@ -72,12 +74,15 @@
 	}
 }
 
+// altered returns a constructor of a record with fields that change sets.
 func altered(change func(*rolloutpb.Record)) func(testing.TB) []byte {
 	return func(t testing.TB) []byte {
 		return record(t, 99, change)
 	}
 }
 
+// TestEvaluator checks the outcome of each record of short streams, and the generation in force at
+// the end.
 func TestEvaluator(t *testing.T) {
 	raw := func(testing.TB) []byte { return []byte("no record") }
 	for _, c := range []struct {
@@ -87,21 +92,21 @@
 		outcomes string
 		inForce  int64
 	}{
-		{"one", 1, list(publication(1, 0)), "accepted", 1},
+		{"first publication", 1, list(publication(1, 0)), "accepted", 1},
 		{"two operators race", 1, list(publication(1, 0), publication(2, 1), publication(3, 1)),
 			"accepted accepted overtaken", 2},
-		{"replaces what never was", 1, list(publication(1, 7)), "overtaken", 0},
+		{"replaces a generation that was never in force", 1, list(publication(1, 7)), "overtaken", 0},
 		{"forced", 1, list(publication(1, 0), publication(2, 0)), "accepted accepted", 2},
-		{"an old one again", 1, list(publication(1, 0), publication(2, 1), repeat(1, 1)),
+		{"repeat of an old generation", 1, list(publication(1, 0), publication(2, 1), repeat(1, 1)),
 			"accepted accepted stale", 2},
 		{"repeated", 1, list(publication(1, 0), repeat(1, 1), publication(2, 1)),
 			"accepted repeated accepted", 3},
-		{"repeat of what was refused", 1, list(publication(1, 0), publication(2, 5), repeat(2, 2)),
+		{"repeat of a refused publication", 1, list(publication(1, 0), publication(2, 5), repeat(2, 2)),
 			"accepted overtaken invalid", 1},
-		{"repeat of what comes later", 1, list(publication(1, 0), repeat(2, 2)), "accepted invalid", 1},
+		{"repeat of its own offset", 1, list(publication(1, 0), repeat(2, 2)), "accepted invalid", 1},
 		{"delta", 1, list(publication(1, 0), delta(2, 1), delta(3, 2)), "accepted accepted accepted", 3},
-		{"deltas race", 1, list(publication(1, 0), delta(2, 1), delta(3, 1)), "accepted accepted overtaken", 2},
-		{"delta of what is not in force", 1, list(publication(1, 0), delta(2, 7)), "accepted overtaken", 1},
+		{"two operators race with deltas", 1, list(publication(1, 0), delta(2, 1), delta(3, 1)), "accepted accepted overtaken", 2},
+		{"delta against a generation not in force", 1, list(publication(1, 0), delta(2, 7)), "accepted overtaken", 1},
 		{"delta with a wrong hash", 1, list(publication(1, 0), altered(func(r *rolloutpb.Record) {
 			r.Replaces = 1
 			r.Delta = true
@@ -112,9 +117,9 @@
 		{"malformed", 1, list(raw, publication(1, 0)), "invalid accepted", 2},
 		{"wrong hash", 1, list(publication(1, 0), altered(func(r *rolloutpb.Record) { r.Sha256 = make([]byte, 32) })),
 			"accepted invalid", 1},
-		{"other format", 1, list(publication(1, 0), altered(func(r *rolloutpb.Record) { r.Format = 2 }), publication(2, 1)),
+		{"unknown format", 1, list(publication(1, 0), altered(func(r *rolloutpb.Record) { r.Format = 2 }), publication(2, 1)),
 			"accepted unjudged unjudged", 1},
-		{"other format, then a whole answer", 1, list(publication(1, 0),
+		{"unknown format, then a repeat", 1, list(publication(1, 0),
 			altered(func(r *rolloutpb.Record) { r.Format = 2 }), publication(2, 1), repeat(2, 3)),
 			"accepted unjudged unjudged repeated", 3},
 		{"start in the middle", 10, list(repeat(1, 4), publication(2, 4)), "repeated accepted", 11},
@@ -149,10 +154,9 @@
 
 func list(r ...func(testing.TB) []byte) []func(testing.TB) []byte { return r }
 
-// TestEvaluatorsAgree compares the verdicts of a reader from the start with those
-// of a naive replay of the rules, and with readers that start in the middle or
-// take over from a peer: all must end with the same configuration in force, or
-// know that they can't tell.
+// TestEvaluatorsAgree checks random streams against a naive implementation of the rules. An
+// evaluator that reads the whole stream and one that adopts a peer's state in the middle must both
+// end with the same generation in force.
 func TestEvaluatorsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 10).Draw(t, "records")
@@ -174,7 +178,7 @@
 					r.Delta = repeats == 0 && replaces > 0 && deltas
 				}),
 			})
-			// The naive rules, over the whole history.
+			// The naive rules: a repeat never changes the generation in force.
 			if repeats == 0 && (replaces == 0 || replaces == inForce) {
 				inForce = offset
 			}
@@ -208,8 +212,7 @@
 	})
 }
 
-// The seed of the drawn cases is fixed, so that every run has the same verdict;
-// -rapid.seed=0 draws others.
+// A fixed seed makes the random cases reproducible. The flag -rapid.seed=0 selects random ones.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/rollout/grpc.go
+++ b/rollout/grpc.go
@@ -8,14 +8,14 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// Server answers the pulls of other instances.
+// Server serves the pulls of other instances over gRPC.
 type Server struct {
 	rolloutpb.UnimplementedRolloutServer
 
 	rollout *Rollout
 }
 
-// NewServer returns a server.
+// NewServer returns a server that answers with the configuration of r.
 func NewServer(r *Rollout) *Server {
 	return &Server{
 		rollout: r,
--- a/rollout/publish.go
+++ b/rollout/publish.go
@@ -16,29 +16,29 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// Publication is a file on its way into the log.
+// Publication is a configuration file to be published.
 type Publication struct {
-	// ID names the publication; it must be unique.
+	// ID names the publication. It must be unique.
 	ID string
-	// Operator is who publishes.
+	// Operator is the name of the publisher.
 	Operator string
-	// Replaces is the generation that must be in force; zero for whichever.
+	// Replaces is the generation that must be in force for the publication to be accepted. Zero
+	// means any generation.
 	Replaces int64
-	// Text is the file.
+	// Text is the configuration file in TOML.
 	Text []byte
-	// Base is the file of generation Replaces, if it is at hand. The record is
-	// then a delta, so that readers of the log need not receive a whole file
-	// for a small change.
+	// Base is the file of generation Replaces. It may be empty. If it is set, the record is a
+	// delta against it, so that readers of the log need not receive a whole file for a small
+	// change.
 	Base []byte
 }
 
-// rereadDelay is how long to wait before reading again when the effect of an
-// append is unknown.
+// rereadDelay is the delay before the log is read again after a failed read.
 const rereadDelay = 200 * time.Millisecond
 
-// Publish checks a file, appends it, and returns its verdict. An answer that
-// was lost is settled by reading; when that fails too, the error says that the
-// outcome is unknown, and Find tells later.
+// Publish checks a file, appends it to the log and returns its verdict, which it reads from the
+// log, also if the answer to the append was lost. If the reads fail until ctx ends, it returns an
+// error saying that the outcome is unknown. Find can then look up the verdict later.
 func Publish(ctx context.Context, log logsvc.Log, p Publication) (Verdict, error) {
 	if _, err := config.Parse(p.Text); err != nil {
 		return Verdict{}, err
@@ -75,7 +75,8 @@
 	}
 }
 
-// Find reads the stream and returns the verdict on a publication.
+// Find reads the stream and returns the verdict on the publication with an ID, or false if the log
+// holds no such publication.
 func Find(ctx context.Context, log logsvc.Log, id string) (Verdict, bool, error) {
 	_, verdicts, err := Replay(ctx, log)
 	if err != nil {
@@ -89,7 +90,8 @@
 	return Verdict{}, false, nil
 }
 
-// Replay judges the whole stream as it is kept now.
+// Replay evaluates all records that the log still holds. It returns the evaluator after the last
+// record and all verdicts in order.
 func Replay(ctx context.Context, log logsvc.Log) (*Evaluator, []Verdict, error) {
 	j := &Evaluator{}
 	var all []Verdict
@@ -105,8 +107,8 @@
 	}
 }
 
-// encode returns a record that carries text, as a delta against base if there
-// is one.
+// encode sets the format, hash, body and time of a record that carries text, and returns it
+// marshalled. The body is a delta against base unless base is empty. The caller sets rec.Delta.
 func encode(text, base []byte, rec *rolloutpb.Record) ([]byte, error) {
 	body, err := zdelta.Pack(text, base)
 	if err != nil {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -20,19 +20,19 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// Settings are the measures of a Rollout. A zero value means the default.
+// Settings holds the intervals and timeouts of a Rollout. Zero fields mean the defaults.
 type Settings struct {
-	// PullInterval is how often a peer is asked; the default is 1s.
+	// PullInterval is the mean time between two pulls from peers. The default is 1s.
 	PullInterval time.Duration
-	// StaleAfter is how long an instance hears of nothing before it reads the
-	// log itself; the default is 5s.
+	// StaleAfter is how long after its last successful read or pull an instance that isn't a
+	// reader reads the log itself. The default is 5s.
 	StaleAfter time.Duration
-	// ReadWait is how long a read of the log waits; the default is 1s.
+	// ReadWait is how long a read of the log waits for a new record. The default is 1s.
 	ReadWait time.Duration
-	// RepeatAfter is the age at which the file is written to the log again;
-	// the default is 4h. It stays well below the log's retention.
+	// RepeatAfter is the age at which the file is written to the log again. The default is 4h. It
+	// must be well below the log's retention time.
 	RepeatAfter time.Duration
-	// CallTimeout bounds a call to a peer; the default is 2s.
+	// CallTimeout bounds a pull from a peer and the append of a repeat. The default is 2s.
 	CallTimeout time.Duration
 }
 
@@ -44,10 +44,10 @@
 	defaultCall   = 2 * time.Second
 )
 
-// maxBases is how many files are kept to make deltas against.
+// maxBases is the number of recent files that are kept as bases of deltas.
 const maxBases = 4
 
-// readSlack is how much longer than its wait a read of the log may take.
+// readSlack is added to ReadWait for the timeout of a read of the log.
 const readSlack = 2 * time.Second
 
 func (s *Settings) setDefaults() {
@@ -67,26 +67,25 @@
 	}
 }
 
-// Peers are the other instances to pull from.
+// Peers gives access to the other instances, and assigns this instance its roles among them.
 type Peers interface {
 	// Addresses returns the addresses of the other instances.
 	Addresses() []string
 	// Pull asks the instance at an address for the configuration in force.
 	Pull(ctx context.Context, address string, in *rolloutpb.PullRequest) (*rolloutpb.PullReply, error)
-	// Reader states whether this instance is one of those that read the log.
+	// Reader reports whether this instance is one of the instances that read the log.
 	Reader() bool
-	// Repeater states whether this instance is the one that writes the file to
-	// the log again.
+	// Repeater reports whether this instance writes repeats to the log.
 	Repeater() bool
 }
 
-// baseText is a file that deltas can be made against.
+// baseText is a file against which deltas can be computed, and its hash.
 type baseText struct {
 	sum  [sha256.Size]byte
 	text []byte
 }
 
-// Rollout follows the configuration in force.
+// Rollout follows the configuration in force and serves it to peers. It is safe for concurrent use.
 type Rollout struct {
 	// Done is closed when the rollout has stopped.
 	Done chan struct{}
@@ -98,16 +97,22 @@
 	cancel   context.CancelFunc
 	view     atomic.Pointer[config.View]
 
-	mu          sync.Mutex
-	evaluator   Evaluator
-	sum         [sha256.Size]byte
-	bases       []baseText
-	deltas      map[[sha256.Size]byte][]byte
+	// mu guards the fields below.
+	mu        sync.Mutex
+	evaluator Evaluator
+	// sum is the hash of the file in force.
+	sum [sha256.Size]byte
+	// bases are the most recent files in force, oldest first.
+	bases []baseText
+	// deltas caches the compressed file in force by the hash of its base. The zero hash stands for
+	// the whole file.
+	deltas map[[sha256.Size]byte][]byte
+	// lastContact is the time of the last successful read or pull.
 	lastContact time.Time
 	changed     chan struct{}
 }
 
-// New starts a rollout. Close ends it.
+// New starts a rollout, which runs until Close.
 func New(s Settings, log logsvc.Log, peers Peers, logger logr.Logger) *Rollout {
 	s.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -137,12 +142,12 @@
 	<-r.Done
 }
 
-// View returns the configuration in force; nil while there is none.
+// View returns the configuration in force, or nil if there is none.
 func (r *Rollout) View() *config.View {
 	return r.view.Load()
 }
 
-// Generation returns the generation in force; zero while there is none.
+// Generation returns the generation in force, or zero if there is none.
 func (r *Rollout) Generation() int64 {
 	if v := r.View(); v != nil {
 		return v.Generation
@@ -150,22 +155,23 @@
 	return 0
 }
 
-// Text returns the file in force and its generation.
+// Text returns the newest accepted configuration file and its generation, or nil and zero if there
+// is none.
 func (r *Rollout) Text() ([]byte, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.evaluator.InForce.Text, r.evaluator.InForce.Generation
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the next generation comes into force.
 func (r *Rollout) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// readLoop reads the log while the instance is a reader, or has heard of
-// nothing for long.
+// readLoop reads the log while the instance is a reader or its configuration may be stale, until
+// ctx ends.
 func (r *Rollout) readLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !r.peers.Reader() && !r.stale() {
@@ -187,13 +193,14 @@
 	}
 }
 
+// stale reports whether the last successful read or pull is more than StaleAfter ago.
 func (r *Rollout) stale() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return steady.Since(r.lastContact) > r.settings.StaleAfter
 }
 
-// read takes over the next records of the log.
+// read reads the next records of the log and evaluates them.
 func (r *Rollout) read(ctx context.Context) error {
 	r.mu.Lock()
 	next := max(r.evaluator.Next, 1)
@@ -217,9 +224,9 @@
 	return nil
 }
 
-// activate puts the judged state into force. A start reads to the end of
-// the log first, so that it passes through no old file. The caller holds the
-// lock.
+// activate brings the evaluator's configuration into force if it is newer. After a read it is only
+// called at the end of the log, so that an instance that starts doesn't activate outdated
+// generations. The caller must hold the lock.
 func (r *Rollout) activate() {
 	s := &r.evaluator.InForce
 	if s.Generation <= r.Generation() {
@@ -240,7 +247,8 @@
 	r.changed = make(chan struct{})
 }
 
-// repeat writes the file to the log again when it has grown old there.
+// repeat writes the file in force to the log again if its last record there is older than
+// RepeatAfter and this instance is the repeater.
 func (r *Rollout) repeat(ctx context.Context) {
 	r.mu.Lock()
 	s := r.evaluator.InForce
@@ -255,32 +263,30 @@
 		Repeats:  s.Generation,
 	})
 	if err != nil {
-		r.logger.Error(err, "repeat of configuration")
+		r.logger.Error(err, "failed to encode repeat of configuration")
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
 	if _, err := r.log.Append(call, Stream, [][]byte{data}); err != nil {
-		r.logger.Info("configuration not repeated", "cause", err.Error())
+		r.logger.Info("failed to append repeat of configuration", "cause", err.Error())
 		sleep(ctx, r.settings.PullInterval)
 	}
 }
 
-// pullLoop asks a random peer in each interval, and at the start each peer
-// until one answers.
+// pullLoop pulls from a random peer in each interval until ctx ends.
 func (r *Rollout) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		addresses := r.peers.Addresses()
 		if len(addresses) > 0 {
 			r.pull(ctx, addresses[rand.IntN(len(addresses))])
 		}
-		// Half to one and a half of the interval, so that instances that
-		// started together drift apart.
+		// Random intervals prevent instances that started together from pulling at the same time.
 		sleep(ctx, r.settings.PullInterval/2+rand.N(r.settings.PullInterval))
 	}
 }
 
-// pull takes over what a peer has, if it is newer.
+// pull asks a peer for its configuration and adopts it if it is newer.
 func (r *Rollout) pull(ctx context.Context, address string) {
 	r.mu.Lock()
 	in := &rolloutpb.PullRequest{
@@ -316,9 +322,10 @@
 			return
 		}
 	}
-	r.logger.Info("configuration of peer not taken", "peer", address, "generation", reply.Generation, "cause", err.Error())
+	r.logger.Info("configuration from peer rejected", "peer", address, "generation", reply.Generation, "cause", err.Error())
 }
 
+// adopt brings the configuration of a pull's reply into force if it is newer.
 func (r *Rollout) adopt(s State, reply *rolloutpb.PullReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -327,7 +334,9 @@
 	r.activate()
 }
 
-// HandlePull answers a pull.
+// HandlePull returns the reply to a peer's pull. The reply has a body only if the configuration in
+// force is newer than the caller's and no newer one is waiting to be activated. The body is a delta
+// if the caller's file is still kept.
 func (r *Rollout) HandlePull(in *rolloutpb.PullRequest) (*rolloutpb.PullReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -360,7 +369,8 @@
 	return out, nil
 }
 
-// findBase returns the kept file of a hash. The caller holds the lock.
+// findBase returns the kept file with a hash, or nil if it isn't kept. The caller must hold the
+// lock.
 func (r *Rollout) findBase(sum []byte) []byte {
 	if len(sum) != sha256.Size {
 		return nil
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -20,13 +20,13 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// cluster is some instances that can be cut off from the log and each other.
+// cluster is a group of instances that tests can disconnect from the log and from each other.
 type cluster struct {
 	log     *standin.Log
 	members []*instance
 }
 
-// instance is one member of a group.
+// instance is one member of a cluster. It implements logsvc.Log and Peers for its Rollout.
 type instance struct {
 	current atomic.Pointer[Rollout]
 
@@ -126,8 +126,7 @@
 	return v
 }
 
-// assertInForce fails unless a generation is in force on every instance within the
-// time.
+// assertInForce fails the test unless a generation is in force on every instance after a time.
 func (g *cluster) assertInForce(t *testing.T, generation int64, within time.Duration) {
 	t.Helper()
 	time.Sleep(within)
@@ -138,8 +137,8 @@
 	}
 }
 
-// TestInForceEverywhere proves that a published file is in force on every
-// instance within seconds, and never reverts, under the faults of the brief.
+// TestInForceEverywhere checks that a published configuration comes into force on all instances in
+// time and is never reverted, under faults of the log, the peers and the operators.
 func TestInForceEverywhere(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -149,23 +148,23 @@
 			g.publish(t, 2, 1)
 			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"two operators at one moment", func(t *testing.T, g *cluster) {
+		{"two operators at the same time", func(t *testing.T, g *cluster) {
 			outcomes := make(chan Outcome, 2)
 			for k := range 2 {
 				go func() { outcomes <- g.publish(t, 10+k, 1).Outcome }()
 			}
 			is := is.New(t)
 			first, second := <-outcomes, <-outcomes
-			is.True(first != second) // one is told that it was overtaken
+			is.True(first != second) // one is accepted and the other overtaken
 			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"answer of the log lost", func(t *testing.T, g *cluster) {
+		{"answer to the append lost", func(t *testing.T, g *cluster) {
 			g.log.SetFaults(standin.Faults{LoseAnswer: 1})
 			is := is.New(t)
 			is.Equal(g.publish(t, 2, 1).Outcome, Accepted)
 			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"log down right after one has read", func(t *testing.T, g *cluster) {
+		{"log fails after one instance has read", func(t *testing.T, g *cluster) {
 			for _, i := range g.members[1:] {
 				i.noLog.Store(true)
 			}
@@ -174,7 +173,7 @@
 			g.members[0].noLog.Store(true)
 			g.assertInForce(t, 2, 18*time.Second)
 		}},
-		{"one cut off, then back", func(t *testing.T, g *cluster) {
+		{"one instance disconnected for an hour", func(t *testing.T, g *cluster) {
 			last := g.members[5]
 			last.noLog.Store(true)
 			last.noPeer.Store(true)
@@ -186,17 +185,16 @@
 			last.noPeer.Store(false)
 			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"a start during an outage", func(t *testing.T, g *cluster) {
+		{"restart during an outage of the log", func(t *testing.T, g *cluster) {
 			g.log.SetFaults(standin.Faults{Outage: true})
 			g.members[5].current.Load().Close()
 			g.start(5)
 			g.assertInForce(t, 1, 8*time.Second)
 		}},
-		{"an old one appended again", func(t *testing.T, g *cluster) {
+		{"old generation repeated", func(t *testing.T, g *cluster) {
 			g.publish(t, 2, 1)
 			g.assertInForce(t, 2, 8*time.Second)
-			// An instance that was paused before generation 2 repeats what it
-			// holds.
+			// An instance that was paused before generation 2 repeats generation 1.
 			data, err := encode(configText(1, 1), nil, &rolloutpb.Record{
 				Repeats: 1,
 			})
@@ -209,16 +207,15 @@
 			g.start(4)
 			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"retention passing", func(t *testing.T, g *cluster) {
-			// The record of generation 1 is trimmed after 10 minutes, and all
-			// instances are replaced together later.
+		{"restart after the retention time", func(t *testing.T, g *cluster) {
+			// The record of generation 1 is trimmed after 10 minutes. All instances restart later.
 			time.Sleep(45 * time.Minute)
 			g.stop()
 			g.startAll()
 			g.assertInForce(t, 1, 8*time.Second)
 			g.assertInForce(t, g.publish(t, 2, 1).Offset, 8*time.Second)
 		}},
-		{"an invalid record", func(t *testing.T, g *cluster) {
+		{"invalid record", func(t *testing.T, g *cluster) {
 			is := is.New(t)
 			_, err := g.log.Append(t.Context(), Stream, [][]byte{[]byte("no record")})
 			is.NoErr(err)
@@ -226,13 +223,13 @@
 			g.publish(t, 2, 1)
 			g.assertInForce(t, 3, 8*time.Second)
 		}},
-		{"an outage of hours", func(t *testing.T, g *cluster) {
+		{"outage longer than the retention time", func(t *testing.T, g *cluster) {
 			g.log.SetFaults(standin.Faults{Outage: true})
 			time.Sleep(6 * time.Hour)
 			g.assertInForce(t, 1, 0)
 			g.log.SetFaults(standin.Faults{})
 			time.Sleep(10 * time.Second)
-			// The record was trimmed meanwhile, and must be back.
+			// The record was trimmed during the outage. The repeater must have written it again.
 			_, verdicts, err := Replay(t.Context(), g.log)
 			is := is.New(t)
 			is.NoErr(err)
@@ -255,8 +252,7 @@
 	}
 }
 
-// TestPublishRejectsInvalidFile proves that a file that nodes would refuse is not
-// appended.
+// TestPublishRejectsInvalidFile checks that an invalid file is not appended to the log.
 func TestPublishRejectsInvalidFile(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog(standin.LogSettings{})
@@ -268,7 +264,8 @@
 	is.Equal(log.Appends(), 0)
 }
 
-// TestDelta compares what a delta unpacks to with the file itself.
+// TestDelta checks that unpacking a delta yields the original file, and that a truncated delta is
+// rejected.
 func TestDelta(t *testing.T) {
 	for _, n := range []int{1, 100, 2_000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -285,9 +282,8 @@
 	}
 }
 
-// TestTimeToForce measures, in virtual time, how long a published file takes to
-// be in force on every one of n instances, of which at most 24 read the log,
-// and holds it against the users' 18 seconds.
+// TestTimeToForce checks that a published configuration is in force on all of n instances within
+// 18 seconds, in virtual time. At most 24 of them read the log.
 func TestTimeToForce(t *testing.T) {
 	for _, n := range []int{8, 30, 100, 300, 1200} {
 		t.Run(fmt.Sprintf("n=%d", n), func(t *testing.T) {
@@ -311,7 +307,7 @@
 	}
 }
 
-// inForceEverywhere states whether a generation is in force on every instance.
+// inForceEverywhere reports whether a generation is in force on all instances.
 func (g *cluster) inForceEverywhere(generation int64) bool {
 	for _, i := range g.members {
 		if i.current.Load().Generation() != generation {
