--- a/node/admin.go
+++ b/node/admin.go
@@ -12,27 +12,28 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// Status is what a node tells operators of itself.
+// Status describes a node to its operators.
 type Status struct {
 	// Instance names the instance.
 	Instance string `json:"instance"`
-	// Ready states whether the balancer should send requests.
+	// Ready reports whether the load balancer should send requests to the instance.
 	Ready bool `json:"ready"`
-	// Reason says why not.
+	// Reason says why the instance isn't ready. It is empty if the instance is ready.
 	Reason string `json:"reason,omitempty"`
-	// Generation is the generation of the configuration in force.
+	// Generation is the generation of the configuration in force, or zero if there is none.
 	Generation int64 `json:"generation"`
-	// Members is how many instances are usable.
+	// Members is the number of available instances, including this one unless it is stopping.
 	Members int `json:"members"`
-	// InFlight counts requests, and errands after them.
+	// InFlight is the number of requests in flight, and of background tasks that finished requests
+	// have left.
 	InFlight int64 `json:"in_flight"`
-	// Attempts counts the attempts that the instance holds.
+	// Attempts is the number of attempts that the instance runs at endpoints.
 	Attempts int `json:"attempts"`
-	// Endpoints are those that the instance owns.
+	// Endpoints are summaries of the endpoints that the instance owns, ordered by id.
 	Endpoints []policy.Summary `json:"endpoints"`
 }
 
-// Status returns the node's status.
+// Status returns the node's current status.
 func (n *Node) Status() Status {
 	ready, reason := n.entry.Ready()
 	return Status{
@@ -47,8 +48,8 @@
 	}
 }
 
-// adminHandler serves operators: liveness, readiness, counters, the status, and
-// what happened to a request.
+// adminHandler returns the handler of the admin address. It serves liveness, readiness, the status,
+// the trace of a request, the configuration in force, and counters.
 func (n *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
@@ -74,14 +75,15 @@
 		text, generation := n.rollout.Text()
 		w.Header().Set("Content-Type", "application/toml")
 		w.Header().Set("Linkmast-Generation", fmt.Sprint(generation))
-		// The operator may have gone; there is nobody left to tell.
+		// A write fails only if the client has disconnected.
 		_, _ = w.Write(text)
 	})
 	mux.HandleFunc("GET /debug/vars", n.vars)
 	return mux
 }
 
-// vars serves the process's counters and this node's, as package expvar does.
+// vars serves the expvar variables of the process and the counters of this node in the format of
+// the expvar handler.
 func (n *Node) vars(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	out := "{"
@@ -89,11 +91,11 @@
 		out += fmt.Sprintf("%q: %s,\n", kv.Key, kv.Value)
 	})
 	out += fmt.Sprintf("%q: %s}\n", "linkmast", n.entry.Metrics())
-	// The operator may have gone; there is nobody left to tell.
+	// A write fails only if the client has disconnected.
 	_, _ = w.Write([]byte(out))
 }
 
-// Explain returns what happened to a request of this node.
+// Explain returns the trace of a request that this node received, or false if it has none.
 func (n *Node) Explain(request string) (entry.Trace, bool) {
 	return n.entry.Explain(request)
 }
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -24,11 +24,13 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
+// disableDecisionLog turns off the logging of decisions in a node's settings.
 func disableDecisionLog(s *settings.File) {
 	no := false
 	s.LogDecisions = &no
 }
 
+// startFleet starts a fleet that is closed at the end of the benchmark.
 func startFleet(b *testing.B, s fleet.Settings) *fleet.Fleet {
 	b.Helper()
 	s.Node = disableDecisionLog
@@ -40,8 +42,8 @@
 	return f
 }
 
-// fastEngine is an engine without delays of its own, so that what is left is the
-// node's.
+// fastEngine returns the settings of an engine with almost no latency, so that the node's latency
+// dominates.
 func fastEngine() standin.EngineSettings {
 	return standin.EngineSettings{
 		PrefillTokensPerSecond: 1e9,
@@ -49,8 +51,8 @@
 	}
 }
 
-// BenchmarkFirstToken compares the time to first token through a node with
-// that of the engine itself, in turn.
+// BenchmarkFirstToken reports the time to first token directly from an engine and through a node,
+// and the difference. Requests alternate between the two.
 func BenchmarkFirstToken(b *testing.B) {
 	f := startFleet(b, fleet.Settings{
 		Nodes:   1,
@@ -96,7 +98,7 @@
 	}
 }
 
-// complete asks a node for a streamed completion and returns its body.
+// complete requests a streamed completion from a node and returns the body of the answer.
 func complete(b *testing.B, client *http.Client, address, prompt string, tokens int) io.ReadCloser {
 	b.Helper()
 	data, err := json.Marshal(map[string]any{
@@ -125,13 +127,14 @@
 	return res.Body
 }
 
-// quantile returns a quantile.
+// quantile returns the q-quantile of d, for q from 0 to 1.
 func quantile(d []time.Duration, q float64) time.Duration {
 	sorted := slices.Sorted(slices.Values(d))
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// processorTime returns the processorTime time that this process has used.
+// processorTime returns the user and system CPU time that this process has used, or zero if it is
+// not available.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -140,9 +143,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkSlopeRelay reports the processor time of n streams of 1000 tokens
-// through a node, and of the same streams straight from the engine. The process
-// holds the engine and the caller too, so the node's part is the difference.
+// BenchmarkSlopeRelay reports the CPU time per token of n concurrent streams of 1000 tokens,
+// directly from the engines, and the additional time through a node. The process includes the
+// engines and the callers, so the difference is the node's share.
 func BenchmarkSlopeRelay(b *testing.B) {
 	const tokens = 1000
 	for _, n := range []int{1, 10, 50, 100} {
@@ -173,7 +176,7 @@
 	}
 }
 
-// steadyEngine is an engine whose tokens come one by one.
+// steadyEngine returns the settings of an engine that produces a token every 2 ms.
 func steadyEngine() standin.EngineSettings {
 	return standin.EngineSettings{
 		PrefillTokensPerSecond: 1e9,
@@ -181,6 +184,7 @@
 	}
 }
 
+// runConcurrently calls f(0) to f(n-1) concurrently and waits for all calls.
 func runConcurrently(n int, f func(int)) {
 	var all sync.WaitGroup
 	for i := range n {
@@ -189,13 +193,13 @@
 	all.Wait()
 }
 
+// drain reads a body to its end and closes it.
 func drain(body io.ReadCloser) {
 	io.Copy(io.Discard, body)
 	body.Close()
 }
 
-// drainEngine reads a whole answer straight from an engine, line by line as
-// the caller of a node reads events.
+// drainEngine runs an attempt directly on an engine and reads the whole answer.
 func drainEngine(b *testing.B, client *http.Client, f *fleet.Fleet, number, tokens int) {
 	data, err := json.Marshal(engine.Attempt{
 		ID:        fmt.Sprintf("direct-%d", number),
@@ -216,9 +220,9 @@
 	drain(res.Body)
 }
 
-// BenchmarkSlopeStreamMemory reports the memory of n open streams: heap and
-// stacks of the process, which holds the engine's and the caller's ends too,
-// with the same streams straight from the engine taken off.
+// BenchmarkSlopeStreamMemory reports the heap and stack bytes that n open streams occupy in a node:
+// those of the whole process with streams through the node, minus those with streams directly from
+// the engines.
 func BenchmarkSlopeStreamMemory(b *testing.B) {
 	const tokens = 4000
 	for _, n := range []int{10, 100, 200, 400} {
@@ -228,7 +232,7 @@
 				Engines: 8,
 				Engine: standin.EngineSettings{
 					PrefillTokensPerSecond: 1e9,
-					// The stand-in keeps what it has sent, so it must send little
+					// The simulated engine keeps the tokens that it has sent, so it must send few
 					// while the streams are open.
 					DecodeStep: 400 * time.Millisecond,
 				},
@@ -261,7 +265,7 @@
 	}
 }
 
-// openMemory returns how much memory n open streams take.
+// openMemory returns the heap and stack bytes that n open streams occupy in the process.
 func openMemory(open func(*http.Client, int) io.Closer, n int) int64 {
 	client := &http.Client{
 		Transport: &http.Transport{},
@@ -279,6 +283,7 @@
 	return after - before
 }
 
+// memory returns the bytes of live heap and of stacks, after garbage collection.
 func memory() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -287,8 +292,8 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkSlopeIdle reports what an idle node costs among n nodes: processor
-// time and bytes between nodes, for a second.
+// BenchmarkSlopeIdle reports the CPU time that an idle node uses among n nodes, as a percentage of
+// one core.
 func BenchmarkSlopeIdle(b *testing.B) {
 	for _, n := range []int{2, 4, 8, 16} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -309,8 +314,7 @@
 	}
 }
 
-// BenchmarkRefusal reports how long a refusal takes: a short prompt whose
-// deadline no engine can meet.
+// BenchmarkRefusal reports the latency of refusing a request whose deadline no engine can meet.
 func BenchmarkRefusal(b *testing.B) {
 	f := startFleet(b, fleet.Settings{
 		Nodes:   3,
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,10 +1,12 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package node assembles one instance of the system from its parts: the entry
-// for callers, the owner of endpoints, membership, the configuration, claims
-// and limits, and the connections between instances.
+// Package node runs one instance on a platform with a log.
 //
-// All instances are alike. Which endpoints, customers and partitions an
-// instance looks after follows from rendezvous hashing over the instances that
-// are there.
+// It connects the entry, which serves callers, the owner of endpoints, membership, the rollout of
+// configurations, the claims on once-only keys, the customers' quotas, and the connections
+// between instances.
+//
+// All instances run the same components. Rendezvous hashing over the available instances
+// determines which endpoints, customers' quotas and partitions of claims an instance is responsible
+// for.
 package node
--- a/node/follow.go
+++ b/node/follow.go
@@ -15,11 +15,12 @@
 	"github.com/linkmast/linkmast/owner/ownerpb"
 )
 
-// refreshInterval is how often everything is derived anew without a change.
+// refreshInterval is how often the configuration and the instances are applied even without a
+// change.
 const refreshInterval = 15 * time.Second
 
-// followChanges derives what the instance owns, and what the entry knows, from each
-// change of the configuration and of the instances.
+// followChanges applies each change of the configuration in force and of the instances until ctx
+// ends.
 func (n *Node) followChanges(ctx context.Context) {
 	for {
 		members, configuration := n.member.Changed(), n.rollout.Changed()
@@ -34,7 +35,8 @@
 	}
 }
 
-// applyChanges sets the endpoints that the instance owns.
+// applyChanges sets the endpoints that the instance owns, updates the entry, and closes connections
+// to instances that are no longer listed. It does nothing while there is no configuration.
 func (n *Node) applyChanges() {
 	v, m := n.rollout.View(), n.member.View()
 	if v == nil {
@@ -75,8 +77,8 @@
 	n.pool.CloseUnless(func(a string) bool { return known[a] })
 }
 
-// watchOwners keeps a watch on every instance of the region that may own
-// endpoints, and looks at the instance's own endpoints.
+// watchOwners sends summaries of the endpoints to the entry until ctx ends: those of this
+// instance's endpoints directly, and those of other owners in the region over a stream from each.
 func (n *Node) watchOwners(ctx context.Context) {
 	watches := make(map[string]context.CancelFunc)
 	var all sync.WaitGroup
@@ -120,18 +122,18 @@
 	}
 }
 
-// maxWatched bounds the owners that an instance watches. What it hears of
-// others comes with the answers to its releases.
+// maxWatched is the maximum number of owners that an instance watches. Other owners send summaries
+// only with their replies to releases.
 const maxWatched = 32
 
-// The bytes of a message with summaries, as measured: docs/CAPACITY.md.
+// The estimated sizes of a message with summaries: a fixed part, and a part for each summary.
 const (
 	watchFrameBytes   = 29
 	watchSummaryBytes = 28
 )
 
-// watchInterval returns how often one of the watched owners tells of its
-// endpoints: as often as is set, unless that is above the budget.
+// watchInterval returns how often each watched owner should send its summaries. It is the interval
+// in the settings, or longer if the messages would exceed the configured bytes per second.
 func (n *Node) watchInterval() time.Duration {
 	set := time.Duration(n.settings.Times.Watch)
 	v, m := n.rollout.View(), n.member.View()
@@ -146,13 +148,13 @@
 
 // The times of watches.
 const (
-	// localInterval is how often the instance's own endpoints are looked at.
+	// localInterval is how often the summaries of the instance's own endpoints are updated.
 	localInterval = 20 * time.Millisecond
-	// watchRetryDelay is when a watch that broke is tried again.
+	// watchRetryDelay is the delay before a broken watch is opened again.
 	watchRetryDelay = 300 * time.Millisecond
 )
 
-// watchInstance takes over the summaries of one instance until ctx ends.
+// watchInstance forwards the summaries of another instance's endpoints to the entry until ctx ends.
 func (n *Node) watchInstance(ctx context.Context, i instances.Instance) {
 	for ctx.Err() == nil {
 		n.watchOnce(ctx, i)
@@ -163,6 +165,7 @@
 	}
 }
 
+// watchOnce forwards summaries from one stream until it ends.
 func (n *Node) watchOnce(ctx context.Context, i instances.Instance) {
 	c, err := n.peers.conn(i)
 	if err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -43,15 +43,15 @@
 	"github.com/linkmast/linkmast/weights"
 )
 
-// Node is one instance of the system.
+// Node is a running instance. New starts it.
 type Node struct {
 	// Done is closed when the node has stopped.
 	Done chan struct{}
-	// Listen, PeerListen and AdminListen are the addresses in use.
+	// Listen is the address for callers.
 	Listen string
-	// PeerListen is where other instances connect.
+	// PeerListen is the address for other instances.
 	PeerListen string
-	// AdminListen is where operators connect.
+	// AdminListen is the address for operators.
 	AdminListen string
 
 	settings *settings.File
@@ -61,14 +61,15 @@
 	peers    *peers
 	member   *member.Member
 	rollout  *rollout.Rollout
-	// generation is the rollout once it exists; probes may come before.
+	// generation is nil until the rollout exists, as Generation may be called earlier.
 	generation atomic.Pointer[rollout.Rollout]
 	owner      *owner.Owner
 	entry      *entry.Entry
 	writer     *claim.Writer
 	claimer    *claim.Claimer
 	lender     *limit.Lender
-	// quarantine has the requests that crash endpoints, and sharing tells other instances of them.
+	// quarantine tracks requests that crash endpoints. peerGuard shares crashes and verdicts with
+	// other instances.
 	quarantine *quarantine.Registry
 	peerGuard  *quarantine.PeerGuard
 	borrower   *limit.Borrower
@@ -76,14 +77,14 @@
 	callers *http.Server
 	admin   *http.Server
 	rpc     *grpc.Server
-	// closing ends the streams of watchers.
+	// closing is closed to end the streams of instances that watch this one.
 	closing    chan struct{}
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 	stopOnce   sync.Once
 }
 
-// endpointClients makes the adapters to endpointClients over one HTTP client.
+// endpointClients creates clients of endpoints that share one HTTP client.
 type endpointClients struct {
 	client *http.Client
 }
@@ -98,13 +99,15 @@
 	return plain.NewHTTP(e.client, address)
 }
 
-// listeners are the sockets of a node.
+// listeners holds the listening sockets of a node.
 type listeners struct {
 	callers net.Listener
 	peers   net.Listener
 	admin   net.Listener
 }
 
+// listen opens the sockets for the addresses in the settings. If one fails, it closes the others
+// and returns an error.
 func listen(f *settings.File) (*listeners, error) {
 	var l listeners
 	for _, one := range []struct {
@@ -125,16 +128,18 @@
 	return &l, nil
 }
 
+// close closes the sockets that are open.
 func (l *listeners) close() {
 	for _, s := range []net.Listener{l.callers, l.peers, l.admin} {
 		if s != nil {
-			// Nothing was served on it yet.
+			// The socket has not been used, so an error has no effect.
 			_ = s.Close()
 		}
 	}
 }
 
-// New starts a node. Stop ends it as planned, Close at once.
+// New starts a node. Stop ends it gracefully, Close immediately. New returns an error if it can't
+// load the TLS files or listen on one of the addresses.
 func New(f *settings.File, log logr.Logger) (*Node, error) {
 	client, server, err := transportCredentials(f.TLS)
 	if err != nil {
@@ -175,8 +180,8 @@
 	return n, nil
 }
 
-// assemble makes the parts. Each is given what it works with; the functions
-// that refer to later parts are not called before those exist.
+// assemble creates the components. Functions that refer to components created later must not be
+// called before those exist.
 func (n *Node) assemble() {
 	f := n.settings
 	client := wirehttp.Client()
@@ -234,8 +239,8 @@
 	}, adapters, n.peers, n.newReconciler(client, log), decisions.WithName("owner"))
 }
 
-// newReconciler returns what brings endpoints to their desired states, or nil when no
-// weight store is set.
+// newReconciler returns the reconciler that brings endpoints to their desired states, or nil if the
+// settings name no weight store.
 func (n *Node) newReconciler(client *http.Client, log logsvc.Log) *order.Reconciler {
 	if n.settings.Platform.Weights == "" {
 		return nil
@@ -244,6 +249,7 @@
 	return order.New(order.Settings{}, log, store, n.log.WithName("order"))
 }
 
+// strategyOf returns the scheduling strategy with a name from the settings.
 func strategyOf(name string) policy.Strategy {
 	if name == settings.Naive {
 		return policy.Naive{}
@@ -251,17 +257,18 @@
 	return policy.Weighed{}
 }
 
-// maxHeaderBytes bounds the headers of a caller's request.
+// maxHeaderBytes is the maximum size of the headers of an HTTP request.
 const maxHeaderBytes = 32 << 10
 
-// headerTimeout bounds how long headers may take to arrive, and idleTimeout
-// how long a connection may stay unused.
+// headerTimeout bounds the time for reading the headers of a request. idleTimeout is how long a
+// connection may be idle between requests.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
 )
 
-// serve starts the servers.
+// serve starts the gRPC server for other instances and the HTTP servers. Nil creds mean gRPC
+// without TLS.
 func (n *Node) serve(l *listeners, creds credentials.TransportCredentials) {
 	opts := []grpc.ServerOption{
 		grpc.ReadBufferSize(rpcBufferBytes),
@@ -287,9 +294,11 @@
 	n.goroutines.Go(func() { n.logServerEnd("admin", n.admin.Serve(l.admin)) })
 }
 
-// rpcBufferBytes is the buffer of each direction of a connection between instances.
+// rpcBufferBytes is the size of the read and the write buffer of a connection from another
+// instance.
 const rpcBufferBytes = 16 << 10
 
+// newServer returns an HTTP server with the limits above.
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -299,14 +308,14 @@
 	}
 }
 
-// logServerEnd notes why a server logServerEnd.
+// logServerEnd logs an error if the server ended without being closed.
 func (n *Node) logServerEnd(name string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		n.log.Error(err, "server ended", "server", name)
 	}
 }
 
-// Generation returns the generation of the configuration in force.
+// Generation returns the generation of the configuration in force, or zero if there is none.
 func (n *Node) Generation() int64 {
 	if r := n.generation.Load(); r != nil {
 		return r.Generation()
@@ -314,7 +323,8 @@
 	return 0
 }
 
-// quota returns a customer's limits under the configuration in force.
+// quota returns a customer's quota by the configuration in force, or false if the customer is
+// unknown or there is no configuration.
 func (n *Node) quota(customer string) (limit.Quota, bool) {
 	v := n.rollout.View()
 	if v == nil {
--- a/node/peers.go
+++ b/node/peers.go
@@ -19,25 +19,26 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// The keys that duties of all instances go by.
+// The keys of rendezvous hashing that assign the roles in the rollout of configurations.
 const (
 	readersKey  = "configuration-readers"
 	repeaterKey = "configuration-repeater"
 )
 
-// readersPerDomain is how many instances of each failure domain read the log.
+// readersPerDomain is the number of instances in each failure domain that read the log.
 const readersPerDomain = 2
 
-// claimWriterCount is how many instances are tried to write a claim.
+// claimWriterCount is the number of instances that are tried for writing a claim.
 const claimWriterCount = 2
 
-// peers reaches the other instances, or this one's own parts.
+// peers forwards calls to other instances, or to components of this one if it is the target. It
+// implements owner.Holders, rollout.Peers, limit.QuotaOwners and quarantine.Peers.
 type peers struct {
 	self  instances.Instance
 	seeds []string
 	pool  *peer.Pool
 	view  func() *member.View
-	// local are this instance's own parts.
+	// local is this instance.
 	local *Node
 }
 
@@ -46,7 +47,8 @@
 	return p.pool.Conn(i.Address)
 }
 
-// ConnTo returns the connection to an instance by id.
+// ConnTo returns the connection to the instance with an id. It returns an error if the instance
+// isn't listed.
 func (p *peers) ConnTo(id string) (*grpc.ClientConn, error) {
 	i, ok := p.view().Listed[id]
 	if !ok {
@@ -55,7 +57,8 @@
 	return p.conn(i)
 }
 
-// leaser returns the leaser on an instance.
+// leaser returns the leaser of an instance: its owner component if it is this instance, otherwise a
+// client.
 func (p *peers) leaser(i instances.Instance) (owner.Leaser, error) {
 	if i.ID == p.self.ID {
 		return p.local.owner, nil
@@ -85,7 +88,7 @@
 	return reply.Attempts, nil
 }
 
-// Addresses implements rollout.Peers.
+// Addresses implements rollout.Peers. It returns the seeds while no other instance is listed.
 func (p *peers) Addresses() []string {
 	v := p.view()
 	out := make([]string, 0, len(v.Listed))
@@ -109,7 +112,8 @@
 	return rolloutpb.NewRolloutClient(c).Pull(ctx, in)
 }
 
-// Reader implements rollout.Peers.
+// Reader implements rollout.Peers. The first readersPerDomain instances of each failure domain by
+// rendezvous hashing are readers.
 func (p *peers) Reader() bool {
 	v := p.view()
 	before := 0
@@ -127,7 +131,7 @@
 	return true
 }
 
-// Repeater implements rollout.Peers.
+// Repeater implements rollout.Peers. It returns true while no instance is available.
 func (p *peers) Repeater() bool {
 	i, ok := p.view().GlobalOwner(repeaterKey)
 	return !ok || i.ID == p.self.ID
@@ -137,7 +141,7 @@
 func (p *peers) Borrow(ctx context.Context, a limit.LoanRequest, b limit.Quota) (limit.Loan, error) {
 	i, ok := p.view().GlobalOwner("customer:" + a.Customer)
 	if !ok {
-		return limit.Loan{}, errors.New("there is no instance")
+		return limit.Loan{}, errors.New("no instance is available to own the customer's quota")
 	}
 	if i.ID == p.self.ID {
 		return p.local.lender.Lend(a, b, steady.Now()), nil
@@ -154,7 +158,8 @@
 	return len(p.view().Nodes)
 }
 
-// claimServices returns the instances that may write a partition's claims.
+// claimServices returns the claim services of the instances that may write a partition's claims, in
+// the order in which they are tried. The first is the partition's usual writer.
 func (p *peers) claimServices(partition int) []claim.Service {
 	var out []claim.Service
 	for _, i := range p.view().Ranked(claim.StreamName(partition), claimWriterCount) {
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -11,11 +11,13 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// countingInstances is how many instances count the crashes of a request: one may end.
+// countingInstances is the number of instances that count the crashes of a request. The counts
+// survive the failure of one of them.
 const countingInstances = 2
 
-// crashKey is what the order of instances is made from that count the crashes of an identity,
-// and that let a request run again after its ban.
+// crashKey returns the key by which rendezvous hashing ranks the instances for an identity. The
+// ranking determines which instances count the crashes of the identity, and in which order
+// instances may admit its request again after a ban.
 func crashKey(id quarantine.Identity) string {
 	return "crashes:" + id.String()
 }
@@ -25,7 +27,8 @@
 	return idsOf(p.view().Ranked(crashKey(id), countingInstances))
 }
 
-// retestTurn returns the place of this instance in showing whether a request still crashes endpoints.
+// retestTurn returns this instance's position in the order in which instances may admit a request
+// again after its ban.
 func (p *peers) retestTurn(id quarantine.Identity) quarantine.RetestTurn {
 	v := p.view()
 	return quarantine.RetestTurn{
--- a/node/stop.go
+++ b/node/stop.go
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// Stop ends the node as planned. It is not ready from now on, takes over no
-// endpoint and hands its own to the next owners, but serves whatever callers
-// still send for the drain time. Then it takes nothing new, and streams in
-// flight run to their end. It returns when the node has stopped, or, with what
-// is left cut off, when ctx ends.
+// Stop ends the node gracefully and returns when it has stopped. The node reports that it is not
+// ready, and other instances take over its endpoints, but it serves new requests for the drain
+// time. Then it closes the address for callers and lets requests in flight finish. When ctx or the
+// time limit for a stop ends, it cuts off the remaining ones.
 func (n *Node) Stop(ctx context.Context) {
 	n.stopOnce.Do(func() {
 		n.log.Info("stopping", "in_flight", n.entry.InFlight())
@@ -24,7 +23,7 @@
 			n.log.Info("requests cut off by the end of the stop", "in_flight", n.entry.InFlight())
 		}
 		if err := n.entry.Wait(within); err != nil {
-			n.log.Info("errands left", "in_flight", n.entry.InFlight())
+			n.log.Info("requests or background tasks unfinished at the end of the stop", "in_flight", n.entry.InFlight())
 		}
 		n.awaitFreedClaims(within)
 		n.shutdown()
@@ -39,13 +38,14 @@
 	}
 }
 
-// The wait for claims that were given up to be freed.
+// The maximum time to wait until released claims are freed, and the polling interval.
 const (
 	claimFreeTimeout  = 5 * time.Second
 	claimPollInterval = 50 * time.Millisecond
 )
 
-// awaitFreedClaims waits a little for the claims that were given up.
+// awaitFreedClaims waits until the claimer has freed all claims that it should, or claimFreeTimeout
+// has passed.
 func (n *Node) awaitFreedClaims(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, claimFreeTimeout)
 	defer cancel()
@@ -53,22 +53,22 @@
 		sleep(ctx, claimPollInterval)
 	}
 	if left := n.claimer.Pending(); left > 0 {
-		n.log.Info("claims not freed; their keys stay taken until they end", "claims", left)
+		n.log.Info("claims not freed; their keys stay claimed until the claims expire", "claims", left)
 	}
 }
 
-// Close ends the node at once, as a test's stand-in for its death.
+// Close ends the node immediately and cuts off its requests. Tests use it to simulate a crash.
 func (n *Node) Close() {
 	n.stopOnce.Do(n.shutdown)
 	<-n.Done
 }
 
-// shutdown ends all parts.
+// shutdown closes all servers, components and connections, and waits for their goroutines.
 func (n *Node) shutdown() {
 	defer close(n.Done)
 	close(n.closing)
 	n.cancel()
-	// The servers are closed whether or not they were shut down before.
+	// Closing a server that was already shut down has no effect.
 	_ = n.callers.Close()
 	_ = n.admin.Close()
 	n.rpc.Stop()
--- a/node/tls.go
+++ b/node/tls.go
@@ -13,24 +13,24 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// transportCredentials returns the credentials for both directions of connections between
-// instances; nil without key files. Each side checks that the other's
-// certificate was signed by the authorities, and the name or address in it.
+// transportCredentials returns the client and server credentials for connections between
+// instances, or nil if t is empty. Each side verifies that the other's certificate is signed by one
+// of the authorities. The client also verifies the server's name or address in it.
 func transportCredentials(t settings.TLS) (client, server credentials.TransportCredentials, err error) {
 	if t == (settings.TLS{}) {
 		return nil, nil, nil
 	}
 	pair, err := tls.LoadX509KeyPair(t.Certificate, t.Key)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "tls")
+		return nil, nil, errors.Wrap(err, "load TLS certificate")
 	}
 	pem, err := os.ReadFile(t.Authorities)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "tls")
+		return nil, nil, errors.Wrap(err, "read TLS authorities")
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(pem) {
-		return nil, nil, errors.Errorf("tls: %s holds no certificate", t.Authorities)
+		return nil, nil, errors.Errorf("TLS authorities file %s contains no certificate", t.Authorities)
 	}
 	client = credentials.NewTLS(&tls.Config{
 		Certificates: []tls.Certificate{pair},
--- a/node/wire_test.go
+++ b/node/wire_test.go
@@ -19,7 +19,7 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// countingConn is a connection that counts its bytes in both directions.
+// countingConn adds the bytes that it reads and writes to n.
 type countingConn struct {
 	net.Conn
 
@@ -38,7 +38,7 @@
 	return n, err
 }
 
-// dialCounted connects to a node and counts the bytes of the connection.
+// dialCounted returns a gRPC connection to a node, and the counter of its bytes in both directions.
 func dialCounted(b *testing.B, address string) (*grpc.ClientConn, *atomic.Int64) {
 	b.Helper()
 	n := new(atomic.Int64)
@@ -62,8 +62,8 @@
 	return c, n
 }
 
-// BenchmarkMessage reports the bytes on the wire, in both directions and with
-// the frames of HTTP/2, of each kind of message between nodes.
+// BenchmarkMessage reports the bytes on the wire of each kind of call between nodes, in both
+// directions and with HTTP/2 framing.
 func BenchmarkMessage(b *testing.B) {
 	f := startFleet(b, fleet.Settings{
 		Nodes:   1,
@@ -126,7 +126,7 @@
 	}
 }
 
-// lease acquires and releases one lease over a connection.
+// lease acquires a lease over a connection and releases it.
 func lease(ctx context.Context, c *grpc.ClientConn, number int) error {
 	attempt := fmt.Sprintf("1q2w3e4r5t6y7-%x.1", number)
 	stream, err := ownerpb.NewOwnerClient(c).Acquire(ctx, &ownerpb.AcquireRequest{
