--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -11,14 +11,14 @@
 	"github.com/linkmast/linkmast/catalog"
 )
 
-// adminHandler serves the metrics.
+// adminHandler returns the handler of the admin address.
 func (g *Gateway) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", g.handleMetrics)
 	return mux
 }
 
-// handleMetrics writes all counters as one JSON object.
+// handleMetrics writes the statistics of all components as one JSON object.
 func (g *Gateway) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	all := new(expvar.Map).Init()
 	all.Set("relay", g.relay.Metrics.Vars)
@@ -27,25 +27,25 @@
 	all.Set("quarantine", expvar.Func(func() any { return g.quarantine.Stats() }))
 	all.Set("process", expvar.Func(func() any { return g.processStats() }))
 	w.Header().Set("Content-Type", "application/json")
-	// The reader may have gone; there is nobody left to tell.
+	// A write fails only if the client has disconnected.
 	_, _ = fmt.Fprintln(w, all.String())
 }
 
-// storeStats are what is known from the store.
+// storeStats describes the data that the instance has from the store.
 type storeStats struct {
-	// Version is that of the configuration in force.
+	// Version is the version of the configuration in force.
 	Version int64 `json:"version"`
-	// AgeMS is how old it may be, in ms.
+	// AgeMS is the maximum age of the configuration in ms.
 	AgeMS     int64 `json:"age_ms"`
 	Endpoints int   `json:"endpoints"`
-	// Departed counts the endpoints that leave or have gone of late.
+	// Departed is the number of endpoints that are leaving or were removed recently.
 	Departed int `json:"departed"`
 	Peers    int `json:"peers"`
-	// Following is the instance's place among those that hand on what the store says.
+	// Following describes how this instance receives the store's data and forwards it.
 	Following catalog.Stats `json:"following"`
 }
 
-// storeStats returns the figures; zero while nothing is known.
+// storeStats returns the current statistics. Fields whose data is not known yet are zero.
 func (g *Gateway) storeStats() storeStats {
 	f := storeStats{
 		Following: g.catalog.Stats(),
@@ -62,20 +62,20 @@
 	return f
 }
 
-// processStats are those of the process.
+// processStats holds statistics of the process.
 type processStats struct {
 	Goroutines int `json:"goroutines"`
-	// InFlight counts the requests that are being served.
+	// InFlight is the number of requests being served.
 	InFlight int64 `json:"in_flight"`
-	// Connections counts the open connections of callers.
+	// Connections is the number of open connections from callers.
 	Connections int `json:"connections"`
-	// Dials counts the connections that were opened to endpoints.
+	// Dials is the number of connections opened to endpoints since the start.
 	Dials int64 `json:"dials"`
-	// LinesDropped counts log lines that were dropped.
+	// LinesDropped is the number of log lines dropped since the start.
 	LinesDropped int64 `json:"lines_dropped"`
 }
 
-// processStats returns the figures of now.
+// processStats returns the current statistics of the process.
 func (g *Gateway) processStats() processStats {
 	return processStats{
 		Goroutines:   runtime.NumGoroutine(),
--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -23,8 +23,7 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// assemble makes the parts, each from those before it. The address for other
-// instances must be known.
+// assemble creates the components in order of their dependencies. PeerListen must be set.
 func (g *Gateway) assemble() {
 	f := g.settings
 	client := wirehttp.Client()
@@ -50,12 +49,12 @@
 	g.assembleRelay(client)
 }
 
-// maxIdleReportConns bounds the connections that are kept for questions to engines: those that are
-// asked again and again, as they are slow.
+// maxIdleReportConns bounds the idle connections over which the scheduler queries engines for their
+// slowdown. Slow engines are queried repeatedly.
 const maxIdleReportConns = 128
 
-// assemblePools makes the scheduler of pools and the client that asks other
-// instances.
+// assemblePools creates the scheduler of the pools that this instance owns, and the client that
+// sends placement requests to other owners.
 func (g *Gateway) assemblePools() {
 	f := g.settings
 	log := g.log.WithName("pool")
@@ -79,7 +78,8 @@
 	g.placer = pool.NewClient(g.self, g.pools, g.peers, log)
 }
 
-// retestTurn returns the place of this instance in showing whether a request still crashes endpoints.
+// retestTurn returns this instance's position in the order in which instances may admit a request
+// again after its ban.
 func (g *Gateway) retestTurn(id quarantine.Identity) quarantine.RetestTurn {
 	before, of := g.catalog.Rank("ban/" + id.String())
 	return quarantine.RetestTurn{
@@ -88,14 +88,15 @@
 	}
 }
 
-// assembleServer makes what serves other instances.
+// assembleServer creates the gRPC server for other instances.
 func (g *Gateway) assembleServer() {
 	g.rpc = grpc.NewServer(grpc.ReadBufferSize(rpcBufferBytes), grpc.WriteBufferSize(rpcBufferBytes))
 	poolpb.RegisterPoolServer(g.rpc, pool.NewServer(g.pools, g.poolsReady, g.stopping))
 	catalogpb.RegisterCatalogServer(g.rpc, catalog.NewServer(g.catalog, g.stopping))
 }
 
-// assembleRelay makes what serves callers. The client carries orders to engines.
+// assembleRelay creates the relay that serves callers. It sends orders for engine memory over
+// client.
 func (g *Gateway) assembleRelay(client *http.Client) {
 	f := g.settings
 	g.relay = relay.New(relay.Settings{
@@ -117,16 +118,14 @@
 	})
 }
 
-// capacityPerCore of a processor core are the unit of an instance's capacity, as
-// settings give shares of cores.
+// capacityPerCore is the capacity that one processor core provides.
 const capacityPerCore = 1000
 
-// capacityPerMbps is how much of a core the work takes that a Mbit/s carries, in
-// thousandths: 200 Mbit/s go with a whole core.
+// capacityPerMbps is the capacity that one Mbit/s of the link provides. 200 Mbit/s match one core.
 const capacityPerMbps = 5
 
-// capacity returns what an instance can carry, by its processor or its link,
-// whichever binds.
+// capacity returns the instance's capacity, which its processor share or its link limits. It is at
+// least 1.
 func capacity(f *settings.File) int {
 	c := f.ProcessorShare * capacityPerCore
 	if f.LinkMbps > 0 {
@@ -135,17 +134,15 @@
 	return max(int(c), 1)
 }
 
-// rpcBufferBytes is the buffer of each direction of a connection between instances, in
-// bytes. Most messages are far smaller.
+// rpcBufferBytes is the size of the read and the write buffer of a connection from another
+// instance. Most messages are far smaller.
 const rpcBufferBytes = 16 << 10
 
-// pollsPerRevoke is how many polls for configurations fit into the time in which
-// keys must be refused. With 5 s a reader that the store no longer answers is
-// left by its followers within a second, well below the 2 s in which changes must
-// be in force.
+// pollsPerRevoke is the number of polls for configurations within the time limit for refusing
+// revoked keys.
 const pollsPerRevoke = 10
 
-// maxAgeShare is the part of the time in which a key must be refused after it
-// was taken away, up to which a configuration's age is trusted. The rest is for
-// the time between the check and the endpoint.
+// maxAgeShare is the maximum age of a usable configuration, as a share of the time limit for
+// refusing revoked keys. The remainder covers the time from the check of a key until the request
+// reaches the endpoint.
 const maxAgeShare = 0.8
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -8,11 +8,8 @@
 	"testing"
 )
 
-// BenchmarkServe sends requests through an instance to an endpoint that answers at once, one
-// after the other, each on a connection of its own. Caller, instance and endpoint in one
-// process took 273 µs and 318 allocations a request (one run, beside other work); of the
-// samples a fifth were in the relay, a tenth of all in the exchange with the endpoint, the
-// rest in system calls and in the library at both ends.
+// BenchmarkServe measures sequential requests through an instance to an endpoint that answers
+// immediately, each on a new connection. Caller and endpoint run in the same process.
 func BenchmarkServe(b *testing.B) {
 	w := newCluster(b, 1)
 	for _, e := range w.endpoints {
--- a/gateway/configchange_test.go
+++ b/gateway/configchange_test.go
@@ -15,7 +15,7 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// publishLarge publishes the next version with so many routes more.
+// publishLarge publishes the next version of the configuration with a number of additional routes.
 func (w *cluster) publishLarge(more int) {
 	w.version++
 	routes := []route.Route{{
@@ -40,9 +40,9 @@
 	}, 1<<20, []route.Customer{{ID: "c1", Keys: []string{"k1"}}})
 }
 
-// TestAcceptsDuringConfigurationChanges opens new connections to instances while configurations come in
-// quick succession, each with 1,400 routes more. Each is taken and its request answered
-// soon, and the last version is in force at the end.
+// TestAcceptsDuringConfigurationChanges guards against instances that don't accept or serve new
+// connections in time while large configurations arrive in quick succession, or that miss the last
+// one.
 func TestAcceptsDuringConfigurationChanges(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 3)
--- a/gateway/connections.go
+++ b/gateway/connections.go
@@ -8,20 +8,20 @@
 	"sync"
 )
 
-// connections counts the open connections of callers.
+// connections tracks the open connections from callers. It is safe for concurrent use.
 type connections struct {
 	mu   sync.Mutex
 	open map[net.Conn]struct{}
 }
 
-// newConnections returns a count of none.
+// newConnections returns an empty set of connections.
 func newConnections() *connections {
 	return &connections{
 		open: make(map[net.Conn]struct{}),
 	}
 }
 
-// handleState implements the ConnState hook of an http.Server.
+// handleState is the ConnState hook of the http.Server for callers.
 func (c *connections) handleState(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// count returns how many connections are open.
+// count returns the number of open connections.
 func (c *connections) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -24,24 +24,23 @@
 // crashBody is the body of the request that crashes endpoints in these tests.
 const crashBody = "crash"
 
-// The measures of the tests with a request that crashes endpoints.
 const (
-	// downtime is how long an endpoint is away after a crash.
+	// downtime is how long an endpoint is down after a crash.
 	downtime = 300 * time.Millisecond
-	// maxCrashes is how many endpoints one request may crash: three until that is known,
-	// and three more.
+	// maxCrashes is the maximum number of endpoints that one request may crash: three before it is
+	// quarantined, and three more.
 	maxCrashes = 6
 )
 
-// crashingEndpoint runs an endpoint, which it starts again under another name after a crash.
+// crashingEndpoint runs an endpoint and restarts it after each crash, by default under another name.
 type crashingEndpoint struct {
 	world   *cluster
 	name    string
 	service string
 	address string
-	// sameName states that the endpoint keeps its name when it starts again.
+	// sameName makes the endpoint keep its name when it restarts.
 	sameName bool
-	// downtime is how long the endpoint is downtime after a crash.
+	// downtime is how long the endpoint is down after a crash.
 	downtime time.Duration
 	endpoint *platformtest.Endpoint
 
@@ -52,7 +51,7 @@
 	closed  bool
 }
 
-// addCrashing adds an endpoint that a request with the body crashing crashes.
+// addCrashing adds an endpoint that crashes on a request with the body crashBody.
 func (w *crashCluster) addCrashing(name string, o crashOptions) *crashingEndpoint {
 	w.t.Helper()
 	x := &crashingEndpoint{
@@ -87,7 +86,7 @@
 	return x
 }
 
-// start starts the endpoint under its next name and enters it.
+// start starts the endpoint under its next name and writes its store entry.
 func (x *crashingEndpoint) start(l net.Listener) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -111,7 +110,7 @@
 	})
 }
 
-// crash ends the endpoint. Its entry lapses only when it is back.
+// crash closes the endpoint's server and schedules its restart. The store entry stays until then.
 func (x *crashingEndpoint) crash() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -125,11 +124,11 @@
 	time.AfterFunc(x.downtime, func() { x.restart(before) })
 }
 
-// restart starts the endpoint again at its address.
+// restart starts the endpoint again at its address. before is its previous name.
 func (x *crashingEndpoint) restart(before string) {
 	l, err := net.Listen("tcp", x.address)
 	for err != nil {
-		// Another socket has the port for a moment.
+		// Another socket may briefly use the port.
 		time.Sleep(10 * time.Millisecond)
 		l, err = net.Listen("tcp", x.address)
 	}
@@ -146,7 +145,7 @@
 	x.start(l)
 }
 
-// close ends the endpoint for good.
+// close stops the endpoint and prevents further restarts.
 func (x *crashingEndpoint) close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -156,32 +155,33 @@
 	}
 }
 
-// crashCluster is a world whose endpoints crash at a request.
+// crashCluster is a cluster whose endpoints crash on the request with the body crashBody.
 type crashCluster struct {
 	*cluster
 	crashing []*crashingEndpoint
-	// maxCrashesPerAttempt is how many endpoints an attempt may crash.
+	// maxCrashesPerAttempt is the maximum number of endpoints that one attempt crashes.
 	maxCrashesPerAttempt int
 }
 
-// crashOptions are the endpoints of a crashWorld.
+// crashOptions describes the endpoints of a crashCluster.
 type crashOptions struct {
 	service string
-	// model is that of engines; nil for plain endpoints.
+	// model is the engines' model, or nil for plain endpoints.
 	model *batch.Model
-	// events is the length of streams, ten at least, and after is after how many events they
-	// crash an endpoint; zero means at once.
+	// events is the number of events of a stream, at least ten. crashAfter is the number of events
+	// after which a stream crashes its endpoint. Zero means at the start.
 	events     int
 	crashAfter int
-	// sameName states that endpoints keep their names when they start again.
+	// sameName makes endpoints keep their names when they restart.
 	sameName bool
-	// away is how long they are away after a crash; zero means downFor.
+	// downtime is how long an endpoint is down after a crash. Zero means the constant downtime.
 	away time.Duration
-	// crashReaders states that the endpoints crash as well which read for one that does.
+	// crashReaders makes endpoints that share in the prefill of a request crash with the endpoint
+	// that runs it.
 	crashReaders bool
 }
 
-// engineOptions are the options of engineOptions that crash as they begin to run a request.
+// engineOptions returns the options of engines that crash when they start to run crashBody.
 func engineOptions() crashOptions {
 	return crashOptions{
 		service: "engines",
@@ -189,8 +189,8 @@
 	}
 }
 
-// newCrashCluster starts three instances, with six endpoints of a service that crash beside the
-// usual ones, which are taken away.
+// newCrashCluster starts three instances and six crashing endpoints of one service. It removes the
+// default endpoints of newCluster.
 func newCrashCluster(t *testing.T, o crashOptions) *crashCluster {
 	t.Helper()
 	w := &crashCluster{
@@ -210,7 +210,7 @@
 	return w
 }
 
-// crashAt ends the endpoints at some addresses.
+// crashAt crashes the endpoints at the given addresses.
 func (w *crashCluster) crashAt(addresses []string) {
 	for _, x := range w.crashing {
 		if slices.Contains(addresses, x.address) {
@@ -219,7 +219,7 @@
 	}
 }
 
-// crashes returns how many endpoints have crashed.
+// crashes returns the total number of crashes of all endpoints.
 func (w *crashCluster) crashes() int {
 	n := 0
 	for _, x := range w.crashing {
@@ -230,7 +230,7 @@
 	return n
 }
 
-// attempts returns how many attempts of the request that crashes endpoints reached one.
+// attempts returns how many times an endpoint has received a request with the body crashBody.
 func (w *crashCluster) attempts() int {
 	n := 0
 	for _, x := range w.crashing {
@@ -243,8 +243,8 @@
 	return n
 }
 
-// assertContained has a caller send the request that crashes endpoints to one instance after
-// the other. It must end at a few endpoints, and its last tries be refused without a run.
+// assertContained sends the crashing request to all instances in turn. It checks that the request
+// crashes only a few endpoints, and that in the end it is refused without reaching one.
 func (w *crashCluster) assertContained(t *testing.T, path string, tokens int) {
 	t.Helper()
 	is := is.New(t)
@@ -257,15 +257,15 @@
 	w.assertFewCrashes(t)
 }
 
-// sendCrashing has a caller send the request that crashes endpoints once more, the i-th time, and
-// wait for a moment.
+// sendCrashing sends the crashing request to one of the instances under an id made from i, and
+// then waits 50 ms.
 func (w *crashCluster) sendCrashing(i int, path string, tokens int) response {
 	answer := w.send(i%len(w.gateways), request{id: "crash" + strconv.Itoa(i), path: path, body: crashBody, tokens: tokens})
 	time.Sleep(50 * time.Millisecond)
 	return answer
 }
 
-// assertFewCrashes looks that the request that crashes endpoints reached a few only.
+// assertFewCrashes checks the number of attempts of the crashing request and of crashes.
 func (w *crashCluster) assertFewCrashes(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
@@ -274,18 +274,8 @@
 	is.True(w.crashes() <= maxCrashes*w.maxCrashesPerAttempt)
 }
 
-// TestCrashingRequest sends a request again and again that crashes each endpoint as it
-// begins to run it, to all instances in turn, each try under a name of its own, as its
-// caller does.
-//
-// What users saw: for half a minute answers of all callers broke off, as one engine after the
-// other ended; some 47 by one request. The order of events: an engine breaks off all that it
-// answers; one of these requests has begun a moment before; its instance, and then its caller
-// at other instances, send it to the next engine, which breaks off a tenth of a second later.
-// The cause: each instance put the end of an answer down to the engine, and nothing knew a
-// request again that came with another name or at another instance. The evidence: 41 of 42
-// attempts that the lines tell of one customer and length of prompt ended so, of 36 requests
-// on five instances, each on another engine.
+// TestCrashingRequest guards against a request that crashes one endpoint after another, because its
+// caller retries it at other instances under other ids.
 func TestCrashingRequest(t *testing.T) {
 	plain := crashOptions{
 		service: "plain",
@@ -298,12 +288,12 @@
 		tokens  int
 		options crashOptions
 	}{
-		{"stream that may go on", "/stream/x", 500, engineOptions()},
-		{"stream that runs once", "/once/x", 500, engineOptions()},
-		{"stream that goes on elsewhere after each crash", "/stream/x", 500, later},
-		{"prompt that two engines read", "/stream/x", 300_000, engineOptions()},
-		{"plain that may run again", "/safe/x", 0, plain},
-		{"plain that runs once", "/unsafe/x", 0, plain},
+		{"resumable stream", "/stream/x", 500, engineOptions()},
+		{"stream that is not resumable", "/once/x", 500, engineOptions()},
+		{"stream that resumes at another endpoint after each crash", "/stream/x", 500, later},
+		{"joint prefill by two engines", "/stream/x", 300_000, engineOptions()},
+		{"safe request to a plain endpoint", "/safe/x", 0, plain},
+		{"unsafe request to a plain endpoint", "/unsafe/x", 0, plain},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			w := newCrashCluster(t, row.options)
@@ -313,13 +303,13 @@
 	}
 }
 
-// TestCrashingRequestWithReaders sends a long prompt that crashes all engines which read it, while
-// each answers others. An end of a reader that is known from those others alone would look like
-// another cause of the crash.
+// TestCrashingRequestWithReaders guards against wrong conclusions about a request that crashes all
+// engines of its joint prefill while they serve others. The crash of an engine that only has a
+// share of the prefill must not count as a sign of another cause.
 func TestCrashingRequestWithReaders(t *testing.T) {
 	o := engineOptions()
 	o.crashReaders, o.events = true, 100
-	// Ends of one address within a second are taken for one.
+	// Crashes at one address within a second count as one.
 	o.away = 1200 * time.Millisecond
 	w := newCrashCluster(t, o)
 	stop := make(chan struct{})
@@ -328,7 +318,7 @@
 		callers.Go(func() { w.sendUntil(c, stop) })
 	}
 	w.await("most engines answer", func() bool { return w.answering() >= len(w.crashing)-1 })
-	for i := range 72 { // some tries find no room beside the others
+	for i := range 72 { // some attempts find no free memory
 		w.sendCrashing(i, "/stream/x", 300_000)
 	}
 	w.awaitAll("banned", func(f stats) bool { return f.Quarantine.Bans == 1 })
@@ -338,7 +328,7 @@
 	callers.Wait()
 }
 
-// answering returns how many endpoints answer something.
+// answering returns the number of endpoints that are running a request.
 func (w *crashCluster) answering() int {
 	n := 0
 	for _, x := range w.crashing {
@@ -347,7 +337,7 @@
 	return n
 }
 
-// sendUntil sends requests of one caller, each of its own, until stop is closed.
+// sendUntil sends distinct requests of one caller, one after another, until stop is closed.
 func (w *crashCluster) sendUntil(caller int, stop <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
@@ -360,8 +350,9 @@
 	}
 }
 
-// TestCrashingRequestDuringStoreOutage sends it while the store is away. Endpoints keep their names,
-// so that the instances go on using them. The ban is in the store once that is back.
+// TestCrashingRequestDuringStoreOutage checks that a crashing request is contained while the store
+// is unavailable, and that the ban is written to the store afterwards. Endpoints keep their names,
+// so that instances that can't read the store still use them.
 func TestCrashingRequestDuringStoreOutage(t *testing.T) {
 	o := engineOptions()
 	o.sameName = true
@@ -374,7 +365,8 @@
 	w.await("ban in the store", func() bool { return w.store.Has(platformtest.TopicPeers, "ban/") })
 }
 
-// TestBanOutlivesInstances ends all instances after a ban. Those that start then know it.
+// TestBanOutlivesInstances checks that an instance knows an existing ban after all instances have
+// been replaced.
 func TestBanOutlivesInstances(t *testing.T) {
 	is := is.New(t)
 	w := newCrashCluster(t, engineOptions())
@@ -392,7 +384,8 @@
 	is.Equal(w.crashes(), before)
 }
 
-// TestBanReleased has an operator end the record of a ban: the request may run again everywhere.
+// TestBanReleased checks that a request may run again after an operator has removed its ban from
+// the store.
 func TestBanReleased(t *testing.T) {
 	is := is.New(t)
 	w := newCrashCluster(t, engineOptions())
@@ -409,12 +402,12 @@
 	})
 }
 
-// TestUnrelatedCrashes crashes engines while callers ask for the same thing over and over at
-// all instances: nothing of it is banned, and all is served once the engines are back.
+// TestUnrelatedCrashes guards against a ban of a harmless request that callers send repeatedly
+// while engines crash for other reasons.
 func TestUnrelatedCrashes(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// crash crashes engines once more, the i-th time.
+		// crash crashes the engines of round i.
 		crash func(w *crashCluster, i int)
 	}{
 		{"one after the other", func(w *crashCluster, i int) { w.crashing[i%len(w.crashing)].crash() }},
@@ -468,8 +461,8 @@
 	}
 }
 
-// TestBrokenAnswersAreNoCrash breaks the answers to a request off again and again without an end of
-// their endpoints: that is no crash.
+// TestBrokenAnswersAreNoCrash checks that an interrupted answer doesn't count as a crash if the
+// endpoint is still running.
 func TestBrokenAnswersAreNoCrash(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 2)
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package gateway is one instance on a platform with a store.
+// Package gateway runs one instance on a platform with a store.
 //
-// It puts the parts together: the catalog that follows the store, the scheduler
-// of pools, the relay that serves callers, and the adapter in package platform.
-// All instances are alike and keep nothing.
+// It connects the catalog, which follows the store, the scheduler of pools, the relay, which
+// serves callers, and the adapters of package platform. All instances run the same components and
+// keep no persistent state.
 package gateway
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,58 +24,57 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// Gateway is one instance.
+// Gateway is a running instance. New starts it.
 type Gateway struct {
 	// Done is closed when the instance has stopped.
 	Done chan struct{}
-	// Listen is where callers connect.
+	// Listen is the address for callers.
 	Listen string
-	// ReadyListen is where the balancer asks whether the instance is ready.
+	// ReadyListen is the address of the load balancer's readiness checks.
 	ReadyListen string
-	// PeerListen is where other instances connect.
+	// PeerListen is the address for other instances.
 	PeerListen string
-	// AdminListen is where the metrics are.
+	// AdminListen is the address of the metrics.
 	AdminListen string
 
 	settings *settings.File
 	log      logr.Logger
-	// droppedLines returns how many log lines were droppedLines so far.
+	// droppedLines returns the number of log lines dropped so far.
 	droppedLines func() int64
-	// self is what other instances are told.
+	// self describes this instance to other instances.
 	self    catalog.Peer
 	catalog *catalog.Catalog
-	// pools places what this instance owns, and placer finds the owner of the
-	// rest.
+	// pools schedules the pools that this instance owns. placer sends each placement request to
+	// the pool's owner, which may be this instance.
 	pools  *pool.Scheduler
 	placer *pool.Client
-	// quarantine is what is known of requests that crash endpoints, and recorder keeps its
-	// bans in the store.
+	// quarantine tracks requests that crash endpoints. recorder writes its bans to the store.
 	quarantine *quarantine.Registry
 	recorder   *quarantine.Recorder
-	// notices is what endpoints say of themselves in answers.
+	// notices holds the statements that endpoints make about themselves in their answers.
 	notices  *notice.Registry
 	relay    *relay.Relay
 	upstream *upstream.Pool
-	// peers are the connections to other instances, and rpc serves theirs.
+	// peers holds the connections to other instances. rpc serves connections from them.
 	peers *peer.Pool
 	rpc   *grpc.Server
-	// servers are all HTTP servers, callers the one of these for callers, and
-	// open its connections.
+	// servers are all HTTP servers. callers is the one for callers, and callerConns tracks its
+	// connections.
 	servers     []*http.Server
 	callers     *http.Server
 	callerConns *connections
-	// poolsReady is closed once the pools know their endpoints.
+	// poolsReady is closed after pools has received the first complete snapshot.
 	poolsReady chan struct{}
-	// stopping is closed when a stop begins, and cancel ends the parts.
+	// stopping is closed when a stop begins. cancel ends the goroutines that run the components.
 	stopping   chan struct{}
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 	stopOnce   sync.Once
 }
 
-// New starts an instance. Stop ends it as planned, Close at once. Dropped returns
-// how many log lines were dropped so far. The error is that of an address that
-// can't be listened on.
+// New starts an instance. Stop ends it gracefully, Close immediately. The function dropped returns
+// the number of log lines dropped so far. New returns an error if it can't listen on one of the
+// addresses.
 func New(f *settings.File, log logr.Logger, dropped func() int64) (*Gateway, error) {
 	g := &Gateway{
 		Done:         make(chan struct{}),
@@ -109,7 +108,7 @@
 	return g, nil
 }
 
-// followCatalog hands on what the catalog learns until ctx ends.
+// followCatalog forwards each new snapshot of the catalog to the other components until ctx ends.
 func (g *Gateway) followCatalog(ctx context.Context) {
 	known := false
 	var banned map[quarantine.Identity]quarantine.Verdict
@@ -122,7 +121,7 @@
 				return listed
 			})
 			if s.Complete {
-				// With few of the instances known others would be taken for owners.
+				// With an incomplete list of instances the client would choose wrong owners.
 				g.placer.Update(s)
 			}
 			if !maps.Equal(banned, s.Banned) {
@@ -143,10 +142,11 @@
 	}
 }
 
-// idleCheckInterval is how often connections that rested for too long are closed.
+// idleCheckInterval is how often connections to endpoints are checked for their idle time.
 const idleCheckInterval = time.Second
 
-// closeIdleUpstream closes connections to endpoints that rested for too long until ctx ends.
+// closeIdleUpstream periodically closes connections to endpoints that have been idle for too long,
+// until ctx ends.
 func (g *Gateway) closeIdleUpstream(ctx context.Context) {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -14,6 +14,7 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
+// TestServe checks plain requests, streams, and the refusals of invalid requests.
 func TestServe(t *testing.T) {
 	w := newCluster(t, 2)
 	t.Run("plain", func(t *testing.T) {
@@ -51,7 +52,7 @@
 	})
 }
 
-// findRun returns the only run of a request.
+// findRun returns a run of the request with an id. It fails the test if there is none.
 func (w *cluster) findRun(id string) platformtest.Run {
 	w.t.Helper()
 	for _, e := range w.endpoints {
@@ -65,9 +66,8 @@
 	return platformtest.Run{}
 }
 
-// TestEndpointFails is a table of what endpoints do wrong, and what becomes of a
-// request of each kind. With both endpoints failing the same way the answer must
-// be true; with one, what may run again is served.
+// TestEndpointFails checks the status and the maximum number of runs of safe and unsafe requests if
+// one or all endpoints fail. all says whether both endpoints have the faults or only one.
 func TestEndpointFails(t *testing.T) {
 	reject := platformtest.EndpointFaults{Reject: true}
 	lose := platformtest.EndpointFaults{LoseAnswer: true}
@@ -95,7 +95,7 @@
 			if row.all {
 				w.endpoints["p2"].SetFaults(row.faults)
 			}
-			// Twice as many as endpoints, so that the faulty one is met.
+			// Several requests, so that the faulty endpoint receives some of them.
 			for i := range 4 {
 				id := "r" + strconv.Itoa(i)
 				g := w.send(0, request{id: id, path: row.path, method: method(row.path)})
@@ -110,6 +110,7 @@
 	}
 }
 
+// method returns the HTTP method for requests to a path.
 func method(path string) string {
 	if path == "/safe/" {
 		return http.MethodGet
@@ -117,7 +118,8 @@
 	return http.MethodPost
 }
 
-// TestStreamInterrupted cuts streams in the middle of an event.
+// TestStreamInterrupted checks that a resumable stream that breaks off or stalls is completed by
+// another endpoint, and that any other stream is visibly incomplete and runs only once.
 func TestStreamInterrupted(t *testing.T) {
 	t.Run("resumable", func(t *testing.T) {
 		is := is.New(t)
@@ -128,7 +130,7 @@
 			assertWhole(t, g)
 			is.Equal(g.body, events("s"+strconv.Itoa(i), 10)) // each event once and in order
 		}
-		is.True(len(w.endpoints["e1"].Runs()) > 0) // the faulty endpoint was met
+		is.True(len(w.endpoints["e1"].Runs()) > 0) // the faulty endpoint was used
 	})
 	t.Run("not resumable", func(t *testing.T) {
 		is := is.New(t)
@@ -137,7 +139,7 @@
 			w.endpoints[name].SetFaults(platformtest.EndpointFaults{CutAfter: 4})
 		}
 		g := w.send(0, request{id: "s", path: "/once/", tokens: 500})
-		is.True(g.err != nil) // a cut answer must not look whole
+		is.True(g.err != nil) // an interrupted answer must not look complete
 		is.Equal(w.runs("s"), 1)
 	})
 	t.Run("silent", func(t *testing.T) {
@@ -154,9 +156,8 @@
 	})
 }
 
-// TestAttempts counts the endpoints that streams are sent to when all of them
-// fail in some way: at most two, as the route says, but for those that broke a
-// stream off.
+// TestAttempts guards against streams that run more often than the route's maximum number of
+// attempts allows when all endpoints fail.
 func TestAttempts(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -165,7 +166,7 @@
 	}{
 		{"reject", platformtest.EndpointFaults{Reject: true}, 0},
 		{"fail before the first event", platformtest.EndpointFaults{FailStreams: true}, 2},
-		{"fail when a stream goes on", platformtest.EndpointFaults{FailResumed: true, CutAfter: 3}, 2},
+		{"fail when a stream is resumed", platformtest.EndpointFaults{FailResumed: true, CutAfter: 3}, 2},
 		{"silent", platformtest.EndpointFaults{Silent: true}, 2},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -185,13 +186,14 @@
 	}
 }
 
-// TestKeyRevoked takes a key away while instances can't learn of it.
+// TestKeyRevoked guards against an instance that accepts a revoked key after the time limit, also
+// if it can't read the store.
 func TestKeyRevoked(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		faults platformtest.StoreFaults
 	}{
-		{"store in reach", platformtest.StoreFaults{}},
+		{"store available", platformtest.StoreFaults{}},
 		{"store refuses", platformtest.StoreFaults{Refuse: true}},
 		{"store silent", platformtest.StoreFaults{Silent: true}},
 		{"store slow", platformtest.StoreFaults{Slow: 700 * time.Millisecond}},
@@ -218,9 +220,9 @@
 	}
 }
 
-// TestKeysNotStrict lets an instance serve on by the newest configuration that it
-// knows, as its operator allows. What that configuration does not know is refused as
-// uncertain, not as forbidden, and a key that was taken away once that is known.
+// TestKeysNotStrict checks an instance without RevokeStrict that can't read the store. It accepts
+// the keys of its newest configuration, and refuses unknown keys and routes with status 503 because
+// they may be new. It refuses the revoked key when it can read the store again.
 func TestKeysNotStrict(t *testing.T) {
 	is := is.New(t)
 	w := newLenientCluster(t, 1)
@@ -238,7 +240,8 @@
 	is.Equal(w.send(0, request{id: "no route", path: "/other/"}).status, http.StatusNotFound)
 }
 
-// TestStartWithoutStore starts an instance while the store is down.
+// TestStartWithoutStore checks that an instance that starts during an outage of the store is not
+// ready and refuses requests until the store is back.
 func TestStartWithoutStore(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1)
@@ -252,8 +255,8 @@
 	assertWhole(t, w.send(1, request{id: "late", path: "/safe/"}))
 }
 
-// TestRequestDuringStart sends a request to an instance that can't know the
-// configuration yet, and does shortly after.
+// TestRequestDuringStart checks that a request waits for the configuration if it arrives shortly
+// before the instance has read it.
 func TestRequestDuringStart(t *testing.T) {
 	w := newCluster(t, 1)
 	w.store.SetFaults(platformtest.StoreFaults{Refuse: true})
@@ -262,15 +265,16 @@
 	assertWhole(t, w.send(1, request{id: "early", path: "/safe/"}))
 }
 
-// TestEndpointLeaves lets an endpoint leave.
+// TestEndpointLeaves guards against requests to an endpoint whose store entry says that it leaves,
+// or has been removed.
 func TestEndpointLeaves(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		leave func(w *cluster)
 	}{
-		{"says so", func(w *cluster) { w.register("p1", "plain", true) }},
+		{"entry marked as leaving", func(w *cluster) { w.register("p1", "plain", true) }},
 		{"entry removed", func(w *cluster) { w.store.Remove("p1") }},
-		{"entry removed and forgotten", func(w *cluster) {
+		{"entry removed and topic compacted", func(w *cluster) {
 			w.store.Remove("p1")
 			w.store.Forget(platformtest.TopicEndpoints)
 		}},
@@ -279,7 +283,7 @@
 			is := is.New(t)
 			w := newCluster(t, 1)
 			row.leave(w)
-			w.awaitAll("that it leaves", func(f stats) bool { return f.Store.Departed == 1 })
+			w.awaitAll("departure known", func(f stats) bool { return f.Store.Departed == 1 })
 			before := len(w.endpoints["p1"].Runs())
 			for range 20 {
 				assertWhole(t, w.send(0, request{id: "y", path: "/safe/"}))
@@ -289,7 +293,8 @@
 	}
 }
 
-// TestAddressReused gives an endpoint's address to another one.
+// TestAddressReused guards against a request that runs on another endpoint that has taken over the
+// address of a listed one.
 func TestAddressReused(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1)
@@ -301,7 +306,8 @@
 	is.Equal(len(w.endpoints["p1"].Runs()), 0)
 }
 
-// TestPlannedStop stops an instance with streams open.
+// TestPlannedStop checks that an instance that stops completes its open streams and serves new
+// requests at first.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 2)
@@ -333,8 +339,8 @@
 	<-done
 }
 
-// TestNewStreamsDuringStop sends streams to an instance while it stops. Each is
-// answered whole or not taken, and the instance ends with the last of them.
+// TestNewStreamsDuringStop checks that each stream that arrives during a stop is either completed
+// or not started, and that the instance ends soon after the last one.
 func TestNewStreamsDuringStop(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1)
@@ -367,7 +373,8 @@
 	is.True(time.Since(last) < time.Second)
 }
 
-// TestCallerDisconnects gives a stream up in the middle.
+// TestCallerDisconnects guards against an engine that still runs a stream after its caller has
+// disconnected.
 func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1)
@@ -394,8 +401,8 @@
 	is.True(time.Since(gone) < 500*time.Millisecond)
 }
 
-// TestLargePrompt serves a prompt that no engine has room for alone, and looks
-// that the memory is given back.
+// TestLargePrompt checks that a prompt that is too large for one engine runs as a joint prefill,
+// and that all engines free its memory afterwards.
 func TestLargePrompt(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1)
@@ -404,21 +411,21 @@
 	is.Equal(g.body, events("big", 10))
 	r := w.findRun("big")
 	is.True(r.Readers() != "")
-	w.await("memory given back", func() bool {
+	w.await("memory freed", func() bool {
 		return w.endpoints["e1"].Held()+w.endpoints["e2"].Held() == 0
 	})
 }
 
-// TestDomainDrained empties a failure domain, with instances that read the store and that
-// follow others, and restores it.
+// TestDomainDrained guards against requests to a drained failure domain, also after the store has
+// compacted the operator's records, and checks that the domain is used again once it is undrained.
 func TestDomainDrained(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 3)
 	w.addEndpointIn("d2", "e3", "engines", fastEngine())
 	w.addEndpointIn("d2", "p3", "plain", nil)
 	w.awaitAll("all endpoints known", func(f stats) bool { return f.Store.Endpoints == 6 })
-	// ask asks each instance some times, and returns how many requests ran in the domain.
-	ask := func() int {
+	// runsInDomain sends requests to each instance and returns how many of them ran in domain d1.
+	runsInDomain := func() int {
 		before := w.totalRuns("e1", "e2", "p1", "p2")
 		for i := range w.gateways {
 			for range 6 {
@@ -428,16 +435,16 @@
 		}
 		return w.totalRuns("e1", "e2", "p1", "p2") - before
 	}
-	emptied := func(n int) func(f stats) bool {
+	drained := func(n int) func(f stats) bool {
 		return func(f stats) bool { return len(f.Store.Following.Drained) == n }
 	}
-	is.True(ask() > 0)
+	is.True(runsInDomain() > 0)
 	w.store.Empty("d1")
-	w.awaitAll("the failure domain emptied", emptied(1))
-	is.Equal(ask(), 0)
+	w.awaitAll("the failure domain drained", drained(1))
+	is.Equal(runsInDomain(), 0)
 	w.store.Forget(platformtest.TopicOperator)
-	is.Equal(ask(), 0)
+	is.Equal(runsInDomain(), 0)
 	w.store.Restore("d1")
-	w.awaitAll("the failure domain restored", emptied(0))
-	is.True(ask() > 0)
+	w.awaitAll("the failure domain undrained", drained(0))
+	is.True(runsInDomain() > 0)
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -25,7 +25,7 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// cluster is a platform with instances of the system on it.
+// cluster is a simulated platform with a store and endpoints, and instances that run on it.
 type cluster struct {
 	t         testing.TB
 	store     *platformtest.Store
@@ -34,18 +34,17 @@
 	addresses map[string]string
 	gateways  []*gateway.Gateway
 	version   int
-	// lenient states that keys need not be refused in time by instances that are
-	// out of touch.
+	// lenient turns RevokeStrict off: instances that can't reach the store go on accepting keys.
 	lenient bool
 }
 
-// revoke is how soon keys must be refused in the tests.
+// revoke is the time limit for refusing revoked keys.
 const revoke = 1500 * time.Millisecond
 
-// stopWithin is how long an instance may take to stop.
+// stopWithin is the time limit for a planned stop.
 const stopWithin = 6500 * time.Millisecond
 
-// fastEngine is a model with passes of 10 ms and reading of 1 ms per 1000 tokens.
+// fastEngine returns an engine model with passes of 10 ms and a prefill of 1 ms per 1000 tokens.
 func fastEngine() *batch.Model {
 	return &batch.Model{
 		Slots:            8,
@@ -56,15 +55,15 @@
 	}
 }
 
-// newCluster starts a store with a configuration, two engines, two plain endpoints
-// and some instances.
+// newCluster starts a store with a configuration, two engines, two plain endpoints and a number of
+// instances, and waits until all instances are ready.
 func newCluster(t testing.TB, instances int) *cluster {
 	t.Helper()
 	return startCluster(t, instances, false)
 }
 
-// newLenientCluster starts the same with instances that serve keys on by the newest
-// configuration that they know.
+// newLenientCluster starts the same cluster with instances that go on accepting keys while they
+// can't reach the store.
 func newLenientCluster(t testing.TB, instances int) *cluster {
 	t.Helper()
 	return startCluster(t, instances, true)
@@ -93,11 +92,12 @@
 	for _, g := range w.gateways {
 		w.await("ready", func() bool { return w.ready(g) })
 	}
-	// Instances that start may know of an endpoint later than the store.
+	// An instance may be ready before it has received all endpoints.
 	w.awaitAll("endpoints known", func(f stats) bool { return f.Store.Endpoints == len(w.endpoints) })
 	return w
 }
 
+// serve starts an HTTP server on a free port until the test ends, and returns its address.
 func serve(t testing.TB, h http.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,11 +112,13 @@
 	return l.Addr().String()
 }
 
+// addEndpoint adds an endpoint in failure domain d1.
 func (w *cluster) addEndpoint(name, service string, m *batch.Model) {
 	w.addEndpointIn("d1", name, service, m)
 }
 
-// addEndpointIn adds an endpoint in a failure domain.
+// addEndpointIn starts an endpoint and registers it in a failure domain. A nil model means a plain
+// endpoint.
 func (w *cluster) addEndpointIn(domain, name, service string, m *batch.Model) {
 	e := &platformtest.Endpoint{
 		Instance: name,
@@ -129,12 +131,12 @@
 	w.registerIn(name, service, domain, false)
 }
 
-// register writes the register of an endpoint.
+// register writes the store entry of an endpoint in failure domain d1.
 func (w *cluster) register(name, service string, leaving bool) {
 	w.registerIn(name, service, "d1", leaving)
 }
 
-// registerIn writes the entry of an endpoint in a failure domain.
+// registerIn writes the store entry of an endpoint in a failure domain.
 func (w *cluster) registerIn(name, service, domain string, leaving bool) {
 	w.store.Enter(platformtest.Entry{
 		Instance: name,
@@ -146,7 +148,7 @@
 	})
 }
 
-// publish publishes the next version, with one customer that has the keys.
+// publish publishes the next version of the configuration, with one customer that has the keys.
 func (w *cluster) publish(keys ...string) {
 	w.version++
 	one := func(prefix string, kind route.Kind, service string, resumable bool) route.Route {
@@ -175,6 +177,7 @@
 	}, 1<<20, []route.Customer{{ID: "c1", Keys: keys}})
 }
 
+// start starts instance i. It doesn't wait until the instance is ready.
 func (w *cluster) start(i int) *gateway.Gateway {
 	strict := !w.lenient
 	f := &settings.File{
@@ -209,6 +212,7 @@
 	return g
 }
 
+// ready reports whether an instance answers the readiness check with status 200.
 func (w *cluster) ready(g *gateway.Gateway) bool {
 	res, err := http.Get("http://" + g.ReadyListen + "/ready")
 	if err != nil {
@@ -218,7 +222,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// stats are some of what an instance tells on its admin address.
+// stats holds some of the metrics of an instance.
 type stats struct {
 	Pools      map[string]pool.Stats `json:"pools"`
 	Quarantine quarantine.Stats      `json:"quarantine"`
@@ -231,7 +235,7 @@
 	} `json:"store"`
 }
 
-// stats returns what an instance tells.
+// stats reads the metrics of an instance.
 func (w *cluster) stats(g *gateway.Gateway) stats {
 	w.t.Helper()
 	res, err := http.Get("http://" + g.AdminListen + "/metrics")
@@ -246,7 +250,7 @@
 	return f
 }
 
-// awaitAll waits until what each instance tells is as it should be.
+// awaitAll waits until the metrics of every instance meet a condition.
 func (w *cluster) awaitAll(what string, ok func(f stats) bool) {
 	w.t.Helper()
 	for _, g := range w.gateways {
@@ -254,7 +258,7 @@
 	}
 }
 
-// await waits until something holds.
+// await waits until ok returns true. It fails the test after 5 seconds.
 func (w *cluster) await(what string, ok func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -262,10 +266,11 @@
 			return
 		}
 	}
-	w.t.Fatalf("not in time: %s", what)
+	w.t.Fatalf("condition not met within 5 s: %s", what)
 }
 
-// request is a request of a caller.
+// request is a request from a caller. send fills in defaults for zero fields. wait is the caller's
+// time limit in ms.
 type request struct {
 	id     string
 	method string
@@ -277,16 +282,16 @@
 	wait   int
 }
 
-// response is an answer as the caller sees it.
+// response is the answer that a caller received.
 type response struct {
 	status int
 	body   string
 	header http.Header
-	// err is an answer that is not whole.
+	// err is set if the answer is incomplete or missing.
 	err error
 }
 
-// send sends a request to an instance on a connection of its own.
+// send sends a request to instance i on a new connection and returns the answer.
 func (w *cluster) send(i int, c request) response {
 	if c.method == "" {
 		c.method = http.MethodPost
@@ -326,7 +331,7 @@
 	}
 }
 
-// events is the body of a whole stream.
+// events returns the body of a complete stream with n events.
 func events(id string, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
@@ -335,7 +340,7 @@
 	return b.String()
 }
 
-// runs returns how often the endpoints ran a request.
+// runs returns how many times the endpoints ran the request with an id.
 func (w *cluster) runs(id string) int {
 	n := 0
 	for _, e := range w.endpoints {
@@ -348,7 +353,7 @@
 	return n
 }
 
-// totalRuns returns how many requests some endpoints totalRuns.
+// totalRuns returns the total number of requests that the named endpoints have run.
 func (w *cluster) totalRuns(names ...string) int {
 	n := 0
 	for _, name := range names {
@@ -357,7 +362,8 @@
 	return n
 }
 
-// assertWhole checks a whole answer with a proof of origin.
+// assertWhole checks that an answer is complete and successful, and carries the header that proves
+// which endpoint gave it.
 func assertWhole(t *testing.T, g response) {
 	t.Helper()
 	is := is.New(t)
@@ -369,7 +375,7 @@
 	is.True(platformtest.Signed(g.header))
 }
 
-// assertRefused checks a refusal that says when to come back.
+// assertRefused checks that an answer has status 503 and says when to retry.
 func assertRefused(t *testing.T, g response) {
 	t.Helper()
 	is := is.New(t)
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -15,11 +15,11 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// cancelWithin is how soon nothing may run for a caller that has left.
+// cancelWithin is the maximum time until all work for a disconnected caller has ended.
 const cancelWithin = 500 * time.Millisecond
 
-// sendAndLeave sends a request whose caller leaves after a time. It returns when it has left,
-// and whether it did before it had a whole answer.
+// sendAndLeave sends a request and disconnects after a time. It reports whether it disconnected
+// before the answer was complete.
 func (w *cluster) sendAndLeave(i int, c request, after time.Duration) bool {
 	ctx, cancel := context.WithTimeout(w.t.Context(), after)
 	defer cancel()
@@ -44,8 +44,8 @@
 	return err != nil && ctx.Err() != nil
 }
 
-// TestCallerCancels is a table of the steps at which a caller leaves. Half a second
-// later nothing runs or is held for it, and nothing begins.
+// TestCallerCancels guards against endpoints that still run a request, or hold memory for it, after
+// its caller has disconnected. Each case disconnects in another phase of the request.
 func TestCallerCancels(t *testing.T) {
 	silent := platformtest.EndpointFaults{
 		Silent: true,
@@ -60,7 +60,7 @@
 		after   time.Duration
 	}{
 		{
-			"while it is awaited what is in force",
+			"while the instance waits for a configuration",
 			func(w *cluster) {
 				w.store.SetFaults(platformtest.StoreFaults{
 					Refuse: true,
@@ -71,13 +71,13 @@
 			100 * time.Millisecond,
 		},
 		{
-			"in the queue for a place",
+			"in the queue for a placement",
 			func(w *cluster) { w.fillEngines() },
 			request{path: "/stream/", tokens: 300_000, wait: 3000},
 			100 * time.Millisecond,
 		},
 		{
-			"while memory is set aside",
+			"while memory is being reserved",
 			func(w *cluster) { w.setFaults(slow, "e1", "e2") },
 			request{path: "/stream/", tokens: 300_000, wait: 4000},
 			100 * time.Millisecond,
@@ -89,13 +89,13 @@
 			200 * time.Millisecond,
 		},
 		{
-			"while another place is looked for",
+			"while another endpoint is chosen",
 			func(w *cluster) { w.setFaults(silent, "e1", "e2") },
 			request{path: "/stream/", tokens: 500, wait: 4000},
 			1450 * time.Millisecond,
 		},
 		{
-			"at a later endpoint",
+			"after the stream has moved to another endpoint",
 			func(w *cluster) {
 				w.setEvents(400)
 				w.setFaults(platformtest.EndpointFaults{CutAfter: 5}, "e1", "e2")
@@ -116,7 +116,7 @@
 			100 * time.Millisecond,
 		},
 	} {
-		// One of the two owns the engines, and the other one asks it.
+		// One instance owns the pool, and the other one sends it a placement request.
 		for at := range 2 {
 			t.Run(row.name+" at "+strconv.Itoa(at), func(t *testing.T) {
 				t.Parallel()
@@ -128,8 +128,8 @@
 	}
 }
 
-// assertLeaves lets a caller leave an instance, or the one that started last, and checks
-// that nothing is left.
+// assertLeaves sends a request to instance at, or to the last one if there are more than two, and
+// disconnects after a time. It checks that no work for the request is left or starts later.
 func (w *cluster) assertLeaves(at int, c request, after time.Duration) {
 	w.t.Helper()
 	if len(w.gateways) > 2 {
@@ -146,36 +146,36 @@
 	runs := w.runs(c.id)
 	w.setFaults(platformtest.EndpointFaults{}, "e1", "e2", "p1", "p2")
 	time.Sleep(cancelWithin)
-	is.New(w.t).Equal(w.runs(c.id), runs) // nothing begins afterwards
+	is.New(w.t).Equal(w.runs(c.id), runs) // nothing starts later
 }
 
-// setFaults sets what goes wrong with endpoints.
+// setFaults sets the faults of the named endpoints.
 func (w *cluster) setFaults(f platformtest.EndpointFaults, names ...string) {
 	for _, name := range names {
 		w.endpoints[name].SetFaults(f)
 	}
 }
 
-// setEvents makes the streams of all engines that long.
+// setEvents sets the number of events of all endpoints' streams.
 func (w *cluster) setEvents(n int) {
 	for _, e := range w.endpoints {
 		e.Events = n
 	}
 }
 
-// fillEngines takes most of the memory of all engines for some seconds.
+// fillEngines occupies most of the memory of both engines for up to three seconds.
 func (w *cluster) fillEngines() {
 	w.t.Helper()
 	w.setEvents(300)
 	for i := range 2 {
 		go w.sendAndLeave(i, request{id: "fill" + strconv.Itoa(i), path: "/once/", tokens: 150_000, wait: 4000}, 3*time.Second)
 	}
-	w.await("memory is taken", func() bool {
+	w.await("memory is occupied", func() bool {
 		return w.endpoints["e1"].Running()+w.endpoints["e2"].Running() == 2
 	})
 }
 
-// assertNotRunning checks that no endpoint runs a request.
+// assertNotRunning checks that no endpoint is running the request with an id.
 func (w *cluster) assertNotRunning(id string) {
 	w.t.Helper()
 	for name, e := range w.endpoints {
@@ -187,20 +187,20 @@
 	}
 }
 
-// assertNoStalePlacements checks that no instance counts a request as running, or waiting, that
-// does not run.
+// assertNoStalePlacements checks that no instance has queued requests, or counts more placements
+// than requests that are running at the engines.
 func (w *cluster) assertNoStalePlacements() {
 	w.t.Helper()
 	running := w.endpoints["e1"].Running() + w.endpoints["e2"].Running()
 	for i, g := range w.gateways {
 		f := w.stats(g).Pools["engines"]
 		if f.Queued > 0 || f.Placed > running {
-			w.t.Errorf("instance %d counts %d waiting and %d placed, %d run", i, f.Queued, f.Placed, running)
+			w.t.Errorf("instance %d counts %d queued and %d placed requests, %d run at the engines", i, f.Queued, f.Placed, running)
 		}
 	}
 }
 
-// assertNothingHeld checks that no engine keeps memory.
+// assertNothingHeld checks that no engine has memory reserved.
 func (w *cluster) assertNothingHeld() {
 	w.t.Helper()
 	for name, e := range w.endpoints {
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -12,18 +12,18 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// The bound on requests to an endpoint that names a rate limit, as its operators state it.
+// The bound on requests to an endpoint that announces a rate limit.
 const (
-	// limitGrace is how long after the limit was first named the bound holds.
+	// limitGrace is the time from the announcement until the bound applies.
 	limitGrace = 3 * time.Second
-	// limitWindow is the time in which requests are counted, limitFactor how many times as
-	// many as the limit allows may come in it, and limitSlack how many more.
+	// In any limitWindow an endpoint may receive limitFactor times the requests that its limit
+	// allows, and limitSlack more.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// setRateLimit makes endpoints name a rate setRateLimit.
+// setRateLimit makes endpoints announce a rate limit in requests per second. An empty one ends it.
 func (w *cluster) setRateLimit(rate string, names ...string) {
 	for _, name := range names {
 		w.endpoints[name].SetFaults(platformtest.EndpointFaults{
@@ -32,7 +32,8 @@
 	}
 }
 
-// maxInWindow returns the greatest number of arrivals in some window that ends after a moment.
+// maxInWindow returns the maximum number of arrivals in any window that ends at an arrival not
+// before after.
 func maxInWindow(arrivals []platformtest.Arrival, after time.Time, window time.Duration) int {
 	n := 0
 	for i, end := range arrivals {
@@ -44,14 +45,14 @@
 	return n
 }
 
-// arrivedBefore returns how many requests arrived before a moment.
+// arrivedBefore returns the number of arrivals before a time. The arrivals must be sorted by time.
 func arrivedBefore(arrivals []platformtest.Arrival, at time.Time) int {
 	n, _ := slices.BinarySearchFunc(arrivals, at, func(a platformtest.Arrival, at time.Time) int { return a.At.Compare(at) })
 	return n
 }
 
-// assertLimited checks that endpoints got no more than the limit that they named at a moment
-// allows, and that each of them was still used.
+// assertLimited checks that endpoints that announced a limit at the time named received some
+// requests, but no more than the bound allows.
 func assertLimited(t *testing.T, w *cluster, rate float64, named time.Time, names ...string) {
 	t.Helper()
 	allowed := limitFactor*rate*limitWindow.Seconds() + limitSlack
@@ -64,20 +65,21 @@
 	}
 }
 
-// TestRateLimitSharedByInstances guards against endpoints that name a rate limit and get more.
+// TestRateLimitSharedByInstances guards against instances that together exceed an endpoint's rate
+// limit.
 func TestRateLimitSharedByInstances(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		path    string
 		limited []string
-		// none states that no endpoint of the service is without a limit.
+		// none is true if the service has no endpoint without a limit.
 		none bool
 	}{
 		{"one engine of two", "/stream/a", []string{"e1"}, false},
 		{"all engines", "/stream/a", []string{"e1", "e2"}, true},
 		{"one plain endpoint of two", "/safe/a", []string{"p1"}, false},
 		{"all plain endpoints", "/safe/a", []string{"p1", "p2"}, true},
-		{"requests that run once", "/unsafe/a", []string{"p1"}, false},
+		{"one plain endpoint of two, unsafe requests", "/unsafe/a", []string{"p1"}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -96,11 +98,12 @@
 	}
 }
 
-// recoverWithin is how soon after its limit has ended an endpoint must be used as before: one
-// request each second tells.
+// recoverWithin is the time after the end of a limit in which instances must learn of it. The
+// answers to the requests that the limit still allows tell them.
 const recoverWithin = 2 * time.Second
 
-// TestRateLimitEnds looks that endpoints whose limit has ended are soon used as before.
+// TestRateLimitEnds guards against requests that are still refused after the limit of all endpoints
+// has ended.
 func TestRateLimitEnds(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/gateway/load_test.go
+++ b/gateway/load_test.go
@@ -12,20 +12,20 @@
 	"github.com/matryer/is"
 )
 
-// refuseWithin is how soon a caller must hear that no endpoint takes its request.
+// refuseWithin is the maximum time until a caller receives a refusal.
 const refuseWithin = 500 * time.Millisecond
 
-// loadInterval is the time between two requests.
+// loadInterval is the time between two requests of load.
 const loadInterval = 25 * time.Millisecond
 
-// rejection is a request that was refused, with how long that took.
+// rejection is an unsuccessful answer and the time that it took.
 type rejection struct {
 	response response
 	took     time.Duration
 }
 
-// load sends requests to all instances in turn for a time, and returns those that were
-// refused.
+// load sends requests to all instances in turn for a time, and returns the answers without
+// status 200.
 func (w *cluster) load(name string, c request, lasts time.Duration) []rejection {
 	var (
 		callers  sync.WaitGroup
@@ -56,7 +56,8 @@
 	return rejected
 }
 
-// assertRefusedPromptly checks that requests were refused at once, with a time to come back.
+// assertRefusedPromptly checks that all rejections are refusals that say when to retry, and took
+// less than refuseWithin.
 func assertRefusedPromptly(t *testing.T, rejected []rejection) {
 	t.Helper()
 	for _, r := range rejected {
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -13,35 +13,36 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// drainWithin is how soon an endpoint that says that it leaves must get nothing new.
+// drainWithin is the time after which an endpoint that announces its departure must receive no more
+// requests.
 const drainWithin = 2 * time.Second
 
-// assertNothingSince checks that endpoints got no request after a moment.
+// assertNothingSince checks that endpoints have received no request since a time.
 func assertNothingSince(t *testing.T, w *cluster, since time.Time, names ...string) {
 	t.Helper()
 	for _, name := range names {
 		arrivals := w.endpoints[name].Arrivals()
 		late := len(arrivals) - arrivedBefore(arrivals, since)
-		t.Logf("%s: %d requests too late", name, late)
+		t.Logf("%s: %d requests after the time limit", name, late)
 		is.New(t).Equal(late, 0)
 	}
 }
 
-// TestLeavingAnnouncedInAnswers guards against requests to endpoints whose answers say that they
-// leave while the store does not.
+// TestLeavingAnnouncedInAnswers guards against requests to endpoints that announce their departure
+// in answers only and not in the store.
 func TestLeavingAnnouncedInAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		path    string
 		leaving []string
-		// none states that no other endpoint is left.
+		// none is true if all endpoints of the service leave.
 		none bool
 	}{
 		{"one engine of two", "/stream/a", []string{"e1"}, false},
-		{"one engine of two, streams that run once", "/once/a", []string{"e2"}, false},
+		{"one engine of two, streams that are not resumable", "/once/a", []string{"e2"}, false},
 		{"all engines", "/stream/a", []string{"e1", "e2"}, true},
 		{"one plain endpoint of two", "/safe/a", []string{"p1"}, false},
-		{"requests that run once", "/unsafe/a", []string{"p2"}, false},
+		{"one plain endpoint of two, unsafe requests", "/unsafe/a", []string{"p2"}, false},
 		{"all plain endpoints", "/safe/a", []string{"p1", "p2"}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -65,7 +66,8 @@
 	}
 }
 
-// TestLeavingAnnouncedInRejections has an endpoint say that it leaves in answers that are not passed on.
+// TestLeavingAnnouncedInRejections checks that an announcement also counts if it comes in a
+// rejection, which is not forwarded to the caller.
 func TestLeavingAnnouncedInRejections(t *testing.T) {
 	w := newCluster(t, 3)
 	w.endpoints["e1"].SetFaults(platformtest.EndpointFaults{
@@ -78,14 +80,15 @@
 	is.New(t).Equal(len(rejected), 0)
 }
 
-// The bound on requests to an endpoint that asks an instance for a back-off.
+// The bound on requests to an endpoint that has asked for a back-off: after backoffGrace it may
+// receive at most maxDuringBackoff requests until backoffFor is over.
 const (
 	backoffFor       = 3 * time.Second
 	backoffGrace     = 500 * time.Millisecond
 	maxDuringBackoff = 2
 )
 
-// withBodyPrefix returns the arrivals whose body begins with a word.
+// withBodyPrefix returns the arrivals whose body begins with word.
 func withBodyPrefix(arrivals []platformtest.Arrival, word string) []platformtest.Arrival {
 	var out []platformtest.Arrival
 	for _, a := range arrivals {
@@ -96,9 +99,9 @@
 	return out
 }
 
-// assertBackoffKept checks that no more than two requests of one instance, whose bodies begin with a
-// word, came to an endpoint in the back-off that began with the first of them, and that some did
-// again soon after it where it is needed.
+// assertBackoffKept checks the requests whose body begins with word. The first one starts the
+// back-off of an endpoint. If needed is true, the endpoint must receive requests again in the second
+// after its back-off.
 func assertBackoffKept(t *testing.T, w *cluster, word string, needed bool, names ...string) {
 	t.Helper()
 	for _, name := range names {
@@ -109,29 +112,31 @@
 		end := arrivals[0].At.Add(backoffFor)
 		in := arrivedBefore(arrivals, end) - arrivedBefore(arrivals, arrivals[0].At.Add(backoffGrace))
 		after := arrivedBefore(arrivals, end.Add(time.Second)) - arrivedBefore(arrivals, end)
-		t.Logf("%s: %d requests in its back-off, %d in the second after it", name, in, after)
+		t.Logf("%s: %d requests during its back-off, %d in the second after it", name, in, after)
 		is.New(t).True(in <= maxDuringBackoff)
 		is.New(t).True(after > 0 || !needed)
 	}
 }
 
-// TestBackoffKept guards against requests to endpoints that have asked the instance for a back-off.
+// TestBackoffKept guards against requests to an endpoint during a back-off that it asked for, and
+// against endpoints that stay unused after it.
 func TestBackoffKept(t *testing.T) {
 	engines, plain := []string{"e1", "e2"}, []string{"p1", "p2"}
 	for _, c := range []struct {
 		name      string
 		path      string
 		endpoints []string
-		// all states that all endpoints ask for a back-off, and not only the one that is used first.
+		// all makes all endpoints ask for a back-off, otherwise only those that received the first
+		// request do.
 		all bool
-		// needed states that they are needed again after it.
+		// needed is true if the load must use the endpoints again after the back-off.
 		needed bool
 	}{
 		{"one engine of two", "/stream/a", engines, false, true},
 		{"all engines", "/stream/a", engines, true, true},
 		{"one plain endpoint of two", "/safe/a", plain, false, false},
 		{"all plain endpoints", "/safe/a", plain, true, true},
-		{"requests that run once", "/unsafe/a", plain, false, false},
+		{"one plain endpoint of two, unsafe requests", "/unsafe/a", plain, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -155,7 +160,7 @@
 	}
 }
 
-// TestBackoffIsPerInstance looks that others go on using an endpoint that has asked one
+// TestBackoffIsPerInstance checks that the other instances still use endpoints that have asked one
 // instance for a back-off.
 func TestBackoffIsPerInstance(t *testing.T) {
 	w := newCluster(t, 3)
@@ -181,6 +186,6 @@
 		assertWhole(t, w.send(n%3, request{id: id, path: "/stream/a", tokens: 500}))
 	}
 	declined := len(withBodyPrefix(w.endpoints["e1"].Arrivals(), "decline")) + len(withBodyPrefix(w.endpoints["e2"].Arrivals(), "decline"))
-	t.Logf("%d requests of the instance that was asked", declined)
+	t.Logf("%d declined requests from the instance in back-off", declined)
 	is.New(t).True(declined <= 2+2*maxDuringBackoff)
 }
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -7,8 +7,9 @@
 	"github.com/linkmast/linkmast/notice"
 )
 
-// recordStatements takes over what an answer to a question or an order says of the endpoint at an
-// address. Where several are listed there it is not known which of them gave it.
+// recordStatements records the statements that the endpoint at an address makes about itself in its
+// answer to a slowdown query or an order. It ignores them unless the catalog lists exactly one
+// endpoint at the address, because otherwise the sender is unknown.
 func (g *Gateway) recordStatements(address string, s notice.Statements) {
 	snap := g.catalog.Snapshot()
 	if snap == nil {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -10,19 +10,18 @@
 	"github.com/go-faster/errors"
 )
 
-// The bounds of callers' connections. Callers may let one rest for as long as
-// the configuration says, which is less.
+// The limits of connections to the HTTP servers.
 const (
-	// headerTimeout bounds the time in which the header of a request arrives.
+	// headerTimeout bounds the time for reading the header of a request.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a connection may rest.
+	// idleTimeout is how long a connection may be idle between requests.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds the header of a request.
+	// maxHeaderBytes bounds the size of the header of a request.
 	maxHeaderBytes = 64 << 10
 )
 
-// serve opens the sockets of the HTTP servers and starts them. After an error none
-// runs.
+// serve starts the HTTP servers. If it can't listen on one of the addresses, it closes all servers
+// and returns an error.
 func (g *Gateway) serve() error {
 	f := g.settings
 	g.callers = newServer(g.relay)
@@ -49,7 +48,7 @@
 	return nil
 }
 
-// newServer returns a server within the bounds of connections.
+// newServer returns a server with the limits above.
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -59,14 +58,15 @@
 	}
 }
 
-// logServerEnd notes the end of a server; one that was not closed is an error.
+// logServerEnd logs an error if the server ended without being closed.
 func (g *Gateway) logServerEnd(name string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		g.log.Error(err, "server ended", "server", name)
 	}
 }
 
-// handleReady answers the balancer.
+// handleReady answers the load balancer's readiness check: status 200 if the catalog is complete
+// and no stop has begun, otherwise 503.
 func (g *Gateway) handleReady(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-g.stopping:
--- a/gateway/slowdown_test.go
+++ b/gateway/slowdown_test.go
@@ -13,13 +13,13 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// engineStats are the figures of the pool of engines on the admin address.
+// engineStats holds the metrics of the pool of engines that concern slowdown.
 type engineStats struct {
 	Slow  int `json:"slow"`
 	Asked int `json:"pace_asked"`
 }
 
-// engineStats returns them for an instance.
+// engineStats reads the metrics of instance i.
 func (w *cluster) engineStats(i int) engineStats {
 	w.t.Helper()
 	res, err := http.Get("http://" + w.gateways[i].AdminListen + "/metrics")
@@ -36,8 +36,8 @@
 	return all.Pools["engines"]
 }
 
-// TestSlowEngine lets an engine turn slow and return: the instance that places learns both
-// from what the engine tells.
+// TestSlowEngine checks that the pool's owner detects from the engines' reports that they have
+// become slow, and that they have recovered.
 func TestSlowEngine(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1)
@@ -68,5 +68,5 @@
 	for _, e := range w.endpoints {
 		e.SetFaults(platformtest.EndpointFaults{})
 	}
-	w.await("their return to be noticed", slow(0))
+	w.await("recovery of the engines to be noticed", slow(0))
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -11,26 +11,25 @@
 
 // The times of a planned stop.
 const (
-	// balancerDelay is how long the balancer may go on sending new connections: it
-	// asks every second and takes an instance out after two answers.
+	// balancerDelay is how long the load balancer may still send new connections. It checks
+	// readiness every second and removes an instance after two failed checks.
 	balancerDelay = 2200 * time.Millisecond
-	// stopMargin is how long before the platform ends the process the instance
-	// ends by itself.
+	// stopMargin is how long before the platform kills the process the instance ends by itself.
 	stopMargin = 700 * time.Millisecond
 )
 
-// Stop ends the instance as planned. It is not ready from now on but serves what
-// the balancer still sends, and asks callers to use other connections. Then it
-// takes nothing new and ends with the last request, so that the next process is
-// there as soon as can be.
+// Stop ends the instance gracefully and returns when it has ended. The instance reports that it is
+// not ready, but serves new requests for balancerDelay and asks callers to close their connections.
+// Then it closes the address for callers and ends with the last request, or cuts off the remaining
+// requests when ctx or the time limit for a stop ends.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.stopOnce.Do(func() {
 		g.log.Info("stopping", "in_flight", g.relay.InFlight(), "connections", g.callerConns.count())
 		close(g.stopping)
 		g.relay.Stop()
 		within := time.Duration(g.settings.Times.StopWithin) - stopMargin
-		// The platform's time goes on while the machine is suspended, and so does what is left
-		// of it here: an answer that is cut at the end of it is cut by this instance.
+		// The platform's time limit includes time during which the instance is suspended, so this
+		// one does as well.
 		ctx, cancel := steady.WithTimeout(ctx, within)
 		defer cancel()
 		select {
@@ -45,7 +44,7 @@
 	<-g.Done
 }
 
-// Close ends the instance at once.
+// Close ends the instance immediately, cuts off its requests and returns when it has ended.
 func (g *Gateway) Close() {
 	g.stopOnce.Do(func() {
 		close(g.stopping)
@@ -57,12 +56,12 @@
 // closeServers closes the HTTP servers and their connections.
 func (g *Gateway) closeServers() {
 	for _, s := range g.servers {
-		// The servers are closed whether or not they were shut down before.
+		// Closing a server that was already shut down has no effect.
 		_ = s.Close()
 	}
 }
 
-// shutdown ends all parts.
+// shutdown closes all servers and connections, and waits for all goroutines.
 func (g *Gateway) shutdown() {
 	defer close(g.Done)
 	g.cancel()
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -13,8 +13,8 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// TestKeyRevokedDuringSuspension takes a key away while the machine is suspended. The first request
-// after it comes before anything can have been read.
+// TestKeyRevokedDuringSuspension guards against an instance that accepts a key that was revoked
+// while the operating system was suspended. The store is silent until after the first requests.
 func TestKeyRevokedDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	m := steadytest.New(t)
@@ -35,8 +35,8 @@
 	assertWhole(t, w.send(0, request{id: "later", path: "/safe/"}))
 }
 
-// TestStopOverSuspension suspends the machine during a planned stop: what is left of the time that
-// the platform gives it is counted from the start of the stop.
+// TestStopOverSuspension checks that the time limit of a planned stop includes time during which
+// the operating system is suspended.
 func TestStopOverSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	w := newCluster(t, 1)
@@ -51,6 +51,6 @@
 	select {
 	case <-w.gateways[0].Done:
 	case <-time.After(time.Second):
-		t.Fatal("the stop goes on beyond its time")
+		t.Fatal("the instance has not stopped within its time limit")
 	}
 }
