--- a/node/follow.go
+++ b/node/follow.go
@@ -146,7 +146,7 @@
 	return max(set, time.Duration(bytes)*time.Second/time.Duration(n.settings.Times.WatchBytesPerSecond))
 }
 
-// The times of watches.
+// The intervals of updating and watching summaries.
 const (
 	// localInterval is how often the summaries of the instance's own endpoints are updated.
 	localInterval = 20 * time.Millisecond
--- a/rollout/evaluator_test.go
+++ b/rollout/evaluator_test.go
@@ -207,7 +207,7 @@
 			Records:  records,
 		})
 		if second.InForce.Generation != inForce {
-			t.Fatalf("after a peer's state at %d generation %d is in force, want %d", cut, second.InForce.Generation, inForce)
+			t.Fatalf("after adopting a peer's state at %d, generation %d is in force, want %d", cut, second.InForce.Generation, inForce)
 		}
 	})
 }
