--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -63,9 +63,9 @@
 type Dialer interface {
 	// Conn returns the connection to an address, which later calls may return again.
 	Conn(address string) (*grpc.ClientConn, error)
-	// Forsake closes the connection to an address, so that the next call of Conn opens a new
+	// Disconnect closes the connection to an address, so that the next use opens a new
 	// one.
-	Forsake(address string)
+	Disconnect(address string)
 }
 
 // Catalog holds the records of the store and keeps them up to date, by reading the store or by
--- a/catalog/joining.go
+++ b/catalog/joining.go
@@ -190,7 +190,7 @@
 	if !slices.ContainsFunc(known, func(p Peer) bool { return p.Address == address }) {
 		// The seed serves all starting instances, most of which don't need the connection
 		// again.
-		c.dialer.Forsake(address)
+		c.dialer.Disconnect(address)
 	}
 	return nil
 }
--- a/fleet/vnode_test.go
+++ b/fleet/vnode_test.go
@@ -143,7 +143,7 @@
 	if err := n.fleet.gate(ctx, n.id, address); err != nil {
 		return nil, err
 	}
-	return n.fleet.nodes[address].rollout.Answer(in)
+	return n.fleet.nodes[address].rollout.HandlePull(in)
 }
 
 // Reader implements rollout.Peers.
--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -23,8 +23,7 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// assemble makes the parts, each from those before it. The address for other
-// instances must be known.
+// assemble creates the components in order of their dependencies. PeerListen must be set.
 func (g *Gateway) assemble() {
 	f := g.settings
 	client := wirehttp.Client()
@@ -43,19 +42,19 @@
 		Poll:       time.Duration(f.Times.Revoke) / pollsPerRevoke,
 	}, store, g.peers, g.log.WithName("catalog"))
 	g.notices = notice.New(steady.Now, g.log.WithName("notice"))
-	g.quarantine = quarantine.New(steady.Now, g.turn, g.log.WithName("quarantine"))
+	g.quarantine = quarantine.New(steady.Now, g.retestTurn, g.log.WithName("quarantine"))
 	g.assemblePools()
 	g.recorder = quarantine.NewRecorder(g.quarantine, store, g.placer.CountsCrashes, g.log.WithName("quarantine"))
 	g.assembleServer()
 	g.assembleRelay(client)
 }
 
-// idleQuestions bounds the connections that are kept for questions to engines: those that are
-// asked again and again, as they are slow.
-const idleQuestions = 128
+// maxIdleReportConns bounds the idle connections over which the scheduler queries engines for their
+// slowdown. Slow engines are queried repeatedly.
+const maxIdleReportConns = 128
 
-// assemblePools makes the scheduler of pools and the client that asks other
-// instances.
+// assemblePools creates the scheduler of the pools that this instance owns, and the client that
+// sends placement requests to other owners.
 func (g *Gateway) assemblePools() {
 	f := g.settings
 	log := g.log.WithName("pool")
@@ -70,7 +69,7 @@
 			Overage: f.Cold.Overage,
 			Slack:   f.Cold.Slack,
 		},
-		SlowdownQuerier: platform.NewReports(wirehttp.ClientMaxIdle(idleQuestions), g.heardAt, g.log.WithName("reports")),
+		SlowdownQuerier: platform.NewReports(wirehttp.ClientMaxIdle(maxIdleReportConns), g.recordStatements, g.log.WithName("reports")),
 		Check:           tcp.Check,
 		Worth:           f.Worth,
 		Quarantine:      g.quarantine,
@@ -79,8 +78,9 @@
 	g.placer = pool.NewClient(g.self, g.pools, g.peers, log)
 }
 
-// turn returns the place of this instance in showing whether a request still crashes endpoints.
-func (g *Gateway) turn(id quarantine.Identity) quarantine.RetestTurn {
+// retestTurn returns this instance's position in the order in which instances may admit a request
+// again after its ban.
+func (g *Gateway) retestTurn(id quarantine.Identity) quarantine.RetestTurn {
 	before, of := g.catalog.Rank("ban/" + id.String())
 	return quarantine.RetestTurn{
 		Position:  before,
@@ -88,14 +88,15 @@
 	}
 }
 
-// assembleServer makes what serves other instances.
+// assembleServer creates the gRPC server for other instances.
 func (g *Gateway) assembleServer() {
-	g.rpc = grpc.NewServer(grpc.ReadBufferSize(rpcBuffer), grpc.WriteBufferSize(rpcBuffer))
-	poolpb.RegisterPoolServer(g.rpc, pool.NewServer(g.pools, g.known, g.stopping))
+	g.rpc = grpc.NewServer(grpc.ReadBufferSize(rpcBufferBytes), grpc.WriteBufferSize(rpcBufferBytes))
+	poolpb.RegisterPoolServer(g.rpc, pool.NewServer(g.pools, g.poolsReady, g.stopping))
 	catalogpb.RegisterCatalogServer(g.rpc, catalog.NewServer(g.catalog, g.stopping))
 }
 
-// assembleRelay makes what serves callers. The client carries orders to engines.
+// assembleRelay creates the relay that serves callers. It sends orders for engine memory over
+// client.
 func (g *Gateway) assembleRelay(client *http.Client) {
 	f := g.settings
 	g.relay = relay.New(relay.Settings{
@@ -111,41 +112,37 @@
 		Check:      tcp.Check,
 		Notices:    g.placer,
 		Wire:       platform.Wire{},
-		Memory:     platform.NewOrders(client, g.heardAt),
+		Memory:     platform.NewOrders(client, g.recordStatements),
 		Upstream:   g.upstream,
 		Log:        g.log.WithName("relay"),
 	})
 }
 
-// thousandths of a processor core are the unit of an instance's capacity, as
-// settings give shares of cores.
-const thousandths = 1000
+// capacityPerCore is the capacity that one processor core provides.
+const capacityPerCore = 1000
 
-// capacityPerMbps is how much of a core the work takes that a Mbit/s carries, in
-// thousandths: 200 Mbit/s go with a whole core.
+// capacityPerMbps is the capacity that one Mbit/s of the link provides. 200 Mbit/s match one core.
 const capacityPerMbps = 5
 
-// capacity returns what an instance can carry, by its processor or its link,
-// whichever binds.
+// capacity returns the instance's capacity, which its processor share or its link limits. It is at
+// least 1.
 func capacity(f *settings.File) int {
-	c := f.ProcessorShare * thousandths
+	c := f.ProcessorShare * capacityPerCore
 	if f.LinkMbps > 0 {
 		c = min(c, f.LinkMbps*capacityPerMbps)
 	}
 	return max(int(c), 1)
 }
 
-// rpcBuffer is the buffer of each direction of a connection between instances, in
-// bytes. Most messages are far smaller.
-const rpcBuffer = 16 << 10
+// rpcBufferBytes is the size of the read and the write buffer of a connection from another
+// instance. Most messages are far smaller.
+const rpcBufferBytes = 16 << 10
 
-// pollsPerRevoke is how many polls for configurations fit into the time in which
-// keys must be refused. With 5 s a reader that the store no longer answers is
-// left by its followers within a second, well below the 2 s in which changes must
-// be in force.
+// pollsPerRevoke is the number of polls for configurations within the time limit for refusing
+// revoked keys.
 const pollsPerRevoke = 10
 
-// maxAgeShare is the part of the time in which a key must be refused after it
-// was taken away, up to which a configuration's age is trusted. The rest is for
-// the time between the check and the endpoint.
+// maxAgeShare is the maximum age of a usable configuration, as a share of the time limit for
+// refusing revoked keys. The remainder covers the time from the check of a key until the request
+// reaches the endpoint.
 const maxAgeShare = 0.8
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -21,28 +21,27 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// crashing is the body of the request that crashes endpoints in these tests.
-const crashing = "crash"
+// crashBody is the body of the request that crashes endpoints in these tests.
+const crashBody = "crash"
 
-// The measures of the tests with a request that crashes endpoints.
 const (
-	// downFor is how long an endpoint is away after a crash.
-	downFor = 300 * time.Millisecond
-	// mostCrashes is how many endpoints one request may crash: three until that is known,
-	// and three more.
-	mostCrashes = 6
+	// downtime is how long an endpoint is down after a crash.
+	downtime = 300 * time.Millisecond
+	// maxCrashes is the maximum number of endpoints that one request may crash: three before it is
+	// quarantined, and three more.
+	maxCrashes = 6
 )
 
-// machine runs an endpoint, which it starts again under another name after a crash.
-type machine struct {
-	world   *world
+// crashingEndpoint runs an endpoint and restarts it after each crash, by default under another name.
+type crashingEndpoint struct {
+	world   *cluster
 	name    string
 	service string
 	address string
-	// sameName states that the endpoint keeps its name when it starts again.
+	// sameName makes the endpoint keep its name when it restarts.
 	sameName bool
-	// away is how long the endpoint is away after a crash.
-	away     time.Duration
+	// downtime is how long the endpoint is down after a crash.
+	downtime time.Duration
 	endpoint *platformtest.Endpoint
 
 	mu      sync.Mutex
@@ -52,15 +51,15 @@
 	closed  bool
 }
 
-// addMachine adds an endpoint that a request with the body crashing crashes.
-func (w *crashWorld) addMachine(name string, o crashOptions) *machine {
+// addCrashing adds an endpoint that crashes on a request with the body crashBody.
+func (w *crashCluster) addCrashing(name string, o crashOptions) *crashingEndpoint {
 	w.t.Helper()
-	x := &machine{
-		world:    w.world,
+	x := &crashingEndpoint{
+		world:    w.cluster,
 		name:     name,
 		service:  o.service,
 		sameName: o.sameName,
-		away:     cmp.Or(o.away, downFor),
+		downtime: cmp.Or(o.away, downtime),
 	}
 	x.endpoint = &platformtest.Endpoint{
 		Engine: o.model,
@@ -68,14 +67,14 @@
 		Work:   5 * time.Millisecond,
 		Crash: func(readers []string) {
 			x.crash()
-			if o.readersToo {
+			if o.crashReaders {
 				w.crashAt(readers)
 			}
 		},
 	}
 	x.endpoint.SetFaults(platformtest.EndpointFaults{
-		CrashPrefix:      crashing,
-		CrashAfterEvents: o.after,
+		CrashPrefix:      crashBody,
+		CrashAfterEvents: o.crashAfter,
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -87,8 +86,8 @@
 	return x
 }
 
-// start starts the endpoint under its next name and enters it.
-func (x *machine) start(l net.Listener) {
+// start starts the endpoint under its next name and writes its store entry.
+func (x *crashingEndpoint) start(l net.Listener) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.starts++
@@ -111,8 +110,8 @@
 	})
 }
 
-// crash ends the endpoint. Its entry lapses only when it is back.
-func (x *machine) crash() {
+// crash closes the endpoint's server and schedules its restart. The store entry stays until then.
+func (x *crashingEndpoint) crash() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.server == nil {
@@ -122,14 +121,14 @@
 	_ = x.server.Close()
 	x.server = nil
 	before := x.endpoint.Name()
-	time.AfterFunc(x.away, func() { x.restart(before) })
+	time.AfterFunc(x.downtime, func() { x.restart(before) })
 }
 
-// restart starts the endpoint again at its address.
-func (x *machine) restart(before string) {
+// restart starts the endpoint again at its address. before is its previous name.
+func (x *crashingEndpoint) restart(before string) {
 	l, err := net.Listen("tcp", x.address)
 	for err != nil {
-		// Another socket has the port for a moment.
+		// Another socket may briefly use the port.
 		time.Sleep(10 * time.Millisecond)
 		l, err = net.Listen("tcp", x.address)
 	}
@@ -146,8 +145,8 @@
 	x.start(l)
 }
 
-// close ends the endpoint for good.
-func (x *machine) close() {
+// close stops the endpoint and prevents further restarts.
+func (x *crashingEndpoint) close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.closed = true
@@ -156,73 +155,74 @@
 	}
 }
 
-// crashWorld is a world whose endpoints crash at a request.
-type crashWorld struct {
-	*world
-	machines []*machine
-	// crashedTogether is how many endpoints an attempt may crash.
-	crashedTogether int
+// crashCluster is a cluster whose endpoints crash on the request with the body crashBody.
+type crashCluster struct {
+	*cluster
+	crashing []*crashingEndpoint
+	// maxCrashesPerAttempt is the maximum number of endpoints that one attempt crashes.
+	maxCrashesPerAttempt int
 }
 
-// crashOptions are the endpoints of a crashWorld.
+// crashOptions describes the endpoints of a crashCluster.
 type crashOptions struct {
 	service string
-	// model is that of engines; nil for plain endpoints.
+	// model is the engines' model, or nil for plain endpoints.
 	model *batch.Model
-	// events is the length of streams, ten at least, and after is after how many events they
-	// crash an endpoint; zero means at once.
-	events int
-	after  int
-	// sameName states that endpoints keep their names when they start again.
+	// events is the number of events of a stream, at least ten. crashAfter is the number of events
+	// after which a stream crashes its endpoint. Zero means at the start.
+	events     int
+	crashAfter int
+	// sameName makes endpoints keep their names when they restart.
 	sameName bool
-	// away is how long they are away after a crash; zero means downFor.
+	// downtime is how long an endpoint is down after a crash. Zero means the constant downtime.
 	away time.Duration
-	// readersToo states that the endpoints crash as well which read for one that does.
-	readersToo bool
+	// crashReaders makes endpoints that share in the prefill of a request crash with the endpoint
+	// that runs it.
+	crashReaders bool
 }
 
-// engines are the options of engines that crash as they begin to run a request.
-func engines() crashOptions {
+// engineOptions returns the options of engines that crash when they start to run crashBody.
+func engineOptions() crashOptions {
 	return crashOptions{
 		service: "engines",
 		model:   fastEngine(),
 	}
 }
 
-// newCrashWorld starts three instances, with six endpoints of a service that crash beside the
-// usual ones, which are taken away.
-func newCrashWorld(t *testing.T, o crashOptions) *crashWorld {
+// newCrashCluster starts three instances and six crashing endpoints of one service. It removes the
+// default endpoints of newCluster.
+func newCrashCluster(t *testing.T, o crashOptions) *crashCluster {
 	t.Helper()
-	w := &crashWorld{
-		world:           newWorld(t, 3),
-		crashedTogether: 1,
+	w := &crashCluster{
+		cluster:              newCluster(t, 3),
+		maxCrashesPerAttempt: 1,
 	}
-	if o.readersToo {
-		w.crashedTogether = 3
+	if o.crashReaders {
+		w.maxCrashesPerAttempt = 3
 	}
 	for i := range 6 {
-		w.machines = append(w.machines, w.addMachine("m"+strconv.Itoa(i), o))
+		w.crashing = append(w.crashing, w.addCrashing("m"+strconv.Itoa(i), o))
 	}
 	for _, name := range []string{"e1", "e2", "p1", "p2"} {
 		w.store.DeleteEndpoint(name)
 	}
-	w.awaitAll("endpoints known", func(f figures) bool { return f.Store.Endpoints == len(w.machines) })
+	w.awaitAll("endpoints known", func(f stats) bool { return f.Store.Endpoints == len(w.crashing) })
 	return w
 }
 
-// crashAt ends the endpoints at some addresses.
-func (w *crashWorld) crashAt(addresses []string) {
-	for _, x := range w.machines {
+// crashAt crashes the endpoints at the given addresses.
+func (w *crashCluster) crashAt(addresses []string) {
+	for _, x := range w.crashing {
 		if slices.Contains(addresses, x.address) {
 			x.crash()
 		}
 	}
 }
 
-// crashes returns how many endpoints have crashed.
-func (w *crashWorld) crashes() int {
+// crashes returns the total number of crashes of all endpoints.
+func (w *crashCluster) crashes() int {
 	n := 0
-	for _, x := range w.machines {
+	for _, x := range w.crashing {
 		x.mu.Lock()
 		n += x.crashes
 		x.mu.Unlock()
@@ -230,12 +230,12 @@
 	return n
 }
 
-// attempts returns how many attempts of the request that crashes endpoints reached one.
-func (w *crashWorld) attempts() int {
+// attempts returns how many times an endpoint has received a request with the body crashBody.
+func (w *crashCluster) attempts() int {
 	n := 0
-	for _, x := range w.machines {
+	for _, x := range w.crashing {
 		for _, r := range x.endpoint.Runs() {
-			if r.Body == crashing {
+			if r.Body == crashBody {
 				n++
 			}
 		}
@@ -243,9 +243,9 @@
 	return n
 }
 
-// assertContained has a caller send the request that crashes endpoints to one instance after
-// the other. It must end at a few endpoints, and its last tries be refused without a run.
-func (w *crashWorld) assertContained(t *testing.T, path string, tokens int) {
+// assertContained sends the crashing request to all instances in turn. It checks that the request
+// crashes only a few endpoints, and that in the end it is refused without reaching one.
+func (w *crashCluster) assertContained(t *testing.T, path string, tokens int) {
 	t.Helper()
 	is := is.New(t)
 	for i := range 23 {
@@ -254,101 +254,91 @@
 	before := w.attempts()
 	assertRefused(t, w.sendCrashing(23, path, tokens))
 	is.Equal(w.attempts(), before)
-	w.assertFew(t)
+	w.assertFewCrashes(t)
 }
 
-// sendCrashing has a caller send the request that crashes endpoints once more, the i-th time, and
-// wait for a moment.
-func (w *crashWorld) sendCrashing(i int, path string, tokens int) got {
-	answer := w.ask(i%len(w.gateways), call{id: "crash" + strconv.Itoa(i), path: path, body: crashing, tokens: tokens})
+// sendCrashing sends the crashing request to one of the instances under an id made from i, and
+// then waits 50 ms.
+func (w *crashCluster) sendCrashing(i int, path string, tokens int) response {
+	answer := w.send(i%len(w.gateways), request{id: "crash" + strconv.Itoa(i), path: path, body: crashBody, tokens: tokens})
 	time.Sleep(50 * time.Millisecond)
 	return answer
 }
 
-// assertFew looks that the request that crashes endpoints reached a few only.
-func (w *crashWorld) assertFew(t *testing.T) {
+// assertFewCrashes checks the number of attempts of the crashing request and of crashes.
+func (w *crashCluster) assertFewCrashes(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
 	t.Logf("%d attempts, %d endpoints crashed", w.attempts(), w.crashes())
-	is.True(w.attempts() <= mostCrashes)
-	is.True(w.crashes() <= mostCrashes*w.crashedTogether)
+	is.True(w.attempts() <= maxCrashes)
+	is.True(w.crashes() <= maxCrashes*w.maxCrashesPerAttempt)
 }
 
-// TestRequestThatCrashes sends a request again and again that crashes each endpoint as it
-// begins to run it, to all instances in turn, each try under a name of its own, as its
-// caller does.
-//
-// What users saw: for half a minute answers of all callers broke off, as one engine after the
-// other ended; some 47 by one request. The order of events: an engine breaks off all that it
-// answers; one of these requests has begun a moment before; its instance, and then its caller
-// at other instances, send it to the next engine, which breaks off a tenth of a second later.
-// The cause: each instance put the end of an answer down to the engine, and nothing knew a
-// request again that came with another name or at another instance. The evidence: 41 of 42
-// attempts that the lines tell of one customer and length of prompt ended so, of 36 requests
-// on five instances, each on another engine.
-func TestRequestThatCrashes(t *testing.T) {
+// TestCrashingRequest guards against a request that crashes one endpoint after another, because its
+// caller retries it at other instances under other ids.
+func TestCrashingRequest(t *testing.T) {
 	plain := crashOptions{
 		service: "plain",
 	}
-	later := engines()
-	later.events, later.after = 60, 2
+	later := engineOptions()
+	later.events, later.crashAfter = 60, 2
 	for _, row := range []struct {
 		name    string
 		path    string
 		tokens  int
 		options crashOptions
 	}{
-		{"stream that may go on", "/stream/x", 500, engines()},
-		{"stream that runs once", "/once/x", 500, engines()},
-		{"stream that goes on elsewhere after each crash", "/stream/x", 500, later},
-		{"prompt that two engines read", "/stream/x", 300_000, engines()},
-		{"plain that may run again", "/safe/x", 0, plain},
-		{"plain that runs once", "/unsafe/x", 0, plain},
+		{"resumable stream", "/stream/x", 500, engineOptions()},
+		{"stream that is not resumable", "/once/x", 500, engineOptions()},
+		{"stream that resumes at another endpoint after each crash", "/stream/x", 500, later},
+		{"joint prefill by two engines", "/stream/x", 300_000, engineOptions()},
+		{"safe request to a plain endpoint", "/safe/x", 0, plain},
+		{"unsafe request to a plain endpoint", "/unsafe/x", 0, plain},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			w := newCrashWorld(t, row.options)
+			w := newCrashCluster(t, row.options)
 			w.assertContained(t, row.path, row.tokens)
-			assertWhole(t, w.ask(0, call{id: "other", path: row.path, body: "other", tokens: 500}))
+			assertWhole(t, w.send(0, request{id: "other", path: row.path, body: "other", tokens: 500}))
 		})
 	}
 }
 
-// TestRequestThatCrashesReaders sends a long prompt that crashes all engines which read it, while
-// each answers others. An end of a reader that is known from those others alone would look like
-// another cause of the crash.
-func TestRequestThatCrashesReaders(t *testing.T) {
-	o := engines()
-	o.readersToo, o.events = true, 100
-	// Ends of one address within a second are taken for one.
+// TestCrashingRequestWithReaders guards against wrong conclusions about a request that crashes all
+// engines of its joint prefill while they serve others. The crash of an engine that only has a
+// share of the prefill must not count as a sign of another cause.
+func TestCrashingRequestWithReaders(t *testing.T) {
+	o := engineOptions()
+	o.crashReaders, o.events = true, 100
+	// Crashes at one address within a second count as one.
 	o.away = 1200 * time.Millisecond
-	w := newCrashWorld(t, o)
+	w := newCrashCluster(t, o)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for c := range 30 {
-		callers.Go(func() { w.askOn(c, stop) })
+		callers.Go(func() { w.sendUntil(c, stop) })
 	}
-	w.await("most engines answer", func() bool { return w.answering() >= len(w.machines)-1 })
-	for i := range 72 { // some tries find no room beside the others
+	w.await("most engines answer", func() bool { return w.answering() >= len(w.crashing)-1 })
+	for i := range 72 { // some attempts find no free memory
 		w.sendCrashing(i, "/stream/x", 300_000)
 	}
-	w.awaitAll("banned", func(f figures) bool { return f.Quarantine.Bans == 1 })
-	w.assertFew(t)
+	w.awaitAll("banned", func(f stats) bool { return f.Quarantine.Bans == 1 })
+	w.assertFewCrashes(t)
 	assertRefused(t, w.sendCrashing(0, "/stream/x", 300_000))
 	close(stop)
 	callers.Wait()
 }
 
-// answering returns how many endpoints answer something.
-func (w *crashWorld) answering() int {
+// answering returns the number of endpoints that are running a request.
+func (w *crashCluster) answering() int {
 	n := 0
-	for _, x := range w.machines {
+	for _, x := range w.crashing {
 		n += min(x.endpoint.Running(), 1)
 	}
 	return n
 }
 
-// askOn sends requests of one caller, each of its own, until stop is closed.
-func (w *crashWorld) askOn(caller int, stop <-chan struct{}) {
+// sendUntil sends distinct requests of one caller, one after another, until stop is closed.
+func (w *crashCluster) sendUntil(caller int, stop <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -356,16 +346,17 @@
 		default:
 		}
 		id := "c" + strconv.Itoa(caller) + "." + strconv.Itoa(i)
-		w.ask(caller%len(w.gateways), call{id: id, path: "/stream/x", body: id, tokens: 500})
+		w.send(caller%len(w.gateways), request{id: id, path: "/stream/x", body: id, tokens: 500})
 	}
 }
 
-// TestRequestThatCrashesInOutage sends it while the store is away. Endpoints keep their names,
-// so that the instances go on using them. The ban is in the store once that is back.
-func TestRequestThatCrashesInOutage(t *testing.T) {
-	o := engines()
+// TestCrashingRequestDuringStoreOutage checks that a crashing request is contained while the store
+// is unavailable, and that the ban is written to the store afterwards. Endpoints keep their names,
+// so that instances that can't read the store still use them.
+func TestCrashingRequestDuringStoreOutage(t *testing.T) {
+	o := engineOptions()
 	o.sameName = true
-	w := newCrashWorld(t, o)
+	w := newCrashCluster(t, o)
 	w.store.SetFaults(platformtest.StoreFaults{
 		Refuse: true,
 	})
@@ -374,10 +365,11 @@
 	w.await("ban in the store", func() bool { return w.store.HasKeyPrefix(platformtest.TopicPeers, "ban/") })
 }
 
-// TestBanOutlivesInstances ends all instances after a ban. Those that start then know it.
+// TestBanOutlivesInstances checks that an instance knows an existing ban after all instances have
+// been replaced.
 func TestBanOutlivesInstances(t *testing.T) {
 	is := is.New(t)
-	w := newCrashWorld(t, engines())
+	w := newCrashCluster(t, engineOptions())
 	w.assertContained(t, "/stream/x", 500)
 	w.await("ban in the store", func() bool { return w.store.HasKeyPrefix(platformtest.TopicPeers, "ban/") })
 	for _, g := range w.gateways {
@@ -387,56 +379,57 @@
 	w.gateways = nil
 	w.start(3)
 	w.await("ready", func() bool { return w.ready(w.gateways[0]) })
-	w.awaitAll("ban known", func(f figures) bool { return f.Quarantine.Bans == 1 })
-	assertRefused(t, w.ask(0, call{id: "after", path: "/stream/x", body: crashing, tokens: 500}))
+	w.awaitAll("ban known", func(f stats) bool { return f.Quarantine.Bans == 1 })
+	assertRefused(t, w.send(0, request{id: "after", path: "/stream/x", body: crashBody, tokens: 500}))
 	is.Equal(w.crashes(), before)
 }
 
-// TestBanReleased has an operator end the record of a ban: the request may run again everywhere.
+// TestBanReleased checks that a request may run again after an operator has removed its ban from
+// the store.
 func TestBanReleased(t *testing.T) {
 	is := is.New(t)
-	w := newCrashWorld(t, engines())
+	w := newCrashCluster(t, engineOptions())
 	w.assertContained(t, "/stream/x", 500)
-	w.awaitAll("ban known", func(f figures) bool { return f.Quarantine.Bans == 1 })
+	w.awaitAll("ban known", func(f stats) bool { return f.Quarantine.Bans == 1 })
 	w.await("ban in the store", func() bool { return w.store.HasKeyPrefix(platformtest.TopicPeers, "ban/") })
 	before := w.attempts()
-	id := quarantine.Identify("/stream/x", "c1", []byte(crashing))
+	id := quarantine.Identify("/stream/x", "c1", []byte(crashBody))
 	is.NoErr(platform.NewStore(wirehttp.Client(), w.storeAddr).EraseBan(t.Context(), id))
-	w.awaitAll("released", func(f figures) bool { return f.Quarantine.Bans == 0 })
+	w.awaitAll("released", func(f stats) bool { return f.Quarantine.Bans == 0 })
 	w.await("runs again", func() bool {
 		w.sendCrashing(0, "/stream/x", 500)
 		return w.attempts() > before
 	})
 }
 
-// TestCrashesOfOtherCause crashes engines while callers ask for the same thing over and over at
-// all instances: nothing of it is banned, and all is served once the engines are back.
-func TestCrashesOfOtherCause(t *testing.T) {
+// TestUnrelatedCrashes guards against a ban of a harmless request that callers send repeatedly
+// while engines crash for other reasons.
+func TestUnrelatedCrashes(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// crash crashes engines once more, the i-th time.
-		crash func(w *crashWorld, i int)
+		// crash crashes the engines of round i.
+		crash func(w *crashCluster, i int)
 	}{
-		{"one after the other", func(w *crashWorld, i int) { w.machines[i%len(w.machines)].crash() }},
-		{"half of them at once", func(w *crashWorld, i int) {
-			for k, x := range w.machines {
+		{"one after the other", func(w *crashCluster, i int) { w.crashing[i%len(w.crashing)].crash() }},
+		{"half of them at once", func(w *crashCluster, i int) {
+			for k, x := range w.crashing {
 				if k%2 == i%2 {
 					x.crash()
 				}
 			}
 		}},
-		{"all at once", func(w *crashWorld, i int) {
+		{"all at once", func(w *crashCluster, i int) {
 			if i%4 != 0 {
 				return
 			}
-			for _, x := range w.machines {
+			for _, x := range w.crashing {
 				x.crash()
 			}
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newCrashWorld(t, engines())
+			w := newCrashCluster(t, engineOptions())
 			stop := make(chan struct{})
 			var callers sync.WaitGroup
 			for c := range 6 {
@@ -447,7 +440,7 @@
 							return
 						default:
 						}
-						w.ask(c%3, call{id: strconv.Itoa(c) + "." + strconv.Itoa(i), path: "/stream/x", body: "usual", tokens: 500})
+						w.send(c%3, request{id: strconv.Itoa(c) + "." + strconv.Itoa(i), path: "/stream/x", body: "usual", tokens: 500})
 						time.Sleep(20 * time.Millisecond)
 					}
 				})
@@ -459,33 +452,33 @@
 			close(stop)
 			callers.Wait()
 			is.True(w.crashes() >= 12)
-			w.awaitAll("nothing banned", func(f figures) bool { return f.Quarantine.Bans == 0 })
-			time.Sleep(downFor)
+			w.awaitAll("nothing banned", func(f stats) bool { return f.Quarantine.Bans == 0 })
+			time.Sleep(downtime)
 			w.await("served", func() bool {
-				return w.ask(0, call{id: "end", path: "/stream/x", body: "usual", tokens: 500}).status == http.StatusOK
+				return w.send(0, request{id: "end", path: "/stream/x", body: "usual", tokens: 500}).status == http.StatusOK
 			})
 		})
 	}
 }
 
-// TestConnectionsReset breaks the answers to a request off again and again without an end of
-// their endpoints: that is no crash.
-func TestConnectionsReset(t *testing.T) {
+// TestBrokenAnswersAreNoCrash checks that an interrupted answer doesn't count as a crash if the
+// endpoint is still running.
+func TestBrokenAnswersAreNoCrash(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].SetFaults(platformtest.EndpointFaults{
 			CutAfterEvents: 1,
 		})
 	}
 	for i := range 8 {
-		w.ask(i%2, call{id: "cut" + strconv.Itoa(i), path: "/once/x", body: "usual", tokens: 500})
+		w.send(i%2, request{id: "cut" + strconv.Itoa(i), path: "/once/x", body: "usual", tokens: 500})
 	}
 	for _, g := range w.gateways {
-		is.Equal(w.figures(g).Quarantine.Crashes, 0)
+		is.Equal(w.stats(g).Quarantine.Crashes, 0)
 	}
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].SetFaults(platformtest.EndpointFaults{})
 	}
-	assertWhole(t, w.ask(0, call{id: "end", path: "/once/x", body: "usual", tokens: 500}))
+	assertWhole(t, w.send(0, request{id: "end", path: "/once/x", body: "usual", tokens: 500}))
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,68 +24,67 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// Gateway is one instance.
+// Gateway is a running instance. New starts it.
 type Gateway struct {
 	// Done is closed when the instance has stopped.
 	Done chan struct{}
-	// Listen is where callers connect.
+	// Listen is the address for callers.
 	Listen string
-	// ReadyListen is where the balancer asks whether the instance is ready.
+	// ReadyListen is the address of the load balancer's readiness checks.
 	ReadyListen string
-	// PeerListen is where other instances connect.
+	// PeerListen is the address for other instances.
 	PeerListen string
-	// AdminListen is where the metrics are.
+	// AdminListen is the address of the metrics.
 	AdminListen string
 
 	settings *settings.File
 	log      logr.Logger
-	// dropped returns how many log lines were dropped so far.
-	dropped func() int64
-	// self is what other instances are told.
+	// droppedLines returns the number of log lines dropped so far.
+	droppedLines func() int64
+	// self describes this instance to other instances.
 	self    catalog.Peer
 	catalog *catalog.Catalog
-	// pools places what this instance owns, and placer finds the owner of the
-	// rest.
+	// pools schedules the pools that this instance owns. placer sends each placement request to
+	// the pool's owner, which may be this instance.
 	pools  *pool.Scheduler
 	placer *pool.Client
-	// quarantine is what is known of requests that crash endpoints, and recorder keeps its
-	// bans in the store.
+	// quarantine tracks requests that crash endpoints. recorder writes its bans to the store.
 	quarantine *quarantine.Registry
 	recorder   *quarantine.Recorder
-	// notices is what endpoints say of themselves in answers.
+	// notices holds the statements that endpoints make about themselves in their answers.
 	notices  *notice.Registry
 	relay    *relay.Relay
 	upstream *upstream.Pool
-	// peers are the connections to other instances, and rpc serves theirs.
+	// peers holds the connections to other instances. rpc serves connections from them.
 	peers *peer.Pool
 	rpc   *grpc.Server
-	// servers are all HTTP servers, callers the one of these for callers, and
-	// open its connections.
-	servers []*http.Server
-	callers *http.Server
-	open    *connections
-	// known is closed once the pools know their endpoints.
-	known chan struct{}
-	// stopping is closed when a stop begins, and cancel ends the parts.
-	stopping chan struct{}
-	cancel   context.CancelFunc
-	parts    sync.WaitGroup
-	stop     sync.Once
+	// servers are all HTTP servers. callers is the one for callers, and callerConns tracks its
+	// connections.
+	servers     []*http.Server
+	callers     *http.Server
+	callerConns *connections
+	// poolsReady is closed after pools has received the first complete snapshot.
+	poolsReady chan struct{}
+	// stopping is closed when a stop begins. cancel ends the goroutines that run the components.
+	stopping   chan struct{}
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	stopOnce   sync.Once
 }
 
-// New starts an instance. Stop ends it as planned, Close at once. Dropped returns
-// how many log lines were dropped so far. The error is that of an address that
-// can't be listened on.
+// New starts an instance. Stop ends it gracefully, Close immediately. The function dropped returns
+// the number of log lines dropped so far. New returns an error if it can't listen on one of the
+// addresses.
 func New(f *settings.File, log logr.Logger, dropped func() int64) (*Gateway, error) {
 	g := &Gateway{
-		Done:     make(chan struct{}),
-		settings: f,
-		log:      log,
-		dropped:  dropped,
-		upstream: upstream.New(upstream.Settings{}),
-		open:     newConnections(),
-		known:    make(chan struct{}),
-		stopping: make(chan struct{}),
+		Done:         make(chan struct{}),
+		settings:     f,
+		log:          log,
+		droppedLines: dropped,
+		upstream:     upstream.New(upstream.Settings{}),
+		callerConns:  newConnections(),
+		poolsReady:   make(chan struct{}),
+		stopping:     make(chan struct{}),
 	}
 	l, err := tcp.Listen(f.PeerListen)
 	if err != nil {
@@ -99,18 +98,18 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
-	g.parts.Go(func() { g.ended("peers", g.rpc.Serve(l)) })
-	g.parts.Go(func() { g.placer.Run(ctx) })
-	g.parts.Go(func() { g.catalog.Run(ctx) })
-	g.parts.Go(func() { g.pools.Run(ctx) })
-	g.parts.Go(func() { g.recorder.Run(ctx) })
-	g.parts.Go(func() { g.follow(ctx) })
-	g.parts.Go(func() { g.sweep(ctx) })
+	g.goroutines.Go(func() { g.logServerEnd("peers", g.rpc.Serve(l)) })
+	g.goroutines.Go(func() { g.placer.Run(ctx) })
+	g.goroutines.Go(func() { g.catalog.Run(ctx) })
+	g.goroutines.Go(func() { g.pools.Run(ctx) })
+	g.goroutines.Go(func() { g.recorder.Run(ctx) })
+	g.goroutines.Go(func() { g.followCatalog(ctx) })
+	g.goroutines.Go(func() { g.closeIdleUpstream(ctx) })
 	return g, nil
 }
 
-// follow hands on what the catalog learns until ctx ends.
-func (g *Gateway) follow(ctx context.Context) {
+// followCatalog forwards each new snapshot of the catalog to the other components until ctx ends.
+func (g *Gateway) followCatalog(ctx context.Context) {
 	known := false
 	var banned map[quarantine.Identity]quarantine.Verdict
 	for {
@@ -122,7 +121,7 @@
 				return listed
 			})
 			if s.Complete {
-				// With few of the instances known others would be taken for owners.
+				// With an incomplete list of instances the client would choose wrong owners.
 				g.placer.Update(s)
 			}
 			if !maps.Equal(banned, s.Banned) {
@@ -131,7 +130,7 @@
 			}
 			if !known && s.Complete {
 				known = true
-				close(g.known)
+				close(g.poolsReady)
 				g.log.Info("ready", "version", s.Table.Version, "endpoints", len(s.Endpoints))
 			}
 		}
@@ -143,12 +142,13 @@
 	}
 }
 
-// sweepEvery is how often connections that rested for too long are closed.
-const sweepEvery = time.Second
+// idleCheckInterval is how often connections to endpoints are checked for their idle time.
+const idleCheckInterval = time.Second
 
-// sweep closes connections to endpoints that rested for too long until ctx ends.
-func (g *Gateway) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+// closeIdleUpstream periodically closes connections to endpoints that have been idle for too long,
+// until ctx ends.
+func (g *Gateway) closeIdleUpstream(ctx context.Context) {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -14,14 +14,15 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
+// TestServe checks plain requests, streams, and the refusals of invalid requests.
 func TestServe(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	t.Run("plain", func(t *testing.T) {
 		is := is.New(t)
-		g := w.ask(0, call{id: "a1", path: "/unsafe/x?q=%2F", body: "hello"})
+		g := w.send(0, request{id: "a1", path: "/unsafe/x?q=%2F", body: "hello"})
 		assertWhole(t, g)
 		is.Equal(g.body, platformtest.PlainAnswer("a1", []byte("hello")))
-		r := w.find("a1")
+		r := w.findRun("a1")
 		is.Equal(r.Target, "/unsafe/x?q=%2F")
 		is.Equal(r.Body, "hello")
 		is.Equal(r.Customer(), "c1")
@@ -30,29 +31,29 @@
 	})
 	t.Run("stream", func(t *testing.T) {
 		is := is.New(t)
-		g := w.ask(1, call{id: "a2", path: "/stream/x", tokens: 1000})
+		g := w.send(1, request{id: "a2", path: "/stream/x", tokens: 1000})
 		assertWhole(t, g)
 		is.Equal(g.body, events("a2", 10))
 	})
 	t.Run("no route", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(w.ask(0, call{id: "a3", path: "/other/"}).status, http.StatusNotFound)
+		is.Equal(w.send(0, request{id: "a3", path: "/other/"}).status, http.StatusNotFound)
 	})
 	t.Run("unknown key", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(w.ask(0, call{id: "a4", path: "/safe/", key: "stolen"}).status, http.StatusUnauthorized)
+		is.Equal(w.send(0, request{id: "a4", path: "/safe/", key: "stolen"}).status, http.StatusUnauthorized)
 		is.Equal(w.runs("a4"), 0)
 	})
 	t.Run("body too large", func(t *testing.T) {
 		is := is.New(t)
-		g := w.ask(0, call{id: "a5", path: "/safe/", body: string(make([]byte, 1<<20+1))})
+		g := w.send(0, request{id: "a5", path: "/safe/", body: string(make([]byte, 1<<20+1))})
 		is.Equal(g.status, http.StatusRequestEntityTooLarge)
 		is.Equal(w.runs("a5"), 0)
 	})
 }
 
-// find returns the only run of a request.
-func (w *world) find(id string) platformtest.Run {
+// findRun returns a run of the request with an id. It fails the test if there is none.
+func (w *cluster) findRun(id string) platformtest.Run {
 	w.t.Helper()
 	for _, e := range w.endpoints {
 		for _, r := range e.Runs() {
@@ -65,9 +66,8 @@
 	return platformtest.Run{}
 }
 
-// TestEndpointFails is a table of what endpoints do wrong, and what becomes of a
-// request of each kind. With both endpoints failing the same way the answer must
-// be true; with one, what may run again is served.
+// TestEndpointFails checks the status and the maximum number of runs of safe and unsafe requests if
+// one or all endpoints fail. all says whether both endpoints have the faults or only one.
 func TestEndpointFails(t *testing.T) {
 	reject := platformtest.EndpointFaults{Reject: true}
 	lose := platformtest.EndpointFaults{LoseAnswer: true}
@@ -90,15 +90,15 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1)
+			w := newCluster(t, 1)
 			w.endpoints["p1"].SetFaults(row.faults)
 			if row.all {
 				w.endpoints["p2"].SetFaults(row.faults)
 			}
-			// Twice as many as endpoints, so that the faulty one is met.
+			// Several requests, so that the faulty endpoint receives some of them.
 			for i := range 4 {
 				id := "r" + strconv.Itoa(i)
-				g := w.ask(0, call{id: id, path: row.path, method: method(row.path)})
+				g := w.send(0, request{id: id, path: row.path, method: method(row.path)})
 				is.NoErr(g.err)
 				is.Equal(g.status, row.status)
 				is.True(w.runs(id) <= row.runs)
@@ -110,6 +110,7 @@
 	}
 }
 
+// method returns the HTTP method for requests to a path.
 func method(path string) string {
 	if path == "/safe/" {
 		return http.MethodGet
@@ -117,36 +118,37 @@
 	return http.MethodPost
 }
 
-// TestStreamBreaksOff cuts streams in the middle of an event.
-func TestStreamBreaksOff(t *testing.T) {
+// TestStreamInterrupted checks that a resumable stream that breaks off or stalls is completed by
+// another endpoint, and that any other stream is visibly incomplete and runs only once.
+func TestStreamInterrupted(t *testing.T) {
 	t.Run("resumable", func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 1)
+		w := newCluster(t, 1)
 		w.endpoints["e1"].SetFaults(platformtest.EndpointFaults{CutAfterEvents: 4})
 		for i := range 4 {
-			g := w.ask(0, call{id: "s" + strconv.Itoa(i), path: "/stream/", tokens: 500})
+			g := w.send(0, request{id: "s" + strconv.Itoa(i), path: "/stream/", tokens: 500})
 			assertWhole(t, g)
 			is.Equal(g.body, events("s"+strconv.Itoa(i), 10)) // each event once and in order
 		}
-		is.True(len(w.endpoints["e1"].Runs()) > 0) // the faulty endpoint was met
+		is.True(len(w.endpoints["e1"].Runs()) > 0) // the faulty endpoint was used
 	})
 	t.Run("not resumable", func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 1)
+		w := newCluster(t, 1)
 		for _, name := range []string{"e1", "e2"} {
 			w.endpoints[name].SetFaults(platformtest.EndpointFaults{CutAfterEvents: 4})
 		}
-		g := w.ask(0, call{id: "s", path: "/once/", tokens: 500})
-		is.True(g.err != nil) // a cut answer must not look whole
+		g := w.send(0, request{id: "s", path: "/once/", tokens: 500})
+		is.True(g.err != nil) // an interrupted answer must not look complete
 		is.Equal(w.runs("s"), 1)
 	})
 	t.Run("silent", func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 1)
+		w := newCluster(t, 1)
 		w.endpoints["e1"].SetFaults(platformtest.EndpointFaults{Silent: true})
 		w.endpoints["e2"].SetFaults(platformtest.EndpointFaults{})
 		for i := range 2 {
-			g := w.ask(0, call{id: "s" + strconv.Itoa(i), path: "/stream/", tokens: 500})
+			g := w.send(0, request{id: "s" + strconv.Itoa(i), path: "/stream/", tokens: 500})
 			assertWhole(t, g)
 			is.Equal(g.body, events("s"+strconv.Itoa(i), 10))
 		}
@@ -154,9 +156,8 @@
 	})
 }
 
-// TestAttempts counts the endpoints that streams are sent to when all of them
-// fail in some way: at most two, as the route says, but for those that broke a
-// stream off.
+// TestAttempts guards against streams that run more often than the route's maximum number of
+// attempts allows when all endpoints fail.
 func TestAttempts(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -165,12 +166,12 @@
 	}{
 		{"reject", platformtest.EndpointFaults{Reject: true}, 0},
 		{"fail before the first event", platformtest.EndpointFaults{FailStreams: true}, 2},
-		{"fail when a stream goes on", platformtest.EndpointFaults{FailResumed: true, CutAfterEvents: 3}, 2},
+		{"fail when a stream is resumed", platformtest.EndpointFaults{FailResumed: true, CutAfterEvents: 3}, 2},
 		{"silent", platformtest.EndpointFaults{Silent: true}, 2},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1)
+			w := newCluster(t, 1)
 			w.addEndpoint("e3", "engines", fastEngine())
 			w.addEndpoint("e4", "engines", fastEngine())
 			for _, name := range []string{"e1", "e2", "e3", "e4"} {
@@ -178,141 +179,146 @@
 			}
 			for i := range 3 {
 				id := "n" + strconv.Itoa(i)
-				w.ask(0, call{id: id, path: "/stream/", tokens: 500})
+				w.send(0, request{id: id, path: "/stream/", tokens: 500})
 				is.True(w.runs(id) <= row.most)
 			}
 		})
 	}
 }
 
-// TestKeyTakenAway takes a key away while instances can't learn of it.
-func TestKeyTakenAway(t *testing.T) {
+// TestKeyRevoked guards against an instance that accepts a revoked key after the time limit, also
+// if it can't read the store.
+func TestKeyRevoked(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		faults platformtest.StoreFaults
 	}{
-		{"store in reach", platformtest.StoreFaults{}},
+		{"store available", platformtest.StoreFaults{}},
 		{"store refuses", platformtest.StoreFaults{Refuse: true}},
 		{"store silent", platformtest.StoreFaults{Silent: true}},
 		{"store slow", platformtest.StoreFaults{Delay: 700 * time.Millisecond}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1)
-			assertWhole(t, w.ask(0, call{id: "before", path: "/safe/", key: "k2"}))
+			w := newCluster(t, 1)
+			assertWhole(t, w.send(0, request{id: "before", path: "/safe/", key: "k2"}))
 			w.store.SetFaults(row.faults)
-			w.configure("k1")
+			w.publish("k1")
 			time.Sleep(revoke)
-			g := w.ask(0, call{id: "after", path: "/safe/", key: "k2"})
+			g := w.send(0, request{id: "after", path: "/safe/", key: "k2"})
 			is.True(g.status == http.StatusUnauthorized || g.status == http.StatusServiceUnavailable)
 			is.Equal(w.runs("after"), 0)
 			w.store.SetFaults(platformtest.StoreFaults{})
 			w.await("key refused", func() bool {
-				return w.ask(0, call{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
+				return w.send(0, request{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
 			})
 			w.await("other key served", func() bool {
-				return w.ask(0, call{id: "other", path: "/safe/"}).status == http.StatusOK
+				return w.send(0, request{id: "other", path: "/safe/"}).status == http.StatusOK
 			})
 			is.Equal(w.runs("again"), 0)
 		})
 	}
 }
 
-// TestKeysNotStrict lets an instance serve on by the newest configuration that it
-// knows, as its operator allows. What that configuration does not know is refused as
-// uncertain, not as forbidden, and a key that was taken away once that is known.
+// TestKeysNotStrict checks an instance without RevokeStrict that can't read the store. It accepts
+// the keys of its newest configuration, and refuses unknown keys and routes with status 503 because
+// they may be new. It refuses the revoked key when it can read the store again.
 func TestKeysNotStrict(t *testing.T) {
 	is := is.New(t)
-	w := newLenientWorld(t, 1)
+	w := newLenientCluster(t, 1)
 	w.store.SetFaults(platformtest.StoreFaults{Refuse: true})
-	w.configure("k1")
+	w.publish("k1")
 	time.Sleep(revoke)
-	assertWhole(t, w.ask(0, call{id: "kept", path: "/safe/"}))
-	assertWhole(t, w.ask(0, call{id: "taken", path: "/safe/", key: "k2"}))
-	assertRefused(t, w.ask(0, call{id: "unknown key", path: "/safe/", key: "k3"}))
-	assertRefused(t, w.ask(0, call{id: "unknown route", path: "/other/"}))
+	assertWhole(t, w.send(0, request{id: "kept", path: "/safe/"}))
+	assertWhole(t, w.send(0, request{id: "taken", path: "/safe/", key: "k2"}))
+	assertRefused(t, w.send(0, request{id: "unknown key", path: "/safe/", key: "k3"}))
+	assertRefused(t, w.send(0, request{id: "unknown route", path: "/other/"}))
 	w.store.SetFaults(platformtest.StoreFaults{})
 	w.await("key refused", func() bool {
-		return w.ask(0, call{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
+		return w.send(0, request{id: "again", path: "/safe/", key: "k2"}).status == http.StatusUnauthorized
 	})
-	is.Equal(w.ask(0, call{id: "no route", path: "/other/"}).status, http.StatusNotFound)
+	is.Equal(w.send(0, request{id: "no route", path: "/other/"}).status, http.StatusNotFound)
 }
 
-// TestStartWithoutStore starts an instance while the store is down.
+// TestStartWithoutStore checks that an instance that starts during an outage of the store is not
+// ready and refuses requests until the store is back.
 func TestStartWithoutStore(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	w.store.SetFaults(platformtest.StoreFaults{Refuse: true})
 	g := w.start(1)
 	time.Sleep(300 * time.Millisecond)
 	is.True(!w.ready(g))
-	assertRefused(t, w.ask(1, call{id: "early", path: "/safe/"}))
+	assertRefused(t, w.send(1, request{id: "early", path: "/safe/"}))
 	w.store.SetFaults(platformtest.StoreFaults{})
 	w.await("ready", func() bool { return w.ready(g) })
-	assertWhole(t, w.ask(1, call{id: "late", path: "/safe/"}))
+	assertWhole(t, w.send(1, request{id: "late", path: "/safe/"}))
 }
 
-// TestRequestDuringStart sends a request to an instance that can't know the
-// configuration yet, and does shortly after.
+// TestRequestDuringStart checks that a request waits for the configuration if it arrives shortly
+// before the instance has read it.
 func TestRequestDuringStart(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	w.store.SetFaults(platformtest.StoreFaults{Refuse: true})
 	w.start(1)
 	time.AfterFunc(100*time.Millisecond, func() { w.store.SetFaults(platformtest.StoreFaults{}) })
-	assertWhole(t, w.ask(1, call{id: "early", path: "/safe/"}))
+	assertWhole(t, w.send(1, request{id: "early", path: "/safe/"}))
 }
 
-// TestLeaving lets an endpoint leave.
-func TestLeaving(t *testing.T) {
+// TestEndpointLeaves guards against requests to an endpoint whose store entry says that it leaves,
+// or has been removed.
+func TestEndpointLeaves(t *testing.T) {
 	for _, row := range []struct {
 		name  string
-		leave func(w *world)
+		leave func(w *cluster)
 	}{
-		{"says so", func(w *world) { w.entry("p1", "plain", true) }},
-		{"entry removed", func(w *world) { w.store.DeleteEndpoint("p1") }},
-		{"entry removed and forgotten", func(w *world) {
+		{"entry marked as leaving", func(w *cluster) { w.register("p1", "plain", true) }},
+		{"entry removed", func(w *cluster) { w.store.DeleteEndpoint("p1") }},
+		{"entry removed and topic compacted", func(w *cluster) {
 			w.store.DeleteEndpoint("p1")
 			w.store.Compact(platformtest.TopicEndpoints)
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1)
+			w := newCluster(t, 1)
 			row.leave(w)
-			w.awaitAll("that it leaves", func(f figures) bool { return f.Store.Departed == 1 })
+			w.awaitAll("departure known", func(f stats) bool { return f.Store.Departed == 1 })
 			before := len(w.endpoints["p1"].Runs())
 			for range 20 {
-				assertWhole(t, w.ask(0, call{id: "y", path: "/safe/"}))
+				assertWhole(t, w.send(0, request{id: "y", path: "/safe/"}))
 			}
 			is.Equal(len(w.endpoints["p1"].Runs()), before)
 		})
 	}
 }
 
-// TestAddressReused gives an endpoint's address to another one.
+// TestAddressReused guards against a request that runs on another endpoint that has taken over the
+// address of a listed one.
 func TestAddressReused(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	w.addresses["p3"] = w.addresses["p1"]
 	w.endpoints["p1"].Instance = "q1"
 	for i := range 6 {
-		assertWhole(t, w.ask(0, call{id: "u" + strconv.Itoa(i), path: "/unsafe/"}))
+		assertWhole(t, w.send(0, request{id: "u" + strconv.Itoa(i), path: "/unsafe/"}))
 	}
 	is.Equal(len(w.endpoints["p1"].Runs()), 0)
 }
 
-// TestPlannedStop stops an instance with streams open.
+// TestPlannedStop checks that an instance that stops completes its open streams and serves new
+// requests at first.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2)
+	w := newCluster(t, 2)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].Events = 60
 	}
 	var wait sync.WaitGroup
-	answers := make([]got, 6)
+	answers := make([]response, 6)
 	for i := range answers {
 		wait.Go(func() {
-			answers[i] = w.ask(i%2, call{id: "t" + strconv.Itoa(i), path: "/once/", tokens: 500})
+			answers[i] = w.send(i%2, request{id: "t" + strconv.Itoa(i), path: "/once/", tokens: 500})
 		})
 	}
 	w.await("streams run", func() bool {
@@ -324,7 +330,7 @@
 		close(done)
 	}()
 	w.await("not ready", func() bool { return !w.ready(w.gateways[0]) })
-	assertWhole(t, w.ask(0, call{id: "while", path: "/safe/"}))
+	assertWhole(t, w.send(0, request{id: "while", path: "/safe/"}))
 	wait.Wait()
 	for i, g := range answers {
 		assertWhole(t, g)
@@ -333,11 +339,11 @@
 	<-done
 }
 
-// TestLateDuringStop sends streams to an instance while it stops. Each is
-// answered whole or not taken, and the instance ends with the last of them.
-func TestLateDuringStop(t *testing.T) {
+// TestNewStreamsDuringStop checks that each stream that arrives during a stop is either completed
+// or not started, and that the instance ends soon after the last one.
+func TestNewStreamsDuringStop(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].Events = 100
 	}
@@ -349,7 +355,7 @@
 		time.Sleep(250 * time.Millisecond)
 		wait.Go(func() {
 			id := "late" + strconv.Itoa(i)
-			g := w.ask(0, call{id: id, path: "/once/", tokens: 500})
+			g := w.send(0, request{id: id, path: "/once/", tokens: 500})
 			if g.err != nil {
 				is.Equal(w.runs(id), 0)
 				return
@@ -367,10 +373,11 @@
 	is.True(time.Since(last) < time.Second)
 }
 
-// TestCallerGone gives a stream up in the middle.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnects guards against an engine that still runs a stream after its caller has
+// disconnected.
+func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newCluster(t, 1)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].Events = 400
 	}
@@ -394,50 +401,50 @@
 	is.True(time.Since(gone) < 500*time.Millisecond)
 }
 
-// TestLargePrompt serves a prompt that no engine has room for alone, and looks
-// that the memory is given back.
+// TestLargePrompt checks that a prompt that is too large for one engine runs as a joint prefill,
+// and that all engines free its memory afterwards.
 func TestLargePrompt(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
-	g := w.ask(0, call{id: "big", path: "/stream/", tokens: 300_000})
+	w := newCluster(t, 1)
+	g := w.send(0, request{id: "big", path: "/stream/", tokens: 300_000})
 	assertWhole(t, g)
 	is.Equal(g.body, events("big", 10))
-	r := w.find("big")
+	r := w.findRun("big")
 	is.True(r.Helpers() != "")
-	w.await("memory given back", func() bool {
+	w.await("memory freed", func() bool {
 		return w.endpoints["e1"].ReservedTokens()+w.endpoints["e2"].ReservedTokens() == 0
 	})
 }
 
-// TestDomainEmptied empties a failure domain, with instances that read the store and that
-// follow others, and restores it.
-func TestDomainEmptied(t *testing.T) {
+// TestDomainDrained guards against requests to a drained failure domain, also after the store has
+// compacted the operator's records, and checks that the domain is used again once it is undrained.
+func TestDomainDrained(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3)
+	w := newCluster(t, 3)
 	w.addEndpointIn("d2", "e3", "engines", fastEngine())
 	w.addEndpointIn("d2", "p3", "plain", nil)
-	w.awaitAll("all endpoints known", func(f figures) bool { return f.Store.Endpoints == 6 })
-	// ask asks each instance some times, and returns how many requests ran in the domain.
-	ask := func() int {
-		before := w.ran("e1", "e2", "p1", "p2")
+	w.awaitAll("all endpoints known", func(f stats) bool { return f.Store.Endpoints == 6 })
+	// runsInDomain sends requests to each instance and returns how many of them ran in domain d1.
+	runsInDomain := func() int {
+		before := w.totalRuns("e1", "e2", "p1", "p2")
 		for i := range w.gateways {
 			for range 6 {
-				assertWhole(t, w.ask(i, call{id: "y", path: "/safe/"}))
-				assertWhole(t, w.ask(i, call{id: "z", path: "/stream/", tokens: 100}))
+				assertWhole(t, w.send(i, request{id: "y", path: "/safe/"}))
+				assertWhole(t, w.send(i, request{id: "z", path: "/stream/", tokens: 100}))
 			}
 		}
-		return w.ran("e1", "e2", "p1", "p2") - before
+		return w.totalRuns("e1", "e2", "p1", "p2") - before
 	}
-	emptied := func(n int) func(f figures) bool {
-		return func(f figures) bool { return len(f.Store.Following.Emptied) == n }
+	drained := func(n int) func(f stats) bool {
+		return func(f stats) bool { return len(f.Store.Following.Drained) == n }
 	}
-	is.True(ask() > 0)
+	is.True(runsInDomain() > 0)
 	w.store.DrainDomain("d1")
-	w.awaitAll("the failure domain emptied", emptied(1))
-	is.Equal(ask(), 0)
+	w.awaitAll("the failure domain drained", drained(1))
+	is.Equal(runsInDomain(), 0)
 	w.store.Compact(platformtest.TopicOperator)
-	is.Equal(ask(), 0)
+	is.Equal(runsInDomain(), 0)
 	w.store.UndrainDomain("d1")
-	w.awaitAll("the failure domain restored", emptied(0))
-	is.True(ask() > 0)
+	w.awaitAll("the failure domain undrained", drained(0))
+	is.True(runsInDomain() > 0)
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -25,8 +25,8 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// world is a platform with instances of the system on it.
-type world struct {
+// cluster is a simulated platform with a store and endpoints, and instances that run on it.
+type cluster struct {
 	t         testing.TB
 	store     *platformtest.Store
 	storeAddr string
@@ -34,18 +34,17 @@
 	addresses map[string]string
 	gateways  []*gateway.Gateway
 	version   int
-	// lenient states that keys need not be refused in time by instances that are
-	// out of touch.
+	// lenient turns RevokeStrict off: instances that can't reach the store go on accepting keys.
 	lenient bool
 }
 
-// revoke is how soon keys must be refused in the tests.
+// revoke is the time limit for refusing revoked keys.
 const revoke = 1500 * time.Millisecond
 
-// stopWithin is how long an instance may take to stop.
+// stopWithin is the time limit for a planned stop.
 const stopWithin = 6500 * time.Millisecond
 
-// fastEngine is a model with passes of 10 ms and reading of 1 ms per 1000 tokens.
+// fastEngine returns an engine model with passes of 10 ms and a prefill of 1 ms per 1000 tokens.
 func fastEngine() *batch.Model {
 	return &batch.Model{
 		Slots:            8,
@@ -56,23 +55,23 @@
 	}
 }
 
-// newWorld starts a store with a configuration, two engines, two plain endpoints
-// and some instances.
-func newWorld(t testing.TB, instances int) *world {
+// newCluster starts a store with a configuration, two engines, two plain endpoints and a number of
+// instances, and waits until all instances are ready.
+func newCluster(t testing.TB, instances int) *cluster {
 	t.Helper()
-	return startWorld(t, instances, false)
+	return startCluster(t, instances, false)
 }
 
-// newLenientWorld starts the same with instances that serve keys on by the newest
-// configuration that they know.
-func newLenientWorld(t testing.TB, instances int) *world {
+// newLenientCluster starts the same cluster with instances that go on accepting keys while they
+// can't reach the store.
+func newLenientCluster(t testing.TB, instances int) *cluster {
 	t.Helper()
-	return startWorld(t, instances, true)
+	return startCluster(t, instances, true)
 }
 
-func startWorld(t testing.TB, instances int, lenient bool) *world {
+func startCluster(t testing.TB, instances int, lenient bool) *cluster {
 	t.Helper()
-	w := &world{
+	w := &cluster{
 		t:         t,
 		lenient:   lenient,
 		store:     platformtest.NewStore(),
@@ -80,7 +79,7 @@
 		addresses: make(map[string]string),
 	}
 	w.storeAddr = serve(t, w.store)
-	w.configure("k1", "k2")
+	w.publish("k1", "k2")
 	for _, name := range []string{"e1", "e2"} {
 		w.addEndpoint(name, "engines", fastEngine())
 	}
@@ -93,11 +92,12 @@
 	for _, g := range w.gateways {
 		w.await("ready", func() bool { return w.ready(g) })
 	}
-	// Instances that start may know of an endpoint later than the store.
-	w.awaitAll("endpoints known", func(f figures) bool { return f.Store.Endpoints == len(w.endpoints) })
+	// An instance may be ready before it has received all endpoints.
+	w.awaitAll("endpoints known", func(f stats) bool { return f.Store.Endpoints == len(w.endpoints) })
 	return w
 }
 
+// serve starts an HTTP server on a free port until the test ends, and returns its address.
 func serve(t testing.TB, h http.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,12 +112,14 @@
 	return l.Addr().String()
 }
 
-func (w *world) addEndpoint(name, service string, m *batch.Model) {
+// addEndpoint adds an endpoint in failure domain d1.
+func (w *cluster) addEndpoint(name, service string, m *batch.Model) {
 	w.addEndpointIn("d1", name, service, m)
 }
 
-// addEndpointIn adds an endpoint in a failure domain.
-func (w *world) addEndpointIn(domain, name, service string, m *batch.Model) {
+// addEndpointIn starts an endpoint and registers it in a failure domain. A nil model means a plain
+// endpoint.
+func (w *cluster) addEndpointIn(domain, name, service string, m *batch.Model) {
 	e := &platformtest.Endpoint{
 		Instance: name,
 		Engine:   m,
@@ -126,16 +128,16 @@
 	}
 	w.endpoints[name] = e
 	w.addresses[name] = serve(w.t, e)
-	w.enter(name, service, domain, false)
+	w.registerIn(name, service, domain, false)
 }
 
-// entry writes the entry of an endpoint.
-func (w *world) entry(name, service string, leaving bool) {
-	w.enter(name, service, "d1", leaving)
+// register writes the store entry of an endpoint in failure domain d1.
+func (w *cluster) register(name, service string, leaving bool) {
+	w.registerIn(name, service, "d1", leaving)
 }
 
-// enter writes the entry of an endpoint in a failure domain.
-func (w *world) enter(name, service, domain string, leaving bool) {
+// registerIn writes the store entry of an endpoint in a failure domain.
+func (w *cluster) registerIn(name, service, domain string, leaving bool) {
 	w.store.PutEndpoint(platformtest.EndpointEntry{
 		Instance: name,
 		Service:  service,
@@ -146,8 +148,8 @@
 	})
 }
 
-// configure publishes the next version, with one customer that has the keys.
-func (w *world) configure(keys ...string) {
+// publish publishes the next version of the configuration, with one customer that has the keys.
+func (w *cluster) publish(keys ...string) {
 	w.version++
 	one := func(prefix string, kind route.Kind, service string, resumable bool) route.Route {
 		return route.Route{
@@ -175,7 +177,8 @@
 	}, 1<<20, []route.Customer{{ID: "c1", Keys: keys}})
 }
 
-func (w *world) start(i int) *gateway.Gateway {
+// start starts instance i. It doesn't wait until the instance is ready.
+func (w *cluster) start(i int) *gateway.Gateway {
 	strict := !w.lenient
 	f := &settings.File{
 		ID:            "node-" + strconv.Itoa(i),
@@ -209,7 +212,8 @@
 	return g
 }
 
-func (w *world) ready(g *gateway.Gateway) bool {
+// ready reports whether an instance answers the readiness check with status 200.
+func (w *cluster) ready(g *gateway.Gateway) bool {
 	res, err := http.Get("http://" + g.ReadyListen + "/ready")
 	if err != nil {
 		return false
@@ -218,55 +222,56 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// figures are some of what an instance tells on its admin address.
-type figures struct {
+// stats holds some of the metrics of an instance.
+type stats struct {
 	Pools      map[string]pool.Stats `json:"pools"`
 	Quarantine quarantine.Stats      `json:"quarantine"`
 	Store      struct {
 		Endpoints int `json:"endpoints"`
 		Departed  int `json:"departed"`
 		Following struct {
-			Emptied []string `json:"emptied"`
+			Drained []string `json:"emptied"`
 		} `json:"following"`
 	} `json:"store"`
 }
 
-// figures returns what an instance tells.
-func (w *world) figures(g *gateway.Gateway) figures {
+// stats reads the metrics of an instance.
+func (w *cluster) stats(g *gateway.Gateway) stats {
 	w.t.Helper()
 	res, err := http.Get("http://" + g.AdminListen + "/metrics")
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	defer res.Body.Close()
-	var f figures
+	var f stats
 	if err := json.NewDecoder(res.Body).Decode(&f); err != nil {
 		w.t.Fatal(err)
 	}
 	return f
 }
 
-// awaitAll waits until what each instance tells is as it should be.
-func (w *world) awaitAll(what string, ok func(f figures) bool) {
+// awaitAll waits until the metrics of every instance meet a condition.
+func (w *cluster) awaitAll(what string, ok func(f stats) bool) {
 	w.t.Helper()
 	for _, g := range w.gateways {
-		w.await(what, func() bool { return ok(w.figures(g)) })
+		w.await(what, func() bool { return ok(w.stats(g)) })
 	}
 }
 
-// await waits until something holds.
-func (w *world) await(what string, ok func() bool) {
+// await waits until ok returns true. It fails the test after 5 seconds.
+func (w *cluster) await(what string, ok func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	w.t.Fatalf("not in time: %s", what)
+	w.t.Fatalf("condition not met within 5 s: %s", what)
 }
 
-// call is a request of a caller.
-type call struct {
+// request is a request from a caller. send fills in defaults for zero fields. wait is the caller's
+// time limit in ms.
+type request struct {
 	id     string
 	method string
 	path   string
@@ -277,17 +282,17 @@
 	wait   int
 }
 
-// got is an answer as the caller sees it.
-type got struct {
+// response is the answer that a caller received.
+type response struct {
 	status int
 	body   string
 	header http.Header
-	// err is an answer that is not whole.
+	// err is set if the answer is incomplete or missing.
 	err error
 }
 
-// ask sends a request to an instance on a connection of its own.
-func (w *world) ask(i int, c call) got {
+// send sends a request to instance i on a new connection and returns the answer.
+func (w *cluster) send(i int, c request) response {
 	if c.method == "" {
 		c.method = http.MethodPost
 	}
@@ -312,13 +317,13 @@
 	}.Set(req.Header)
 	res, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return got{
+		return response{
 			err: err,
 		}
 	}
 	defer res.Body.Close()
 	data, err := io.ReadAll(res.Body)
-	return got{
+	return response{
 		status: res.StatusCode,
 		body:   string(data),
 		header: res.Header,
@@ -326,7 +331,7 @@
 	}
 }
 
-// events is the body of a whole stream.
+// events returns the body of a complete stream with n events.
 func events(id string, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
@@ -335,8 +340,8 @@
 	return b.String()
 }
 
-// runs returns how often the endpoints ran a request.
-func (w *world) runs(id string) int {
+// runs returns how many times the endpoints ran the request with an id.
+func (w *cluster) runs(id string) int {
 	n := 0
 	for _, e := range w.endpoints {
 		for _, r := range e.Runs() {
@@ -348,8 +353,8 @@
 	return n
 }
 
-// ran returns how many requests some endpoints ran.
-func (w *world) ran(names ...string) int {
+// totalRuns returns the total number of requests that the named endpoints have run.
+func (w *cluster) totalRuns(names ...string) int {
 	n := 0
 	for _, name := range names {
 		n += len(w.endpoints[name].Runs())
@@ -357,8 +362,9 @@
 	return n
 }
 
-// assertWhole checks a whole answer with a proof of origin.
-func assertWhole(t *testing.T, g got) {
+// assertWhole checks that an answer is complete and successful, and carries the header that proves
+// which endpoint gave it.
+func assertWhole(t *testing.T, g response) {
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(g.err)
@@ -369,8 +375,8 @@
 	is.True(platformtest.Signed(g.header))
 }
 
-// assertRefused checks a refusal that says when to come back.
-func assertRefused(t *testing.T, g got) {
+// assertRefused checks that an answer has status 503 and says when to retry.
+func assertRefused(t *testing.T, g response) {
 	t.Helper()
 	is := is.New(t)
 	is.NoErr(g.err)
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -13,80 +13,83 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// drainWithin is how soon an endpoint that says that it leaves must get nothing new.
+// drainWithin is the time after which an endpoint that announces its departure must receive no more
+// requests.
 const drainWithin = 2 * time.Second
 
-// assertNothingSince checks that endpoints got no request after a moment.
-func assertNothingSince(t *testing.T, w *world, since time.Time, names ...string) {
+// assertNothingSince checks that endpoints have received no request since a time.
+func assertNothingSince(t *testing.T, w *cluster, since time.Time, names ...string) {
 	t.Helper()
 	for _, name := range names {
 		arrivals := w.endpoints[name].Arrivals()
 		late := len(arrivals) - arrivedBefore(arrivals, since)
-		t.Logf("%s: %d requests too late", name, late)
+		t.Logf("%s: %d requests after the time limit", name, late)
 		is.New(t).Equal(late, 0)
 	}
 }
 
-// TestLeavingHeardInAnswers guards against requests to endpoints whose answers say that they
-// leave while the store does not.
-func TestLeavingHeardInAnswers(t *testing.T) {
+// TestLeavingAnnouncedInAnswers guards against requests to endpoints that announce their departure
+// in answers only and not in the store.
+func TestLeavingAnnouncedInAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		path    string
 		leaving []string
-		// none states that no other endpoint is left.
+		// none is true if all endpoints of the service leave.
 		none bool
 	}{
 		{"one engine of two", "/stream/a", []string{"e1"}, false},
-		{"one engine of two, streams that run once", "/once/a", []string{"e2"}, false},
+		{"one engine of two, streams that are not resumable", "/once/a", []string{"e2"}, false},
 		{"all engines", "/stream/a", []string{"e1", "e2"}, true},
 		{"one plain endpoint of two", "/safe/a", []string{"p1"}, false},
-		{"requests that run once", "/unsafe/a", []string{"p2"}, false},
+		{"one plain endpoint of two, unsafe requests", "/unsafe/a", []string{"p2"}, false},
 		{"all plain endpoints", "/safe/a", []string{"p1", "p2"}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 3)
+			w := newCluster(t, 3)
 			for _, name := range c.leaving {
 				w.endpoints[name].SetFaults(platformtest.EndpointFaults{
 					Leaving: true,
 				})
 			}
 			began := time.Now()
-			rejected := w.load("leaving", call{path: c.path, tokens: 500}, 4*time.Second)
+			rejected := w.load("leaving", request{path: c.path, tokens: 500}, 4*time.Second)
 			assertNothingSince(t, w, began.Add(drainWithin), c.leaving...)
 			if c.none {
 				is.New(t).True(len(rejected) > 0)
 			} else {
 				is.New(t).Equal(len(rejected), 0)
 			}
-			assertRefusedAtOnce(t, rejected)
+			assertRefusedPromptly(t, rejected)
 		})
 	}
 }
 
-// TestLeavingByARejection has an endpoint say that it leaves in answers that are not passed on.
-func TestLeavingByARejection(t *testing.T) {
-	w := newWorld(t, 3)
+// TestLeavingAnnouncedInRejections checks that an announcement also counts if it comes in a
+// rejection, which is not forwarded to the caller.
+func TestLeavingAnnouncedInRejections(t *testing.T) {
+	w := newCluster(t, 3)
 	w.endpoints["e1"].SetFaults(platformtest.EndpointFaults{
 		Leaving: true,
 		Reject:  true,
 	})
 	began := time.Now()
-	rejected := w.load("leaving", call{path: "/stream/a", tokens: 500}, 4*time.Second)
+	rejected := w.load("leaving", request{path: "/stream/a", tokens: 500}, 4*time.Second)
 	assertNothingSince(t, w, began.Add(drainWithin), "e1")
 	is.New(t).Equal(len(rejected), 0)
 }
 
-// The bound on requests to an endpoint that asks an instance for a back-off.
+// The bound on requests to an endpoint that has asked for a back-off: after backoffGrace it may
+// receive at most maxDuringBackoff requests until backoffFor is over.
 const (
-	backoffFor   = 3 * time.Second
-	backoffGrace = 500 * time.Millisecond
-	backoffMost  = 2
+	backoffFor       = 3 * time.Second
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// ofKind returns the arrivals whose body begins with a word.
-func ofKind(arrivals []platformtest.Arrival, word string) []platformtest.Arrival {
+// withBodyPrefix returns the arrivals whose body begins with word.
+func withBodyPrefix(arrivals []platformtest.Arrival, word string) []platformtest.Arrival {
 	var out []platformtest.Arrival
 	for _, a := range arrivals {
 		if strings.HasPrefix(a.Body, word) {
@@ -96,47 +99,49 @@
 	return out
 }
 
-// assertBacksOff checks that no more than two requests of one instance, whose bodies begin with a
-// word, came to an endpoint in the back-off that began with the first of them, and that some did
-// again soon after it where it is needed.
-func assertBacksOff(t *testing.T, w *world, word string, needed bool, names ...string) {
+// assertBackoffKept checks the requests whose body begins with word. The first one starts the
+// back-off of an endpoint. If needed is true, the endpoint must receive requests again in the second
+// after its back-off.
+func assertBackoffKept(t *testing.T, w *cluster, word string, needed bool, names ...string) {
 	t.Helper()
 	for _, name := range names {
-		arrivals := ofKind(w.endpoints[name].Arrivals(), word)
+		arrivals := withBodyPrefix(w.endpoints[name].Arrivals(), word)
 		if len(arrivals) == 0 {
 			t.Fatalf("%s got no request", name)
 		}
 		end := arrivals[0].At.Add(backoffFor)
 		in := arrivedBefore(arrivals, end) - arrivedBefore(arrivals, arrivals[0].At.Add(backoffGrace))
 		after := arrivedBefore(arrivals, end.Add(time.Second)) - arrivedBefore(arrivals, end)
-		t.Logf("%s: %d requests in its back-off, %d in the second after it", name, in, after)
-		is.New(t).True(in <= backoffMost)
+		t.Logf("%s: %d requests during its back-off, %d in the second after it", name, in, after)
+		is.New(t).True(in <= maxDuringBackoff)
 		is.New(t).True(after > 0 || !needed)
 	}
 }
 
-// TestBackoffKept guards against requests to endpoints that have asked the instance for a back-off.
+// TestBackoffKept guards against requests to an endpoint during a back-off that it asked for, and
+// against endpoints that stay unused after it.
 func TestBackoffKept(t *testing.T) {
 	engines, plain := []string{"e1", "e2"}, []string{"p1", "p2"}
 	for _, c := range []struct {
 		name      string
 		path      string
 		endpoints []string
-		// all states that all endpoints ask for a back-off, and not only the one that is used first.
+		// all makes all endpoints ask for a back-off, otherwise only those that received the first
+		// request do.
 		all bool
-		// needed states that they are needed again after it.
+		// needed is true if the load must use the endpoints again after the back-off.
 		needed bool
 	}{
 		{"one engine of two", "/stream/a", engines, false, true},
 		{"all engines", "/stream/a", engines, true, true},
 		{"one plain endpoint of two", "/safe/a", plain, false, false},
 		{"all plain endpoints", "/safe/a", plain, true, true},
-		{"requests that run once", "/unsafe/a", plain, false, false},
+		{"one plain endpoint of two, unsafe requests", "/unsafe/a", plain, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 1)
-			w.ask(0, call{id: "first", path: c.path, tokens: 500})
+			w := newCluster(t, 1)
+			w.send(0, request{id: "first", path: c.path, tokens: 500})
 			chosen := c.endpoints
 			if !c.all {
 				chosen = slices.DeleteFunc(slices.Clone(chosen), func(name string) bool { return len(w.endpoints[name].Arrivals()) == 0 })
@@ -147,18 +152,18 @@
 					RetryAfter:   "3",
 				})
 			}
-			rejected := w.load("backoff", call{path: c.path, body: "decline", tokens: 500}, 4500*time.Millisecond)
-			assertBacksOff(t, w, "decline", c.needed, chosen...)
+			rejected := w.load("backoff", request{path: c.path, body: "decline", tokens: 500}, 4500*time.Millisecond)
+			assertBackoffKept(t, w, "decline", c.needed, chosen...)
 			is.New(t).Equal(len(rejected) > 0, c.all)
-			assertRefusedAtOnce(t, rejected)
+			assertRefusedPromptly(t, rejected)
 		})
 	}
 }
 
-// TestBackoffConcernsOneInstance looks that others go on using an endpoint that has asked one
+// TestBackoffIsPerInstance checks that the other instances still use endpoints that have asked one
 // instance for a back-off.
-func TestBackoffConcernsOneInstance(t *testing.T) {
-	w := newWorld(t, 3)
+func TestBackoffIsPerInstance(t *testing.T) {
+	w := newCluster(t, 3)
 	for _, name := range []string{"e1", "e2"} {
 		w.endpoints[name].SetFaults(platformtest.EndpointFaults{
 			RejectPrefix: "decline",
@@ -166,21 +171,21 @@
 		})
 	}
 	for i := range 3 {
-		w.ask(i, call{id: "warm" + string(rune('0'+i)), path: "/stream/a", tokens: 500})
+		w.send(i, request{id: "warm" + string(rune('0'+i)), path: "/stream/a", tokens: 500})
 	}
-	w.ask(0, call{id: "asked", path: "/stream/a", body: "decline", tokens: 500})
+	w.send(0, request{id: "asked", path: "/stream/a", body: "decline", tokens: 500})
 	end := time.Now().Add(backoffFor - backoffGrace)
 	for n := 0; time.Now().Before(end); n++ {
 		id := "r" + string(rune('a'+n%26)) + time.Now().Format("050000")
 		if n%3 == 0 {
 			began := time.Now()
-			g := w.ask(0, call{id: id, path: "/stream/a", body: "decline", tokens: 500})
-			assertRefusedAtOnce(t, []rejection{{got: g, took: time.Since(began)}})
+			g := w.send(0, request{id: id, path: "/stream/a", body: "decline", tokens: 500})
+			assertRefusedPromptly(t, []rejection{{response: g, took: time.Since(began)}})
 			continue
 		}
-		assertWhole(t, w.ask(n%3, call{id: id, path: "/stream/a", tokens: 500}))
+		assertWhole(t, w.send(n%3, request{id: id, path: "/stream/a", tokens: 500}))
 	}
-	declined := len(ofKind(w.endpoints["e1"].Arrivals(), "decline")) + len(ofKind(w.endpoints["e2"].Arrivals(), "decline"))
-	t.Logf("%d requests of the instance that was asked", declined)
-	is.New(t).True(declined <= 2+2*backoffMost)
+	declined := len(withBodyPrefix(w.endpoints["e1"].Arrivals(), "decline")) + len(withBodyPrefix(w.endpoints["e2"].Arrivals(), "decline"))
+	t.Logf("%d declined requests from the instance in back-off", declined)
+	is.New(t).True(declined <= 2+2*maxDuringBackoff)
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -10,23 +10,22 @@
 	"github.com/go-faster/errors"
 )
 
-// The bounds of callers' connections. Callers may let one rest for as long as
-// the configuration says, which is less.
+// The limits of connections to the HTTP servers.
 const (
-	// headerTimeout bounds the time in which the header of a request arrives.
+	// headerTimeout bounds the time for reading the header of a request.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a connection may rest.
+	// idleTimeout is how long a connection may be idle between requests.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds the header of a request.
+	// maxHeaderBytes bounds the size of the header of a request.
 	maxHeaderBytes = 64 << 10
 )
 
-// serve opens the sockets of the HTTP servers and starts them. After an error none
-// runs.
+// serve starts the HTTP servers. If it can't listen on one of the addresses, it closes all servers
+// and returns an error.
 func (g *Gateway) serve() error {
 	f := g.settings
 	g.callers = newServer(g.relay)
-	g.callers.ConnState = g.open.note
+	g.callers.ConnState = g.callerConns.handleState
 	for _, one := range []struct {
 		name    string
 		address string
@@ -34,7 +33,7 @@
 		into    *string
 	}{
 		{"callers", f.Listen, g.callers, &g.Listen},
-		{"ready", f.ReadyListen, newServer(http.HandlerFunc(g.ready)), &g.ReadyListen},
+		{"ready", f.ReadyListen, newServer(http.HandlerFunc(g.handleReady)), &g.ReadyListen},
 		{"admin", f.AdminListen, newServer(g.adminHandler()), &g.AdminListen},
 	} {
 		l, err := net.Listen("tcp", one.address)
@@ -44,12 +43,12 @@
 		}
 		*one.into = l.Addr().String()
 		g.servers = append(g.servers, one.server)
-		g.parts.Go(func() { g.ended(one.name, one.server.Serve(l)) })
+		g.goroutines.Go(func() { g.logServerEnd(one.name, one.server.Serve(l)) })
 	}
 	return nil
 }
 
-// newServer returns a server within the bounds of connections.
+// newServer returns a server with the limits above.
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -59,15 +58,16 @@
 	}
 }
 
-// ended notes the end of a server; one that was not closed is an error.
-func (g *Gateway) ended(name string, err error) {
+// logServerEnd logs an error if the server ended without being closed.
+func (g *Gateway) logServerEnd(name string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		g.log.Error(err, "server ended", "server", name)
 	}
 }
 
-// ready answers the balancer.
-func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
+// handleReady answers the load balancer's readiness check: status 200 if the catalog is complete
+// and no stop has begun, otherwise 503.
+func (g *Gateway) handleReady(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-g.stopping:
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -24,14 +24,16 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-func quiet(s *settings.File) {
+// disableDecisionLog turns off the logging of decisions in a node's settings.
+func disableDecisionLog(s *settings.File) {
 	no := false
 	s.LogDecisions = &no
 }
 
+// startFleet starts a fleet that is closed at the end of the benchmark.
 func startFleet(b *testing.B, s fleet.Settings) *fleet.Fleet {
 	b.Helper()
-	s.Node = quiet
+	s.Node = disableDecisionLog
 	f, err := fleet.Start(s)
 	if err != nil {
 		b.Fatal(err)
@@ -40,22 +42,22 @@
 	return f
 }
 
-// quick is an engine without delays of its own, so that what is left is the
-// node's.
-func quick() standin.EngineSettings {
+// fastEngine returns the settings of an engine with almost no latency, so that the node's latency
+// dominates.
+func fastEngine() standin.EngineSettings {
 	return standin.EngineSettings{
 		PrefillTokensPerSecond: 1e9,
 		DecodeStep:             100 * time.Microsecond,
 	}
 }
 
-// BenchmarkFirstToken compares the time to first token through a node with
-// that of the engine itself, in turn.
+// BenchmarkFirstToken reports the time to first token directly from an engine and through a node,
+// and the difference. Requests alternate between the two.
 func BenchmarkFirstToken(b *testing.B) {
 	f := startFleet(b, fleet.Settings{
 		Nodes:   1,
 		Engines: 1,
-		Engine:  quick(),
+		Engine:  fastEngine(),
 	})
 	prompt := strings.Repeat("abcdefgh", 500)
 	client := wirehttp.Client()
@@ -80,7 +82,7 @@
 		direct = append(direct, time.Since(start))
 		s.Close()
 		start = time.Now()
-		body := ask(b, client, f.Nodes[0].Listen, prompt, 1)
+		body := complete(b, client, f.Nodes[0].Listen, prompt, 1)
 		var one [1]byte
 		if _, err := io.ReadFull(body, one[:]); err != nil {
 			b.Fatal(err)
@@ -89,15 +91,15 @@
 		wirehttp.Drain(body)
 	}
 	for _, q := range []float64{0.5, 0.99} {
-		d, t := at(direct, q), at(through, q)
+		d, t := quantile(direct, q), quantile(through, q)
 		b.ReportMetric(float64(d.Microseconds()), fmt.Sprintf("direct-p%g-µs", q*100))
 		b.ReportMetric(float64(t.Microseconds()), fmt.Sprintf("node-p%g-µs", q*100))
 		b.ReportMetric(float64((t - d).Microseconds()), fmt.Sprintf("added-p%g-µs", q*100))
 	}
 }
 
-// ask asks a node for a streamed completion and returns its body.
-func ask(b *testing.B, client *http.Client, address, prompt string, tokens int) io.ReadCloser {
+// complete requests a streamed completion from a node and returns the body of the answer.
+func complete(b *testing.B, client *http.Client, address, prompt string, tokens int) io.ReadCloser {
 	b.Helper()
 	data, err := json.Marshal(map[string]any{
 		"model":      fleet.Model,
@@ -125,14 +127,15 @@
 	return res.Body
 }
 
-// at returns a quantile.
-func at(d []time.Duration, q float64) time.Duration {
+// quantile returns the q-quantile of d, for q from 0 to 1.
+func quantile(d []time.Duration, q float64) time.Duration {
 	sorted := slices.Sorted(slices.Values(d))
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// processor returns the processor time that this process has used.
-func processor() time.Duration {
+// processorTime returns the user and system CPU time that this process has used, or zero if it is
+// not available.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -140,9 +143,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkSlopeRelay reports the processor time of n streams of 1000 tokens
-// through a node, and of the same streams straight from the engine. The process
-// holds the engine and the caller too, so the node's part is the difference.
+// BenchmarkSlopeRelay reports the CPU time per token of n concurrent streams of 1000 tokens,
+// directly from the engines, and the additional time through a node. The process includes the
+// engines and the callers, so the difference is the node's share.
 func BenchmarkSlopeRelay(b *testing.B) {
 	const tokens = 1000
 	for _, n := range []int{1, 10, 50, 100} {
@@ -150,21 +153,21 @@
 			f := startFleet(b, fleet.Settings{
 				Nodes:   1,
 				Engines: 4,
-				Engine:  paced(),
+				Engine:  steadyEngine(),
 			})
 			client := wirehttp.Client()
 			var direct, through time.Duration
 			rounds := 0
 			for b.Loop() {
 				rounds++
-				start := processor()
-				together(n, func(i int) { drainEngine(b, client, f, rounds*1000+i, tokens) })
-				direct += processor() - start
-				start = processor()
-				together(n, func(i int) {
-					wirehttpDrainAll(ask(b, client, f.Nodes[0].Listen, fmt.Sprintf("prompt %d", i), tokens))
+				start := processorTime()
+				runConcurrently(n, func(i int) { drainEngine(b, client, f, rounds*1000+i, tokens) })
+				direct += processorTime() - start
+				start = processorTime()
+				runConcurrently(n, func(i int) {
+					drain(complete(b, client, f.Nodes[0].Listen, fmt.Sprintf("prompt %d", i), tokens))
 				})
-				through += processor() - start
+				through += processorTime() - start
 			}
 			all := float64(rounds * n * tokens)
 			b.ReportMetric(float64(direct.Nanoseconds())/all, "direct-cpu-ns/token")
@@ -173,15 +176,16 @@
 	}
 }
 
-// paced is an engine whose tokens come one by one.
-func paced() standin.EngineSettings {
+// steadyEngine returns the settings of an engine that produces a token every 2 ms.
+func steadyEngine() standin.EngineSettings {
 	return standin.EngineSettings{
 		PrefillTokensPerSecond: 1e9,
 		DecodeStep:             2 * time.Millisecond,
 	}
 }
 
-func together(n int, f func(int)) {
+// runConcurrently calls f(0) to f(n-1) concurrently and waits for all calls.
+func runConcurrently(n int, f func(int)) {
 	var all sync.WaitGroup
 	for i := range n {
 		all.Go(func() { f(i) })
@@ -189,13 +193,13 @@
 	all.Wait()
 }
 
-func wirehttpDrainAll(body io.ReadCloser) {
+// drain reads a body to its end and closes it.
+func drain(body io.ReadCloser) {
 	io.Copy(io.Discard, body)
 	body.Close()
 }
 
-// drainEngine reads a whole answer straight from an engine, line by line as
-// the caller of a node reads events.
+// drainEngine runs an attempt directly on an engine and reads the whole answer.
 func drainEngine(b *testing.B, client *http.Client, f *fleet.Fleet, number, tokens int) {
 	data, err := json.Marshal(engine.Attempt{
 		ID:        fmt.Sprintf("direct-%d", number),
@@ -213,12 +217,12 @@
 		b.Error(err)
 		return
 	}
-	wirehttpDrainAll(res.Body)
+	drain(res.Body)
 }
 
-// BenchmarkSlopeStreamMemory reports the memory of n open streams: heap and
-// stacks of the process, which holds the engine's and the caller's ends too,
-// with the same streams straight from the engine taken off.
+// BenchmarkSlopeStreamMemory reports the heap and stack bytes that n open streams occupy in a node:
+// those of the whole process with streams through the node, minus those with streams directly from
+// the engines.
 func BenchmarkSlopeStreamMemory(b *testing.B) {
 	const tokens = 4000
 	for _, n := range []int{10, 100, 200, 400} {
@@ -228,7 +232,7 @@
 				Engines: 8,
 				Engine: standin.EngineSettings{
 					PrefillTokensPerSecond: 1e9,
-					// The stand-in keeps what it has sent, so it must send little
+					// The simulated engine keeps the tokens that it has sent, so it must send few
 					// while the streams are open.
 					DecodeStep: 400 * time.Millisecond,
 				},
@@ -252,7 +256,7 @@
 					f.Engines[i%8].Engine.Cancel(context.Background(), fmt.Sprintf("direct-%d", i))
 				}
 				through = openMemory(func(c *http.Client, i int) io.Closer {
-					return ask(b, c, f.Nodes[0].Listen, fmt.Sprintf("prompt %d", i), tokens)
+					return complete(b, c, f.Nodes[0].Listen, fmt.Sprintf("prompt %d", i), tokens)
 				}, n)
 				f.WaitMemoryReleased(10 * time.Second)
 			}
@@ -261,14 +265,14 @@
 	}
 }
 
-// openMemory returns how much memory n open streams take.
+// openMemory returns the heap and stack bytes that n open streams occupy in the process.
 func openMemory(open func(*http.Client, int) io.Closer, n int) int64 {
 	client := &http.Client{
 		Transport: &http.Transport{},
 	}
 	before := memory()
 	streams := make([]io.Closer, n)
-	together(n, func(i int) { streams[i] = open(client, i) })
+	runConcurrently(n, func(i int) { streams[i] = open(client, i) })
 	time.Sleep(200 * time.Millisecond)
 	after := memory()
 	for _, s := range streams {
@@ -279,6 +283,7 @@
 	return after - before
 }
 
+// memory returns the bytes of live heap and of stacks, after garbage collection.
 func memory() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -287,8 +292,8 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkSlopeIdle reports what an idle node costs among n nodes: processor
-// time and bytes between nodes, for a second.
+// BenchmarkSlopeIdle reports the CPU time that an idle node uses among n nodes, as a percentage of
+// one core.
 func BenchmarkSlopeIdle(b *testing.B) {
 	for _, n := range []int{2, 4, 8, 16} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -299,9 +304,9 @@
 			const look = 3 * time.Second
 			var cpu time.Duration
 			for b.Loop() {
-				start := processor()
+				start := processorTime()
 				time.Sleep(look)
-				cpu = processor() - start
+				cpu = processorTime() - start
 			}
 			perNode := cpu.Seconds() / look.Seconds() / float64(len(f.Nodes))
 			b.ReportMetric(perNode*100, "core-percent/node")
@@ -309,8 +314,7 @@
 	}
 }
 
-// BenchmarkRefusal reports how long a refusal takes: a short prompt whose
-// deadline no engine can meet.
+// BenchmarkRefusal reports the latency of refusing a request whose deadline no engine can meet.
 func BenchmarkRefusal(b *testing.B) {
 	f := startFleet(b, fleet.Settings{
 		Nodes:   3,
--- a/node/follow.go
+++ b/node/follow.go
@@ -15,15 +15,16 @@
 	"github.com/linkmast/linkmast/owner/ownerpb"
 )
 
-// refreshInterval is how often everything is derived anew without a change.
+// refreshInterval is how often the configuration and the instances are applied even without a
+// change.
 const refreshInterval = 15 * time.Second
 
-// follow derives what the instance owns, and what the entry knows, from each
-// change of the configuration and of the instances.
-func (n *Node) follow(ctx context.Context) {
+// followChanges applies each change of the configuration in force and of the instances until ctx
+// ends.
+func (n *Node) followChanges(ctx context.Context) {
 	for {
 		members, configuration := n.member.Changed(), n.rollout.Changed()
-		n.derive()
+		n.applyChanges()
 		select {
 		case <-ctx.Done():
 			return
@@ -34,8 +35,9 @@
 	}
 }
 
-// derive sets the endpoints that the instance owns.
-func (n *Node) derive() {
+// applyChanges sets the endpoints that the instance owns, updates the entry, and closes connections
+// to instances that are no longer listed. It does nothing while there is no configuration.
+func (n *Node) applyChanges() {
 	v, m := n.rollout.View(), n.member.View()
 	if v == nil {
 		return
@@ -75,9 +77,9 @@
 	n.pool.CloseUnless(func(a string) bool { return known[a] })
 }
 
-// watchAll keeps a watch on every instance of the region that may own
-// endpoints, and looks at the instance's own endpoints.
-func (n *Node) watchAll(ctx context.Context) {
+// watchOwners sends summaries of the endpoints to the entry until ctx ends: those of this
+// instance's endpoints directly, and those of other owners in the region over a stream from each.
+func (n *Node) watchOwners(ctx context.Context) {
 	watches := make(map[string]context.CancelFunc)
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -87,7 +89,7 @@
 		}
 	}()
 	var seen *member.View
-	look := time.NewTicker(localLook)
+	look := time.NewTicker(localInterval)
 	defer look.Stop()
 	for {
 		n.entry.UpdateSummaries(n.owner.Summaries())
@@ -109,7 +111,7 @@
 			}
 			watch, cancel := context.WithCancel(ctx)
 			watches[i.ID] = cancel
-			all.Go(func() { n.watch(watch, i) })
+			all.Go(func() { n.watchInstance(watch, i) })
 		}
 		for id, cancel := range watches {
 			if !wanted[id] {
@@ -120,18 +122,18 @@
 	}
 }
 
-// maxWatched bounds the owners that an instance watches. What it hears of
-// others comes with the answers to its releases.
+// maxWatched is the maximum number of owners that an instance watches. Other owners send summaries
+// only with their replies to releases.
 const maxWatched = 32
 
-// The bytes of a message with summaries, as measured: docs/CAPACITY.md.
+// The estimated sizes of a message with summaries: a fixed part, and a part for each summary.
 const (
-	watchFrame   = 29
-	watchSummary = 28
+	watchFrameBytes   = 29
+	watchSummaryBytes = 28
 )
 
-// watchInterval returns how often one of the watched owners tells of its
-// endpoints: as often as is set, unless that is above the budget.
+// watchInterval returns how often each watched owner should send its summaries. It is the interval
+// in the settings, or longer if the messages would exceed the configured bytes per second.
 func (n *Node) watchInterval() time.Duration {
 	set := time.Duration(n.settings.Times.Watch)
 	v, m := n.rollout.View(), n.member.View()
@@ -140,29 +142,30 @@
 	}
 	nodes := max(len(m.Nodes), 1)
 	watched := min(nodes-1, maxWatched)
-	bytes := watched * (watchFrame + watchSummary*len(v.File.Endpoints)/nodes)
+	bytes := watched * (watchFrameBytes + watchSummaryBytes*len(v.File.Endpoints)/nodes)
 	return max(set, time.Duration(bytes)*time.Second/time.Duration(n.settings.Times.WatchBytesPerSecond))
 }
 
-// The times of watches.
+// The intervals of updating and watching summaries.
 const (
-	// localLook is how often the instance's own endpoints are looked at.
-	localLook = 20 * time.Millisecond
-	// watchRetry is when a watch that broke is tried again.
-	watchRetry = 300 * time.Millisecond
+	// localInterval is how often the summaries of the instance's own endpoints are updated.
+	localInterval = 20 * time.Millisecond
+	// watchRetryDelay is the delay before a broken watch is opened again.
+	watchRetryDelay = 300 * time.Millisecond
 )
 
-// watch takes over the summaries of one instance until ctx ends.
-func (n *Node) watch(ctx context.Context, i instances.Instance) {
+// watchInstance forwards the summaries of another instance's endpoints to the entry until ctx ends.
+func (n *Node) watchInstance(ctx context.Context, i instances.Instance) {
 	for ctx.Err() == nil {
 		n.watchOnce(ctx, i)
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry):
+		case <-time.After(watchRetryDelay):
 		}
 	}
 }
 
+// watchOnce forwards summaries from one stream until it ends.
 func (n *Node) watchOnce(ctx context.Context, i instances.Instance) {
 	c, err := n.peers.conn(i)
 	if err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -43,15 +43,15 @@
 	"github.com/linkmast/linkmast/weights"
 )
 
-// Node is one instance of the system.
+// Node is a running instance. New starts it.
 type Node struct {
 	// Done is closed when the node has stopped.
 	Done chan struct{}
-	// Listen, PeerListen and AdminListen are the addresses in use.
+	// Listen is the address for callers.
 	Listen string
-	// PeerListen is where other instances connect.
+	// PeerListen is the address for other instances.
 	PeerListen string
-	// AdminListen is where operators connect.
+	// AdminListen is the address for operators.
 	AdminListen string
 
 	settings *settings.File
@@ -61,50 +61,53 @@
 	peers    *peers
 	member   *member.Member
 	rollout  *rollout.Rollout
-	// generation is the rollout once it exists; probes may come before.
+	// generation is nil until the rollout exists, as Generation may be called earlier.
 	generation atomic.Pointer[rollout.Rollout]
 	owner      *owner.Owner
 	entry      *entry.Entry
 	writer     *claim.Writer
 	claimer    *claim.Claimer
 	lender     *limit.Lender
-	// book has the requests that crash endpoints, and sharing tells other instances of them.
-	book     *quarantine.Registry
-	sharing  *quarantine.PeerGuard
-	borrower *limit.Borrower
+	// quarantine tracks requests that crash endpoints. peerGuard shares crashes and verdicts with
+	// other instances.
+	quarantine *quarantine.Registry
+	peerGuard  *quarantine.PeerGuard
+	borrower   *limit.Borrower
 
 	callers *http.Server
 	admin   *http.Server
 	rpc     *grpc.Server
-	// closing ends the streams of watchers.
-	closing chan struct{}
-	cancel  context.CancelFunc
-	parts   sync.WaitGroup
-	stop    sync.Once
+	// closing is closed to end the streams of instances that watch this one.
+	closing    chan struct{}
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	stopOnce   sync.Once
 }
 
-// endpoints makes the adapters to endpoints over one HTTP client.
-type endpoints struct {
+// endpointClients creates clients of endpoints that share one HTTP client.
+type endpointClients struct {
 	client *http.Client
 }
 
 // Engine implements owner.Endpoints.
-func (e *endpoints) Engine(address string) engine.Client {
+func (e *endpointClients) Engine(address string) engine.Client {
 	return engine.NewHTTP(e.client, address)
 }
 
 // Plain implements owner.Endpoints.
-func (e *endpoints) Plain(address string) plain.Client {
+func (e *endpointClients) Plain(address string) plain.Client {
 	return plain.NewHTTP(e.client, address)
 }
 
-// listeners are the sockets of a node.
+// listeners holds the listening sockets of a node.
 type listeners struct {
 	callers net.Listener
 	peers   net.Listener
 	admin   net.Listener
 }
 
+// listen opens the sockets for the addresses in the settings. If one fails, it closes the others
+// and returns an error.
 func listen(f *settings.File) (*listeners, error) {
 	var l listeners
 	for _, one := range []struct {
@@ -125,18 +128,20 @@
 	return &l, nil
 }
 
+// close closes the sockets that are open.
 func (l *listeners) close() {
 	for _, s := range []net.Listener{l.callers, l.peers, l.admin} {
 		if s != nil {
-			// Nothing was served on it yet.
+			// The socket has not been used, so an error has no effect.
 			_ = s.Close()
 		}
 	}
 }
 
-// New starts a node. Stop ends it as planned, Close at once.
+// New starts a node. Stop ends it gracefully, Close immediately. New returns an error if it can't
+// load the TLS files or listen on one of the addresses.
 func New(f *settings.File, log logr.Logger) (*Node, error) {
-	client, server, err := transport(f.TLS)
+	client, server, err := transportCredentials(f.TLS)
 	if err != nil {
 		return nil, err
 	}
@@ -169,14 +174,14 @@
 	}
 	n.assemble()
 	n.serve(l, server)
-	n.parts.Go(func() { n.follow(ctx) })
-	n.parts.Go(func() { n.sharing.Run(ctx) })
-	n.parts.Go(func() { n.watchAll(ctx) })
+	n.goroutines.Go(func() { n.followChanges(ctx) })
+	n.goroutines.Go(func() { n.peerGuard.Run(ctx) })
+	n.goroutines.Go(func() { n.watchOwners(ctx) })
 	return n, nil
 }
 
-// assemble makes the parts. Each is given what it works with; the functions
-// that refer to later parts are not called before those exist.
+// assemble creates the components. Functions that refer to components created later must not be
+// called before those exist.
 func (n *Node) assemble() {
 	f := n.settings
 	client := wirehttp.Client()
@@ -199,16 +204,16 @@
 		ProbeInterval: time.Duration(f.Times.Probe),
 	}, instances.NewHTTP(client, f.Platform.Instances), member.NewRPC(n.pool), n.Generation, n.log.WithName("member"))
 	n.writer = claim.NewWriter(claim.Settings{}, log)
-	n.claimer = claim.NewClaimer(n.peers.route)
+	n.claimer = claim.NewClaimer(n.peers.claimServices)
 	n.lender = limit.NewLender(0)
 	n.borrower = limit.NewBorrower(f.ID, n.peers)
 	n.rollout = rollout.New(rollout.Settings{
 		RepeatAfter: time.Duration(f.Times.RepeatConfiguration),
 	}, log, n.peers, n.log.WithName("rollout"))
 	n.generation.Store(n.rollout)
-	n.book = quarantine.New(steady.Now, n.peers.turn, n.log.WithName("quarantine"))
-	n.sharing = quarantine.NewPeerGuard(n.book, n.peers, n.log.WithName("quarantine"))
-	adapters := &endpoints{
+	n.quarantine = quarantine.New(steady.Now, n.peers.retestTurn, n.log.WithName("quarantine"))
+	n.peerGuard = quarantine.NewPeerGuard(n.quarantine, n.peers, n.log.WithName("quarantine"))
+	adapters := &endpointClients{
 		client: client,
 	}
 	n.entry = entry.New(entry.Settings{
@@ -222,7 +227,7 @@
 		Endpoints:     adapters,
 		Claimer:       n.claimer,
 		Borrower:      n.borrower,
-		Quarantine:    n.sharing,
+		Quarantine:    n.peerGuard,
 		Check:         tcp.Check,
 		Attach:        entry.NewRemote(n.peers),
 		Log:           decisions.WithName("entry"),
@@ -231,12 +236,12 @@
 		Strategy:      strategy,
 		SweepInterval: time.Duration(f.Times.Sweep),
 		ConfirmAfter:  time.Duration(f.Times.Confirm),
-	}, adapters, n.peers, n.orders(client, log), decisions.WithName("owner"))
+	}, adapters, n.peers, n.newReconciler(client, log), decisions.WithName("owner"))
 }
 
-// orders returns what brings endpoints to their desired states, or nil when no
-// weight store is set.
-func (n *Node) orders(client *http.Client, log logsvc.Log) *order.Reconciler {
+// newReconciler returns the reconciler that brings endpoints to their desired states, or nil if the
+// settings name no weight store.
+func (n *Node) newReconciler(client *http.Client, log logsvc.Log) *order.Reconciler {
 	if n.settings.Platform.Weights == "" {
 		return nil
 	}
@@ -244,6 +249,7 @@
 	return order.New(order.Settings{}, log, store, n.log.WithName("order"))
 }
 
+// strategyOf returns the scheduling strategy with a name from the settings.
 func strategyOf(name string) policy.Strategy {
 	if name == settings.Naive {
 		return policy.Naive{}
@@ -251,21 +257,22 @@
 	return policy.Weighed{}
 }
 
-// maxHeaderBytes bounds the headers of a caller's request.
+// maxHeaderBytes is the maximum size of the headers of an HTTP request.
 const maxHeaderBytes = 32 << 10
 
-// headerTimeout bounds how long headers may take to arrive, and idleTimeout
-// how long a connection may stay unused.
+// headerTimeout bounds the time for reading the headers of a request. idleTimeout is how long a
+// connection may be idle between requests.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
 )
 
-// serve starts the servers.
+// serve starts the gRPC server for other instances and the HTTP servers. Nil creds mean gRPC
+// without TLS.
 func (n *Node) serve(l *listeners, creds credentials.TransportCredentials) {
 	opts := []grpc.ServerOption{
-		grpc.ReadBufferSize(rpcBuffer),
-		grpc.WriteBufferSize(rpcBuffer),
+		grpc.ReadBufferSize(rpcBufferBytes),
+		grpc.WriteBufferSize(rpcBufferBytes),
 		grpc.MaxRecvMsgSize(config.MaxBytes * 2),
 	}
 	if creds != nil {
@@ -278,19 +285,21 @@
 	ownerpb.RegisterHolderServer(n.rpc, n.entry.Registry)
 	claimpb.RegisterClaimsServer(n.rpc, claim.NewServer(n.writer))
 	claimpb.RegisterAnswersServer(n.rpc, n.entry.Answers)
-	quarantinepb.RegisterQuarantineServer(n.rpc, quarantine.NewServer(n.book))
-	limitpb.RegisterLenderServer(n.rpc, limit.NewServer(n.lender, n.bounds))
-	n.callers = server(n.entry.Handler())
-	n.admin = server(n.adminHandler())
-	n.parts.Go(func() { n.ended("peers", n.rpc.Serve(l.peers)) })
-	n.parts.Go(func() { n.ended("callers", n.callers.Serve(l.callers)) })
-	n.parts.Go(func() { n.ended("admin", n.admin.Serve(l.admin)) })
+	quarantinepb.RegisterQuarantineServer(n.rpc, quarantine.NewServer(n.quarantine))
+	limitpb.RegisterLenderServer(n.rpc, limit.NewServer(n.lender, n.quota))
+	n.callers = newServer(n.entry.Handler())
+	n.admin = newServer(n.adminHandler())
+	n.goroutines.Go(func() { n.logServerEnd("peers", n.rpc.Serve(l.peers)) })
+	n.goroutines.Go(func() { n.logServerEnd("callers", n.callers.Serve(l.callers)) })
+	n.goroutines.Go(func() { n.logServerEnd("admin", n.admin.Serve(l.admin)) })
 }
 
-// rpcBuffer is the buffer of each direction of a connection between instances.
-const rpcBuffer = 16 << 10
+// rpcBufferBytes is the size of the read and the write buffer of a connection from another
+// instance.
+const rpcBufferBytes = 16 << 10
 
-func server(h http.Handler) *http.Server {
+// newServer returns an HTTP server with the limits above.
+func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
@@ -299,14 +308,14 @@
 	}
 }
 
-// ended notes why a server ended.
-func (n *Node) ended(name string, err error) {
+// logServerEnd logs an error if the server ended without being closed.
+func (n *Node) logServerEnd(name string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		n.log.Error(err, "server ended", "server", name)
 	}
 }
 
-// Generation returns the generation of the configuration in force.
+// Generation returns the generation of the configuration in force, or zero if there is none.
 func (n *Node) Generation() int64 {
 	if r := n.generation.Load(); r != nil {
 		return r.Generation()
@@ -314,8 +323,9 @@
 	return 0
 }
 
-// bounds returns a customer's limits under the configuration in force.
-func (n *Node) bounds(customer string) (limit.Quota, bool) {
+// quota returns a customer's quota by the configuration in force, or false if the customer is
+// unknown or there is no configuration.
+func (n *Node) quota(customer string) (limit.Quota, bool) {
 	v := n.rollout.View()
 	if v == nil {
 		return limit.Quota{}, false
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -11,22 +11,25 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// crashCounters is how many instances count the crashes of a request: one may end.
-const crashCounters = 2
+// countingInstances is the number of instances that count the crashes of a request. The counts
+// survive the failure of one of them.
+const countingInstances = 2
 
-// crashKey is what the order of instances is made from that count the crashes of an identity,
-// and that let a request run again after its ban.
+// crashKey returns the key by which rendezvous hashing ranks the instances for an identity. The
+// ranking determines which instances count the crashes of the identity, and in which order
+// instances may admit its request again after a ban.
 func crashKey(id quarantine.Identity) string {
 	return "crashes:" + id.String()
 }
 
 // CountingInstances implements quarantine.Peers.
 func (p *peers) CountingInstances(id quarantine.Identity) []string {
-	return idsOf(p.view().Ranked(crashKey(id), crashCounters))
+	return idsOf(p.view().Ranked(crashKey(id), countingInstances))
 }
 
-// turn returns the place of this instance in showing whether a request still crashes endpoints.
-func (p *peers) turn(id quarantine.Identity) quarantine.RetestTurn {
+// retestTurn returns this instance's position in the order in which instances may admit a request
+// again after its ban.
+func (p *peers) retestTurn(id quarantine.Identity) quarantine.RetestTurn {
 	v := p.view()
 	return quarantine.RetestTurn{
 		Position:  max(slices.Index(idsOf(v.Ranked(crashKey(id), len(v.Nodes))), p.self.ID), 0),
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/linkmast/linkmast/internal/zdelta"
 )
 
-// file returns a configuration with n endpoints, in which one figure of one
-// endpoint depends on version.
-func file(n, version int) []byte {
+// configText returns a configuration with n endpoints. Two versions differ in one setting of one
+// endpoint.
+func configText(n, version int) []byte {
 	var b strings.Builder
 	b.WriteString("format = 1\n[[regions]]\nid = \"r1\"\n")
 	for d := range 12 {
@@ -41,10 +41,11 @@
 
 var sizes = []int{10, 100, 1_000, 10_000}
 
+// BenchmarkSlopeParse reports the time to parse a configuration, and its size.
 func BenchmarkSlopeParse(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			text := file(n, 0)
+			text := configText(n, 0)
 			for b.Loop() {
 				if _, err := config.Parse(text); err != nil {
 					b.Fatal(err)
@@ -55,10 +56,12 @@
 	}
 }
 
+// BenchmarkSlopeDelta reports the time to pack a delta, and the sizes of the delta and the whole
+// packed file.
 func BenchmarkSlopeDelta(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			old, text := file(n, 0), file(n, 7)
+			old, text := configText(n, 0), configText(n, 7)
 			var delta []byte
 			for b.Loop() {
 				var err error
@@ -76,10 +79,11 @@
 	}
 }
 
+// BenchmarkSlopeUndelta reports the time to unpack a delta.
 func BenchmarkSlopeUndelta(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			old, text := file(n, 0), file(n, 7)
+			old, text := configText(n, 0), configText(n, 7)
 			delta, err := zdelta.Pack(text, old)
 			if err != nil {
 				b.Fatal(err)
@@ -93,10 +97,11 @@
 	}
 }
 
+// BenchmarkSlopeViewMemory reports the heap that a parsed configuration and its view occupy.
 func BenchmarkSlopeViewMemory(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			text := file(n, 0)
+			text := configText(n, 0)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
--- a/rollout/grpc.go
+++ b/rollout/grpc.go
@@ -8,14 +8,14 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// Server answers the pulls of other instances.
+// Server serves the pulls of other instances over gRPC.
 type Server struct {
 	rolloutpb.UnimplementedRolloutServer
 
 	rollout *Rollout
 }
 
-// NewServer returns a server.
+// NewServer returns a server that answers with the configuration of r.
 func NewServer(r *Rollout) *Server {
 	return &Server{
 		rollout: r,
@@ -24,5 +24,5 @@
 
 // Pull implements rolloutpb.RolloutServer.
 func (s *Server) Pull(_ context.Context, in *rolloutpb.PullRequest) (*rolloutpb.PullReply, error) {
-	return s.rollout.Answer(in)
+	return s.rollout.HandlePull(in)
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -20,29 +20,29 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// group is some instances that can be cut off from the log and each other.
-type group struct {
+// cluster is a group of instances that tests can disconnect from the log and from each other.
+type cluster struct {
 	log     *standin.Log
 	members []*instance
 }
 
-// instance is one member of a group.
+// instance is one member of a cluster. It implements logsvc.Log and Peers for its Rollout.
 type instance struct {
 	current atomic.Pointer[Rollout]
 
-	group  *group
+	group  *cluster
 	index  int
 	noLog  atomic.Bool
 	noPeer atomic.Bool
 	reader bool
 }
 
-var errCut = errors.New("cut off")
+var errUnreachable = errors.New("cut off")
 
 func (i *instance) Append(ctx context.Context, s string, r [][]byte) (int64, error) {
 	if i.noLog.Load() {
 		return 0, &logsvc.Error{
-			Err: errCut,
+			Err: errUnreachable,
 		}
 	}
 	return i.group.log.Append(ctx, s, r)
@@ -50,7 +50,7 @@
 
 func (i *instance) Read(ctx context.Context, s string, from int64, wait time.Duration) (logsvc.Batch, error) {
 	if i.noLog.Load() {
-		return logsvc.Batch{}, errCut
+		return logsvc.Batch{}, errUnreachable
 	}
 	return i.group.log.Read(ctx, s, from, wait)
 }
@@ -70,16 +70,16 @@
 	fmt.Sscan(address, &k)
 	other := i.group.members[k]
 	if i.noPeer.Load() || other.noPeer.Load() || other.current.Load() == nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
-	return other.current.Load().Answer(in)
+	return other.current.Load().HandlePull(in)
 }
 
 func (i *instance) Reader() bool   { return i.reader }
 func (i *instance) Repeater() bool { return i.index == 0 }
 
-func newGroup(n, readers int, s standin.LogSettings) *group {
-	g := &group{
+func newCluster(n, readers int, s standin.LogSettings) *cluster {
+	g := &cluster{
 		log: standin.NewLog(s),
 	}
 	for k := range n {
@@ -92,20 +92,20 @@
 	return g
 }
 
-func (g *group) start(k int) {
+func (g *cluster) start(k int) {
 	i := g.members[k]
 	i.current.Store(New(Settings{
 		RepeatAfter: 4 * time.Minute,
 	}, i, i, logr.Discard()))
 }
 
-func (g *group) startAll() {
+func (g *cluster) startAll() {
 	for k := range g.members {
 		g.start(k)
 	}
 }
 
-func (g *group) stop() {
+func (g *cluster) stop() {
 	for _, i := range g.members {
 		if r := i.current.Load(); r != nil {
 			r.Close()
@@ -113,12 +113,12 @@
 	}
 }
 
-func (g *group) publish(t *testing.T, version int, replaces int64) Verdict {
+func (g *cluster) publish(t *testing.T, version int, replaces int64) Verdict {
 	t.Helper()
 	v, err := Publish(t.Context(), g.log, Publication{
 		ID:       fmt.Sprintf("p%d", version),
 		Replaces: replaces,
-		Text:     file(1, version),
+		Text:     configText(1, version),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -126,9 +126,8 @@
 	return v
 }
 
-// wantAll fails unless a generation is in force on every instance within the
-// time.
-func (g *group) wantAll(t *testing.T, generation int64, within time.Duration) {
+// assertInForce fails the test unless a generation is in force on every instance after a time.
+func (g *cluster) assertInForce(t *testing.T, generation int64, within time.Duration) {
 	t.Helper()
 	time.Sleep(within)
 	for _, i := range g.members {
@@ -138,43 +137,43 @@
 	}
 }
 
-// TestInForceEverywhere proves that a published file is in force on every
-// instance within seconds, and never reverts, under the faults of the brief.
+// TestInForceEverywhere checks that a published configuration comes into force on all instances in
+// time and is never reverted, under faults of the log, the peers and the operators.
 func TestInForceEverywhere(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		run  func(t *testing.T, g *group)
+		run  func(t *testing.T, g *cluster)
 	}{
-		{"published", func(t *testing.T, g *group) {
+		{"published", func(t *testing.T, g *cluster) {
 			g.publish(t, 2, 1)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"two operators at one moment", func(t *testing.T, g *group) {
+		{"two operators at the same time", func(t *testing.T, g *cluster) {
 			outcomes := make(chan Outcome, 2)
 			for k := range 2 {
 				go func() { outcomes <- g.publish(t, 10+k, 1).Outcome }()
 			}
 			is := is.New(t)
 			first, second := <-outcomes, <-outcomes
-			is.True(first != second) // one is told that it was overtaken
-			g.wantAll(t, 2, 8*time.Second)
+			is.True(first != second) // one is accepted and the other overtaken
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"answer of the log lost", func(t *testing.T, g *group) {
+		{"answer to the append lost", func(t *testing.T, g *cluster) {
 			g.log.SetFaults(standin.Faults{LoseAnswer: 1})
 			is := is.New(t)
 			is.Equal(g.publish(t, 2, 1).Outcome, Accepted)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"log down right after one has read", func(t *testing.T, g *group) {
+		{"log fails after one instance has read", func(t *testing.T, g *cluster) {
 			for _, i := range g.members[1:] {
 				i.noLog.Store(true)
 			}
 			g.publish(t, 2, 1)
 			time.Sleep(100 * time.Millisecond)
 			g.members[0].noLog.Store(true)
-			g.wantAll(t, 2, 18*time.Second)
+			g.assertInForce(t, 2, 18*time.Second)
 		}},
-		{"one cut off, then back", func(t *testing.T, g *group) {
+		{"one instance disconnected for an hour", func(t *testing.T, g *cluster) {
 			last := g.members[5]
 			last.noLog.Store(true)
 			last.noPeer.Store(true)
@@ -184,80 +183,77 @@
 			is.Equal(last.current.Load().Generation(), int64(1))
 			last.noLog.Store(false)
 			last.noPeer.Store(false)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"a start during an outage", func(t *testing.T, g *group) {
+		{"restart during an outage of the log", func(t *testing.T, g *cluster) {
 			g.log.SetFaults(standin.Faults{Outage: true})
 			g.members[5].current.Load().Close()
 			g.start(5)
-			g.wantAll(t, 1, 8*time.Second)
+			g.assertInForce(t, 1, 8*time.Second)
 		}},
-		{"an old one appended again", func(t *testing.T, g *group) {
+		{"old generation repeated", func(t *testing.T, g *cluster) {
 			g.publish(t, 2, 1)
-			g.wantAll(t, 2, 8*time.Second)
-			// An instance that was paused before generation 2 repeats what it
-			// holds.
-			data, err := encode(file(1, 1), nil, &rolloutpb.Record{
+			g.assertInForce(t, 2, 8*time.Second)
+			// An instance that was paused before generation 2 repeats generation 1.
+			data, err := encode(configText(1, 1), nil, &rolloutpb.Record{
 				Repeats: 1,
 			})
 			is := is.New(t)
 			is.NoErr(err)
 			_, err = g.log.Append(t.Context(), Stream, [][]byte{data})
 			is.NoErr(err)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 			g.members[4].current.Load().Close()
 			g.start(4)
-			g.wantAll(t, 2, 8*time.Second)
+			g.assertInForce(t, 2, 8*time.Second)
 		}},
-		{"retention passing", func(t *testing.T, g *group) {
-			// The record of generation 1 is trimmed after 10 minutes, and all
-			// instances are replaced together later.
+		{"restart after the retention time", func(t *testing.T, g *cluster) {
+			// The record of generation 1 is trimmed after 10 minutes. All instances restart later.
 			time.Sleep(45 * time.Minute)
 			g.stop()
 			g.startAll()
-			g.wantAll(t, 1, 8*time.Second)
-			g.wantAll(t, g.publish(t, 2, 1).Offset, 8*time.Second)
+			g.assertInForce(t, 1, 8*time.Second)
+			g.assertInForce(t, g.publish(t, 2, 1).Offset, 8*time.Second)
 		}},
-		{"an invalid record", func(t *testing.T, g *group) {
+		{"invalid record", func(t *testing.T, g *cluster) {
 			is := is.New(t)
 			_, err := g.log.Append(t.Context(), Stream, [][]byte{[]byte("no record")})
 			is.NoErr(err)
-			g.wantAll(t, 1, 8*time.Second)
+			g.assertInForce(t, 1, 8*time.Second)
 			g.publish(t, 2, 1)
-			g.wantAll(t, 3, 8*time.Second)
+			g.assertInForce(t, 3, 8*time.Second)
 		}},
-		{"an outage of hours", func(t *testing.T, g *group) {
+		{"outage longer than the retention time", func(t *testing.T, g *cluster) {
 			g.log.SetFaults(standin.Faults{Outage: true})
 			time.Sleep(6 * time.Hour)
-			g.wantAll(t, 1, 0)
+			g.assertInForce(t, 1, 0)
 			g.log.SetFaults(standin.Faults{})
 			time.Sleep(10 * time.Second)
-			// The record was trimmed meanwhile, and must be back.
+			// The record was trimmed during the outage. The repeater must have written it again.
 			_, verdicts, err := Replay(t.Context(), g.log)
 			is := is.New(t)
 			is.NoErr(err)
 			is.True(len(verdicts) > 0)
-			g.wantAll(t, g.publish(t, 2, 1).Offset, 8*time.Second)
+			g.assertInForce(t, g.publish(t, 2, 1).Offset, 8*time.Second)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(6, 2, standin.LogSettings{
+				g := newCluster(6, 2, standin.LogSettings{
 					Retention: 10 * time.Minute,
 				})
 				g.startAll()
 				defer g.stop()
 				g.publish(t, 1, 0)
-				g.wantAll(t, 1, 8*time.Second)
+				g.assertInForce(t, 1, 8*time.Second)
 				c.run(t, g)
 			})
 		})
 	}
 }
 
-// TestPublishRefuses proves that a file that nodes would refuse is not
-// appended.
-func TestPublishRefuses(t *testing.T) {
+// TestPublishRejectsInvalidFile checks that an invalid file is not appended to the log.
+func TestPublishRejectsInvalidFile(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog(standin.LogSettings{})
 	_, err := Publish(t.Context(), log, Publication{
@@ -268,12 +264,13 @@
 	is.Equal(log.Appends(), 0)
 }
 
-// TestDelta compares what a delta unpacks to with the file itself.
+// TestDelta checks that unpacking a delta yields the original file, and that a truncated delta is
+// rejected.
 func TestDelta(t *testing.T) {
 	for _, n := range []int{1, 100, 2_000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			old, text := file(n, 1), file(n, 2)
+			old, text := configText(n, 1), configText(n, 2)
 			delta, err := zdelta.Pack(text, old)
 			is.NoErr(err)
 			got, err := zdelta.Unpack(delta, old)
@@ -285,21 +282,20 @@
 	}
 }
 
-// TestTimeToForce measures, in virtual time, how long a published file takes to
-// be in force on every one of n instances, of which at most 24 read the log,
-// and holds it against the users' 18 seconds.
+// TestTimeToForce checks that a published configuration is in force on all of n instances within
+// 18 seconds, in virtual time. At most 24 of them read the log.
 func TestTimeToForce(t *testing.T) {
 	for _, n := range []int{8, 30, 100, 300, 1200} {
 		t.Run(fmt.Sprintf("n=%d", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(n, min(n, 24), standin.LogSettings{})
+				g := newCluster(n, min(n, 24), standin.LogSettings{})
 				g.publish(t, 1, 0)
 				g.startAll()
 				defer g.stop()
 				time.Sleep(30 * time.Second)
 				g.publish(t, 2, 1)
 				start := time.Now()
-				for !g.all(2) {
+				for !g.inForceEverywhere(2) {
 					time.Sleep(100 * time.Millisecond)
 					if time.Since(start) > 18*time.Second {
 						t.Fatal("not in force everywhere after 18 s")
@@ -311,8 +307,8 @@
 	}
 }
 
-// all states whether a generation is in force on every instance.
-func (g *group) all(generation int64) bool {
+// inForceEverywhere reports whether a generation is in force on all instances.
+func (g *cluster) inForceEverywhere(generation int64) bool {
 	for _, i := range g.members {
 		if i.current.Load().Generation() != generation {
 			return false
