--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -45,16 +45,16 @@
 		p.cold.recordPlacement(g.Instance, now)
 	}
 	if p.plain {
-		p.countAssignment(at, now)
+		p.countPlacement(at, now)
 		addPlain(e, a.ID)
 		p.attempts[a.ID] = at
 		return
 	}
 	plan := p.planFromGrant(&a, &g, e)
 	for _, o := range plan.Others {
-		at.joint = append(at.joint, o.Engine.Instance)
+		at.helpers = append(at.helpers, o.Engine.Instance)
 	}
-	p.countAssignment(at, now)
+	p.countPlacement(at, now)
 	plan.Apply(w.request, now)
 	p.attempts[a.ID] = at
 	if begun {
@@ -105,7 +105,7 @@
 	for id, service := range attempts {
 		p := s.pool(service)
 		if at := p.attempts[id]; at != nil && at.orphanMark == mark {
-			p.reconnects.note(at, at.cutAt)
+			p.reconnects.recordCut(at, at.cutAt)
 			p.endAttempt(id)
 		}
 	}
--- a/pool/budget.go
+++ b/pool/budget.go
@@ -25,8 +25,8 @@
 type retryCounter struct {
 	budget  Budget
 	buckets [budgetBuckets]struct {
-		first int
-		again int
+		first   int
+		retries int
 	}
 	// bucket is the number of the latest bucket, counted from startedAt.
 	bucket int64
@@ -45,7 +45,7 @@
 	if gap := bucket - s.bucket; gap > 0 {
 		for i := range min(gap, budgetBuckets) {
 			s.buckets[(bucket-i)%budgetBuckets].first = 0
-			s.buckets[(bucket-i)%budgetBuckets].again = 0
+			s.buckets[(bucket-i)%budgetBuckets].retries = 0
 		}
 		s.bucket = bucket
 	}
@@ -63,11 +63,11 @@
 	first, again := 0, 0
 	for _, bucket := range s.buckets {
 		first += bucket.first
-		again += bucket.again
+		again += bucket.retries
 	}
 	if float64(again+1) > s.budget.Ratio*float64(first)+s.budget.Extra {
 		return false
 	}
-	s.buckets[i].again++
+	s.buckets[i].retries++
 	return true
 }
--- a/pool/check.go
+++ b/pool/check.go
@@ -222,7 +222,7 @@
 func (s *Scheduler) exclude(p *poolState, service, instance string, now time.Time) {
 	h := p.health[instance]
 	if s.settings.Check == nil {
-		h.shared.note(Unreachable, now)
+		h.shared.record(Unreachable, now)
 		return
 	}
 	h.absentSince = now
--- a/pool/client.go
+++ b/pool/client.go
@@ -127,10 +127,10 @@
 	a.DrainedDomains = drained
 	a.Backoffs = c.backoffs(a.Service)
 	fallback := false
-	for range maxAskRounds {
+	for range maxPlacementRounds {
 		var g Grant
 		var err error
-		g, fallback, err = c.askOwners(ctx, &a)
+		g, fallback, err = c.placeAtOwners(ctx, &a)
 		if errors.Is(err, errLost) {
 			continue
 		}
@@ -149,15 +149,15 @@
 // errDecideLocally means that this instance has to place the request itself.
 var errDecideLocally = errors.New("no other owner of the pool")
 
-// maxAskRounds bounds how often the owners are asked for one placement. Links to standbys are
+// maxPlacementRounds bounds how often the owners are asked for one placement. Links to standbys are
 // closed when the owner is back, and requests that were waiting there are then sent to the owner.
-const maxAskRounds = 3
+const maxPlacementRounds = 3
 
-// askOwners sends a placement request to the owners of a pool in order. The error is
+// placeAtOwners sends a placement request to the owners of a pool in order. The error is
 // errDecideLocally if this instance has to place the request, and errLost if the session to an
 // owner ended while the request waited there. Fallback is true if another instance may act as the
 // owner at the same time, because no owner before this instance was reachable from here.
-func (c *Client) askOwners(ctx context.Context, a *PlacementRequest) (g Grant, fallback bool, err error) {
+func (c *Client) placeAtOwners(ctx context.Context, a *PlacementRequest) (g Grant, fallback bool, err error) {
 	owners := c.owners(a.Service)
 	// Pools without an owner are placed by each instance on its own, which is no fallback.
 	fallback = len(owners) > 0
@@ -170,7 +170,7 @@
 		if !l.usable() && !l.awaitRedial(ctx) {
 			continue
 		}
-		g, err := l.ask(ctx, a)
+		g, err := l.place(ctx, a)
 		if errors.Is(err, errLost) {
 			lost = true
 			continue
@@ -228,15 +228,15 @@
 	}
 }
 
-// First implements Placer.
-func (c *Client) First(id, service string) {
+// FirstEvent implements Placer.
+func (c *Client) FirstEvent(id, service string) {
 	c.mu.Lock()
 	if r := c.attempts[id]; r != nil {
 		r.begun = true
 	}
 	c.mu.Unlock()
-	c.local.First(id, service)
-	c.broadcast(service, firstMessage(id, service), nil)
+	c.local.FirstEvent(id, service)
+	c.broadcast(service, firstEventMessage(id, service), nil)
 }
 
 // End implements Placer.
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -316,7 +316,7 @@
 // callers a wait that ends with a refusal.
 func (s *Scheduler) refuseCold(p *poolState, w *Waiter, list []*placement.Engine, now time.Time) *Refusal {
 	at := p.cold.soonest(list, p.decider(w), now)
-	if !at.After(now) || !at.After(w.arrived.Add(time.Duration(maxWaitShare*float64(w.ask.Deadline)))) {
+	if !at.After(now) || !at.After(w.arrived.Add(time.Duration(maxWaitShare*float64(w.placementRequest.Deadline)))) {
 		return nil
 	}
 	return s.refusal("all endpoints have just started", at.Sub(now))
--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -327,7 +327,7 @@
 			w.now = w.now.Add(maxEjection)
 			a := w.request("engines")
 			w.place(w.schedulers[0], a, false)
-			w.schedulers[0].First(a.ID, "engines")
+			w.schedulers[0].FirstEvent(a.ID, "engines")
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -224,7 +224,7 @@
 	f := newFleet(t, 3)
 	for i := range 8 {
 		id := fmt.Sprint("r", i)
-		f.nodes[i%3].place(t, ask(id))
+		f.nodes[i%3].place(t, request(id))
 		f.nodes[i%3].client.End(id, "engines", pool.Failed, "")
 	}
 	settle()
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -52,7 +52,7 @@
 	case s.yieldsToBurst(p, w, &plan, len(list), now):
 	case !p.coversCost(w, &plan, now):
 	default:
-		p.price.note(p.engineTime(w), w.worthLost(&plan), now)
+		p.price.record(p.engineTime(w), w.worthLost(&plan), now)
 		plan.Apply(w.request, now)
 		return s.grant(p, w, &plan, now), true
 	}
@@ -73,7 +73,7 @@
 // them.
 func (w *Waiter) shouldDefer(plan *placement.Plan, list []*placement.Engine, now time.Time) bool {
 	left := w.request.TargetAt.Sub(now)
-	if w.ask.isShort() || left <= 0 {
+	if w.placementRequest.isShort() || left <= 0 {
 		return false
 	}
 	if w.late && placement.MinPrefillTime(list, w.request) < time.Duration(deferPrefillShare*float64(left)) {
@@ -108,7 +108,7 @@
 // against the backlog of an outage taking the slots from new requests. A request whose endpoint
 // failed doesn't yield, since work was spent on it.
 func (w *Waiter) yields() bool {
-	return w.lateOnArrival() && !w.ask.Retry && w.ask.isShort()
+	return w.lateOnArrival() && !w.placementRequest.Retry && w.placementRequest.isShort()
 }
 
 // remainingWorth returns the worth that a request would still have if it were answered at once:
--- a/pool/decide_test.go
+++ b/pool/decide_test.go
@@ -18,7 +18,7 @@
 // newWaiting returns a request that arrived at moment.
 func newWaiting(prompt int, target time.Duration) *Waiter {
 	return &Waiter{
-		ask: PlacementRequest{
+		placementRequest: PlacementRequest{
 			Prompt:   prompt,
 			Target:   target,
 			Deadline: 10 * time.Second,
@@ -80,7 +80,7 @@
 			p := busyPool()
 			now := moment.Add(row.waited)
 			// All work was displaced, so that the full price applies.
-			p.price.note(time.Second, row.price/priceShare, now)
+			p.price.record(time.Second, row.price/priceShare, now)
 			got := p.coversCost(newWaiting(50_000, 3*time.Second), &placement.Plan{
 				OthersLoss: row.othersLoss,
 				OwnLoss:    row.ownLoss,
@@ -92,7 +92,7 @@
 		is := is.New(t)
 		p := busyPool()
 		p.list[0].Remove("before")
-		p.price.note(time.Second, 100, moment)
+		p.price.record(time.Second, 100, moment)
 		is.True(p.coversCost(newWaiting(50_000, 3*time.Second), &placement.Plan{}, moment))
 	})
 }
@@ -141,9 +141,9 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			w := newWaiting(5000, row.target-row.elapsed)
-			w.ask.Target = row.target
-			w.ask.Elapsed = row.elapsed
-			w.ask.Retry = row.retry
+			w.placementRequest.Target = row.target
+			w.placementRequest.Elapsed = row.elapsed
+			w.placementRequest.Retry = row.retry
 			is.New(t).Equal(w.yields(), row.want)
 		})
 	}
--- a/pool/drained_test.go
+++ b/pool/drained_test.go
@@ -161,7 +161,7 @@
 		known.Drained = map[string]time.Time{"d-e0": time.Now()}
 		n.client.Update(&known)
 		for i := range 12 {
-			g := n.place(t, ask(fmt.Sprintf("%s-%d", n.self.ID, i)))
+			g := n.place(t, request(fmt.Sprintf("%s-%d", n.self.ID, i)))
 			is.True(g.Instance != "e0")
 			n.client.End(fmt.Sprintf("%s-%d", n.self.ID, i), "engines", pool.Served, "")
 		}
--- a/pool/ejection.go
+++ b/pool/ejection.go
@@ -67,9 +67,9 @@
 // rateWeight is the weight of the latest outcome in the failure rate.
 const rateWeight = 0.1
 
-// note records an outcome that an instance reported. own states that this instance did. It
+// record updates the health by an outcome that an instance reported. own states that this instance did. It
 // returns true if the outcome ejects the endpoint for all instances.
-func (h *endpointHealth) note(o Outcome, reporter string, own bool, now time.Time) bool {
+func (h *endpointHealth) record(o Outcome, reporter string, own bool, now time.Time) bool {
 	if o == Abandoned {
 		h.own.probing, h.shared.probing = false, false
 		return false
@@ -80,14 +80,14 @@
 	}
 	h.failureRate += rateWeight * (failed - h.failureRate)
 	if own {
-		h.own.note(o, now)
+		h.own.record(o, now)
 	}
 	if !h.agreed(o, reporter, now) {
 		// The attempt may have been the probe request.
 		h.shared.probing = false
 		return false
 	}
-	return h.shared.note(o, now)
+	return h.shared.record(o, now)
 }
 
 // agreed states whether an outcome counts for all instances. Answers, rejections and misplaced
@@ -113,9 +113,9 @@
 	}
 }
 
-// note records an outcome. It returns true if the outcome ejects the endpoint, except for the
+// record updates the record by an outcome. It returns true if the outcome ejects the endpoint, except for the
 // short ejection after a rejection.
-func (r *ejectionRecord) note(o Outcome, now time.Time) bool {
+func (r *ejectionRecord) record(o Outcome, now time.Time) bool {
 	r.probing = false
 	switch o {
 	case Served:
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -10,26 +10,26 @@
 
 // grant records the placement of a request by a plan and returns it. The caller holds s.mu.
 func (s *Scheduler) grant(p *poolState, w *Waiter, plan *placement.Plan, now time.Time) Grant {
-	born := p.health[plan.Engine.Instance].startedAt
+	startedAt := p.health[plan.Engine.Instance].startedAt
 	at := &attempt{
 		instance:       plan.Engine.Instance,
-		startedAt:      born,
+		startedAt:      startedAt,
 		placedAt:       now,
 		predictedFirst: plan.TimeToFirstEvent,
 		workload:       w.workload(),
 		entry:          w.entry,
-		watched:        w.ask.watched(),
+		watched:        w.placementRequest.watched(),
 	}
 	g := Grant{
 		Instance:     plan.Engine.Instance,
 		Address:      plan.Engine.Address,
-		StartedAt:    born,
+		StartedAt:    startedAt,
 		FirstEventIn: plan.TimeToFirstEvent,
 		Waited:       now.Sub(w.arrived),
 		DecidedBy:    s.settings.Self,
 	}
 	for _, o := range plan.Others {
-		at.joint = append(at.joint, o.Engine.Instance)
+		at.helpers = append(at.helpers, o.Engine.Instance)
 		g.Shares = append(g.Shares, PrefillShare{
 			Instance: o.Engine.Instance,
 			Address:  o.Engine.Address,
@@ -39,26 +39,26 @@
 	withheld := p.withheld(w, now)
 	p.passedOver += int64(withheld)
 	limit, _ := p.rateLimit(plan.Engine, p.notices.View())
-	p.countAssignment(at, now)
+	p.countPlacement(at, now)
 	p.markProbes(at, now)
 	p.cold.recordPlacement(at.instance, now)
 	p.slowdowns.decidedAt, p.slowdowns.fallback = now, w.fallback
-	p.attempts[w.ask.ID] = at
-	s.log.Info("place", "attempt", w.ask.ID, "service", w.ask.Service, "prompt", w.ask.Prompt,
-		"returning", w.ask.Returning, "rank", w.ask.Rank, "route_rank", w.ask.RouteRank, "worth", w.request.Worth, "endpoint", g.Instance,
-		"readers", at.joint, "first_ms", g.FirstEventIn.Milliseconds(), "read_ms", plan.PrefillTime.Milliseconds(),
+	p.attempts[w.placementRequest.ID] = at
+	s.log.Info("place", "attempt", w.placementRequest.ID, "service", w.placementRequest.Service, "prompt", w.placementRequest.Prompt,
+		"returning", w.placementRequest.Returning, "rank", w.placementRequest.Rank, "route_rank", w.placementRequest.RouteRank, "worth", w.request.Worth, "endpoint", g.Instance,
+		"readers", at.helpers, "first_ms", g.FirstEventIn.Milliseconds(), "read_ms", plan.PrefillTime.Milliseconds(),
 		"spoils", plan.OthersLoss, "loses", plan.OwnLoss, "waited_ms", g.Waited.Milliseconds(), "queue", len(p.queue),
 		"work_ms", p.engineTime(w).Milliseconds(), "price", p.priceNow(now),
-		"due_ms", w.request.TargetAt.Sub(now).Milliseconds(), "resumed", w.ask.Resumed,
+		"due_ms", w.request.TargetAt.Sub(now).Milliseconds(), "resumed", w.placementRequest.Resumed,
 		"withheld", withheld, "limit", limit.Rate, "limit_age_ms", limit.Age(now).Milliseconds())
 	return g
 }
 
-// countAssignment counts a request at each endpoint of an attempt, for their rate limits.
-func (p *poolState) countAssignment(at *attempt, now time.Time) {
+// countPlacement counts a request at each endpoint of an attempt, for their rate limits.
+func (p *poolState) countPlacement(at *attempt, now time.Time) {
 	for _, name := range at.endpoints() {
 		if h := p.health[name]; h != nil {
-			h.placements.note(now)
+			h.placements.add(now)
 		}
 	}
 }
--- a/pool/incarnation.go
+++ b/pool/incarnation.go
@@ -48,7 +48,7 @@
 		case at.instance == instance && at.startedAt.Before(startedAt):
 			p.endAttempt(id)
 			n++
-		case slices.Contains(at.joint, instance):
+		case slices.Contains(at.helpers, instance):
 			p.engines[instance].Remove(id)
 		}
 	}
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -82,8 +82,8 @@
 	load.asks.Wait()
 	is.New(t).Equal(len(load.by), 5)
 
-	f.nodes[0].hears("p0", limit(rate))
-	f.nodes[0].hears("p1", limit(rate))
+	f.nodes[0].recordAnswer("p0", limit(rate))
+	f.nodes[0].recordAnswer("p1", limit(rate))
 	assertLimit(t, f.nodes, "p1", rate)
 	time.Sleep(rateSettles)
 	load.run(t, "during", f.nodes, 2*time.Second)
@@ -110,8 +110,8 @@
 	})
 
 	t.Run("limits end", func(t *testing.T) {
-		f.nodes[1].hears("p0", notice.Statements{})
-		f.nodes[1].hears("p1", notice.Statements{})
+		f.nodes[1].recordAnswer("p0", notice.Statements{})
+		f.nodes[1].recordAnswer("p1", notice.Statements{})
 		assertLimit(t, f.nodes, "p1", -1)
 		settle()
 		load.run(t, "after", f.nodes, 200*time.Millisecond)
@@ -131,7 +131,7 @@
 func TestReleasedPoolDropsAttempts(t *testing.T) {
 	f := newFleet(t, 5)
 	f.owner("")
-	f.nodes[0].hears("p0", limit(10))
+	f.nodes[0].recordAnswer("p0", limit(10))
 	assertLimit(t, f.nodes, "p0", 10)
 	settle()
 	for i, n := range f.nodes {
@@ -144,7 +144,7 @@
 		is.New(t).NoErr(err)
 	}
 	settle()
-	f.nodes[0].hears("p0", notice.Statements{})
+	f.nodes[0].recordAnswer("p0", notice.Statements{})
 	assertLimit(t, f.nodes, "p0", -1)
 	// If a session ends before an instance's messages are sent, its attempts are dropped with
 	// the session.
--- a/pool/link.go
+++ b/pool/link.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// ask sends a placement request and waits for the answer.
-func (l *link) ask(ctx context.Context, a *PlacementRequest) (Grant, error) {
+// place sends a placement request and waits for the answer.
+func (l *link) place(ctx context.Context, a *PlacementRequest) (Grant, error) {
 	c := make(chan placementReply, 1)
 	l.mu.Lock()
 	ok := l.open && l.enqueueLocked(&poolpb.FromEntry{
--- a/pool/messages.go
+++ b/pool/messages.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// firstMessage reports the first event of an attempt to an owner.
-func firstMessage(id, service string) *poolpb.FromEntry {
+// firstEventMessage reports the first event of an attempt to an owner.
+func firstEventMessage(id, service string) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_First{
 			First: &poolpb.First{
--- a/pool/notice_test.go
+++ b/pool/notice_test.go
@@ -11,8 +11,8 @@
 	"github.com/linkmast/linkmast/notice"
 )
 
-// hears records an answer of an endpoint, to a request sent just now, at this instance.
-func (n *node) hears(endpoint string, s notice.Statements) {
+// recordAnswer records an answer of an endpoint, to a request sent just now, at this instance.
+func (n *node) recordAnswer(endpoint string, s notice.Statements) {
 	n.client.RecordAnswer(notice.Answer{
 		Instance: endpoint,
 		Request:  "r",
@@ -50,13 +50,13 @@
 	f := newFleet(t, 6)
 	f.owner("")
 	settle()
-	f.nodes[2].hears("e1", limit(2))
+	f.nodes[2].recordAnswer("e1", limit(2))
 	assertLimit(t, f.nodes, "e1", 2)
-	f.nodes[4].hears("e1", notice.Statements{})
+	f.nodes[4].recordAnswer("e1", notice.Statements{})
 	assertLimit(t, f.nodes, "e1", -1)
 
 	t.Run("an instance that starts later", func(t *testing.T) {
-		f.nodes[0].hears("p1", limit(3))
+		f.nodes[0].recordAnswer("p1", limit(3))
 		assertLimit(t, f.nodes, "p1", 3)
 		f.add(6)
 		late := f.nodes[6]
@@ -70,7 +70,7 @@
 		close(second.closing)
 		time.Sleep(600 * time.Millisecond) // until there are sessions to the next two owners
 		left := f.without(first, second)
-		left[0].hears("p0", limit(4))
+		left[0].recordAnswer("p0", limit(4))
 		assertLimit(t, left, "p0", 4)
 		assertLimit(t, left, "p1", 3)
 	})
@@ -82,8 +82,8 @@
 	f := newFleet(t, 6)
 	f.owner("")
 	settle()
-	go f.nodes[1].hears("e1", limit(2))
-	f.nodes[4].hears("e1", limit(3))
+	go f.nodes[1].recordAnswer("e1", limit(2))
+	f.nodes[4].recordAnswer("e1", limit(3))
 	settle()
 	agreed, _ := f.nodes[0].scheduler.Notices().View().Limit("e1", time.Time{})
 	is.New(t).True(agreed.Rate == 2 || agreed.Rate == 3)
--- a/pool/overload_test.go
+++ b/pool/overload_test.go
@@ -202,7 +202,7 @@
 		}
 	}
 	first := time.Now()
-	m.s.First(a.ID, a.Service)
+	m.s.FirstEvent(a.ID, a.Service)
 	m.write(e, a.Output)
 	m.s.End(a.ID, a.Service, pool.Served, "")
 	return first, nil
--- a/pool/plain.go
+++ b/pool/plain.go
@@ -23,7 +23,7 @@
 		return cmp.Or(cmp.Compare(p.load(a, slowdowns), p.load(b, slowdowns)),
 			cmp.Compare(p.health[b.Instance].preference, p.health[a.Instance].preference))
 	})
-	addPlain(best, w.ask.ID)
+	addPlain(best, w.placementRequest.ID)
 	return s.grant(p, w, &placement.Plan{
 		Engine: best,
 	}, now), true
--- a/pool/plain_latency_test.go
+++ b/pool/plain_latency_test.go
@@ -23,7 +23,7 @@
 		name := placePlain(t, s, id)
 		got[name]++
 		time.Sleep(took(name))
-		s.First(id, "plain")
+		s.FirstEvent(id, "plain")
 		s.End(id, "plain", pool.Served, "")
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -41,7 +41,7 @@
 	}
 	time.Sleep(took)
 	for _, id := range ids {
-		s.First(id, "plain")
+		s.FirstEvent(id, "plain")
 		s.End(id, "plain", pool.Served, "")
 	}
 	return got[0]
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -143,7 +143,7 @@
 	f.nodes = append(f.nodes, n)
 }
 
-func ask(id string) pool.PlacementRequest {
+func request(id string) pool.PlacementRequest {
 	return pool.PlacementRequest{
 		ID:       id,
 		Service:  "engines",
@@ -166,7 +166,7 @@
 				continue
 			}
 			id := fmt.Sprintf("probe-%s-%d-%d", skip, round, i)
-			g, err := n.client.Place(f.t.Context(), ask(id))
+			g, err := n.client.Place(f.t.Context(), request(id))
 			if err != nil {
 				f.t.Fatal(err)
 			}
@@ -234,7 +234,7 @@
 				continue
 			}
 			id := fmt.Sprintf("third-%d-%d", round, i)
-			by[n.place(t, ask(id)).DecidedBy]++
+			by[n.place(t, request(id)).DecidedBy]++
 			n.client.End(id, "engines", pool.Served, "")
 		}
 		if len(by) == 1 {
@@ -260,11 +260,11 @@
 	}
 	// Four engines with four slots each have room for one more.
 	for i := range 15 {
-		entry.place(t, ask(fmt.Sprint("r", i)))
+		entry.place(t, request(fmt.Sprint("r", i)))
 	}
 	close(first.closing)
 	time.Sleep(20 * time.Millisecond)
-	entry.place(t, ask("last"))
+	entry.place(t, request("last"))
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	_, err := entry.client.Place(ctx, pool.PlacementRequest{ID: "over", Service: "engines", Prompt: 1000, Target: time.Second * 3, Deadline: 5 * time.Second})
@@ -274,7 +274,7 @@
 // retryPlaced reports whether a retry is placed.
 func (n *node) retryPlaced(t *testing.T, id string) bool {
 	t.Helper()
-	a := ask(id)
+	a := request(id)
 	a.Retry = true
 	_, err := n.client.Place(t.Context(), a)
 	var r *pool.Refusal
@@ -336,14 +336,14 @@
 	fail := func(n *node, i int) {
 		// The attempt is reported as failed at e0, wherever it was placed.
 		id := fmt.Sprintf("%s-%d", n.self.ID, i)
-		n.place(t, ask(id))
+		n.place(t, request(id))
 		n.client.End(id, "engines", pool.Unreachable, "e0")
 	}
 	uses := func(n *node, prefix string) bool {
 		used := false
 		for i := range 8 {
 			id := fmt.Sprintf("%s-%s-%d", prefix, n.self.ID, i)
-			used = n.place(t, ask(id)).Instance == "e0" || used
+			used = n.place(t, request(id)).Instance == "e0" || used
 			defer n.client.End(id, "engines", pool.Abandoned, "")
 		}
 		return used
@@ -372,7 +372,7 @@
 		told.Departed = map[string]time.Time{"e0": time.Now()}
 		n.client.Update(&told)
 		for i := range 12 {
-			g := n.place(t, ask(fmt.Sprintf("%s-%d", n.self.ID, i)))
+			g := n.place(t, request(fmt.Sprintf("%s-%d", n.self.ID, i)))
 			is.True(g.Instance != "e0")
 			n.client.End(fmt.Sprintf("%s-%d", n.self.ID, i), "engines", pool.Served, "")
 		}
@@ -385,7 +385,7 @@
 	is := is.New(t)
 	f := newFleet(t, 3)
 	for _, n := range f.nodes {
-		a := ask("plain-" + n.self.ID)
+		a := request("plain-" + n.self.ID)
 		a.Service = "plain"
 		is.Equal(n.place(t, a).DecidedBy, n.self.ID)
 	}
--- a/pool/prefill_load.go
+++ b/pool/prefill_load.go
@@ -15,7 +15,7 @@
 // prefillLoad returns the part of the engines that are busy with long prompts, and the largest
 // gap that any request so far allows.
 func (p *poolState) prefillLoad(w *Waiter, now time.Time) placement.LongPrefills {
-	p.longestGap = max(p.longestGap, w.ask.Gap)
+	p.longestGap = max(p.longestGap, w.placementRequest.Gap)
 	busy, all := 0, 0
 	for _, e := range p.list {
 		if p.excluded(e, now) {
--- a/pool/price.go
+++ b/pool/price.go
@@ -41,9 +41,9 @@
 	at time.Time
 }
 
-// note records the decision on a request: the engine time that it takes, and the worth that it
+// record adds the decision on a request: the engine time that it takes, and the worth that it
 // loses by being displaced, which is zero if it is served in time.
-func (p *price) note(work time.Duration, lost float64, now time.Time) {
+func (p *price) record(work time.Duration, lost float64, now time.Time) {
 	p.decay(now)
 	p.asked += work.Seconds()
 	if lost > 0 {
--- a/pool/price_test.go
+++ b/pool/price_test.go
@@ -40,10 +40,10 @@
 		t.Run(row.name, func(t *testing.T) {
 			var p price
 			for range row.served {
-				p.note(100*time.Millisecond, 0, start)
+				p.record(100*time.Millisecond, 0, start)
 			}
 			for range row.displaced {
-				p.note(100*time.Millisecond, 1, start)
+				p.record(100*time.Millisecond, 1, start)
 			}
 			assertNear(t, p.perSecond(start.Add(row.after)), row.want)
 		})
@@ -53,12 +53,12 @@
 		var p price
 		now := start
 		for range 20 {
-			p.note(100*time.Millisecond, 1, now)
+			p.record(100*time.Millisecond, 1, now)
 		}
 		before := p.perSecond(now)
 		for range 80 {
 			now = now.Add(100 * time.Millisecond)
-			p.note(100*time.Millisecond, 0, now)
+			p.record(100*time.Millisecond, 0, now)
 		}
 		is.True(p.perSecond(now) < before/2)
 	})
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -62,7 +62,7 @@
 	if left <= 0 {
 		left += latePenalty * time.Second
 	}
-	return left.Seconds() + rankPenalty*float64(w.ask.Rank)
+	return left.Seconds() + rankPenalty*float64(w.placementRequest.Rank)
 }
 
 // Penalties of the urgency, in seconds.
@@ -111,14 +111,14 @@
 func (s *Scheduler) Withdraw(w *Waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.pool(w.ask.Service)
+	p := s.pool(w.placementRequest.Service)
 	if i := slices.Index(p.queue, w); i >= 0 {
 		p.queue = slices.Delete(p.queue, i, i+1)
 		return
 	}
 	select {
 	case <-w.granted:
-		p.endAttempt(w.ask.ID)
+		p.endAttempt(w.placementRequest.ID)
 	default:
 	}
 }
--- a/pool/rate_limit.go
+++ b/pool/rate_limit.go
@@ -29,8 +29,8 @@
 	at []time.Time
 }
 
-// note adds a placement.
-func (a *placementTimes) note(now time.Time) {
+// add adds a placement.
+func (a *placementTimes) add(now time.Time) {
 	a.at = append(a.at, now)
 	if len(a.at) < 2 || now.Sub(a.at[0]) <= rateWindow {
 		return
@@ -112,10 +112,10 @@
 	return rate
 }
 
-// noteFallback records a decision that this instance makes because it reaches no owner, if
+// recordFallback records a decision that this instance makes because it reaches no owner, if
 // fallback is set. Many instances lose the owner at the same moment, so a random phase spreads
 // their first requests.
-func (s *Scheduler) noteFallback(p *poolState, fallback bool, now time.Time) {
+func (s *Scheduler) recordFallback(p *poolState, fallback bool, now time.Time) {
 	if !fallback {
 		return
 	}
--- a/pool/rate_limit_test.go
+++ b/pool/rate_limit_test.go
@@ -71,7 +71,7 @@
 					if a.next(rate).After(now) {
 						continue
 					}
-					a.note(now)
+					a.add(now)
 					at = append(at, now)
 				}
 				assertStatedBound(t, at, rate)
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -111,18 +111,18 @@
 func (w *Waiter) workload() workload {
 	return workload{
 		id: workloadID{
-			customer: w.ask.Customer,
-			prompt:   w.ask.Prompt,
-			output:   w.ask.Output,
+			customer: w.placementRequest.Customer,
+			prompt:   w.placementRequest.Prompt,
+			output:   w.placementRequest.Output,
 		},
-		gap:      w.ask.Gap,
+		gap:      w.placementRequest.Gap,
 		worth:    w.request.Worth,
 		targetAt: w.request.TargetAt,
 	}
 }
 
-// note records that an attempt was interrupted at the given time.
-func (r *reconnects) note(at *attempt, now time.Time) {
+// recordCut records that an attempt was interrupted at the given time.
+func (r *reconnects) recordCut(at *attempt, now time.Time) {
 	if at.workload.id.prompt == 0 {
 		return
 	}
@@ -150,7 +150,7 @@
 func (r *reconnects) match(w *Waiter, now time.Time) {
 	id := w.workload().id
 	i := slices.IndexFunc(r.cut[id], func(c cutAttempt) bool {
-		return c.resumes == w.ask.Resumed && c.isExpected(now)
+		return c.resumes == w.placementRequest.Resumed && c.isExpected(now)
 	})
 	if i < 0 {
 		return
@@ -158,7 +158,7 @@
 	r.returned++
 	c := r.cut[id][i]
 	r.set(id, slices.Delete(r.cut[id], i, i+1))
-	if !w.ask.Retry {
+	if !w.placementRequest.Retry {
 		w.request.TargetAt = c.dueAt
 	}
 }
@@ -196,7 +196,7 @@
 	before := r.bursts
 	first := r.burstGoesFirst(w, plan, engines, now)
 	if r.bursts > before {
-		s.log.Info("reconnect burst detected", "service", w.ask.Service, "streams", r.burst.streams, "worth", r.burst.worth,
+		s.log.Info("reconnect burst detected", "service", w.placementRequest.Service, "streams", r.burst.streams, "worth", r.burst.worth,
 			"for_ms", r.burst.until.Sub(now).Milliseconds(), "engines", engines)
 	}
 	return first
--- a/pool/reconnect_burst_test.go
+++ b/pool/reconnect_burst_test.go
@@ -70,7 +70,7 @@
 		time.Sleep(10 * time.Millisecond)
 		for i, n := range f.nodes {
 			id := fmt.Sprintf("after-%d-%d", round, i)
-			by[n.place(t, ask(id)).DecidedBy]++
+			by[n.place(t, request(id)).DecidedBy]++
 			n.client.End(id, "engines", pool.Served, "")
 		}
 	}
@@ -92,7 +92,7 @@
 	}
 	const attempts, ended = 10, 7
 	for i := range attempts {
-		entry.place(t, ask(fmt.Sprint("cut-", i)))
+		entry.place(t, request(fmt.Sprint("cut-", i)))
 	}
 	time.Sleep(longOpen)
 	owner.listener.reset()
@@ -128,10 +128,10 @@
 	}
 	moved := make(chan string, 10)
 	for i, n := range f.nodes {
-		a := ask(fmt.Sprint("move-", i))
+		a := request(fmt.Sprint("move-", i))
 		a.Gap = 5 * time.Second
 		n.place(t, a)
-		n.client.First(a.ID, "engines")
+		n.client.FirstEvent(a.ID, "engines")
 		n.client.OnMigrate(a.ID, func() { moved <- a.ID })
 	}
 	time.Sleep(400 * time.Millisecond)
--- a/pool/reconnect_test.go
+++ b/pool/reconnect_test.go
@@ -82,7 +82,7 @@
 		g, _, ok := c.Submit(stream(i)).Decision()
 		is.True(ok)
 		c.now = c.now.Add(g.FirstEventIn)
-		c.First(stream(i).ID, "engines")
+		c.FirstEvent(stream(i).ID, "engines")
 	}
 	c.now = c.now.Add(500 * time.Millisecond)
 	for i := range n {
@@ -124,7 +124,7 @@
 			is.True(ok)
 			c.now = c.now.Add(100 * time.Millisecond)
 			if row.begun {
-				c.First("s0", "engines")
+				c.FirstEvent("s0", "engines")
 			}
 			c.End("s0", "engines", Abandoned, "")
 			c.now = c.now.Add(row.after)
@@ -210,13 +210,13 @@
 	}
 }
 
-// TestHurried guards against a wrong distinction between requests that wait for slots and those
+// TestIsShort guards against a wrong distinction between requests that wait for slots and those
 // that wait for prefill. The time left of a resumed stream says nothing about its prompt.
-func TestHurried(t *testing.T) {
+func TestIsShort(t *testing.T) {
 	for _, row := range []struct {
-		name string
-		ask  PlacementRequest
-		want bool
+		name    string
+		request PlacementRequest
+		want    bool
 	}{
 		{"short target", PlacementRequest{Target: 250 * time.Millisecond}, true},
 		{"long target", PlacementRequest{Target: 1500 * time.Millisecond}, false},
@@ -225,7 +225,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(row.ask.isShort(), row.want)
+			is.Equal(row.request.isShort(), row.want)
 		})
 	}
 }
--- a/pool/refused_callers.go
+++ b/pool/refused_callers.go
@@ -33,8 +33,8 @@
 
 // refusedCaller holds when a caller first asked, and until when it waits.
 type refusedCaller struct {
-	firstAskedAt time.Time
-	waitsUntil   time.Time
+	firstTryAt time.Time
+	waitsUntil time.Time
 }
 
 // maxRefusedCallers bounds the callers that are remembered: those of some seconds in a large
@@ -44,7 +44,7 @@
 // add remembers the caller of a refused request, unless maxRefusedCallers callers are still
 // waiting.
 func (r *refusedCallers) add(w *Waiter, now time.Time) {
-	key, ok := callerKeyOf(&w.ask)
+	key, ok := callerKeyOf(&w.placementRequest)
 	if !ok {
 		return
 	}
@@ -58,8 +58,8 @@
 		r.callers = make(map[callerKey]refusedCaller)
 	}
 	r.callers[key] = refusedCaller{
-		firstAskedAt: w.arrived.Add(-w.ask.Elapsed),
-		waitsUntil:   w.arrived.Add(w.ask.Deadline),
+		firstTryAt: w.arrived.Add(-w.placementRequest.Elapsed),
+		waitsUntil: w.arrived.Add(w.placementRequest.Deadline),
 	}
 }
 
@@ -82,7 +82,7 @@
 		return
 	}
 	a.Returning = true
-	a.Elapsed = max(a.Elapsed, now.Sub(first.firstAskedAt))
+	a.Elapsed = max(a.Elapsed, now.Sub(first.firstTryAt))
 }
 
 // expire removes the callers that don't wait any more.
@@ -100,7 +100,7 @@
 // has no place at the time that ready named when it became late: more urgent requests keep
 // arriving, so that waiting longer is in vain.
 func (s *Scheduler) refuseLate(p *poolState, w *Waiter, ready, now time.Time) *Refusal {
-	if w.ask.Target <= shortTarget || w.ask.Retry || w.request.TargetAt.After(now) {
+	if w.placementRequest.Target <= shortTarget || w.placementRequest.Retry || w.request.TargetAt.After(now) {
 		return nil
 	}
 	if w.placeBy.IsZero() {
--- a/pool/refused_callers_test.go
+++ b/pool/refused_callers_test.go
@@ -43,7 +43,7 @@
 			var r refusedCallers
 			for _, content := range []uint64{0, 7} {
 				w := newWaiting(50_000, 3*time.Second)
-				w.ask = refusedRequest("c", content)
+				w.placementRequest = refusedRequest("c", content)
 				r.add(w, moment)
 			}
 			r.recognize(&row.request, moment.Add(row.after))
@@ -55,11 +55,11 @@
 		is := is.New(t)
 		var r refusedCallers
 		w := newWaiting(50_000, 3*time.Second)
-		w.ask = refusedRequest("c", 7)
+		w.placementRequest = refusedRequest("c", 7)
 		r.add(w, moment)
 		second := refusedRequest("c", 7)
 		r.recognize(&second, moment.Add(back))
-		w.ask, w.arrived = second, moment.Add(back)
+		w.placementRequest, w.arrived = second, moment.Add(back)
 		r.add(w, moment.Add(back))
 		third := refusedRequest("c", 7)
 		r.recognize(&third, moment.Add(back+time.Second))
@@ -70,7 +70,7 @@
 		var r refusedCallers
 		w := newWaiting(50_000, 3*time.Second)
 		for i := range maxRefusedCallers + 100 {
-			w.ask = refusedRequest("c", uint64(i)+1)
+			w.placementRequest = refusedRequest("c", uint64(i)+1)
 			r.add(w, moment)
 		}
 		is.Equal(len(r.callers), maxRefusedCallers)
@@ -129,10 +129,10 @@
 			s := NewScheduler(Settings{}, logr.Discard())
 			p := busyPool()
 			now := moment.Add(row.now)
-			p.price.note(time.Second, row.price/priceShare, now)
+			p.price.record(time.Second, row.price/priceShare, now)
 			w := newWaiting(50_000, row.target)
 			w.request.LateWorth = 0.25
-			w.ask.Retry = row.retry
+			w.placementRequest.Retry = row.retry
 			r := s.refuseLate(p, w, moment.Add(row.ready), now)
 			is.Equal(r != nil, row.refuse)
 		})
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -62,9 +62,9 @@
 	wake chan struct{}
 	// lastOrphanMark is the orphanMark of the session that ended last.
 	lastOrphanMark int64
-	// notifyMove holds the functions that tell an entry instance to migrate an attempt, by
+	// notifyMigrate holds the functions that tell an entry instance to migrate an attempt, by
 	// entry instance.
-	notifyMove map[string]*func(migration)
+	notifyMigrate map[string]*func(migration)
 }
 
 // NewScheduler returns a scheduler that knows no endpoints.
@@ -82,11 +82,11 @@
 		s.Notices = notice.New(s.Now, log)
 	}
 	return &Scheduler{
-		settings:   s,
-		log:        log,
-		pools:      make(map[string]*poolState),
-		wake:       make(chan struct{}, 1),
-		notifyMove: make(map[string]*func(migration)),
+		settings:      s,
+		log:           log,
+		pools:         make(map[string]*poolState),
+		wake:          make(chan struct{}, 1),
+		notifyMigrate: make(map[string]*func(migration)),
 	}
 }
 
@@ -188,7 +188,7 @@
 	s.evaluateIfDue(p, a.Service, now)
 	w := s.newWaiter(p, a, now)
 	w.entry, w.fallback = entry, fallback
-	s.noteFallback(p, fallback, now)
+	s.recordFallback(p, fallback, now)
 	if r := p.refuseReplacement(a.Replaces, now); r != nil {
 		w.refused <- r
 		return w
@@ -223,19 +223,19 @@
 // caller must hold s.mu.
 func (s *Scheduler) recordRefusal(p *poolState, w *Waiter, r *Refusal, now time.Time) {
 	work := p.engineTime(w)
-	p.price.note(work, w.remainingWorth(), now)
+	p.price.record(work, w.remainingWorth(), now)
 	p.refusedCallers.add(w, now)
 	usable := p.usable(w, now)
 	used, slots := slotUsage(usable)
-	s.log.Info("refuse", "attempt", w.ask.ID, "service", w.ask.Service, "prompt", w.ask.Prompt, "reason", r.Reason,
+	s.log.Info("refuse", "attempt", w.placementRequest.ID, "service", w.placementRequest.Service, "prompt", w.placementRequest.Prompt, "reason", r.Reason,
 		"after_ms", r.RetryAfter.Milliseconds(), "waited_ms", now.Sub(w.arrived).Milliseconds(), "queue", len(p.queue),
 		"endpoints", len(usable), "withheld", p.withheld(w, now), "running", used, "slots", slots, "worth", w.request.Worth,
-		"returning", w.ask.Returning, "rank", w.ask.Rank, "route_rank", w.ask.RouteRank,
+		"returning", w.placementRequest.Returning, "rank", w.placementRequest.Rank, "route_rank", w.placementRequest.RouteRank,
 		"work_ms", work.Milliseconds(), "price", p.priceNow(now))
 }
 
-// First implements Placer.
-func (s *Scheduler) First(id, service string) {
+// FirstEvent implements Placer.
+func (s *Scheduler) FirstEvent(id, service string) {
 	s.FirstEventFrom(id, service, s.settings.Self)
 }
 
@@ -280,13 +280,13 @@
 		return
 	}
 	now := s.settings.Now()
-	if o == Silent && (at.moved || p.silenceExpected(id, at, now)) {
+	if o == Silent && (at.migrating || p.silenceExpected(id, at, now)) {
 		// The silence was counted when the attempt was migrated, or the engine models explain
 		// it.
 		o = Abandoned
 	}
 	if o == Abandoned || o == Failed {
-		p.reconnects.note(at, now)
+		p.reconnects.recordCut(at, now)
 	}
 	p.endAttempt(id)
 	instance := at.instance
@@ -297,7 +297,7 @@
 	if h == nil {
 		return
 	}
-	if h.note(o, reporter, reporter == s.settings.Self, now) {
+	if h.record(o, reporter, reporter == s.settings.Self, now) {
 		s.log.Info("endpoint set aside", "service", service, "endpoint", instance, "outcome", o.String(),
 			"failures", h.shared.failures, "for_ms", h.shared.until.Sub(now).Milliseconds(), "attempt", id,
 			"reporter", reporter)
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -35,7 +35,7 @@
 // answer before it gives up. ahead is the work that goes before the request.
 func (s *Scheduler) refuse(p *poolState, w *Waiter, ahead backlog, now time.Time) *Refusal {
 	list := p.usable(w, now)
-	if len(list) == 0 && p.drained.excludesAny(&w.ask, p.list) {
+	if len(list) == 0 && p.drained.excludesAny(&w.placementRequest, p.list) {
 		return s.refusal("failure domains of the service are emptied", drainedRetryAfter)
 	}
 	if r := s.refuseUnavailable(p, w, list, ahead.requests, now); r != nil {
@@ -51,13 +51,13 @@
 		return s.refusal("no endpoint can answer in time now", 0)
 	}
 	wait := time.Duration(0)
-	if !w.ask.isShort() {
+	if !w.placementRequest.isShort() {
 		// Short prompts are prefilled beside long ones, in the next pass of some engine.
 		wait = time.Duration(float64(ahead.prefill) / totalSpeed(list) / prefillShare)
 	}
 	ready := now.Add(wait + placement.MinPrefillTime(list, w.request))
 	switch {
-	case w.firstTry() && w.late && !w.ask.isShort() && ready.After(w.request.TargetAt):
+	case w.firstTry() && w.late && !w.placementRequest.isShort() && ready.After(w.request.TargetAt):
 		return s.refusal("no endpoint can read it in time", wait)
 	case ready.After(w.givesUpAt()):
 		return s.refusal("no endpoint can read it before its caller goes", wait)
@@ -79,7 +79,7 @@
 
 // givesUpAt returns when the caller stops waiting for the first event.
 func (w *Waiter) givesUpAt() time.Time {
-	deadline := w.arrived.Add(w.ask.Deadline)
+	deadline := w.arrived.Add(w.placementRequest.Deadline)
 	if w.request.GiveUpAt.Before(deadline) {
 		return w.request.GiveUpAt
 	}
@@ -89,7 +89,7 @@
 // refuseWaited returns the refusal of a request that has waited for maxWaitShare of its
 // deadline, or nil.
 func (s *Scheduler) refuseWaited(w *Waiter, now time.Time) *Refusal {
-	if now.Sub(w.arrived) < time.Duration(float64(w.ask.Deadline)*maxWaitShare) {
+	if now.Sub(w.arrived) < time.Duration(float64(w.placementRequest.Deadline)*maxWaitShare) {
 		return nil
 	}
 	return s.refusal("no endpoint can take the request now", 0)
@@ -144,7 +144,7 @@
 	if len(p.list) == 0 {
 		return 0
 	}
-	return p.list[0].Model.PrefillTime(w.ask.Prompt, 1)
+	return p.list[0].Model.PrefillTime(w.placementRequest.Prompt, 1)
 }
 
 // engineTime returns the time of one engine that a request takes by the model.
@@ -158,13 +158,13 @@
 // firstTry states whether the caller asks for the first time and no endpoint has had the
 // request, so that the caller can be told to come back.
 func (w *Waiter) firstTry() bool {
-	return !w.ask.Returning && !w.ask.Retry && !w.ask.Resumed && w.ask.Target > 0
+	return !w.placementRequest.Returning && !w.placementRequest.Retry && !w.placementRequest.Resumed && w.placementRequest.Target > 0
 }
 
 // outOfSlots states whether a short request on its first try would be late while most slots are
 // in use. Such a request is refused.
 func (w *Waiter) outOfSlots(list []*placement.Engine) bool {
-	return w.firstTry() && w.late && w.ask.isShort() && mostSlotsUsed(list)
+	return w.firstTry() && w.late && w.placementRequest.isShort() && mostSlotsUsed(list)
 }
 
 // mostSlotsUsed states whether at least usedSlotsLimit of the engines' slots are in use.
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -51,7 +51,7 @@
 // engine that works.
 func (p *poolState) refuseReplacement(r ReplacedAttempt, now time.Time) *Refusal {
 	at := p.attempts[r.ID]
-	if at == nil || at.moved {
+	if at == nil || at.migrating {
 		return nil
 	}
 	left, explained := p.expectedWait(r.ID, at, r.SilentFor, now)
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -189,7 +189,7 @@
 func (p *poolState) observeFirstEvent(at *attempt, late time.Duration, now time.Time) {
 	took := now.Sub(at.placedAt) - p.transit.time
 	predicted := took - late
-	if len(at.joint) == 0 {
+	if len(at.helpers) == 0 {
 		r := p.slowdowns.record(at.instance)
 		r.late, r.lateAt = late, now
 	}
@@ -201,7 +201,7 @@
 			p.slowdowns.record(name).unsure = true
 		}
 	}
-	if e := p.engines[at.instance]; e != nil && len(at.joint) == 0 && predicted > minPrediction {
+	if e := p.engines[at.instance]; e != nil && len(at.helpers) == 0 && predicted > minPrediction {
 		p.addSample(e, float64(took)/float64(predicted)/e.Speed(), at.placedAt, now)
 	}
 }
--- a/pool/slowdown_query_test.go
+++ b/pool/slowdown_query_test.go
@@ -75,7 +75,7 @@
 			}, row.fallback)
 			is.True(len(w.granted) == 1)
 			now = now.Add(300 * time.Millisecond)
-			s.First("a", "engines")
+			s.FirstEvent("a", "engines")
 			is.Equal(querier.queries, row.queries)
 		})
 	}
--- a/pool/slowdown_test.go
+++ b/pool/slowdown_test.go
@@ -106,7 +106,7 @@
 	f.t.Helper()
 	g, id := f.place(a)
 	f.now = f.now.Add(time.Duration(float64(g.FirstEventIn)*slowdown) + delay)
-	f.pool.First(id, "engines")
+	f.pool.FirstEvent(id, "engines")
 	f.pool.End(id, "engines", pool.Served, "")
 	f.deliver()
 	return g
@@ -338,7 +338,7 @@
 			FirstEventIn: 100 * time.Millisecond,
 		}, false)
 		f.advance(400 * time.Millisecond)
-		f.pool.First("adopted", "engines")
+		f.pool.FirstEvent("adopted", "engines")
 		is.Equal(len(f.queries), 0)
 		is.Equal(f.stats().Slow, 0)
 	})
@@ -401,7 +401,7 @@
 			f.snap.Endpoints[g.Instance] = e
 			f.pool.Update(f.snap)
 			f.advance(3 * g.FirstEventIn)
-			f.pool.First(id, "engines")
+			f.pool.FirstEvent(id, "engines")
 			is.Equal(f.queries[g.Instance], row.queries)
 		})
 	}
@@ -432,7 +432,7 @@
 			f.reports["e0"] = 3
 			_, id := f.place(f.requestFor("e0"))
 			f.advance(400 * time.Millisecond)
-			f.pool.First(id, "engines")
+			f.pool.FirstEvent(id, "engines")
 			is.Equal(f.queries["e0"], 1)
 			if !row.late {
 				f.deliver()
--- a/pool/state.go
+++ b/pool/state.go
@@ -78,8 +78,8 @@
 	// startedAt is the start time of the endpoint's incarnation that received the attempt; zero
 	// if unknown.
 	startedAt time.Time
-	// joint names the other endpoints that take part in a joint prefill.
-	joint []string
+	// helpers names the other endpoints that take part in a joint prefill.
+	helpers []string
 	// placedAt is when the attempt was placed, and predictedFirst the predicted time from then
 	// to the first event.
 	placedAt       time.Time
@@ -91,11 +91,11 @@
 	// entry names the entry instance.
 	entry string
 	// suspectedAt is when the entry instance last reported the attempt as silent, and
-	// silentSince when the silence began. moved states that the entry instance was told to
+	// silentSince when the silence began. migrating states that the entry instance was told to
 	// migrate the attempt.
 	suspectedAt time.Time
 	silentSince time.Time
-	moved       bool
+	migrating   bool
 	// watched states that the entry instance reports the attempt when it is silent.
 	watched bool
 	// orphanMark identifies the ended session through which the attempt came; zero while the
@@ -107,7 +107,7 @@
 // endpoints returns the instances of all endpoints of the attempt. The last one answers the
 // request.
 func (at *attempt) endpoints() []string {
-	return append(slices.Clone(at.joint), at.instance)
+	return append(slices.Clone(at.helpers), at.instance)
 }
 
 // upsert adds an endpoint, or updates it, from its catalog entry. An endpoint of a service
@@ -223,7 +223,7 @@
 	for _, e := range p.list {
 		switch {
 		case p.ineligible(w, e, v) || p.availableAt(w, e, v).After(now):
-		case slices.Contains(w.ask.Avoid, e.Instance) || !p.health[e.Instance].usable(now) || p.suspicion.doubted[e.Instance]:
+		case slices.Contains(w.placementRequest.Avoid, e.Instance) || !p.health[e.Instance].usable(now) || p.suspicion.doubted[e.Instance]:
 			failed = append(failed, e)
 		default:
 			out = append(out, e)
@@ -269,7 +269,7 @@
 	if e := p.engines[at.instance]; e != nil {
 		late = e.Observe(id, now)
 	}
-	for _, name := range at.joint {
+	for _, name := range at.helpers {
 		if e := p.engines[name]; e != nil {
 			e.FinishShare(id, now)
 		}
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -176,7 +176,7 @@
 			}
 			seen[at.instance] = t
 		}
-		t.note(s, at.entry)
+		t.add(s, at.entry)
 		if s != signalAlive {
 			entries[at.entry] = true
 		}
@@ -184,8 +184,8 @@
 	return seen, len(entries)
 }
 
-// note adds the signal of an attempt of an entry instance.
-func (t *endpointSignals) note(s signal, entry string) {
+// add adds the signal of an attempt of an entry instance.
+func (t *endpointSignals) add(s signal, entry string) {
 	switch s {
 	case signalSilent:
 		t.silent[entry] = true
@@ -204,7 +204,7 @@
 	}
 	late := now.Sub(at.placedAt) - at.predictedFirst
 	switch {
-	case late < minDoubtLateness || late < at.predictedFirst || len(at.joint) > 0:
+	case late < minDoubtLateness || late < at.predictedFirst || len(at.helpers) > 0:
 		return signalNone
 	case p.silenceExplained(id, at, late, now):
 		return signalNone
@@ -321,17 +321,17 @@
 func (s *Scheduler) migrateAll(p *poolState, service, instance string, now time.Time) int {
 	var out []migration
 	for id, at := range p.attempts {
-		if at.moved || at.entry == "" || !slices.Contains(at.endpoints(), instance) {
+		if at.migrating || at.entry == "" || !slices.Contains(at.endpoints(), instance) {
 			continue
 		}
-		at.moved = true
+		at.migrating = true
 		out = append(out, migration{
 			entry:    at.entry,
 			id:       id,
 			service:  service,
 			endpoint: instance,
 			dueIn:    at.dueIn(now),
-			joint:    len(at.joint) > 0 && !at.begun,
+			joint:    len(at.helpers) > 0 && !at.begun,
 		})
 	}
 	slices.SortFunc(out, func(a, b migration) int {
@@ -369,7 +369,7 @@
 	atOnce := make(map[*func(migration)][]migration)
 	late := 0
 	for _, m := range migrations {
-		send := s.notifyMove[m.entry]
+		send := s.notifyMigrate[m.entry]
 		switch {
 		case send == nil:
 		case m.dueIn > 0 || m.joint:
@@ -395,12 +395,12 @@
 func (s *Scheduler) onMigrations(entry string, send func(migration)) (stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notifyMove[entry] = &send
+	s.notifyMigrate[entry] = &send
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.notifyMove[entry] == &send {
-			delete(s.notifyMove, entry)
+		if s.notifyMigrate[entry] == &send {
+			delete(s.notifyMigrate, entry)
 		}
 	}
 }
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -62,7 +62,7 @@
 	g, _, ok := c.submitFor(a, entry, false).Decision()
 	is.True(ok)
 	c.now = c.now.Add(g.FirstEventIn)
-	c.First(a.ID, "engines")
+	c.FirstEvent(a.ID, "engines")
 	return g
 }
 
@@ -82,9 +82,9 @@
 		// them are silent for 250 ms.
 		entries []string
 		silent  int
-		// ask returns the request for a stream. prefilling is true if the engine has just started
+		// request returns the request for a stream. prefilling is true if the engine has just started
 		// to prefill a long prompt.
-		ask        func(int) PlacementRequest
+		request    func(int) PlacementRequest
 		prefilling bool
 		// after is not used.
 		after time.Duration
@@ -103,7 +103,7 @@
 			c := newClockPool(1)
 			l := c.recordMigrations("a", "b", "c")
 			for i, entry := range row.entries {
-				c.start(is, entry, row.ask(i))
+				c.start(is, entry, row.request(i))
 			}
 			c.now = c.now.Add(50 * time.Millisecond)
 			if row.prefilling {
--- a/pool/types.go
+++ b/pool/types.go
@@ -153,8 +153,8 @@
 type Placer interface {
 	// Place returns the endpoint to use. The error is a *Refusal or ctx.Err().
 	Place(ctx context.Context, a PlacementRequest) (Grant, error)
-	// First reports the first event of an attempt.
-	First(id, service string)
+	// FirstEvent reports the first event of an attempt.
+	FirstEvent(id, service string)
 	// End reports the end of an attempt. Culprit is the name or the address of the endpoint at
 	// fault; empty means the endpoint of the grant.
 	End(id, service string, o Outcome, culprit string)
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -185,16 +185,16 @@
 			is.NoErr(err)
 		}
 		order := make(chan string, 2)
-		ask := func(id string, rank int) {
+		submit := func(id string, rank int) {
 			a := returning(id, 1000, 3*time.Second)
 			a.Rank = rank
 			if _, err := s.Place(ctx, a); err == nil {
 				order <- id
 			}
 		}
-		go ask("lower", 2)
+		go submit("lower", 2)
 		time.Sleep(100 * time.Millisecond)
-		go ask("higher", 0)
+		go submit("higher", 0)
 		time.Sleep(100 * time.Millisecond)
 		s.End("before0", "engines", pool.Served, "")
 		is.Equal(<-order, "higher")
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -10,9 +10,9 @@
 
 // Waiter is a submitted request, from its submission to the decision.
 type Waiter struct {
-	ask     PlacementRequest
-	request placement.Request
-	arrived time.Time
+	placementRequest PlacementRequest
+	request          placement.Request
+	arrived          time.Time
 	// granted or refused receives the decision.
 	granted chan Grant
 	refused chan *Refusal
@@ -61,8 +61,8 @@
 func (s *Scheduler) newWaiter(p *poolState, a PlacementRequest, now time.Time) *Waiter {
 	v := p.worth.Value(a.kind())
 	return &Waiter{
-		ask:      a,
-		backoffs: a.backoffsUntil(now),
+		placementRequest: a,
+		backoffs:         a.backoffsUntil(now),
 		request: placement.Request{
 			ID:        a.ID,
 			Prompt:    a.Prompt,
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -250,7 +250,7 @@
 		return
 	}
 	t.firstAfter = steady.Since(t.startedAt)
-	t.relay.parts.Placer.First(t.request.ID, t.request.Service)
+	t.relay.parts.Placer.FirstEvent(t.request.ID, t.request.Service)
 	if t.job.route.Kind == route.Streaming {
 		t.relay.Metrics.first.observe(steady.Since(t.job.arrived))
 	}
--- a/relay/watch_test.go
+++ b/relay/watch_test.go
@@ -30,8 +30,8 @@
 	return pool.Grant{}, k.err
 }
 
-// First implements pool.Placer.
-func (k *refusingPlacer) First(string, string) {}
+// FirstEvent implements pool.Placer.
+func (k *refusingPlacer) FirstEvent(string, string) {}
 
 // End implements pool.Placer.
 func (k *refusingPlacer) End(string, string, pool.Outcome, string) {}
