--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -5,8 +5,8 @@
 import "github.com/linkmast/linkmast/placement"
 
 // Adopt records an attempt of this instance that another one placed, so that this scheduler can
-// take over as owner. Begun is true if the attempt's first event has come. It changes nothing if
-// the attempt is known.
+// take over as owner. Begun is set if the attempt's first event has come. It changes nothing if the
+// attempt is known.
 func (s *Scheduler) Adopt(a PlacementRequest, g Grant, begun bool) {
 	s.adoptFor(a, g, s.settings.Self, begun)
 }
--- a/pool/budget.go
+++ b/pool/budget.go
@@ -30,7 +30,7 @@
 	}
 	// bucket is the number of the latest bucket, counted from startedAt.
 	bucket int64
-	// startedAt is when the first send was counted.
+	// startedAt is when the counter was first used.
 	startedAt time.Time
 }
 
@@ -57,7 +57,7 @@
 	s.buckets[s.roll(now)].first++
 }
 
-// allowRetry states whether the budget allows another retry, and counts it if so.
+// allowRetry reports whether the budget allows another retry, and counts it if so.
 func (s *retryCounter) allowRetry(now time.Time) bool {
 	i := s.roll(now)
 	first, again := 0, 0
--- a/pool/check.go
+++ b/pool/check.go
@@ -72,7 +72,7 @@
 }
 
 // checkAll records that an endpoint has stopped, and starts a check of all usable endpoints of the
-// pool if several have stopped at about the same time. The caller holds s.mu.
+// pool if several have stopped at about the same time. The caller must hold s.mu.
 func (s *Scheduler) checkAll(p *poolState, service, stopped string, now time.Time) {
 	if s.settings.Check == nil || !p.checks.recordStopped(stopped, now) {
 		return
@@ -95,13 +95,13 @@
 }
 
 // acceptsRequests reports whether an endpoint may get requests at all: it is not leaving, and its
-// failure domain is not drained as far as this instance knows. Other endpoints are not checked
-// either.
+// failure domain is not drained as far as this instance knows. No other endpoints are checked.
 func (p *poolState) acceptsRequests(e *placement.Engine) bool {
 	return !p.isLeaving(e, p.notices.View()) && !p.drained.excludes(&PlacementRequest{}, e)
 }
 
-// check connects to endpoints, given as addresses by name, and excludes those that fail.
+// check connects to endpoints, given as addresses by name, and excludes those that fail. If too
+// many time out, it excludes only those that refuse the connection.
 func (s *Scheduler) check(service string, addresses map[string]string) {
 	failed := s.runChecks(addresses)
 	timedOut := 0
@@ -123,7 +123,7 @@
 
 // verify connects to an endpoint on which several instances have silent attempts, and excludes it
 // if it does not answer. If it accepts the connection, it is only busy, for example with long
-// passes, and keeps its streams. The caller holds s.mu.
+// passes, and keeps its streams. The caller must hold s.mu.
 func (s *Scheduler) verify(p *poolState, service string, e *placement.Engine, silent int, now time.Time) {
 	h := p.health[e.Instance]
 	switch {
@@ -201,7 +201,8 @@
 	s.log.Info("endpoint does not answer", "service", service, "endpoint", instance, "cause", cause.Error(), "moved", n)
 }
 
-// usable reports whether the endpoint may get a request: it is neither excluded nor ejected.
+// usable reports whether the endpoint may get a request: it is neither excluded nor ejected for all
+// instances.
 func (h *endpointHealth) usable(now time.Time) bool {
 	if !h.absentSince.IsZero() && now.Sub(h.absentSince) < maxAbsence {
 		return false
@@ -218,7 +219,8 @@
 }
 
 // exclude takes an endpoint that has stopped out of use until it answers a check, for at most
-// maxAbsence. Where endpoints are not checked, it is ejected as unreachable. The caller holds s.mu.
+// maxAbsence. Where endpoints are not checked, it is ejected as unreachable. The caller must hold
+// s.mu.
 func (s *Scheduler) exclude(p *poolState, service, instance string, now time.Time) {
 	h := p.health[instance]
 	if s.settings.Check == nil {
--- a/pool/client.go
+++ b/pool/client.go
@@ -118,8 +118,8 @@
 	c.relink()
 }
 
-// Place implements Placer. It asks the owners, and places the request on local if this instance is
-// the owner or none answers.
+// Place implements Placer. It sends the request to the owners, and places it through the local
+// scheduler if this instance is the owner or no owner answers.
 func (c *Client) Place(ctx context.Context, a PlacementRequest) (Grant, error) {
 	a.Avoid = c.local.UnusableEndpoints(a.Service)
 	leaving, drained := c.excludedTargets()
@@ -149,17 +149,18 @@
 // errDecideLocally means that this instance has to place the request itself.
 var errDecideLocally = errors.New("no other owner of the pool")
 
-// maxPlacementRounds bounds how often the owners are asked for one placement. Links to standbys are
+// maxPlacementRounds bounds how often one request is sent to the owners. Links to standbys are
 // closed when the owner is back, and requests that were waiting there are then sent to the owner.
 const maxPlacementRounds = 3
 
 // placeAtOwners sends a placement request to the owners of a pool in order. The error is
 // errDecideLocally if this instance has to place the request, and errLost if the session to an
-// owner ended while the request waited there. Fallback is true if another instance may act as the
-// owner at the same time, because no owner before this instance was reachable from here.
+// owner ended while the request waited there. Fallback is set if this instance has to place the
+// request although another one may act as the owner at the same time: none of the owners before it
+// is reachable from here.
 func (c *Client) placeAtOwners(ctx context.Context, a *PlacementRequest) (g Grant, fallback bool, err error) {
 	owners := c.owners(a.Service)
-	// Pools without an owner are placed by each instance on its own, which is no fallback.
+	// In a pool without an owner, each instance places its own requests, which is no fallback.
 	fallback = len(owners) > 0
 	lost := false
 	for i, l := range owners {
@@ -187,8 +188,9 @@
 	return Grant{}, fallback, errDecideLocally
 }
 
-// excludedTargets returns the endpoints that leave and the failure domains that are drained, as far
-// as this instance knows. The owner may know less, if it is cut off from the store.
+// excludedTargets returns the endpoints that are leaving or were removed recently, and the drained
+// failure domains, as far as this instance knows. The owner may know less, if it is cut off from
+// the store.
 func (c *Client) excludedTargets() (leaving, drained []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pool/client_crashes.go
+++ b/pool/client_crashes.go
@@ -26,7 +26,7 @@
 
 // pickCommon returns the service whose owners count the crashes of all services and send the
 // verdicts to all instances: the first one by name that has engines. Every instance has sessions
-// with these owners anyway. The caller holds c.mu.
+// with these owners anyway. The caller must hold c.mu.
 func (c *Client) pickCommon(snap *catalog.Snapshot) string {
 	if len(c.ownerOrder) == 0 {
 		c.ownerOrder[noEnginesPool] = c.rankOwners(noEnginesPool, snap)
@@ -96,7 +96,7 @@
 }
 
 // crashMessages returns the messages that bring an owner up to date: the recent crashes that this
-// instance saw, since a new owner counts from zero, and the bans. The caller holds c.mu.
+// instance saw, since a new owner counts from zero, and the bans. The caller must hold c.mu.
 func (c *Client) crashMessages() []*poolpb.FromEntry {
 	now := c.local.settings.Now()
 	var out []*poolpb.FromEntry
--- a/pool/client_limited.go
+++ b/pool/client_limited.go
@@ -6,7 +6,7 @@
 
 // assignOwners gives an owner to each pool without engines in which an endpoint announces a rate
 // limit, because the limit applies to all instances together, and removes the owner from the other
-// pools without engines. The caller holds c.mu.
+// pools without engines. The caller must hold c.mu.
 func (c *Client) assignOwners() {
 	limited := c.limitedServices(c.local.settings.Notices.View())
 	for name := range c.plainOwned {
@@ -39,10 +39,10 @@
 	return out
 }
 
-// dropOwners removes the owner of a pool, so that each instance places its own requests there. Its
-// owners are told that the attempts of this instance have ended, since the real ends won't be
-// reported to them. Where the session ends at the same time, the owner drops the attempts for that
-// reason. The caller holds c.mu.
+// dropOwners removes the owner of a pool, so that each instance places its own requests there. It
+// reports the attempts of this instance as ended to the owners, which won't receive their real
+// ends. If a session ends before that report is sent, its owner drops the attempts because of that.
+// The caller must hold c.mu.
 func (c *Client) dropOwners(name string) {
 	owners := c.linksOf(name)
 	for id, r := range c.attempts {
@@ -62,7 +62,7 @@
 }
 
 // announceAttempts reports the running attempts to the owners of pools that have just got one.
-// Sessions that are opened later start with such a report. The caller holds c.mu.
+// Sessions that are opened later start with such a report. The caller must hold c.mu.
 func (c *Client) announceAttempts() {
 	for _, name := range c.unannounced {
 		owners := c.linksOf(name)
--- a/pool/client_links.go
+++ b/pool/client_links.go
@@ -48,8 +48,8 @@
 }
 
 // relink opens and closes links so that each pool has enough reachable owners, in its order of
-// owners. Unreachable instances earlier in the order keep their links, which go on dialling. The
-// caller holds c.mu.
+// owners. Unreachable instances earlier in the order keep their links, which keep dialling. The
+// caller must hold c.mu.
 func (c *Client) relink() {
 	if c.ctx == nil || c.snapshot == nil {
 		return
@@ -73,8 +73,8 @@
 	c.announceAttempts()
 }
 
-// chooseOwners returns the first part of a pool's order, which is to be followed, and adds the
-// other instances in it to addresses.
+// chooseOwners returns the first part of a pool's order of owners, which this instance follows, and
+// adds the addresses of the other instances in it to addresses.
 func (c *Client) chooseOwners(ids []string, addresses map[string]string) []string {
 	usable, trying := 0, 0
 	for i, id := range ids {
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -45,7 +45,7 @@
 	byOwner decider = iota
 	// byFallback is an instance that reaches no owner of the pool.
 	byFallback
-	// byInstance is any instance, in a pool without an owner.
+	// byInstance is any instance, in a plain pool.
 	byInstance
 )
 
@@ -104,7 +104,7 @@
 	}
 }
 
-// sameInstances states whether the peers are the instances known so far.
+// sameInstances reports whether the peers are the instances known so far.
 func (c *coldLedger) sameInstances(peers map[string]catalog.Peer) bool {
 	if len(peers) != len(c.instances) {
 		return false
@@ -115,7 +115,7 @@
 	})
 }
 
-// enabled states whether there is a limit for the service's cold endpoints.
+// enabled reports whether there is a limit for the service's cold endpoints.
 func (c *coldLedger) enabled() bool {
 	return c.perSecond > 0 && c.limit.Overage > 0
 }
@@ -205,13 +205,13 @@
 	return at
 }
 
-// full states whether a decider must not place a request on an endpoint now.
+// full reports whether a decider must not place a request on an endpoint now.
 func (c *coldLedger) full(instance string, by decider, now time.Time) bool {
 	return c.availableAt(instance, by, now).After(now)
 }
 
-// soonest returns when a decider may place a request on the first of some endpoints; zero if
-// there are none.
+// soonest returns the earliest time at which a decider may place a request on one of the endpoints;
+// zero if there are none.
 func (c *coldLedger) soonest(list []*placement.Engine, by decider, now time.Time) time.Time {
 	var first time.Time
 	for _, e := range list {
@@ -223,10 +223,10 @@
 	return first
 }
 
-// quota returns how many requests a decider may place on a cold endpoint within a window. An
-// owner may place at least one, or nobody would notice when the endpoint works. A part of the
-// limit that instances share is divided into whole numbers. Which instances may place one
-// request more than others differs between endpoints.
+// quota returns how many requests a decider may place on a cold endpoint within a window. An owner
+// may place at least one, as only an answer shows that the endpoint works. A part of the limit that
+// instances share is divided into whole numbers. Which instances may place one request more than
+// others differs between endpoints.
 func (c *coldLedger) quota(instance string, e *coldEndpoint, by decider) int {
 	bound := c.perSecond*c.limit.Overage + c.limit.Slack
 	switch by {
@@ -264,8 +264,8 @@
 	return n
 }
 
-// markFull sets Full for the engines that must not get a request now. They may still help with
-// the prefill of others' requests.
+// markFull sets Full for the engines that must not get a request now, and clears it for the others.
+// Full engines may still help with the prefill of other engines' requests.
 func (c *coldLedger) markFull(list []*placement.Engine, by decider, now time.Time) {
 	for _, e := range list {
 		e.Full = c.full(e.Instance, by, now)
--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestColdLimitOfAllInstances checks the limit while two owners, of which the second adopts the
-// attempts of the first, and instances that reach no owner place as many requests as they may.
+// TestColdLimitOfAllInstances checks the limit while two owners and all instances that reach no
+// owner place as many requests as they may. The second owner adopts the attempts of the first.
 func TestColdLimitOfAllInstances(t *testing.T) {
 	is := is.New(t)
 	w := newColdHarness(t, 40, 3, defaultLimit())
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -12,23 +12,25 @@
 
 // Parameters of placement decisions.
 const (
-	// toleratedHarm is the loss of other requests, in units of worth, up to which a plan is
-	// neither deferred nor has to cover that loss.
+	// toleratedHarm is the largest loss of other requests, in units of worth, for which a plan is
+	// neither deferred nor weighed against the worth that its own request keeps.
 	toleratedHarm = 0.25
-	// harmFactor is how much worth a request must keep for each unit of worth that other
-	// requests lose by its plan.
+	// harmFactor is how much worth a request must keep by its plan for each unit of worth that
+	// other requests lose by it.
 	harmFactor = 1.7
-	// deferFirstShare is the part of the time left until the target that the predicted first
-	// event may take for a request to be deferred.
+	// A request that harms others is deferred only if its predicted time to the first event is
+	// below deferFirstShare of the time left until its target.
 	deferFirstShare = 0.7
-	// deferPrefillShare is the part of the time left until the target that the prefill may take
-	// for a late request to be deferred. The rest is left for engines to become free.
+	// A request that its plan makes late is deferred only if its prefill on idle engines takes less
+	// than deferPrefillShare of the time left until its target. The rest is left for engines to
+	// become free.
 	deferPrefillShare = 0.7
 )
 
-// tryPlace places a request by its best plan. It returns false if there is no plan, if the
-// first event would come too late for the caller, if the plan costs other requests too much, or
-// if the request should wait for a better moment. The caller must hold s.mu.
+// tryPlace places a request by its best plan. It returns false if there is no plan, if the caller
+// would give up before the first event, if too few slots are free, if the request should wait for a
+// better moment or a reconnect burst, or if it is not worth what the plan costs. The caller must
+// hold s.mu.
 func (s *Scheduler) tryPlace(p *poolState, w *Waiter, now time.Time) (Grant, bool) {
 	list := p.usable(w, now)
 	if len(list) == 0 {
@@ -59,7 +61,7 @@
 	return Grant{}, false
 }
 
-// rotated returns the engines in an order whose start depends on the instance. Plans fill
+// rotated returns the engines, rotated by an offset that depends on this instance. Plans fill
 // engines from the front of the list, so that instances which place independently of each other
 // would otherwise overload the same engines.
 func (s *Scheduler) rotated(list []*placement.Engine) []*placement.Engine {
@@ -67,7 +69,7 @@
 	return slices.Concat(list[at:], list[:at])
 }
 
-// shouldDefer states whether a request should wait for a better moment: its plan would make it
+// shouldDefer reports whether a request should wait for a better moment: its plan would make it
 // late although it could still be in time on free engines, or the plan harms other requests and
 // there is time left. Short requests are never deferred, as no better moment comes in time for
 // them.
@@ -82,15 +84,15 @@
 	return plan.OthersLoss > toleratedHarm && plan.TimeToFirstEvent < time.Duration(deferFirstShare*float64(left))
 }
 
-// lateFromStart states whether the request was late on arrival, as its caller has come back or
-// its first endpoint failed.
+// lateOnArrival reports whether the request was late on arrival, as its caller has come back or its
+// first endpoint failed.
 func (w *Waiter) lateOnArrival() bool {
 	return !w.request.TargetAt.After(w.arrived)
 }
 
-// coversCost states whether the worth that a request keeps under its plan covers the price of
-// the engine time that it takes and the loss of other requests. Requests that yield don't pay
-// the price.
+// coversCost reports whether the worth that a request keeps under its plan covers the price of the
+// engine time that it takes and the loss of other requests. Requests that yield are exempt from the
+// price.
 func (p *poolState) coversCost(w *Waiter, plan *placement.Plan, now time.Time) bool {
 	keeps := w.request.Worth - plan.OwnLoss
 	if !w.yields() && keeps < p.priceNow(now)*p.engineTime(w).Seconds() {
@@ -102,11 +104,11 @@
 	return keeps > harmFactor*plan.OthersLoss
 }
 
-// yields states whether a short request was late on arrival and has not been sent to an
-// endpoint before, as its caller has come back after a refusal. Such a request is placed only
-// while fewer than usedSlotsLimit of the slots are in use, whatever the price. It guards
-// against the backlog of an outage taking the slots from new requests. A request whose endpoint
-// failed doesn't yield, since work was spent on it.
+// yields reports whether a request must leave the last free slots to others: it is short, was late
+// on arrival and was not sent to an endpoint before, so its caller has probably come back after a
+// refusal. Such a request is placed only while less than usedSlotsLimit of the slots is in use, and
+// is exempt from the price. Otherwise the backlog of an outage would take the slots from new
+// requests. A request whose endpoint failed doesn't yield, since work was spent on it.
 func (w *Waiter) yields() bool {
 	return w.lateOnArrival() && !w.placementRequest.Retry && w.placementRequest.isShort()
 }
--- a/pool/drained.go
+++ b/pool/drained.go
@@ -19,14 +19,14 @@
 // memory are renewed.
 type drainedDomains map[string]time.Time
 
-// excludes states whether an endpoint must not get a request, as its failure domain is drained
+// excludes reports whether an endpoint must not get a request, as its failure domain is drained
 // according to this instance or to the entry instance. Either may be cut off from the store.
 func (d drainedDomains) excludes(a *PlacementRequest, e *placement.Engine) bool {
 	_, known := d[e.FailureDomain]
 	return known || slices.Contains(a.DrainedDomains, e.FailureDomain)
 }
 
-// excludesAny states whether excludes is true for any of the endpoints.
+// excludesAny reports whether excludes is true for any of the endpoints.
 func (d drainedDomains) excludesAny(a *PlacementRequest, list []*placement.Engine) bool {
 	return slices.ContainsFunc(list, func(e *placement.Engine) bool {
 		return d.excludes(a, e)
--- a/pool/ejection.go
+++ b/pool/ejection.go
@@ -33,14 +33,14 @@
 	// failures counts the failures in a row, and until is when the ejection ends.
 	failures int
 	until    time.Time
-	// probing states that a probe request is running on an endpoint that was ejected.
+	// probing is set while a probe request is running on an endpoint that was ejected.
 	probing bool
 }
 
 // endpointHealth is the health of one endpoint.
 type endpointHealth struct {
-	// own is the record of this instance's own requests. It applies only to them, as the link
-	// of this instance may be at fault.
+	// own is the record of this instance's own requests. It applies only to them, as the fault may
+	// lie in this instance's network.
 	own ejectionRecord
 	// shared is the record that applies to all requests. Failures count only if two instances
 	// report them.
@@ -50,10 +50,10 @@
 	// reporter is the instance that reported the last failure, and reportedAt when it did.
 	reporter   string
 	reportedAt time.Time
-	// absentSince is when a check found that the endpoint is not there; zero once it answers.
+	// absentSince is when the endpoint was excluded because it had stopped; zero once it answers.
 	absentSince time.Time
-	// verifiedAt is when the endpoint was last checked because instances agreed that it is
-	// silent, and answeredAt when it last answered such a check.
+	// verifiedAt is when the endpoint was last checked because several instances had silent
+	// attempts on it, and answeredAt when it last answered such a check.
 	verifiedAt time.Time
 	answeredAt time.Time
 	// preference decides between plain endpoints of equal load; the highest is preferred.
@@ -67,8 +67,9 @@
 // rateWeight is the weight of the latest outcome in the failure rate.
 const rateWeight = 0.1
 
-// record updates the health by an outcome that an instance reported. own states that this instance did. It
-// returns true if the outcome ejects the endpoint for all instances.
+// record updates the health by an outcome that an instance reported. Own is set if that was this
+// instance. It reports whether the outcome ejects the endpoint for all instances, except for the
+// short ejection after a rejection.
 func (h *endpointHealth) record(o Outcome, reporter string, own bool, now time.Time) bool {
 	if o == Abandoned {
 		h.own.probing, h.shared.probing = false, false
@@ -90,9 +91,9 @@
 	return h.shared.record(o, now)
 }
 
-// agreed states whether an outcome counts for all instances. Answers, rejections and misplaced
-// attempts do, as the endpoint itself showed them. Failures do if another instance reported one
-// within agreementWindow before.
+// agreed reports whether an outcome counts for all instances. Answers, rejections and misplaced
+// attempts do, as the endpoint itself showed them. Failures do if another instance reported the
+// previous one, less than agreementWindow ago.
 func (h *endpointHealth) agreed(o Outcome, reporter string, now time.Time) bool {
 	if o == Served || o == Rejected || o == Misplaced {
 		return true
@@ -102,8 +103,8 @@
 	return other
 }
 
-// markAlive clears the failures after a sign of life. own states that it came from a request of
-// this instance.
+// markAlive clears the failures after a sign of life. Own is set if it came from a request of this
+// instance.
 func (h *endpointHealth) markAlive(own bool) {
 	h.shared = ejectionRecord{}
 	h.absentSince = time.Time{}
@@ -113,8 +114,8 @@
 	}
 }
 
-// record updates the record by an outcome. It returns true if the outcome ejects the endpoint, except for the
-// short ejection after a rejection.
+// record updates the record by an outcome. It reports whether the outcome ejects the endpoint,
+// except for the short ejection after a rejection.
 func (r *ejectionRecord) record(o Outcome, now time.Time) bool {
 	r.probing = false
 	switch o {
@@ -149,8 +150,8 @@
 	return a
 }
 
-// usable states whether the endpoint may get a request: its ejection is over, and no probe
-// request is running.
+// usable reports whether the endpoint may get a request: its ejection is over, and no probe request
+// is running.
 func (r *ejectionRecord) usable(now time.Time) bool {
 	if now.Before(r.until) {
 		return false
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -8,7 +8,8 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// grant records the placement of a request by a plan and returns it. The caller holds s.mu.
+// grant records and logs the placement of a request by a plan, and returns the grant. The caller
+// must hold s.mu.
 func (s *Scheduler) grant(p *poolState, w *Waiter, plan *placement.Plan, now time.Time) Grant {
 	startedAt := p.health[plan.Engine.Instance].startedAt
 	at := &attempt{
--- a/pool/incarnation.go
+++ b/pool/incarnation.go
@@ -55,8 +55,8 @@
 	return n
 }
 
-// isStale states whether a grant is for an earlier incarnation of its endpoint. A grant without
-// a start time counts as one for the present incarnation.
+// isStale reports whether a grant is for an earlier incarnation of its endpoint. A grant without a
+// start time counts as one for the present incarnation.
 func (p *poolState) isStale(g *Grant) bool {
 	h := p.health[g.Instance]
 	return h != nil && !g.StartedAt.IsZero() && g.StartedAt.Before(h.startedAt)
--- a/pool/incarnation_test.go
+++ b/pool/incarnation_test.go
@@ -81,7 +81,7 @@
 	wait := w.s.Submit(w.request(id, service, prompt))
 	g, _, ok := wait.Decision()
 	if !ok || g.Instance == "" {
-		w.t.Fatalf("%s got no place", id)
+		w.t.Fatalf("%s was not placed", id)
 	}
 	return g
 }
@@ -103,7 +103,7 @@
 	return len(w.s.pools[service].engines[name].Jobs)
 }
 
-// isEjected states whether an endpoint is ejected.
+// isEjected reports whether an endpoint is ejected.
 func (w *incarnationHarness) isEjected(name, service string) bool {
 	h := w.s.pools[service].health[name]
 	return !h.shared.usable(w.now) || !h.own.usable(w.now)
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -19,13 +19,13 @@
 	mu sync.Mutex
 	// given holds the times of the placements by endpoint, and by counts them by the instance
 	// that decided.
-	given map[string][]time.Time
-	by    map[string]int
-	asks  sync.WaitGroup
+	given    map[string][]time.Time
+	by       map[string]int
+	requests sync.WaitGroup
 }
 
-// run sends a request every 5 ms for the given time, from the instances in turn. Each holds its
-// place for 20 ms.
+// run sends a request every 5 ms for the given time, from the instances in turn. Each request that
+// is placed runs for 20 ms.
 func (l *plainLoad) run(t *testing.T, name string, nodes []*node, duration time.Duration) {
 	t.Helper()
 	l.mu.Lock()
@@ -35,7 +35,7 @@
 	defer tick.Stop()
 	for i := range int(duration / (5 * time.Millisecond)) {
 		<-tick.C
-		l.asks.Go(func() { l.one(t, nodes[i%len(nodes)], fmt.Sprint(name, i)) })
+		l.requests.Go(func() { l.one(t, nodes[i%len(nodes)], fmt.Sprint(name, i)) })
 	}
 }
 
@@ -65,7 +65,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	got, mean := float64(len(l.given[endpoint])), rate*duration.Seconds()
-	t.Logf("%s: %.0f places in %v at %g a second, by %v", endpoint, got, duration, rate, l.by)
+	t.Logf("%s: %.0f placements in %v at %g a second, by %v", endpoint, got, duration, rate, l.by)
 	is.New(t).True(got <= 1.5*mean)
 	is.New(t).True(got >= 0.5*mean)
 }
@@ -79,7 +79,7 @@
 	f.owner("")
 	load := &plainLoad{}
 	load.run(t, "before", f.nodes, 200*time.Millisecond)
-	load.asks.Wait()
+	load.requests.Wait()
 	is.New(t).Equal(len(load.by), 5)
 
 	f.nodes[0].recordAnswer("p0", limit(rate))
@@ -87,7 +87,7 @@
 	assertLimit(t, f.nodes, "p1", rate)
 	time.Sleep(rateSettles)
 	load.run(t, "during", f.nodes, 2*time.Second)
-	load.asks.Wait()
+	load.requests.Wait()
 	for _, endpoint := range []string{"p0", "p1"} {
 		load.assertRate(t, endpoint, rate, 2*time.Second)
 	}
@@ -104,7 +104,7 @@
 		stop := time.AfterFunc(time.Second, func() { close(owner.closing) })
 		defer stop.Stop()
 		load.run(t, "stop", left, 3*time.Second)
-		load.asks.Wait()
+		load.requests.Wait()
 		load.assertRate(t, "p0", rate, 3*time.Second)
 		is.New(t).Equal(len(load.by), 2)
 	})
@@ -115,7 +115,7 @@
 		assertLimit(t, f.nodes, "p1", -1)
 		settle()
 		load.run(t, "after", f.nodes, 200*time.Millisecond)
-		load.asks.Wait()
+		load.requests.Wait()
 		is.New(t).Equal(len(load.by), 5)
 	})
 }
--- a/pool/link.go
+++ b/pool/link.go
@@ -116,7 +116,7 @@
 	return !l.open && time.Since(l.tryingSince) < dialGrace
 }
 
-// enqueue sends a message, or drops it if there is no session.
+// enqueue queues a message for the owner, or drops it if there is no session.
 func (l *link) enqueue(m *poolpb.FromEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +124,8 @@
 }
 
 // enqueueLocked is enqueue for a caller that holds l.mu. Messages that are queued while the session
-// opens follow its greeting. It reports whether the message was queued.
+// opens follow its greeting. It reports whether the message was queued; a full queue ends the
+// session.
 func (l *link) enqueueLocked(m *poolpb.FromEntry) bool {
 	if l.queue == nil {
 		return false
--- a/pool/link_redial.go
+++ b/pool/link_redial.go
@@ -18,12 +18,13 @@
 
 // redialsAtOnce reports whether a session that ended with err is to be reopened without a pause:
 // the owner or the network must have ended it, not a timeout at this end, and it must have been
-// open for longer than redialPause, so that redials don't form a busy loop. The caller holds l.mu.
+// open for longer than redialPause, so that redials don't form a busy loop. The caller must hold
+// l.mu.
 func (l *link) redialsAtOnce(err error) bool {
 	return status.Code(err) == codes.Unavailable && time.Since(l.openedAt) > redialPause
 }
 
-// endRedialWait wakes the requests that wait in awaitRedial. The caller holds l.mu.
+// endRedialWait wakes the requests that wait in awaitRedial. The caller must hold l.mu.
 func (l *link) endRedialWait() {
 	if l.redialing != nil {
 		close(l.redialing)
--- a/pool/link_session.go
+++ b/pool/link_session.go
@@ -197,7 +197,8 @@
 	}
 }
 
-// deliver passes a reply to the placement request that waits for it, if any. The caller holds l.mu.
+// deliver passes a reply to the placement request that waits for it, if any. The caller must hold
+// l.mu.
 func (l *link) deliver(id string, r placementReply) {
 	if c, ok := l.pending[id]; ok {
 		delete(l.pending, id)
--- a/pool/overload_test.go
+++ b/pool/overload_test.go
@@ -104,7 +104,7 @@
 	return m
 }
 
-// run starts a request after each pause until the end, and waits for all requests.
+// run starts requests, separated by the given pauses, until the end, and waits for all of them.
 func (m *emulation) run(ctx context.Context, pause func(at time.Duration) time.Duration, end time.Duration) {
 	var all sync.WaitGroup
 	for i := 0; time.Since(m.began) < end; i++ {
@@ -114,7 +114,8 @@
 	all.Wait()
 }
 
-// caller sends a request, and sends it once more if it is refused.
+// caller sends a request, and sends it once more if it is refused or if the first try falls into
+// the outage.
 func (m *emulation) caller(ctx context.Context, i int) {
 	began := time.Now()
 	second := int(time.Since(m.began) / time.Second)
@@ -144,8 +145,8 @@
 	}
 }
 
-// outageAfter returns the time after which the i-th caller comes back that is refused in the
-// outage, from a sixth to a third of ten seconds.
+// outageAfter returns how long the i-th caller waits after a try during the outage: between 1667
+// and 3332 ms.
 func outageAfter(i int) time.Duration {
 	const least, spread, step = 1667, 1666, 389
 	return time.Duration(least+i*step%spread) * time.Millisecond
@@ -203,13 +204,13 @@
 	}
 	first := time.Now()
 	m.s.FirstEvent(a.ID, a.Service)
-	m.write(e, a.Output)
+	m.decode(e, a.Output)
 	m.s.End(a.ID, a.Service, pool.Served, "")
 	return first, nil
 }
 
-// write waits until an engine has decoded an answer.
-func (m *emulation) write(e *placement.Engine, tokens int) {
+// decode waits until an engine has decoded an answer.
+func (m *emulation) decode(e *placement.Engine, tokens int) {
 	for left := float64(tokens); left > 0; {
 		time.Sleep(emulatedTick)
 		m.mu.Lock()
--- a/pool/plain.go
+++ b/pool/plain.go
@@ -11,8 +11,9 @@
 )
 
 // tryPlain places a request on the plain endpoint with the least load. Among endpoints of equal
-// load each instance has an order of preference of its own: idle instances spread over the
-// endpoints, and each returns to the endpoint to which it has a connection.
+// load, each instance has its own order of preference, so that idle instances spread over the
+// endpoints, and each returns to the endpoint to which it has a connection. The caller must hold
+// s.mu.
 func (s *Scheduler) tryPlain(p *poolState, w *Waiter, list []*placement.Engine, now time.Time) (Grant, bool) {
 	list = p.cold.withinLimit(list, byInstance, now)
 	if len(list) == 0 {
@@ -39,9 +40,9 @@
 // failureWeight is the load that a failure rate of 1 adds to an endpoint.
 const failureWeight = 4
 
-// load returns the load that a request finds on a plain endpoint: the number of requests for
-// each slot, plus a penalty for recent failures. On a slow endpoint each request, also the new
-// one, counts as many times as slowdowns has it.
+// load returns the load that a request finds on a plain endpoint: the number of requests for each
+// slot, plus a penalty for recent failures. For an endpoint in slowdowns, the number of requests,
+// including the new one, is multiplied by its slowdown.
 func (p *poolState) load(e *placement.Engine, slowdowns map[string]float64) float64 {
 	busy := float64(len(e.Jobs))
 	if slowdown, slow := slowdowns[e.Instance]; slow {
--- a/pool/plain_latency.go
+++ b/pool/plain_latency.go
@@ -16,7 +16,7 @@
 	// endpoint counts as slow. Lower ratios may be due to different kinds of requests.
 	plainSlowThreshold = 2
 	// maxPlainSlowdown bounds that ratio, so that an idle slow endpoint gets a request when the
-	// others have about that many.
+	// others have about that many requests.
 	maxPlainSlowdown = 8
 	// minPlainEndpoints is how many endpoints must have a recent latency for a comparison.
 	minPlainEndpoints = 2
@@ -70,7 +70,7 @@
 	return out
 }
 
-// isFresh states whether the latency has been updated within plainLatencyLifetime.
+// isFresh reports whether the latency has been updated within plainLatencyLifetime.
 func (r *plainLatency) isFresh(now time.Time) bool {
 	return r.mean > 0 && now.Sub(r.at) <= plainLatencyLifetime
 }
--- a/pool/plain_latency_test.go
+++ b/pool/plain_latency_test.go
@@ -54,7 +54,7 @@
 	for _, row := range []struct {
 		name     string
 		slowdown float64
-		// avoided states that the slow endpoint is avoided.
+		// avoided is set if the slow endpoint is avoided.
 		avoided bool
 	}{
 		{"as quick as others", 1, false},
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -368,9 +368,9 @@
 		if n == owner {
 			continue
 		}
-		told := *f.snap
-		told.Departed = map[string]time.Time{"e0": time.Now()}
-		n.client.Update(&told)
+		known := *f.snap
+		known.Departed = map[string]time.Time{"e0": time.Now()}
+		n.client.Update(&known)
 		for i := range 12 {
 			g := n.place(t, request(fmt.Sprintf("%s-%d", n.self.ID, i)))
 			is.True(g.Instance != "e0")
--- a/pool/price.go
+++ b/pool/price.go
@@ -11,9 +11,9 @@
 const (
 	// priceDecay is the time constant with which past decisions lose their weight.
 	priceDecay = 2 * time.Second
-	// priceShare is the price as a part of the worth that displaced requests lost for each
-	// second of engine time. A late answer usually keeps less worth than the price, and an
-	// answer in time more.
+	// priceShare is the full price as a part of the worth that displaced requests lost for each
+	// second of engine time. A late answer usually keeps less worth than the price, and an answer
+	// in time more.
 	priceShare = 0.3
 	// priceFullShare is the part of the requested engine time that must have been displaced for
 	// the full price. With less, the price is lower in proportion.
@@ -28,8 +28,8 @@
 // The price is zero if no request was displaced. poolState.priceNow scales it by the
 // utilization of the engines, so that idle engines are free to use.
 //
-// It guards against a collapse under overload by short prompts, in which callers that have come
-// back fill the slots with late answers. The zero value is ready for use.
+// It guards against a collapse under an overload of short prompts, in which late answers to
+// returning callers fill the slots. The zero value is ready for use.
 type price struct {
 	// lost is the worth that displaced requests lost, in units of worth.
 	lost float64
@@ -41,8 +41,8 @@
 	at time.Time
 }
 
-// record adds the decision on a request: the engine time that it takes, and the worth that it
-// loses by being displaced, which is zero if it is served in time.
+// record adds the decision on a request: work is the engine time that it takes, and lost the worth
+// that it loses by being displaced, which is zero if it is served in time.
 func (p *price) record(work time.Duration, lost float64, now time.Time) {
 	p.decay(now)
 	p.asked += work.Seconds()
@@ -63,7 +63,7 @@
 	return priceShare * p.lost / p.displaced * full
 }
 
-// fade decays the sums by the time since they last decayed.
+// decay decays the sums by the time since they last decayed.
 func (p *price) decay(now time.Time) {
 	if !p.at.IsZero() {
 		kept := math.Exp(-now.Sub(p.at).Seconds() / priceDecay.Seconds())
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Review reviews the queued requests of all pools, as Run does periodically. It returns whether
-// any remain queued.
+// Review reviews the queued requests of all pools, as Run does periodically. It reports whether any
+// requests remain queued.
 func (s *Scheduler) Review() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,9 +54,9 @@
 	p.queue = kept
 }
 
-// urgency returns the sort key of queued requests; the lowest goes first. It is the time in
-// seconds until the request is late, plus a penalty for the rank of its customer. Requests that
-// are late already come after all others.
+// urgency returns the sort key of queued requests; the lowest goes first. It is the time in seconds
+// until the request is late, plus a penalty for its rank. Requests that are late already come after
+// all others.
 func (w *Waiter) urgency(now time.Time) float64 {
 	left := w.request.TargetAt.Sub(now)
 	if left <= 0 {
--- a/pool/rate_limit.go
+++ b/pool/rate_limit.go
@@ -14,12 +14,11 @@
 const (
 	// rateWindow is the time over which the mean rate is kept below the limit.
 	rateWindow = 4 * time.Second
-	// minGapShare is the least time between two requests, as a part of the mean time that the
-	// limit allows. It prevents bursts, but lets requests that come unevenly use most of the
-	// limit.
+	// minGapShare is the least time between two requests, as a part of the mean time that the limit
+	// allows. It prevents bursts, but lets requests that arrive unevenly use most of the limit.
 	minGapShare = 0.8
-	// minRate is the rate, in requests a second, that an endpoint gets however low its limit
-	// is, as only an answer shows that the limit has ended.
+	// minRate is the rate, in requests a second, that an endpoint is sent even if its limit is
+	// lower, as only an answer shows that the limit has ended.
 	minRate = 0.1
 )
 
@@ -83,7 +82,7 @@
 // itself.
 const fallbackTimeout = 10 * time.Second
 
-// rateLimit returns the rate limit that the current incarnation of an endpoint names, if any.
+// rateLimit returns the rate limit that the current incarnation of an endpoint announces, if any.
 func (p *poolState) rateLimit(e *placement.Engine, v *notice.View) (notice.Limit, bool) {
 	if !v.AnyLimited() {
 		return notice.Limit{}, false
@@ -91,9 +90,9 @@
 	return v.Limit(e.Instance, p.health[e.Instance].startedAt)
 }
 
-// nextWithinLimit returns when an endpoint with a rate limit may get a request. A time in the
-// past or zero means at once. fallback states that no owner is reachable, so that the instance
-// has only its share of the limit.
+// nextWithinLimit returns when an endpoint with a rate limit may get a request. A time in the past
+// or zero means at once. Fallback is set if no owner is reachable, so that the instance has only
+// its share of the limit.
 func (p *poolState) nextWithinLimit(e *placement.Engine, l notice.Limit, fallback bool) time.Time {
 	h, rate := p.health[e.Instance], p.rateLimits.share(l, fallback)
 	if !fallback {
@@ -112,9 +111,9 @@
 	return rate
 }
 
-// recordFallback records a decision that this instance makes because it reaches no owner, if
-// fallback is set. Many instances lose the owner at the same moment, so a random phase spreads
-// their first requests.
+// If fallback is set, recordFallback records that this instance decides because it reaches no
+// owner. Many instances lose the owner at the same moment, so a random phase spreads their first
+// requests.
 func (s *Scheduler) recordFallback(p *poolState, fallback bool, now time.Time) {
 	if !fallback {
 		return
@@ -126,7 +125,7 @@
 	p.rateLimits.lastFallback = now
 }
 
-// countRateLimited returns how many endpoints name a rate limit.
+// countRateLimited returns how many endpoints announce a rate limit.
 func (p *poolState) countRateLimited() int {
 	v := p.notices.View()
 	n := 0
--- a/pool/rate_limit_test.go
+++ b/pool/rate_limit_test.go
@@ -18,7 +18,7 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// The bound that operators are told for endpoints with a rate limit: in any statedWindow,
+// The documented bound on the requests to an endpoint with a rate limit: in any statedWindow,
 // statedFactor times the requests that the limit allows, plus statedSlack.
 const (
 	statedWindow = 4 * time.Second
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -15,8 +15,8 @@
 	// reconnectWindow is how long the caller of an interrupted attempt is expected to
 	// reconnect. After that it counts as a new caller.
 	reconnectWindow = time.Second
-	// minBurstShare is the number of interrupted streams per engine from which on they count as
-	// a burst, and minBurst the least size of a burst: single callers leave at any time.
+	// Interrupted streams count as a burst if there are at least minBurst of them, and
+	// minBurstShare for each engine. Fewer are normal, as single callers leave at any time.
 	minBurstShare = 0.25
 	minBurst      = 4
 	// burstMinPrefill is the prefill time from which on a request may have to wait for a burst:
@@ -51,8 +51,8 @@
 	at time.Time
 	// dueAt is when the next event would be late.
 	dueAt time.Time
-	// resumes states that the caller has received events of a stream, and gap is the longest
-	// pause between events that it allows.
+	// resumes is set if the caller has received events of a stream, and gap is the longest pause
+	// between events that it allows.
 	resumes bool
 	gap     time.Duration
 	// worth is the value of an answer in time.
@@ -94,9 +94,9 @@
 	return a.Target - a.Elapsed
 }
 
-// isShort states whether a request waits for a slot rather than for prefill, as its prompt is
-// prefilled within a pass. For a resumed stream, the time left doesn't depend on the prompt, so
-// the gap that it allows decides.
+// isShort reports whether a request waits for a slot rather than for prefill, as its prompt is
+// prefilled within a pass. For a resumed stream, the time left doesn't depend on the prompt, so the
+// gap that it allows decides.
 func (a *PlacementRequest) isShort() bool {
 	if a.Resumed {
 		return a.Gap <= shortResumedGap
@@ -104,7 +104,7 @@
 	return a.Target <= shortTarget
 }
 
-// shortResumedGap is the largest gap that a short resumed stream allows.
+// shortResumedGap is the largest Gap of a resumed stream that counts as short.
 const shortResumedGap = 400 * time.Millisecond
 
 // workload returns the workload of the request.
@@ -184,13 +184,13 @@
 	r.cut[id] = list
 }
 
-// isExpected states whether the caller is still expected to reconnect.
+// isExpected reports whether the caller is still expected to reconnect.
 func (c *cutAttempt) isExpected(now time.Time) bool {
 	return now.Sub(c.at) < reconnectWindow
 }
 
-// yieldsToBurst states whether a request must wait for a reconnect burst, and logs each new
-// burst. The caller must hold s.mu.
+// yieldsToBurst reports whether a request must wait for a reconnect burst, and logs each new burst.
+// The caller must hold s.mu.
 func (s *Scheduler) yieldsToBurst(p *poolState, w *Waiter, plan *placement.Plan, engines int, now time.Time) bool {
 	r := &p.reconnects
 	before := r.bursts
@@ -202,11 +202,10 @@
 	return first
 }
 
-// burstGoesFirst states whether a request with a long prefill must wait until the streams of a
-// reconnect burst have been placed or can't be in time any more. It must if it is late anyway,
-// if it would still be in time after that, or if the part of the burst that falls on its
-// engines is worth more. Streams placed on its engines would otherwise wait for the whole
-// prefill.
+// burstGoesFirst reports whether a request with a long prefill must wait until the streams of a
+// reconnect burst have been placed or can't be in time any more. It must if it is late anyway, if
+// it would still be in time after that, or if the part of the burst that falls on its engines is
+// worth more. Streams placed on its engines would otherwise wait for the whole prefill.
 func (r *reconnects) burstGoesFirst(w *Waiter, plan *placement.Plan, engines int, now time.Time) bool {
 	if plan.PrefillTime < burstMinPrefill {
 		return false
--- a/pool/reconnect_burst_test.go
+++ b/pool/reconnect_burst_test.go
@@ -109,8 +109,9 @@
 	is.Equal(owner.scheduler.Stats()["engines"].Placed, attempts-ended)
 }
 
-// TestOwnerMigratesSilentStreams checks that the owner tells the entry instances, also itself,
-// to migrate their streams when two of them report silences of the same engine.
+// TestOwnerMigratesSilentStreams checks that the owner orders the entry instances, including
+// itself, to migrate their streams when several of them report streams of the same engine as
+// silent.
 func TestOwnerMigratesSilentStreams(t *testing.T) {
 	f := newFleet(t, 0)
 	for _, name := range []string{"e1", "e2", "e3"} {
@@ -126,13 +127,13 @@
 	for owner.scheduler.Stats()["engines"].Placed > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	moved := make(chan string, 10)
+	migrated := make(chan string, 10)
 	for i, n := range f.nodes {
 		a := request(fmt.Sprint("move-", i))
 		a.Gap = 5 * time.Second
 		n.place(t, a)
 		n.client.FirstEvent(a.ID, "engines")
-		n.client.OnMigrate(a.ID, func() { moved <- a.ID })
+		n.client.OnMigrate(a.ID, func() { migrated <- a.ID })
 	}
 	time.Sleep(400 * time.Millisecond)
 	for i, n := range f.nodes {
@@ -141,10 +142,10 @@
 	got := make(map[string]bool)
 	for len(got) < len(f.nodes) {
 		select {
-		case id := <-moved:
+		case id := <-migrated:
 			got[id] = true
 		case <-time.After(time.Second):
-			t.Fatalf("told to migrate: %v", got)
+			t.Fatalf("ordered to migrate only %v", got)
 		}
 	}
 }
--- a/pool/refused_callers.go
+++ b/pool/refused_callers.go
@@ -19,10 +19,10 @@
 	}, a.Content != 0
 }
 
-// refusedCallers remembers the callers of refused requests to recognize them when they come
-// back. The time of such a request counts from its first try, and this try is assumed to be the
-// last. Deadlines don't distinguish first tries from later ones, unless all callers start with
-// the same deadline.
+// refusedCallers remembers the callers of refused requests to recognize them when they come back.
+// The elapsed time of such a request counts from its caller's first try, and the request is assumed
+// to be the caller's last try. Deadlines don't distinguish first tries from later ones, unless all
+// callers start with the same deadline.
 //
 // Each instance remembers the refusals that it decided. A new owner of a pool therefore takes
 // returning callers for new ones, and refuses them at once if they can't be in time. The zero
@@ -31,14 +31,14 @@
 	callers map[callerKey]refusedCaller
 }
 
-// refusedCaller holds when a caller first asked, and until when it waits.
+// refusedCaller holds when a caller made its first try, and until when it waits.
 type refusedCaller struct {
 	firstTryAt time.Time
 	waitsUntil time.Time
 }
 
-// maxRefusedCallers bounds the callers that are remembered: those of some seconds in a large
-// pool.
+// maxRefusedCallers bounds the remembered callers. It is enough for some seconds of refusals in a
+// large pool.
 const maxRefusedCallers = 8192
 
 // add remembers the caller of a refused request, unless maxRefusedCallers callers are still
@@ -63,8 +63,8 @@
 	}
 }
 
-// recognize sets Returning and Elapsed of a request whose caller was refused before. Requests
-// that were sent to an endpoint already are no new try of the caller and stay unchanged.
+// recognize sets Returning and Elapsed of a request whose caller was refused before. Requests that
+// were already sent to an endpoint are not a new try of the caller and stay unchanged.
 func (r *refusedCallers) recognize(a *PlacementRequest, now time.Time) {
 	if a.Retry || a.Replaces.ID != "" {
 		return
@@ -94,11 +94,11 @@
 	}
 }
 
-// refuseLate returns the refusal of a request with a long prompt that is late already, or nil
-// if it may wait. ready is when its prefill can be done after the work ahead of it. The request
-// is refused if its late answer is worth less than the price of its engine time, or if it still
-// has no place at the time that ready named when it became late: more urgent requests keep
-// arriving, so that waiting longer is in vain.
+// refuseLate returns the refusal of a request with a long prompt that is late already, or nil if it
+// may wait. Ready is when its prefill can be done after the work ahead of it. The request is
+// refused if its late answer is worth less than the price of its engine time, or if it is still not
+// placed at the time that ready was when the request was first found late: more urgent requests
+// keep arriving, so it would wait in vain.
 func (s *Scheduler) refuseLate(p *poolState, w *Waiter, ready, now time.Time) *Refusal {
 	if w.placementRequest.Target <= shortTarget || w.placementRequest.Retry || w.request.TargetAt.After(now) {
 		return nil
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -62,8 +62,7 @@
 	wake chan struct{}
 	// lastOrphanMark is the orphanMark of the session that ended last.
 	lastOrphanMark int64
-	// notifyMigrate holds the functions that tell an entry instance to migrate an attempt, by
-	// entry instance.
+	// notifyMigrate holds, by entry instance, the function that sends it migrations.
 	notifyMigrate map[string]*func(migration)
 }
 
@@ -142,9 +141,8 @@
 	return s.place(ctx, a, false)
 }
 
-// place places a request of this instance. fallback states that no owner of the pool is
-// reachable, so that the instance may use only its share of the retry budget and of the
-// endpoints' limits.
+// place places a request of this instance. Fallback is set if no owner of the pool is reachable, so
+// that the instance may use only its share of the retry budget and of the endpoints' limits.
 func (s *Scheduler) place(ctx context.Context, a PlacementRequest, fallback bool) (Grant, error) {
 	return s.placeFor(ctx, a, s.settings.Self, fallback)
 }
@@ -268,9 +266,9 @@
 	s.EndFrom(id, service, o, culprit, s.settings.Self)
 }
 
-// EndFrom records the end of an attempt, as reported by the given instance. culprit names the
-// endpoint at fault by instance or address; if it is empty, the endpoint that answers the
-// attempt is meant.
+// EndFrom records the end of an attempt, as reported by the given instance. Culprit is the name or
+// the address of the endpoint at fault; if it is empty, the endpoint that answers the attempt is at
+// fault.
 func (s *Scheduler) EndFrom(id, service string, o Outcome, culprit, reporter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,8 +279,8 @@
 	}
 	now := s.settings.Now()
 	if o == Silent && (at.migrating || p.silenceExpected(id, at, now)) {
-		// The silence was counted when the attempt was migrated, or the engine models explain
-		// it.
+		// The endpoint was already excluded when the migration was ordered, or the engine models
+		// explain the silence.
 		o = Abandoned
 	}
 	if o == Abandoned || o == Failed {
@@ -308,8 +306,8 @@
 	s.wakeUp()
 }
 
-// UnusableEndpoints returns the endpoints that are ejected at present by the outcomes of this
-// instance's own requests.
+// UnusableEndpoints returns the endpoints of a service that are ejected at present because of the
+// outcomes of this instance's own requests.
 func (s *Scheduler) UnusableEndpoints(service string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pool/session_test.go
+++ b/pool/session_test.go
@@ -93,7 +93,7 @@
 func TestLateHello(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// gone is true if the entry instance has cancelled the older session.
+		// gone is set if the entry instance has cancelled the older session.
 		gone bool
 	}{
 		{"older session still open", false},
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -10,11 +10,10 @@
 
 // Parameters of refusals.
 const (
-	// lateLossShare is the part of its worth that a request must lose by a plan to count as
-	// late.
+	// A request counts as late under a plan by which it loses more than lateLossShare of its worth.
 	lateLossShare = 0.4
-	// usedSlotsLimit is the part of the slots in use from which on a short request that would
-	// be late is refused. Its caller does better to try again when slots are free.
+	// While at least usedSlotsLimit of the slots are in use, a short first try that would be late
+	// is refused, so that its caller tries again when slots are free.
 	usedSlotsLimit = 0.8
 	// shortTarget is the longest target of a short request, which waits for a slot rather than
 	// for prefill: its prompt is prefilled within a pass.
@@ -29,10 +28,10 @@
 	maxWaitShare = 0.6
 )
 
-// refuse returns the refusal of a request that can't be served as its caller needs it, or nil
-// if it may wait. A caller on its first try needs the answer in time; refused at once, it can
-// come back when there is room. A caller that has come back may not try again, so it needs an
-// answer before it gives up. ahead is the work that goes before the request.
+// refuse returns the refusal of a request that can't be served as its caller needs it, or nil if it
+// may wait. A caller on its first try needs the answer in time; refused at once, it can come back
+// when there is room. A caller that has come back may not try again, so it needs an answer before
+// it gives up. Ahead is the work that goes before the request.
 func (s *Scheduler) refuse(p *poolState, w *Waiter, ahead backlog, now time.Time) *Refusal {
 	list := p.usable(w, now)
 	if len(list) == 0 && p.drained.excludesAny(&w.placementRequest, p.list) {
@@ -155,19 +154,19 @@
 	return w.request.Work(p.list[0].Model)
 }
 
-// firstTry states whether the caller asks for the first time and no endpoint has had the
-// request, so that the caller can be told to come back.
+// firstTry reports whether the caller tries for the first time, no endpoint has received the
+// request and its target has not passed. Such a caller can come back after a refusal.
 func (w *Waiter) firstTry() bool {
 	return !w.placementRequest.Returning && !w.placementRequest.Retry && !w.placementRequest.Resumed && w.placementRequest.Target > 0
 }
 
-// outOfSlots states whether a short request on its first try would be late while most slots are
-// in use. Such a request is refused.
+// outOfSlots reports whether a short request on its first try would be late while most slots are in
+// use. Such a request is refused.
 func (w *Waiter) outOfSlots(list []*placement.Engine) bool {
 	return w.firstTry() && w.late && w.placementRequest.isShort() && mostSlotsUsed(list)
 }
 
-// mostSlotsUsed states whether at least usedSlotsLimit of the engines' slots are in use.
+// mostSlotsUsed reports whether at least usedSlotsLimit of the engines' slots are in use.
 func mostSlotsUsed(list []*placement.Engine) bool {
 	used, all := slotUsage(list)
 	return float64(used) >= usedSlotsLimit*float64(all)
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -66,7 +66,8 @@
 }
 
 // expectedWait returns how long it takes until the next event of a silent attempt, by the models of
-// its engines. It returns false if no model explains the silence.
+// its engines. It returns false if no model explains the silence, or if one of the engines is
+// unknown.
 func (p *poolState) expectedWait(id string, at *attempt, silence time.Duration, now time.Time) (time.Duration, bool) {
 	left, known := time.Duration(0), false
 	for _, name := range at.endpoints() {
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -36,12 +36,13 @@
 
 // Parameters for noticing that a slowdown may have changed.
 const (
-	// minDeviation and minDeviationShare are the deviations of a first event from its predicted
-	// time, absolute and relative to that time, beyond which the slowdown of the engine becomes
-	// unsure. Both must be exceeded.
+	// The slowdown of an engine becomes unsure if the time of a first event deviates from the
+	// prediction by more than minDeviation and by more than minDeviationShare of the predicted
+	// time.
 	minDeviation      = 30 * time.Millisecond
 	minDeviationShare = 0.35
-	// minOverdue and minOverdueShare are the same for a first event that has not arrived.
+	// It also becomes unsure while a first event is overdue by at least minOverdue and by at least
+	// minOverdueShare of the predicted time.
 	minOverdue      = 100 * time.Millisecond
 	minOverdueShare = 0.6
 	// commonDelayWindow is how long the last event of an engine counts for the common delay,
@@ -94,7 +95,7 @@
 	estimateLifetime = 2 * time.Second
 	// minSlowdownChange is the relative change from which on a new slowdown is applied.
 	minSlowdownChange = 0.08
-	// maxSlowdown bounds the slowdown, so that an engine that stalls isn't avoided forever.
+	// maxSlowdown bounds the slowdown, so that an engine that stalled once isn't avoided forever.
 	maxSlowdown = 30
 )
 
@@ -102,8 +103,8 @@
 type slowdowns struct {
 	// records holds the records by instance.
 	records map[string]*slowdownRecord
-	// decidedAt is when this instance last placed a request, and fallback states that it
-	// reached no owner then and decided by itself.
+	// decidedAt is when this instance last placed a request, and fallback is set if it reached no
+	// owner then and decided by itself.
 	decidedAt time.Time
 	fallback  bool
 	// updatedAt is when the slowdowns were last updated.
@@ -119,8 +120,8 @@
 
 // slowdownRecord is what is known about the slowdown of one engine.
 type slowdownRecord struct {
-	// unsure states that the slowdown may have changed since the last query: an event deviated
-	// from its prediction, or another engine reported a change.
+	// unsure is set if the slowdown may have changed since the last query: an event deviated from
+	// its prediction, or another engine reported a change.
 	unsure bool
 	// queriedAt is when the engine was last queried, and unanswered the number of queries since
 	// its last answer.
@@ -157,8 +158,8 @@
 	return r
 }
 
-// atModelSpeed states whether all endpoints of an attempt work at the speed of their model, as
-// far as is known. Only then is the lateness of its first event a measure of its transit.
+// atModelSpeed reports whether all endpoints of an attempt work at the speed of their model, as far
+// as is known. Only then is the lateness of its first event a measure of its transit.
 func (p *poolState) atModelSpeed(at *attempt) bool {
 	for _, name := range at.endpoints() {
 		if e := p.engines[name]; e != nil && e.Speed() != 1 {
@@ -168,7 +169,7 @@
 	return true
 }
 
-// recordFirstEvent updates the slowdowns after the first event of an attempt. late is how much
+// recordFirstEvent updates the slowdowns after the first event of an attempt. Late is how much
 // later than predicted the event came. The caller must hold s.mu.
 func (s *Scheduler) recordFirstEvent(p *poolState, at *attempt, late time.Duration, now time.Time) {
 	if s.settings.SlowdownMode == SlowdownIgnored || !p.slowdowns.isDeciding(now) {
@@ -182,10 +183,10 @@
 	s.updateSlowdowns(p, now)
 }
 
-// observeFirstEvent compares the first event of an attempt with its prediction, after deducting
-// the delay that all engines have in common. An event that deviates makes the slowdown of its
-// engines unsure. The event also becomes a sample, unless its predicted time is too short or
-// several engines did the prefill, as it isn't known then which of them was late.
+// observeFirstEvent compares the first event of an attempt with its prediction, after deducting the
+// delay that all engines have in common. An event that deviates makes the slowdown of its engines
+// unsure. The event also becomes a sample, unless its predicted time is too short, or several
+// engines did the prefill and any of them may have been late.
 func (p *poolState) observeFirstEvent(at *attempt, late time.Duration, now time.Time) {
 	took := now.Sub(at.placedAt) - p.transit.time
 	predicted := took - late
@@ -223,7 +224,7 @@
 	return max(lateness[len(lateness)/commonDelayRank], 0)
 }
 
-// deviates states whether an event is so late or early, given its predicted time, that the
+// deviates reports whether an event is so late or early, given its predicted time, that the
 // slowdown of its engine may have changed.
 func deviates(late, predicted time.Duration) bool {
 	return late.Abs() > minDeviation && float64(late.Abs()) > minDeviationShare*float64(predicted)
@@ -288,27 +289,28 @@
 	}
 }
 
-// isDeciding states whether this instance placed requests recently. Other instances don't need
-// to know the slowdowns.
+// isDeciding reports whether this instance placed requests recently. Other instances don't need to
+// know the slowdowns.
 func (k *slowdowns) isDeciding(now time.Time) bool {
 	return now.Sub(k.decidedAt) < decidingWindow
 }
 
-// mayQuery states whether this instance queries engines. It does so only while it decides as
-// the owner: there may be many instances that decide by themselves because they reach no owner,
-// and these only estimate.
+// mayQuery reports whether this instance queries engines. It does so only while it decides as the
+// owner: there may be many instances that decide by themselves because they reach no owner, and
+// these only estimate.
 func (s *Scheduler) mayQuery(p *poolState, now time.Time) bool {
 	return s.settings.SlowdownQuerier != nil && s.settings.SlowdownMode != SlowdownEstimated && !p.slowdowns.fallback && p.slowdowns.isDeciding(now)
 }
 
-// acceptsQueries states whether an engine may be queried: it has not asked this instance for a
-// back-off and names no rate limit.
+// acceptsQueries reports whether an engine may be queried: it has not asked this instance for a
+// back-off and announces no rate limit.
 func (p *poolState) acceptsQueries(e *placement.Engine, v *notice.View, now time.Time) bool {
 	_, limited := p.rateLimit(e, v)
 	return !limited && !v.BackoffUntil(e.Instance, p.health[e.Instance].startedAt).After(now)
 }
 
-// markOverdue makes the slowdown of engines unsure whose first events are overdue.
+// markOverdue marks as unsure the slowdown of all engines with an attempt whose first event is
+// overdue.
 func (p *poolState) markOverdue(now time.Time) {
 	for _, at := range p.attempts {
 		if at.begun || at.orphanMark != 0 {
@@ -324,7 +326,7 @@
 	}
 }
 
-// queryDue states whether the engine is due for a query.
+// queryDue reports whether the engine is due for a query.
 func (r *slowdownRecord) queryDue(e *placement.Engine, now time.Time) bool {
 	since := now.Sub(r.queriedAt)
 	return r.unsure && since >= unsureQueryInterval || e.Speed() != 1 && since >= slowQueryInterval
--- a/pool/slowdown_test.go
+++ b/pool/slowdown_test.go
@@ -160,7 +160,7 @@
 		request  pool.PlacementRequest
 		slowdown float64
 		delay    time.Duration
-		// queried states that all engines of the attempt are queried.
+		// queried is set if all engines of the attempt are queried.
 		queried bool
 	}{
 		{"as predicted", soloPrompt(), 1, 0, false},
@@ -275,7 +275,7 @@
 	for _, row := range []struct {
 		name string
 		mode pool.SlowdownMode
-		// silent states that engines don't answer queries.
+		// silent is set if engines don't answer queries.
 		silent bool
 	}{
 		{"engines are not queried", pool.SlowdownEstimated, false},
@@ -298,7 +298,7 @@
 			is.Equal(f.stats().Slow, 1)
 			is.True(f.now.Sub(began) < 1500*time.Millisecond)
 			f.advance(100 * time.Millisecond)
-			// It works at the speed of its model again, in half the predicted time.
+			// The engine is back at the speed of its model and takes half the predicted time.
 			began = f.now
 			for f.stats().Slow == 1 && f.now.Sub(began) < 3*time.Second {
 				f.serve(f.requestFor("e0"), 0.5, 0)
@@ -419,7 +419,7 @@
 	}
 	for _, row := range []struct {
 		name string
-		// late states that the answer arrives after the restart.
+		// late is set if the answer arrives after the restart.
 		late bool
 	}{
 		{"answer before the restart", false},
--- a/pool/state.go
+++ b/pool/state.go
@@ -68,7 +68,7 @@
 	// leaving, backing off or at its rate limit.
 	passedOver  int64
 	unavailable int64
-	// plain states that the service has no engine model.
+	// plain is set if the service has no engine model.
 	plain bool
 }
 
@@ -84,19 +84,18 @@
 	// to the first event.
 	placedAt       time.Time
 	predictedFirst time.Duration
-	// begun states that the first event has arrived.
+	// begun is set if the first event has arrived.
 	begun bool
 	// workload identifies the request if the attempt is interrupted and its caller reconnects.
 	workload workload
 	// entry names the entry instance.
 	entry string
-	// suspectedAt is when the entry instance last reported the attempt as silent, and
-	// silentSince when the silence began. migrating states that the entry instance was told to
-	// migrate the attempt.
+	// suspectedAt is when the entry instance last reported the attempt as silent, and silentSince
+	// when the silence began. migrating is set once the migration of the attempt has been ordered.
 	suspectedAt time.Time
 	silentSince time.Time
 	migrating   bool
-	// watched states that the entry instance reports the attempt when it is silent.
+	// watched is set if the entry instance reports the attempt when it falls silent.
 	watched bool
 	// orphanMark identifies the ended session through which the attempt came; zero while the
 	// entry instance is connected. cutAt is when that session ended.
@@ -161,11 +160,10 @@
 	})
 }
 
-// shareRetryBudget divides the retry budget of the service among the instances. Half of Extra
-// is for the pool's owner, which may change, and half for all instances together while they
-// place without an owner. In a plain pool each instance usually places its own requests, so
-// there the instances share all of Extra. It also sets the number of instances that share rate
-// limits.
+// shareRetryBudget divides the retry budget of the service among the instances. Half of Extra is
+// for the pool's owner, and half for all instances together while they place without an owner. In a
+// plain pool each instance usually places its own requests, so there the instances share all of
+// Extra. It also sets the number of instances that share rate limits.
 func (p *poolState) shareRetryBudget(whole Budget, instances int) {
 	p.ownerRetries.budget = Budget{
 		Ratio:  whole.Ratio * retryBudgetShare,
@@ -181,8 +179,8 @@
 	}
 }
 
-// retryBudgetShare is the part of the budget that is handed out. The rest covers sends that are
-// counted twice, or not at all, while the owner changes.
+// retryBudgetShare is the part of the budget that the instances may use. The rest covers first
+// sends and retries that are counted twice, or not at all, while the owner changes.
 const retryBudgetShare = 0.75
 
 // resolve returns the instance of the endpoint with the given instance or address, or "" if
--- a/pool/stats.go
+++ b/pool/stats.go
@@ -18,7 +18,7 @@
 	Queued int `json:"queued"`
 	// Predicted counts the first events, whose times are always predicted.
 	Predicted int `json:"predicted"`
-	// WithinTolerance counts those that came within a fifth of the predicted time.
+	// WithinTolerance counts those whose time was off by at most a fifth of the predicted time.
 	WithinTolerance int `json:"within"`
 	// Cold is the number of endpoints that are cold or assumed to be.
 	Cold int `json:"cold"`
@@ -31,9 +31,9 @@
 	// endpoint's slowdown.
 	PaceAsked   int `json:"pace_asked"`
 	PaceChanges int `json:"pace_changes"`
-	// Cut counts the attempts that failed or were abandoned, Returned those of them whose callers
-	// came back within a second, and ReconnectBursts the times at which the callers of many cut
-	// streams were expected back together.
+	// Cut counts the attempts that failed, were abandoned or were lost with a session, Returned
+	// those of them whose callers came back within a second, and ReconnectBursts the reconnect
+	// bursts.
 	Cut             int `json:"cut"`
 	Returned        int `json:"returned"`
 	ReconnectBursts int `json:"crowds"`
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -76,7 +76,7 @@
 	// is late.
 	endpoint string
 	dueIn    time.Duration
-	// joint is true during a joint prefill of the attempt's prompt.
+	// joint is set during a joint prefill of the attempt's prompt.
 	joint bool
 }
 
@@ -85,9 +85,9 @@
 
 // Signals of attempts.
 const (
-	// signalNone indicates nothing, or a silence that the model of an engine explains.
+	// signalNone indicates nothing, as when the silence has another likely cause.
 	signalNone signal = iota
-	// signalAlive comes from a stream whose events arrive as usual.
+	// signalAlive comes from a watched stream that is not reported as silent.
 	signalAlive
 	// signalLate comes from an attempt whose first event is late, but not yet silent.
 	signalLate
@@ -127,7 +127,7 @@
 }
 
 // evaluateSuspicions determines which endpoints are in doubt, and verifies those on which enough
-// instances have silent attempts. The caller holds s.mu.
+// instances have silent attempts. The caller must hold s.mu.
 func (s *Scheduler) evaluateSuspicions(p *poolState, service string, now time.Time) {
 	p.suspicion.evaluatedAt = now
 	seen, entries := p.collectSignals(now)
@@ -149,7 +149,7 @@
 }
 
 // evaluateIfDue calls evaluateSuspicions unless that was done within evaluateInterval. The caller
-// holds s.mu.
+// must hold s.mu.
 func (s *Scheduler) evaluateIfDue(p *poolState, service string, now time.Time) {
 	if p.plain || now.Sub(p.suspicion.evaluatedAt) < evaluateInterval {
 		return
@@ -227,8 +227,8 @@
 }
 
 // silenceExplained reports whether the silence of an attempt has a likely cause other than a
-// stopped endpoint: the model has one of its engines prefill its prompt, or in a pass that began no
-// later than the silence, or another attempt's long prefill may be running there.
+// stopped endpoint: by the model, one of its engines is still prefilling its prompt or running a
+// pass that began no later than the silence, or a long prefill may be running on one of them.
 func (p *poolState) silenceExplained(id string, at *attempt, silence time.Duration, now time.Time) bool {
 	if _, explained := p.expectedWait(id, at, silence, now); explained {
 		return true
@@ -248,7 +248,7 @@
 }
 
 // mayPrefill reports whether a job is a long prefill that may still be running, since it may take
-// half as long again as predicted.
+// half as long again as predicted, or minSilentLateness longer if that is more.
 func (p *poolState) mayPrefill(j *placement.Job, now time.Time) bool {
 	at := p.attempts[j.ID]
 	if at == nil || at.begun || at.predictedFirst < longPrefillThreshold {
@@ -287,8 +287,8 @@
 }
 
 // handleStopped excludes an endpoint that has stopped and migrates its attempts, unless one of its
-// streams is alive. Silent is the number of instances with silent attempts there. The caller holds
-// s.mu.
+// streams is alive. Silent is the number of instances with silent attempts there. The caller must
+// hold s.mu.
 func (s *Scheduler) handleStopped(p *poolState, service, instance string, silent int, now time.Time) {
 	h := p.health[instance]
 	if h == nil || !h.usable(now) || p.hasLiveStream(instance, now) {
@@ -303,7 +303,7 @@
 
 // handleUnreachable excludes an endpoint that several instances cannot connect to and migrates its
 // attempts. It does nothing if a stream from there is alive, since an overloaded endpoint refuses
-// connections, too. The caller holds s.mu.
+// connections, too. The caller must hold s.mu.
 func (s *Scheduler) handleUnreachable(p *poolState, service, instance string, now time.Time) {
 	if p.plain || p.hasLiveStream(instance, now) {
 		return
@@ -317,7 +317,7 @@
 
 // migrateAll orders the migration of all attempts that an endpoint serves or prefills for, and
 // returns their number. Attempts that can still be in time go first, the most urgent ones before
-// the others. The caller holds s.mu.
+// the others. The caller must hold s.mu.
 func (s *Scheduler) migrateAll(p *poolState, service, instance string, now time.Time) int {
 	var out []migration
 	for id, at := range p.attempts {
@@ -342,7 +342,7 @@
 	return len(out)
 }
 
-// sortKey is the time left, or the maximum if the attempt is late already.
+// sortKey returns the time left until the next event is late, or the maximum if it is late already.
 func (m *migration) sortKey() time.Duration {
 	if m.dueIn <= 0 {
 		return math.MaxInt64
@@ -350,7 +350,8 @@
 	return m.dueIn
 }
 
-// dueIn returns the time left until the attempt's next event is late.
+// dueIn returns the time left until the attempt's next event is late. For a stream without a recent
+// report of silence, this is its whole gap.
 func (at *attempt) dueIn(now time.Time) time.Duration {
 	if !at.begun {
 		return at.workload.targetAt.Sub(now)
@@ -364,7 +365,7 @@
 // sendMigrations sends migrations to the entry instances. Those of attempts that are not late yet,
 // or are in a joint prefill, are sent at once. The others are spread over lateMigrationSpread, so
 // that their prompts are not all prefilled at the expense of the other engines' streams. The caller
-// holds s.mu.
+// must hold s.mu.
 func (s *Scheduler) sendMigrations(migrations []migration) {
 	atOnce := make(map[*func(migration)][]migration)
 	late := 0
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -78,18 +78,18 @@
 func TestSilentEngineExcluded(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// entries has the entry instance of each stream on the engine. The first silent ones of
-		// them are silent for 250 ms.
+		// entries lists the entry instance of each stream on the engine. silent is how many of the
+		// streams, from the first on, are reported as silent for 250 ms.
 		entries []string
 		silent  int
-		// request returns the request for a stream. prefilling is true if the engine has just started
-		// to prefill a long prompt.
+		// request returns the request for a stream. prefilling is set if the engine has just
+		// started to prefill a long prompt.
 		request    func(int) PlacementRequest
 		prefilling bool
-		// after is not used.
-		after time.Duration
-		out   bool
-		moved []string
+		// after is unused.
+		after    time.Duration
+		excluded bool
+		migrated []string
 	}{
 		{"two instances agree", []string{"a", "b"}, 2, patientStream, false, 0, true, []string{"s0", "s1"}},
 		{"one instance", []string{"a", "a"}, 2, patientStream, false, 0, false, nil},
@@ -116,8 +116,8 @@
 			for i := range row.silent {
 				c.ReportSilence(fmt.Sprint("s", i), "engines", 250*time.Millisecond)
 			}
-			is.Equal(!c.pools["engines"].health["e00"].usable(c.now), row.out)
-			is.Equal(l.wait(len(row.moved)), row.moved)
+			is.Equal(!c.pools["engines"].health["e00"].usable(c.now), row.excluded)
+			is.Equal(l.wait(len(row.migrated)), row.migrated)
 		})
 	}
 }
@@ -209,11 +209,11 @@
 			for i := range 2 {
 				c.ReportSilence(fmt.Sprint("s", i), "engines", 250*time.Millisecond)
 			}
-			moved := 0
+			migrated := 0
 			if row.want != nil {
-				moved = 2
+				migrated = 2
 			}
-			is.Equal(len(l.wait(moved)), moved)
+			is.Equal(len(l.wait(migrated)), migrated)
 			is.Equal(c.unusable(), row.want)
 			// An engine that accepted the connection counts as busy for a while and gets requests.
 			c.ReportSilence("s0", "engines", 250*time.Millisecond)
@@ -222,7 +222,8 @@
 	}
 }
 
-// checkedPool returns a pool whose endpoints are checked by fails.
+// checkedPool returns a pool whose endpoints are checked by fails, which returns nil for an
+// endpoint that answers.
 func checkedPool(engines int, fails func(address string) error) *clockPool {
 	c := newClockPool(engines)
 	c.settings.Check = func(_ context.Context, address string) error { return fails(address) }
@@ -242,8 +243,8 @@
 	lost := errors.New("no answer")
 	for _, row := range []struct {
 		name string
-		// stopped are the engines of the eight that have stopped. fails is the result of checking
-		// the others, but e06 and e07 answer unless all is set.
+		// stopped lists the stopped engines of a pool of eight. fails is the result of checking any
+		// engine, except that e06 and e07 answer unless all is set.
 		stopped []string
 		fails   error
 		all     bool
@@ -357,9 +358,9 @@
 // instances cannot connect, and against migrating it while a stream from that engine is alive.
 func TestJointPrefillMigrates(t *testing.T) {
 	for _, row := range []struct {
-		name  string
-		alive bool
-		moved []string
+		name     string
+		alive    bool
+		migrated []string
 	}{
 		{"no live stream", false, []string{"s100"}},
 		{"live stream", true, nil},
@@ -393,7 +394,7 @@
 				}
 				c.EndFrom(fmt.Sprint("x", i), "engines", Unreachable, "", entry)
 			}
-			is.Equal(l.wait(len(row.moved)), row.moved)
+			is.Equal(l.wait(len(row.migrated)), row.migrated)
 		})
 	}
 }
--- a/pool/types.go
+++ b/pool/types.go
@@ -45,17 +45,17 @@
 	DrainedDomains []string
 	// Backoffs lists the endpoints that asked the entry instance for a back-off.
 	Backoffs []Backoff
-	// Returning is true if the caller tried before and was refused or got no whole answer.
+	// Returning is set if the caller tried before and was refused or got no whole answer.
 	Returning bool
 	// Elapsed is the time between the caller's first try and this one. It is subtracted from
 	// Target, so that a returning caller's first event is due when that of its first try was.
 	Elapsed time.Duration
-	// Retry is true if the entry instance sent the request to an endpoint before. It counts against
-	// the retry budget.
+	// Retry is set if the entry instance sent the request to an endpoint before. Such a request is
+	// charged to the retry budget.
 	Retry bool
-	// Replaces is the silent attempt that this one would replace; its zero value means none.
+	// Replaces is the silent attempt that this one is to replace; its zero value means none.
 	Replaces ReplacedAttempt
-	// Resumed is true if the caller already has events of the stream.
+	// Resumed is set if the caller already has events of the stream.
 	Resumed bool
 	// DueIn is the time left until the next event of a resumed stream is late; negative if it is
 	// late already.
@@ -108,7 +108,7 @@
 	Reason string
 	// RetryAfter is how long the caller should wait before it tries again.
 	RetryAfter time.Duration
-	// KeepReplaced is true if the attempt in PlacementRequest.Replaces should go on rather than be
+	// KeepReplaced is set if the attempt in PlacementRequest.Replaces should go on rather than be
 	// replaced.
 	KeepReplaced bool
 }
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -19,13 +19,12 @@
 // Their replacements take seconds to start.
 const leavingRetryAfter = 2 * time.Second
 
-// isLeaving states whether an endpoint is leaving, according to the catalog or to its own
-// answers.
+// isLeaving reports whether an endpoint is leaving, according to the catalog or to its own answers.
 func (p *poolState) isLeaving(e *placement.Engine, v *notice.View) bool {
 	return e.Closed || v.AnyLeaving() && v.IsLeaving(e.Instance, p.health[e.Instance].startedAt)
 }
 
-// ineligible states whether a request must not be placed on an endpoint at all: it is leaving,
+// ineligible reports whether a request must not be placed on an endpoint at all: it is leaving,
 // drained or excluded by the request.
 func (p *poolState) ineligible(w *Waiter, e *placement.Engine, v *notice.View) bool {
 	return p.isLeaving(e, v) || slices.Contains(w.placementRequest.Exclude, e.Instance) || p.drained.excludes(&w.placementRequest, e)
@@ -63,10 +62,10 @@
 	// requests a second all eligible endpoints accept; zero if there are none.
 	soonest time.Time
 	rate    float64
-	// elsewhere is when the first unavailable endpoint becomes available among those that the
-	// request must not use; zero if there are none.
+	// elsewhere is the earliest end of a back-off or a wait for a rate limit at the endpoints that
+	// the request must not use; zero if there is none.
 	elsewhere time.Time
-	// someLeaving states that an endpoint is leaving.
+	// someLeaving is set if an endpoint is leaving.
 	someLeaving bool
 }
 
@@ -103,7 +102,7 @@
 
 // refuseUnavailable returns a refusal if list, the usable endpoints, is empty because of
 // departures, back-offs or rate limits, and no endpoint accepts the request soon enough; nil
-// otherwise. ahead is the number of waiting requests that are more urgent.
+// otherwise. Ahead is the number of waiting requests that are more urgent.
 func (s *Scheduler) refuseUnavailable(p *poolState, w *Waiter, list []*placement.Engine, ahead int, now time.Time) *Refusal {
 	if len(list) > 0 {
 		return nil
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// returning returns the same request of a caller that has come back.
+// returning returns the same request as prompt, but from a caller that has come back.
 func returning(id string, tokens int, target time.Duration) pool.PlacementRequest {
 	a := prompt(id, tokens, target)
 	a.Returning = true
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -11,8 +11,9 @@
 // Waiter is a submitted request, from its submission to the decision.
 type Waiter struct {
 	placementRequest PlacementRequest
-	request          placement.Request
-	arrived          time.Time
+	// request describes the placementRequest to package placement, with times instead of durations.
+	request placement.Request
+	arrived time.Time
 	// granted or refused receives the decision.
 	granted chan Grant
 	refused chan *Refusal
@@ -21,18 +22,18 @@
 	placeBy time.Time
 	// backoffs holds when the back-offs end that endpoints asked the entry instance for.
 	backoffs map[string]time.Time
-	// late states that the last search for a place found no plan, or only one that makes the
-	// request late.
+	// late is set if the last search for a place found no plan, or only one that makes the request
+	// late.
 	late bool
 	// entry names the entry instance.
 	entry string
-	// fallback states that no owner of the pool is reachable, so that this instance decides by
+	// fallback is set if no owner of the pool is reachable, so that this instance decides by
 	// itself.
 	fallback bool
 }
 
-// Decision returns the grant or the refusal, once. It returns false if there is no decision
-// yet.
+// Decision returns the grant or the refusal, once. It returns false if there is no decision yet, or
+// if it was received before.
 func (w *Waiter) Decision() (Grant, *Refusal, bool) {
 	select {
 	case g := <-w.granted:
