--- a/pool/bench_test.go
+++ b/pool/bench_test.go
@@ -14,7 +14,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// newBusy returns a scheduler for a pool of size engines, each of which runs so many requests.
+// newBusy returns a scheduler for a pool with the given number of engines and, on average, the
+// given number of running requests on each.
 func newBusy(b *testing.B, size, running int) *pool.Scheduler {
 	b.Helper()
 	s := pool.NewScheduler(pool.Settings{
--- a/pool/client_crashes.go
+++ b/pool/client_crashes.go
@@ -42,8 +42,8 @@
 	return c.common
 }
 
-// CountsCrashes reports whether this instance is the one that decides on bans, by its view of the
-// common pool.
+// CountsCrashes reports whether this instance decides on bans, according to its view of the common
+// pool.
 func (c *Client) CountsCrashes() bool {
 	return c.decidingInstance(c.commonPool()) == c.self.ID
 }
@@ -75,7 +75,8 @@
 	}), nil)
 }
 
-// Admit asks the local registry whether a request may run now.
+// Admit decides by the local registry whether a request may run now. See quarantine.Registry.Admit
+// for the results.
 func (c *Client) Admit(id quarantine.Identity) (quarantine.Admission, time.Duration, bool) {
 	return c.local.settings.Quarantine.Admit(id)
 }
--- a/pool/client_migration.go
+++ b/pool/client_migration.go
@@ -58,7 +58,7 @@
 		// about free capacity.
 		return
 	}
-	c.log.Info("attempt is to move", "attempt", id, "endpoint", endpoint, "by", by)
+	c.log.Info("attempt ordered to migrate", "attempt", id, "endpoint", endpoint, "by", by)
 	go migrate()
 }
 
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -16,7 +16,7 @@
 // together: Overage times the rate that the endpoint sustains while it is cold, plus Slack. The
 // zero value sets no limit.
 type ColdLimit struct {
-	// Overage is a factor of that rate; zero means that there is no limit.
+	// Overage is the factor of the sustained rate; zero means that there is no limit.
 	Overage float64
 	// Slack is a number of requests.
 	Slack float64
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -144,7 +144,7 @@
 	is.New(t).Equal(f.countDeciders(), 1)
 }
 
-// countDeciders returns how many instances consider themselves the one that decides on bans.
+// countDeciders returns how many instances report that they decide on bans.
 func (f *fleet) countDeciders() int {
 	n := 0
 	for _, one := range f.nodes {
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -17,11 +17,11 @@
 // plainLoad sends requests to plain endpoints from several instances.
 type plainLoad struct {
 	mu sync.Mutex
-	// given holds the times of the placements by endpoint, and by counts them by the instance
+	// placements holds the times of the placements by endpoint, and by counts them by the instance
 	// that decided.
-	given    map[string][]time.Time
-	by       map[string]int
-	requests sync.WaitGroup
+	placements map[string][]time.Time
+	by         map[string]int
+	requests   sync.WaitGroup
 }
 
 // run sends a request every 5 ms for the given time, from the instances in turn. Each request that
@@ -29,7 +29,7 @@
 func (l *plainLoad) run(t *testing.T, name string, nodes []*node, duration time.Duration) {
 	t.Helper()
 	l.mu.Lock()
-	l.given, l.by = make(map[string][]time.Time), make(map[string]int)
+	l.placements, l.by = make(map[string][]time.Time), make(map[string]int)
 	l.mu.Unlock()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
@@ -51,7 +51,7 @@
 		return
 	}
 	l.mu.Lock()
-	l.given[g.Instance] = append(l.given[g.Instance], time.Now())
+	l.placements[g.Instance] = append(l.placements[g.Instance], time.Now())
 	l.by[g.DecidedBy]++
 	l.mu.Unlock()
 	time.Sleep(20 * time.Millisecond)
@@ -64,7 +64,7 @@
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	got, mean := float64(len(l.given[endpoint])), rate*duration.Seconds()
+	got, mean := float64(len(l.placements[endpoint])), rate*duration.Seconds()
 	t.Logf("%s: %.0f placements in %v at %g a second, by %v", endpoint, got, duration, rate, l.by)
 	is.New(t).True(got <= 1.5*mean)
 	is.New(t).True(got >= 0.5*mean)
--- a/pool/link.go
+++ b/pool/link.go
@@ -57,8 +57,8 @@
 	greeting func() []*poolpb.FromEntry
 	// onChange is called when the session has opened or ended.
 	onChange func()
-	// onMigrate is called when the owner orders the migration of an attempt. endpoint is the one
-	// that has stopped, and by names the owner.
+	// onMigrate is called when the owner orders the migration of an attempt. endpoint is the
+	// stopped endpoint, and by names the owner.
 	onMigrate func(id, endpoint, by string)
 	// onVerdict is called with each verdict on a request that is suspected of crashing endpoints.
 	onVerdict func(quarantine.Verdict)
--- a/pool/link_session.go
+++ b/pool/link_session.go
@@ -101,7 +101,7 @@
 	l.lastReceived = l.openedAt
 	l.pending = make(map[string]chan placementReply)
 	l.endRedialWait()
-	l.log.Info("owner in touch", "owner", l.peer)
+	l.log.Info("session with an owner opened", "owner", l.peer)
 	l.onChange()
 }
 
@@ -125,7 +125,7 @@
 	if err != nil {
 		cause = err.Error()
 	}
-	l.log.Info("owner out of touch", "owner", l.peer, "asked", len(l.pending), "cause", cause)
+	l.log.Info("session with an owner ended", "owner", l.peer, "asked", len(l.pending), "cause", cause)
 	l.pending = nil
 	again := l.redialsAtOnce(err)
 	if again {
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -12,7 +12,7 @@
 
 // Parameters of reconnects.
 const (
-	// reconnectWindow is how long the caller of an interrupted attempt is expected to
+	// reconnectWindow is the time within which the caller of an interrupted attempt is expected to
 	// reconnect. After that it counts as a new caller.
 	reconnectWindow = time.Second
 	// Interrupted streams count as a burst if there are at least minBurst of them, and
--- a/pool/slowdown_query_test.go
+++ b/pool/slowdown_query_test.go
@@ -14,8 +14,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// TestPendingPrefillOfUnequalEngines checks that pending prefill is measured in seconds of the
-// model, and the speed of engines by their slowdown.
+// TestPendingPrefillOfUnequalEngines checks that pending prefill is summed at the speed of the
+// model, and that a slow engine adds less than 1 to the total speed.
 func TestPendingPrefillOfUnequalEngines(t *testing.T) {
 	is := is.New(t)
 	p := busyPool()
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -72,8 +72,8 @@
 	entry   string
 	id      string
 	service string
-	// endpoint is the one that has stopped, and dueIn the time left until the attempt's next event
-	// is late.
+	// endpoint is the stopped endpoint, and dueIn the time left until the attempt's next event is
+	// late.
 	endpoint string
 	dueIn    time.Duration
 	// joint is set during a joint prefill of the attempt's prompt.
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -17,8 +17,8 @@
 	// granted or refused receives the decision.
 	granted chan Grant
 	refused chan *Refusal
-	// placeBy is when a late request with a long prompt is refused if it still has no place;
-	// zero until it is late.
+	// placeBy is when a late request with a long prompt is refused if it is still not placed; zero
+	// until it is late.
 	placeBy time.Time
 	// backoffs holds when the back-offs end that endpoints asked the entry instance for.
 	backoffs map[string]time.Time
