--- a/pool/plain_latency.go
+++ b/pool/plain_latency.go
@@ -12,8 +12,8 @@
 	// plainLatencyWeight is the weight of the latest request in the moving average of an
 	// endpoint's latency.
 	plainLatencyWeight = 0.3
-	// plainSlowThreshold is the ratio of an endpoint's latency to the median from which on the
-	// endpoint counts as slow. Lower ratios may be due to different kinds of requests.
+	// plainSlowThreshold is the least ratio of a slow endpoint's latency to the median. Lower
+	// ratios may be due to different kinds of requests.
 	plainSlowThreshold = 2
 	// maxPlainSlowdown bounds that ratio, so that an idle slow endpoint gets a request when the
 	// others have about that many requests.
--- a/pool/rate_limit.go
+++ b/pool/rate_limit.go
@@ -111,9 +111,9 @@
 	return rate
 }
 
-// If fallback is set, recordFallback records that this instance decides because it reaches no
-// owner. Many instances lose the owner at the same moment, so a random phase spreads their first
-// requests.
+// recordFallback records, if fallback is set, that this instance decides by itself because it
+// reaches no owner. Many instances lose the owner at the same moment, so a random phase spreads
+// their first requests.
 func (s *Scheduler) recordFallback(p *poolState, fallback bool, now time.Time) {
 	if !fallback {
 		return
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -19,7 +19,7 @@
 	// minBurstShare for each engine. Fewer are normal, as single callers leave at any time.
 	minBurstShare = 0.25
 	minBurst      = 4
-	// burstMinPrefill is the prefill time from which on a request may have to wait for a burst:
+	// burstMinPrefill is the least prefill time of a request that may have to wait for a burst:
 	// about one pass of an engine.
 	burstMinPrefill = 60 * time.Millisecond
 	// burstGapFactor limits the gaps that the streams of a burst allow to a multiple of the
--- a/pool/refused_callers.go
+++ b/pool/refused_callers.go
@@ -98,7 +98,7 @@
 // may wait. Ready is when its prefill can be done after the work ahead of it. The request is
 // refused if its late answer is worth less than the price of its engine time, or if it is still not
 // placed at the time that ready was when the request was first found late: more urgent requests
-// keep arriving, so it would wait in vain.
+// keep arriving, so waiting longer would not help.
 func (s *Scheduler) refuseLate(p *poolState, w *Waiter, ready, now time.Time) *Refusal {
 	if w.placementRequest.Target <= shortTarget || w.placementRequest.Retry || w.request.TargetAt.After(now) {
 		return nil
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -86,14 +86,14 @@
 	// minPrediction is the predicted time that an event must exceed to become a sample. Below
 	// it the network has more influence than the engine.
 	minPrediction = 20 * time.Millisecond
-	// slowThreshold is the estimate from which on an engine counts as slow, and normalThreshold
-	// the one below which it doesn't count as slow any more.
+	// slowThreshold is the least estimate at which an engine starts to count as slow. Below
+	// normalThreshold it no longer counts as slow.
 	slowThreshold   = 1.3
 	normalThreshold = 1.15
 	// estimateLifetime is how long an estimate holds without new samples. Its excess over 1 is
 	// then halved, so that the engine gets requests again.
 	estimateLifetime = 2 * time.Second
-	// minSlowdownChange is the relative change from which on a new slowdown is applied.
+	// minSlowdownChange is the least relative change at which a new slowdown is applied.
 	minSlowdownChange = 0.08
 	// maxSlowdown bounds the slowdown, so that an engine that stalled once isn't avoided forever.
 	maxSlowdown = 30
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -27,8 +27,8 @@
 	minSilentLateness    = 400 * time.Millisecond
 	silentLatenessFactor = 2
 	minDoubtLateness     = 150 * time.Millisecond
-	// longPrefillThreshold is the predicted time to the first event from which on an attempt counts
-	// as a long prefill, during which other streams of the engine may be silent.
+	// longPrefillThreshold is the least predicted time to the first event of a long prefill, during
+	// which other streams of the engine may be silent.
 	longPrefillThreshold = 250 * time.Millisecond
 	// confirmQuorum is how many instances must have silent attempts on an endpoint for it to be
 	// excluded. An endpoint that only one instance doubts gets no new requests if doubtQuorum
