--- a/pool/budget.go
+++ b/pool/budget.go
@@ -25,12 +25,12 @@
 type retryCounter struct {
 	budget  Budget
 	buckets [budgetBuckets]struct {
-		first int
-		again int
+		first   int
+		retries int
 	}
 	// bucket is the number of the latest bucket, counted from startedAt.
 	bucket int64
-	// startedAt is when the first send was counted.
+	// startedAt is when the counter was first used.
 	startedAt time.Time
 }
 
@@ -45,7 +45,7 @@
 	if gap := bucket - s.bucket; gap > 0 {
 		for i := range min(gap, budgetBuckets) {
 			s.buckets[(bucket-i)%budgetBuckets].first = 0
-			s.buckets[(bucket-i)%budgetBuckets].again = 0
+			s.buckets[(bucket-i)%budgetBuckets].retries = 0
 		}
 		s.bucket = bucket
 	}
@@ -57,17 +57,17 @@
 	s.buckets[s.roll(now)].first++
 }
 
-// allowRetry states whether the budget allows another retry, and counts it if so.
+// allowRetry reports whether the budget allows another retry, and counts it if so.
 func (s *retryCounter) allowRetry(now time.Time) bool {
 	i := s.roll(now)
 	first, again := 0, 0
 	for _, bucket := range s.buckets {
 		first += bucket.first
-		again += bucket.again
+		again += bucket.retries
 	}
 	if float64(again+1) > s.budget.Ratio*float64(first)+s.budget.Extra {
 		return false
 	}
-	s.buckets[i].again++
+	s.buckets[i].retries++
 	return true
 }
--- a/pool/client_crashes.go
+++ b/pool/client_crashes.go
@@ -26,7 +26,7 @@
 
 // pickCommon returns the service whose owners count the crashes of all services and send the
 // verdicts to all instances: the first one by name that has engines. Every instance has sessions
-// with these owners anyway. The caller holds c.mu.
+// with these owners anyway. The caller must hold c.mu.
 func (c *Client) pickCommon(snap *catalog.Snapshot) string {
 	if len(c.ownerOrder) == 0 {
 		c.ownerOrder[noEnginesPool] = c.rankOwners(noEnginesPool, snap)
@@ -42,8 +42,8 @@
 	return c.common
 }
 
-// CountsCrashes reports whether this instance is the one that decides on bans, by its view of the
-// common pool.
+// CountsCrashes reports whether this instance decides on bans, according to its view of the common
+// pool.
 func (c *Client) CountsCrashes() bool {
 	return c.decidingInstance(c.commonPool()) == c.self.ID
 }
@@ -75,7 +75,8 @@
 	}), nil)
 }
 
-// Admit asks the local registry whether a request may run now.
+// Admit decides by the local registry whether a request may run now. See quarantine.Registry.Admit
+// for the results.
 func (c *Client) Admit(id quarantine.Identity) (quarantine.Admission, time.Duration, bool) {
 	return c.local.settings.Quarantine.Admit(id)
 }
@@ -96,7 +97,7 @@
 }
 
 // crashMessages returns the messages that bring an owner up to date: the recent crashes that this
-// instance saw, since a new owner counts from zero, and the bans. The caller holds c.mu.
+// instance saw, since a new owner counts from zero, and the bans. The caller must hold c.mu.
 func (c *Client) crashMessages() []*poolpb.FromEntry {
 	now := c.local.settings.Now()
 	var out []*poolpb.FromEntry
--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestColdLimitOfAllInstances checks the limit while two owners, of which the second adopts the
-// attempts of the first, and instances that reach no owner place as many requests as they may.
+// TestColdLimitOfAllInstances checks the limit while two owners and all instances that reach no
+// owner place as many requests as they may. The second owner adopts the attempts of the first.
 func TestColdLimitOfAllInstances(t *testing.T) {
 	is := is.New(t)
 	w := newColdHarness(t, 40, 3, defaultLimit())
@@ -327,7 +327,7 @@
 			w.now = w.now.Add(maxEjection)
 			a := w.request("engines")
 			w.place(w.schedulers[0], a, false)
-			w.schedulers[0].First(a.ID, "engines")
+			w.schedulers[0].FirstEvent(a.ID, "engines")
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -144,7 +144,7 @@
 	is.New(t).Equal(f.countDeciders(), 1)
 }
 
-// countDeciders returns how many instances consider themselves the one that decides on bans.
+// countDeciders returns how many instances report that they decide on bans.
 func (f *fleet) countDeciders() int {
 	n := 0
 	for _, one := range f.nodes {
@@ -224,7 +224,7 @@
 	f := newFleet(t, 3)
 	for i := range 8 {
 		id := fmt.Sprint("r", i)
-		f.nodes[i%3].place(t, ask(id))
+		f.nodes[i%3].place(t, request(id))
 		f.nodes[i%3].client.End(id, "engines", pool.Failed, "")
 	}
 	settle()
--- a/pool/incarnation.go
+++ b/pool/incarnation.go
@@ -48,15 +48,15 @@
 		case at.instance == instance && at.startedAt.Before(startedAt):
 			p.endAttempt(id)
 			n++
-		case slices.Contains(at.joint, instance):
+		case slices.Contains(at.helpers, instance):
 			p.engines[instance].Remove(id)
 		}
 	}
 	return n
 }
 
-// isStale states whether a grant is for an earlier incarnation of its endpoint. A grant without
-// a start time counts as one for the present incarnation.
+// isStale reports whether a grant is for an earlier incarnation of its endpoint. A grant without a
+// start time counts as one for the present incarnation.
 func (p *poolState) isStale(g *Grant) bool {
 	h := p.health[g.Instance]
 	return h != nil && !g.StartedAt.IsZero() && g.StartedAt.Before(h.startedAt)
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -17,25 +17,25 @@
 // plainLoad sends requests to plain endpoints from several instances.
 type plainLoad struct {
 	mu sync.Mutex
-	// given holds the times of the placements by endpoint, and by counts them by the instance
+	// placements holds the times of the placements by endpoint, and by counts them by the instance
 	// that decided.
-	given map[string][]time.Time
-	by    map[string]int
-	asks  sync.WaitGroup
+	placements map[string][]time.Time
+	by         map[string]int
+	requests   sync.WaitGroup
 }
 
-// run sends a request every 5 ms for the given time, from the instances in turn. Each holds its
-// place for 20 ms.
+// run sends a request every 5 ms for the given time, from the instances in turn. Each request that
+// is placed runs for 20 ms.
 func (l *plainLoad) run(t *testing.T, name string, nodes []*node, duration time.Duration) {
 	t.Helper()
 	l.mu.Lock()
-	l.given, l.by = make(map[string][]time.Time), make(map[string]int)
+	l.placements, l.by = make(map[string][]time.Time), make(map[string]int)
 	l.mu.Unlock()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	for i := range int(duration / (5 * time.Millisecond)) {
 		<-tick.C
-		l.asks.Go(func() { l.one(t, nodes[i%len(nodes)], fmt.Sprint(name, i)) })
+		l.requests.Go(func() { l.one(t, nodes[i%len(nodes)], fmt.Sprint(name, i)) })
 	}
 }
 
@@ -51,7 +51,7 @@
 		return
 	}
 	l.mu.Lock()
-	l.given[g.Instance] = append(l.given[g.Instance], time.Now())
+	l.placements[g.Instance] = append(l.placements[g.Instance], time.Now())
 	l.by[g.DecidedBy]++
 	l.mu.Unlock()
 	time.Sleep(20 * time.Millisecond)
@@ -64,8 +64,8 @@
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	got, mean := float64(len(l.given[endpoint])), rate*duration.Seconds()
-	t.Logf("%s: %.0f places in %v at %g a second, by %v", endpoint, got, duration, rate, l.by)
+	got, mean := float64(len(l.placements[endpoint])), rate*duration.Seconds()
+	t.Logf("%s: %.0f placements in %v at %g a second, by %v", endpoint, got, duration, rate, l.by)
 	is.New(t).True(got <= 1.5*mean)
 	is.New(t).True(got >= 0.5*mean)
 }
@@ -79,15 +79,15 @@
 	f.owner("")
 	load := &plainLoad{}
 	load.run(t, "before", f.nodes, 200*time.Millisecond)
-	load.asks.Wait()
+	load.requests.Wait()
 	is.New(t).Equal(len(load.by), 5)
 
-	f.nodes[0].hears("p0", limit(rate))
-	f.nodes[0].hears("p1", limit(rate))
+	f.nodes[0].recordAnswer("p0", limit(rate))
+	f.nodes[0].recordAnswer("p1", limit(rate))
 	assertLimit(t, f.nodes, "p1", rate)
 	time.Sleep(rateSettles)
 	load.run(t, "during", f.nodes, 2*time.Second)
-	load.asks.Wait()
+	load.requests.Wait()
 	for _, endpoint := range []string{"p0", "p1"} {
 		load.assertRate(t, endpoint, rate, 2*time.Second)
 	}
@@ -104,18 +104,18 @@
 		stop := time.AfterFunc(time.Second, func() { close(owner.closing) })
 		defer stop.Stop()
 		load.run(t, "stop", left, 3*time.Second)
-		load.asks.Wait()
+		load.requests.Wait()
 		load.assertRate(t, "p0", rate, 3*time.Second)
 		is.New(t).Equal(len(load.by), 2)
 	})
 
 	t.Run("limits end", func(t *testing.T) {
-		f.nodes[1].hears("p0", notice.Statements{})
-		f.nodes[1].hears("p1", notice.Statements{})
+		f.nodes[1].recordAnswer("p0", notice.Statements{})
+		f.nodes[1].recordAnswer("p1", notice.Statements{})
 		assertLimit(t, f.nodes, "p1", -1)
 		settle()
 		load.run(t, "after", f.nodes, 200*time.Millisecond)
-		load.asks.Wait()
+		load.requests.Wait()
 		is.New(t).Equal(len(load.by), 5)
 	})
 }
@@ -131,7 +131,7 @@
 func TestReleasedPoolDropsAttempts(t *testing.T) {
 	f := newFleet(t, 5)
 	f.owner("")
-	f.nodes[0].hears("p0", limit(10))
+	f.nodes[0].recordAnswer("p0", limit(10))
 	assertLimit(t, f.nodes, "p0", 10)
 	settle()
 	for i, n := range f.nodes {
@@ -144,7 +144,7 @@
 		is.New(t).NoErr(err)
 	}
 	settle()
-	f.nodes[0].hears("p0", notice.Statements{})
+	f.nodes[0].recordAnswer("p0", notice.Statements{})
 	assertLimit(t, f.nodes, "p0", -1)
 	// If a session ends before an instance's messages are sent, its attempts are dropped with
 	// the session.
--- a/pool/link.go
+++ b/pool/link.go
@@ -57,8 +57,8 @@
 	greeting func() []*poolpb.FromEntry
 	// onChange is called when the session has opened or ended.
 	onChange func()
-	// onMigrate is called when the owner orders the migration of an attempt. endpoint is the one
-	// that has stopped, and by names the owner.
+	// onMigrate is called when the owner orders the migration of an attempt. endpoint is the
+	// stopped endpoint, and by names the owner.
 	onMigrate func(id, endpoint, by string)
 	// onVerdict is called with each verdict on a request that is suspected of crashing endpoints.
 	onVerdict func(quarantine.Verdict)
@@ -116,7 +116,7 @@
 	return !l.open && time.Since(l.tryingSince) < dialGrace
 }
 
-// enqueue sends a message, or drops it if there is no session.
+// enqueue queues a message for the owner, or drops it if there is no session.
 func (l *link) enqueue(m *poolpb.FromEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +124,8 @@
 }
 
 // enqueueLocked is enqueue for a caller that holds l.mu. Messages that are queued while the session
-// opens follow its greeting. It reports whether the message was queued.
+// opens follow its greeting. It reports whether the message was queued; a full queue ends the
+// session.
 func (l *link) enqueueLocked(m *poolpb.FromEntry) bool {
 	if l.queue == nil {
 		return false
@@ -138,8 +139,8 @@
 	}
 }
 
-// ask sends a placement request and waits for the answer.
-func (l *link) ask(ctx context.Context, a *PlacementRequest) (Grant, error) {
+// place sends a placement request and waits for the answer.
+func (l *link) place(ctx context.Context, a *PlacementRequest) (Grant, error) {
 	c := make(chan placementReply, 1)
 	l.mu.Lock()
 	ok := l.open && l.enqueueLocked(&poolpb.FromEntry{
--- a/pool/link_session.go
+++ b/pool/link_session.go
@@ -101,7 +101,7 @@
 	l.lastReceived = l.openedAt
 	l.pending = make(map[string]chan placementReply)
 	l.endRedialWait()
-	l.log.Info("owner in touch", "owner", l.peer)
+	l.log.Info("session with an owner opened", "owner", l.peer)
 	l.onChange()
 }
 
@@ -125,7 +125,7 @@
 	if err != nil {
 		cause = err.Error()
 	}
-	l.log.Info("owner out of touch", "owner", l.peer, "asked", len(l.pending), "cause", cause)
+	l.log.Info("session with an owner ended", "owner", l.peer, "asked", len(l.pending), "cause", cause)
 	l.pending = nil
 	again := l.redialsAtOnce(err)
 	if again {
@@ -197,7 +197,8 @@
 	}
 }
 
-// deliver passes a reply to the placement request that waits for it, if any. The caller holds l.mu.
+// deliver passes a reply to the placement request that waits for it, if any. The caller must hold
+// l.mu.
 func (l *link) deliver(id string, r placementReply) {
 	if c, ok := l.pending[id]; ok {
 		delete(l.pending, id)
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -51,7 +51,7 @@
 // engine that works.
 func (p *poolState) refuseReplacement(r ReplacedAttempt, now time.Time) *Refusal {
 	at := p.attempts[r.ID]
-	if at == nil || at.moved {
+	if at == nil || at.migrating {
 		return nil
 	}
 	left, explained := p.expectedWait(r.ID, at, r.SilentFor, now)
@@ -66,7 +66,8 @@
 }
 
 // expectedWait returns how long it takes until the next event of a silent attempt, by the models of
-// its engines. It returns false if no model explains the silence.
+// its engines. It returns false if no model explains the silence, or if one of the engines is
+// unknown.
 func (p *poolState) expectedWait(id string, at *attempt, silence time.Duration, now time.Time) (time.Duration, bool) {
 	left, known := time.Duration(0), false
 	for _, name := range at.endpoints() {
--- a/pool/slowdown_test.go
+++ b/pool/slowdown_test.go
@@ -106,7 +106,7 @@
 	f.t.Helper()
 	g, id := f.place(a)
 	f.now = f.now.Add(time.Duration(float64(g.FirstEventIn)*slowdown) + delay)
-	f.pool.First(id, "engines")
+	f.pool.FirstEvent(id, "engines")
 	f.pool.End(id, "engines", pool.Served, "")
 	f.deliver()
 	return g
@@ -160,7 +160,7 @@
 		request  pool.PlacementRequest
 		slowdown float64
 		delay    time.Duration
-		// queried states that all engines of the attempt are queried.
+		// queried is set if all engines of the attempt are queried.
 		queried bool
 	}{
 		{"as predicted", soloPrompt(), 1, 0, false},
@@ -275,7 +275,7 @@
 	for _, row := range []struct {
 		name string
 		mode pool.SlowdownMode
-		// silent states that engines don't answer queries.
+		// silent is set if engines don't answer queries.
 		silent bool
 	}{
 		{"engines are not queried", pool.SlowdownEstimated, false},
@@ -298,7 +298,7 @@
 			is.Equal(f.stats().Slow, 1)
 			is.True(f.now.Sub(began) < 1500*time.Millisecond)
 			f.advance(100 * time.Millisecond)
-			// It works at the speed of its model again, in half the predicted time.
+			// The engine is back at the speed of its model and takes half the predicted time.
 			began = f.now
 			for f.stats().Slow == 1 && f.now.Sub(began) < 3*time.Second {
 				f.serve(f.requestFor("e0"), 0.5, 0)
@@ -338,7 +338,7 @@
 			FirstEventIn: 100 * time.Millisecond,
 		}, false)
 		f.advance(400 * time.Millisecond)
-		f.pool.First("adopted", "engines")
+		f.pool.FirstEvent("adopted", "engines")
 		is.Equal(len(f.queries), 0)
 		is.Equal(f.stats().Slow, 0)
 	})
@@ -401,7 +401,7 @@
 			f.snap.Endpoints[g.Instance] = e
 			f.pool.Update(f.snap)
 			f.advance(3 * g.FirstEventIn)
-			f.pool.First(id, "engines")
+			f.pool.FirstEvent(id, "engines")
 			is.Equal(f.queries[g.Instance], row.queries)
 		})
 	}
@@ -419,7 +419,7 @@
 	}
 	for _, row := range []struct {
 		name string
-		// late states that the answer arrives after the restart.
+		// late is set if the answer arrives after the restart.
 		late bool
 	}{
 		{"answer before the restart", false},
@@ -432,7 +432,7 @@
 			f.reports["e0"] = 3
 			_, id := f.place(f.requestFor("e0"))
 			f.advance(400 * time.Millisecond)
-			f.pool.First(id, "engines")
+			f.pool.FirstEvent(id, "engines")
 			is.Equal(f.queries["e0"], 1)
 			if !row.late {
 				f.deliver()
--- a/pool/state.go
+++ b/pool/state.go
@@ -68,7 +68,7 @@
 	// leaving, backing off or at its rate limit.
 	passedOver  int64
 	unavailable int64
-	// plain states that the service has no engine model.
+	// plain is set if the service has no engine model.
 	plain bool
 }
 
@@ -78,25 +78,24 @@
 	// startedAt is the start time of the endpoint's incarnation that received the attempt; zero
 	// if unknown.
 	startedAt time.Time
-	// joint names the other endpoints that take part in a joint prefill.
-	joint []string
+	// helpers names the other endpoints that take part in a joint prefill.
+	helpers []string
 	// placedAt is when the attempt was placed, and predictedFirst the predicted time from then
 	// to the first event.
 	placedAt       time.Time
 	predictedFirst time.Duration
-	// begun states that the first event has arrived.
+	// begun is set if the first event has arrived.
 	begun bool
 	// workload identifies the request if the attempt is interrupted and its caller reconnects.
 	workload workload
 	// entry names the entry instance.
 	entry string
-	// suspectedAt is when the entry instance last reported the attempt as silent, and
-	// silentSince when the silence began. moved states that the entry instance was told to
-	// migrate the attempt.
+	// suspectedAt is when the entry instance last reported the attempt as silent, and silentSince
+	// when the silence began. migrating is set once the migration of the attempt has been ordered.
 	suspectedAt time.Time
 	silentSince time.Time
-	moved       bool
-	// watched states that the entry instance reports the attempt when it is silent.
+	migrating   bool
+	// watched is set if the entry instance reports the attempt when it falls silent.
 	watched bool
 	// orphanMark identifies the ended session through which the attempt came; zero while the
 	// entry instance is connected. cutAt is when that session ended.
@@ -107,7 +106,7 @@
 // endpoints returns the instances of all endpoints of the attempt. The last one answers the
 // request.
 func (at *attempt) endpoints() []string {
-	return append(slices.Clone(at.joint), at.instance)
+	return append(slices.Clone(at.helpers), at.instance)
 }
 
 // upsert adds an endpoint, or updates it, from its catalog entry. An endpoint of a service
@@ -161,11 +160,10 @@
 	})
 }
 
-// shareRetryBudget divides the retry budget of the service among the instances. Half of Extra
-// is for the pool's owner, which may change, and half for all instances together while they
-// place without an owner. In a plain pool each instance usually places its own requests, so
-// there the instances share all of Extra. It also sets the number of instances that share rate
-// limits.
+// shareRetryBudget divides the retry budget of the service among the instances. Half of Extra is
+// for the pool's owner, and half for all instances together while they place without an owner. In a
+// plain pool each instance usually places its own requests, so there the instances share all of
+// Extra. It also sets the number of instances that share rate limits.
 func (p *poolState) shareRetryBudget(whole Budget, instances int) {
 	p.ownerRetries.budget = Budget{
 		Ratio:  whole.Ratio * retryBudgetShare,
@@ -181,8 +179,8 @@
 	}
 }
 
-// retryBudgetShare is the part of the budget that is handed out. The rest covers sends that are
-// counted twice, or not at all, while the owner changes.
+// retryBudgetShare is the part of the budget that the instances may use. The rest covers first
+// sends and retries that are counted twice, or not at all, while the owner changes.
 const retryBudgetShare = 0.75
 
 // resolve returns the instance of the endpoint with the given instance or address, or "" if
@@ -223,7 +221,7 @@
 	for _, e := range p.list {
 		switch {
 		case p.ineligible(w, e, v) || p.availableAt(w, e, v).After(now):
-		case slices.Contains(w.ask.Avoid, e.Instance) || !p.health[e.Instance].usable(now) || p.suspicion.doubted[e.Instance]:
+		case slices.Contains(w.placementRequest.Avoid, e.Instance) || !p.health[e.Instance].usable(now) || p.suspicion.doubted[e.Instance]:
 			failed = append(failed, e)
 		default:
 			out = append(out, e)
@@ -269,7 +267,7 @@
 	if e := p.engines[at.instance]; e != nil {
 		late = e.Observe(id, now)
 	}
-	for _, name := range at.joint {
+	for _, name := range at.helpers {
 		if e := p.engines[name]; e != nil {
 			e.FinishShare(id, now)
 		}
