--- a/account/account.go
+++ b/account/account.go
@@ -15,61 +15,67 @@
 	"github.com/go-faster/errors"
 )
 
-// Cause is what became of a request.
+// Cause is the result of a request: that it was in time, or why not.
 type Cause int
 
-// The causes, of which the first that holds counts.
+// The causes. A request that is not in time has the first of the other causes that one of its
+// lines shows.
 const (
-	// InTime requests had their first event and all pauses in time, at the first attempt.
+	// InTime means that the first event and all pauses were in time in the only attempt.
 	InTime Cause = iota
-	// Refused ones got no place. A caller that comes back has another request.
+	// Refused means that the request was not placed. If the caller sends it again under another
+	// ID, that is another request.
 	Refused
-	// Gone ones were left by their callers, or ran out of time.
-	Gone
-	// Moved ones went elsewhere as their endpoint was silent.
-	Moved
-	// Failed ones had an endpoint that failed, turned them away or wasn't there.
-	Failed
-	// Waited ones were late after they waited for a place for a quarter of their target.
+	// CallerGone means that the caller closed the connection or the request ran out of time.
+	CallerGone
+	// Migrated means that the request was sent to another endpoint because the first one was
+	// silent.
+	Migrated
+	// EndpointFailed means that an endpoint failed, rejected the request or could not be
+	// reached.
+	EndpointFailed
+	// Waited means that the first event was late and that the request had waited for a placement
+	// for more than a quarter of its target.
 	Waited
-	// FirstLate ones had a late first event, and PauseLate a pause that was too long.
+	// FirstLate means that the first event was late for another reason, and PauseLate that a
+	// pause was too long.
 	FirstLate
 	PauseLate
-	// Causes is how many there are.
-	Causes
+	// CauseCount is the number of causes.
+	CauseCount
 )
 
 // String returns the name of the cause.
 func (c Cause) String() string {
-	names := [Causes]string{"in time", "refused", "caller gone", "moved", "endpoint failed", "waited", "first late", "pause"}
-	if c < 0 || c >= Causes {
+	names := [CauseCount]string{"in time", "refused", "caller gone", "moved", "endpoint failed", "waited", "first late", "pause"}
+	if c < 0 || c >= CauseCount {
 		return "unknown"
 	}
 	return names[c]
 }
 
-// Kind is a kind of requests.
+// Kind is the kind of a request.
 type Kind struct {
-	// Target is within what time the first event is in time; zero when only refusals
-	// are known.
+	// Target is the time within which the first event is in time; zero if no line of the request
+	// states it.
 	Target time.Duration
-	// Gap is the longest pause in time; zero means that none counts.
+	// Gap is the longest pause that is in time; zero means no limit.
 	Gap time.Duration
 }
 
-// Row counts the requests of a kind.
+// Row contains the counts for the requests of one kind.
 type Row struct {
 	Kind Kind
 	// Prompt is the mean length of the prompts, in tokens.
 	Prompt int
-	// Counts are the requests by cause.
-	Counts [Causes]int
-	// Seconds are the requests that were not in time by the second of their last line,
-	// from the first line on.
+	// Counts are the numbers of requests by cause.
+	Counts [CauseCount]int
+	// Seconds are the numbers of requests that were not in time, by the second of their last
+	// line, counted from the first line of the log.
 	Seconds map[int]int
 }
 
-// Total returns how many requests the row counts.
+// Total returns the number of requests in the row.
 func (r *Row) Total() int {
 	n := 0
 	for _, c := range r.Counts {
@@ -78,8 +84,8 @@
 	return n
 }
 
-// line is what is read of a log line.
-type line struct {
+// logLine contains the fields of a log line that the package uses.
+type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
 	Request string    `json:"request"`
@@ -93,7 +99,7 @@
 	Outcome string    `json:"outcome"`
 }
 
-// request is what is known of a request.
+// request accumulates the lines of a request.
 type request struct {
 	kind   Kind
 	prompt int
@@ -101,35 +107,35 @@
 	last   time.Time
 }
 
-// maxLine bounds a line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line.
+const maxLineBytes = 1 << 20
 
-// Read accounts for the requests that lines tell of: a row for each kind, the shortest
-// target first.
+// Read reads a log and returns one row for each kind of requests, with the shortest target
+// first.
 func Read(in io.Reader) ([]Row, error) {
 	requests := make(map[string]*request)
 	began := time.Time{}
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		l, ok := parse(scanner.Bytes())
+		l, ok := parseLine(scanner.Bytes())
 		if !ok {
 			continue
 		}
 		if began.IsZero() || l.Time.Before(began) {
 			began = l.Time
 		}
-		note(requests, &l)
+		addLine(requests, &l)
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, errors.Wrap(err, "log")
 	}
-	return rows(requests, began), nil
+	return countByKind(requests, began), nil
 }
 
-// parse returns a line that counts.
-func parse(text []byte) (line, bool) {
-	var l line
+// parseLine decodes a line. It returns false for a line that the package ignores.
+func parseLine(text []byte) (logLine, bool) {
+	var l logLine
 	at := bytes.IndexByte(text, '{')
 	if at < 0 || json.Unmarshal(text[at:], &l) != nil {
 		return l, false
@@ -146,8 +152,8 @@
 	return l, false
 }
 
-// note takes over a line.
-func note(requests map[string]*request, l *line) {
+// addLine adds a line to its request.
+func addLine(requests map[string]*request, l *logLine) {
 	r := requests[l.Request]
 	if r == nil {
 		r = &request{}
@@ -163,27 +169,27 @@
 	if l.Time.After(r.last) {
 		r.last = l.Time
 	}
-	if c := l.cause(); r.cause == InTime || c != InTime && c < r.cause {
+	if c := l.causeOfLine(); r.cause == InTime || c != InTime && c < r.cause {
 		r.cause = c
 	}
 }
 
-// waitedParts is the part of its target, as a divisor, that a late request waited for it
-// to count as late for waiting.
-const waitedParts = 4
+// waitedDivisor is the fraction of its target, as a divisor, that a late request must have
+// waited for its cause to be Waited.
+const waitedDivisor = 4
 
-// cause returns what a line alone tells.
-func (l *line) cause() Cause {
+// causeOfLine returns the cause that the line shows.
+func (l *logLine) causeOfLine() Cause {
 	switch {
 	case l.Message == "refuse":
 		return Refused
 	case l.Message == "caller gone" || l.Outcome == "abandoned":
-		return Gone
+		return CallerGone
 	case l.Outcome == "silent":
-		return Moved
+		return Migrated
 	case l.Outcome != "served":
-		return Failed
-	case l.Waited+l.First > l.Target && l.Waited > l.Target/waitedParts:
+		return EndpointFailed
+	case l.Waited+l.First > l.Target && l.Waited > l.Target/waitedDivisor:
 		return Waited
 	case l.Waited+l.First > l.Target:
 		return FirstLate
@@ -193,8 +199,8 @@
 	return InTime
 }
 
-// rows counts requests by kind.
-func rows(requests map[string]*request, began time.Time) []Row {
+// countByKind returns one row for each kind of requests, sorted by target and gap.
+func countByKind(requests map[string]*request, began time.Time) []Row {
 	byKind := make(map[Kind]*Row)
 	for _, q := range requests {
 		r := byKind[q.kind]
