--- a/cmd/linkmast/deploy_test.go
+++ b/cmd/linkmast/deploy_test.go
@@ -99,7 +99,7 @@
 			p.mu.Lock()
 			p.output.WriteString(in.Text() + "\n")
 			p.mu.Unlock()
-			if p.read(in.Text()) {
+			if p.parseAddresses(in.Text()) {
 				once()
 			}
 		}
@@ -118,8 +118,8 @@
 	return p
 }
 
-// read takes the addresses from a line of output.
-func (p *process) read(line string) bool {
+// parseAddresses takes the addresses from a line of output.
+func (p *process) parseAddresses(line string) bool {
 	if a, ok := strings.CutPrefix(line, "listening on "); ok {
 		p.address = a
 		return true
@@ -154,16 +154,16 @@
 // stops the others once it is given a processor; beside load they go on until then.
 func (p *process) awaitFrozen() {
 	p.t.Helper()
-	for end := time.Now().Add(frozenWithin); !p.frozen(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(freezeTimeout); !p.frozen(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatal("process does not stop")
 		}
 	}
 }
 
-// frozenWithin bounds the wait for a process to stop; on a busy machine it takes some tens
+// freezeTimeout bounds the wait for a process to stop; on a busy machine it takes some tens
 // of milliseconds.
-const frozenWithin = 5 * time.Second
+const freezeTimeout = 5 * time.Second
 
 // frozen states whether all threads of the process are stopped.
 func (p *process) frozen() bool {
@@ -200,16 +200,16 @@
 	for i := range 3 {
 		name := fmt.Sprintf("e%d", i+1)
 		d.engines = append(d.engines, d.run(name, "linkmastctl", "standin", "engine", "--instance", name, "--step", "10ms"))
-		d.list(name, d.engines[i].address, instances.KindEndpoint)
+		d.register(name, d.engines[i].address, instances.KindEndpoint)
 	}
 	d.service = d.run("s1", "linkmastctl", "standin", "service", "--instance", "s1")
-	d.list("s1", d.service.address, instances.KindEndpoint)
+	d.register("s1", d.service.address, instances.KindEndpoint)
 	for i := range n {
 		d.addNode(fmt.Sprintf("n%d", i+1))
 	}
 	d.publish()
 	for _, p := range d.nodes {
-		d.ready(p, n)
+		d.awaitReady(p, n)
 	}
 	return d
 }
@@ -224,11 +224,11 @@
 	}
 	p := d.run(name, "linkmast", "--settings", path)
 	d.nodes = append(d.nodes, p)
-	d.list(name, p.peer, instances.KindNode)
+	d.register(name, p.peer, instances.KindNode)
 }
 
-// list puts an instance on the platform's list.
-func (d *deployment) list(id, address string, kind instances.Kind) {
+// register puts an instance on the platform's register.
+func (d *deployment) register(id, address string, kind instances.Kind) {
 	data, _ := json.Marshal(instances.Instance{
 		ID:            id,
 		Kind:          kind,
@@ -269,8 +269,8 @@
 	}
 }
 
-// ready waits until a node serves and knows n nodes.
-func (d *deployment) ready(p *process, n int) {
+// awaitReady waits until a node serves and knows n nodes.
+func (d *deployment) awaitReady(p *process, n int) {
 	d.t.Helper()
 	for range 200 {
 		var s struct {
@@ -290,8 +290,8 @@
 	d.t.Fatalf("%s is not ready: %s", p.name, p.text())
 }
 
-// held returns the memory held at all engines that answer.
-func (d *deployment) held() int64 {
+// heldBytes returns the memory heldBytes at all engines that answer.
+func (d *deployment) heldBytes() int64 {
 	total := int64(0)
 	for _, p := range d.engines {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -304,12 +304,12 @@
 	return total
 }
 
-func (d *deployment) wantFree(within time.Duration) {
+func (d *deployment) wantMemoryReleased(within time.Duration) {
 	d.t.Helper()
 	until := time.Now().Add(within)
-	for d.held() > 0 {
+	for d.heldBytes() > 0 {
 		if time.Now().After(until) {
-			d.t.Errorf("%d bytes are still held after %s", d.held(), within)
+			d.t.Errorf("%d bytes are still held after %s", d.heldBytes(), within)
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/cmd/linkmast/main.go
+++ b/cmd/linkmast/main.go
@@ -57,18 +57,18 @@
 		"SIGHUP checks the settings anew.\n" +
 		"Exit codes: 0 stopped as planned, 1 could not start, 2 wrong command line or settings."
 	if _, err := parser.ParseArgs(args); err != nil {
-		return usage(err)
+		return reportUsage(err)
 	}
 	if o.Version {
 		fmt.Println("linkmast", version.String())
 		return exitOK
 	}
 	if o.Settings == "" {
-		return usage(errors.New("--settings is missing; see --help"))
+		return reportUsage(errors.New("--settings is missing; see --help"))
 	}
 	s, err := settings.Read(o.Settings)
 	if err != nil {
-		return usage(err)
+		return reportUsage(err)
 	}
 	if o.Check {
 		fmt.Println("settings are fine")
@@ -77,8 +77,8 @@
 	return serve(s, o)
 }
 
-// usage prints what is wrong with the command line, or the help asked for.
-func usage(err error) int {
+// reportUsage prints what is wrong with the command line, or the help asked for.
+func reportUsage(err error) int {
 	var f *flags.Error
 	if errors.As(err, &f) && f.Type == flags.ErrHelp {
 		fmt.Println(err)
--- a/cmd/linkmast/process_test.go
+++ b/cmd/linkmast/process_test.go
@@ -29,8 +29,8 @@
 	took   time.Duration
 }
 
-// ask asks a node for a streamed completion.
-func ask(address, prompt string, tokens int) result {
+// complete asks a node for a streamed completion.
+func complete(address, prompt string, tokens int) result {
 	body, _ := json.Marshal(map[string]any{
 		"model":      fleet.Model,
 		"prompt":     prompt,
@@ -77,15 +77,15 @@
 	return r
 }
 
-// streams opens n streams through each address and returns what they get.
-func streams(addresses []string, n, tokens int) func() map[string][]result {
+// startStreams opens n startStreams through each address and returns what they get.
+func startStreams(addresses []string, n, tokens int) func() map[string][]result {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	out := make(map[string][]result)
 	for _, a := range addresses {
 		for i := range n {
 			all.Go(func() {
-				r := ask(a, fmt.Sprintf("%s %d", a, i), tokens)
+				r := complete(a, fmt.Sprintf("%s %d", a, i), tokens)
 				if r.whole && r.text != standin.Answer(fmt.Sprintf("%s %d", a, i), tokens) {
 					r.err = fmt.Errorf("not its own answer")
 				}
@@ -113,7 +113,7 @@
 
 func TestNodeKilled(t *testing.T) {
 	d := deploy(t, 3)
-	wait := streams(d.addresses(), 4, 400) // 4 s
+	wait := startStreams(d.addresses(), 4, 400) // 4 s
 	time.Sleep(time.Second)
 	d.nodes[0].signal(syscall.SIGKILL)
 	got := wait()
@@ -125,8 +125,8 @@
 			t.Error("a stream of a node that was killed seems whole")
 		}
 	}
-	d.wantFree(15 * time.Second)
-	after := streams(d.addresses()[1:], 4, 20)()
+	d.wantMemoryReleased(15 * time.Second)
+	after := startStreams(d.addresses()[1:], 4, 20)()
 	for a, r := range after {
 		wantWhole(t, a, r)
 	}
@@ -134,15 +134,15 @@
 
 func TestNodeFrozenAndAwake(t *testing.T) {
 	d := deploy(t, 3)
-	wait := streams(d.addresses(), 4, 400)
+	wait := startStreams(d.addresses(), 4, 400)
 	time.Sleep(time.Second)
 	d.nodes[0].signal(syscall.SIGSTOP)
 	time.Sleep(500 * time.Millisecond)
-	during := streams(d.addresses()[1:], 6, 20)()
+	during := startStreams(d.addresses()[1:], 6, 20)()
 	for a, r := range during {
 		wantWhole(t, a, r)
 	}
-	d.wantFree(20 * time.Second)
+	d.wantMemoryReleased(20 * time.Second)
 	d.nodes[0].signal(syscall.SIGCONT)
 	got := wait()
 	for _, p := range d.nodes[1:] {
@@ -154,11 +154,11 @@
 		}
 	}
 	time.Sleep(2 * time.Second)
-	after := streams(d.addresses(), 4, 20)()
+	after := startStreams(d.addresses(), 4, 20)()
 	for a, r := range after {
 		wantWhole(t, a, r)
 	}
-	d.wantFree(15 * time.Second)
+	d.wantMemoryReleased(15 * time.Second)
 }
 
 func TestPlannedStop(t *testing.T) {
@@ -174,7 +174,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			d := deploy(t, 3)
-			wait := streams(d.addresses(), 6, 400)
+			wait := startStreams(d.addresses(), 6, 400)
 			time.Sleep(500 * time.Millisecond)
 			if c.outage {
 				put(t, "http://"+d.platform.address+"/faults", `{"outage":true}`)
@@ -184,7 +184,7 @@
 			}
 			// The balancer goes on sending for a while.
 			time.Sleep(300 * time.Millisecond)
-			during := streams(d.addresses(), 4, 100)()
+			during := startStreams(d.addresses(), 4, 100)()
 			for a, r := range during {
 				wantWhole(t, "sent while stopping "+a, r)
 			}
@@ -199,7 +199,7 @@
 					t.Errorf("%s does not end: %s", d.nodes[i].name, d.nodes[i].text())
 				}
 			}
-			d.wantFree(10 * time.Second)
+			d.wantMemoryReleased(10 * time.Second)
 		})
 	}
 }
@@ -208,7 +208,7 @@
 	for _, s := range []syscall.Signal{syscall.SIGKILL, syscall.SIGSTOP} {
 		t.Run(s.String(), func(t *testing.T) {
 			d := deploy(t, 2)
-			wait := streams(d.addresses(), 6, 300)
+			wait := startStreams(d.addresses(), 6, 300)
 			time.Sleep(time.Second)
 			d.engines[0].signal(s)
 			whole := 0
@@ -231,12 +231,12 @@
 			if whole < 6 {
 				t.Errorf("%d of 12 streams were whole; at most those of one engine may be lost", whole)
 			}
-			after := streams(d.addresses(), 4, 20)()
+			after := startStreams(d.addresses(), 4, 20)()
 			for a, r := range after {
 				wantWhole(t, a, r)
 			}
 			d.engines = d.engines[1:]
-			d.wantFree(10 * time.Second)
+			d.wantMemoryReleased(10 * time.Second)
 		})
 	}
 }
@@ -258,7 +258,7 @@
 	is.Equal(down.status, http.StatusServiceUnavailable)
 	is.True(strings.Contains(down.body, `"ran":"not_run"`))
 	is.True(down.took < 5*time.Second)
-	plain := streams(d.addresses(), 3, 20)()
+	plain := startStreams(d.addresses(), 3, 20)()
 	for a, r := range plain {
 		wantWhole(t, a, r)
 	}
--- a/cmd/linkmastctl/demo.go
+++ b/cmd/linkmastctl/demo.go
@@ -77,22 +77,22 @@
 			out.Run.LeakedBytes)
 	}
 	if !c.Exit {
-		stay()
+		awaitSignal()
 	}
 	return nil
 }
 
 // measure sends the profile without and with its long prompts.
 func (c *demoCommand) measure(f *fleet.Fleet, p *load.Profile) *Result {
-	short := p.WithoutLong()
+	short := p.WithoutLongPrompts()
 	s := load.Settings{
 		Addresses: f.Addresses(),
-		Rate:      c.Load * f.Capacity() / p.Mean(),
+		Rate:      c.Load * f.Capacity() / p.MeanPrefill(),
 		Duration:  c.Duration,
 		Seed:      c.Seed,
 	}
 	base := s
-	base.Rate *= short.Weight() / p.Weight()
+	base.Rate *= short.TotalWeight() / p.TotalWeight()
 	base.Seed += 1_000_000
 	out := &Result{
 		Baseline: runFleet(f, short, base, "none"),
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// stay waits for a signal.
-func stay() {
+// awaitSignal waits for a signal.
+func awaitSignal() {
 	fmt.Fprintln(os.Stderr, "\nrunning; interrupt to end")
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/cmd/linkmastctl/experiment.go
+++ b/cmd/linkmastctl/experiment.go
@@ -34,10 +34,10 @@
 	if err != nil {
 		return errors.Wrap(err, "experiment")
 	}
-	if err := writePicture(c.Times, rows, experiment.WriteTimes); err != nil {
+	if err := writePlot(c.Times, rows, experiment.WriteWindowPlot); err != nil {
 		return err
 	}
-	if err := writePicture(c.Loads, rows, experiment.WriteLoads); err != nil {
+	if err := writePlot(c.Loads, rows, experiment.WriteLoadPlot); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -46,8 +46,8 @@
 	return experiment.WriteTable(os.Stdout, rows, c.Causes)
 }
 
-// writePicture writes a picture to a file; no name means none.
-func writePicture(name string, rows []experiment.Row, write func(io.Writer, []experiment.Row) error) error {
+// writePlot writes a picture to a file; no name means none.
+func writePlot(name string, rows []experiment.Row, write func(io.Writer, []experiment.Row) error) error {
 	if name == "" {
 		return nil
 	}
--- a/cmd/linkmastctl/load.go
+++ b/cmd/linkmastctl/load.go
@@ -56,9 +56,9 @@
 	}
 	var out Result
 	if c.Baseline {
-		short := p.WithoutLong()
+		short := p.WithoutLongPrompts()
 		// The other requests come at the same rate as in the whole profile.
-		part := short.Weight() / p.Weight()
+		part := short.TotalWeight() / p.TotalWeight()
 		if out.Baseline, err = c.run(short, p, part, "none"); err != nil {
 			return err
 		}
@@ -129,13 +129,13 @@
 	defer f.Close()
 	s.Addresses = f.Addresses()
 	if s.Rate == 0 {
-		s.Rate = c.Load * f.Capacity() / whole.Mean() * part
+		s.Rate = c.Load * f.Capacity() / whole.MeanPrefill() * part
 	}
 	return runFleet(f, p, s, fault), nil
 }
 
-// settleTime bounds the wait for engine memory to come back after a run.
-const settleTime = 15 * time.Second
+// memoryTimeout bounds the wait for engine memory to come back after a run.
+const memoryTimeout = 15 * time.Second
 
 // runFleet runs a profile against an embedded fleet, with a fault a third into
 // it.
@@ -143,7 +143,7 @@
 	strike := time.AfterFunc(s.Duration/3, func() { f.Strike(fault) })
 	defer strike.Stop()
 	r := load.Run(context.Background(), p, s)
-	r.LeakedBytes = f.WaitFree(settleTime)
+	r.LeakedBytes = f.WaitFree(memoryTimeout)
 	r.Doubled = f.Doubled()
 	r.Finish()
 	return r
--- a/cmd/linkmastctl/soak.go
+++ b/cmd/linkmastctl/soak.go
@@ -45,7 +45,7 @@
 			return err
 		}
 	}
-	return c.play(ctx)
+	return c.runSeeds(ctx)
 }
 
 // buildInstance builds the program of an instance from the source tree that is the
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// play plays the runs one after the other. The error says how many broke a promise.
-func (c *soakCommand) play(ctx context.Context) error {
+// runSeeds plays the runs one after the other. The error says how many broke a promise.
+func (c *soakCommand) runSeeds(ctx context.Context) error {
 	bad := 0
 	for i := range c.Runs {
 		broken, err := soak.Run(ctx, soak.Settings{
--- a/cmd/linkmastctl/status.go
+++ b/cmd/linkmastctl/status.go
@@ -39,7 +39,7 @@
 	}
 	defer wirehttp.Drain(res.Body)
 	if res.StatusCode == http.StatusNotFound {
-		return errNotThere
+		return errNotFound
 	}
 	if res.StatusCode != http.StatusOK {
 		return errors.Errorf("status %d", res.StatusCode)
@@ -47,8 +47,8 @@
 	return json.NewDecoder(res.Body).Decode(out)
 }
 
-// errNotThere is something that a node does not know.
-var errNotThere = errors.New("not there")
+// errNotFound is something that a node does not know.
+var errNotFound = errors.New("not there")
 
 // statusCommand shows the fleet.
 type statusCommand struct {
@@ -119,7 +119,7 @@
 	for _, a := range c.Admin {
 		var s entry.Trace
 		err := c.get(a, "/explain/"+c.Args.Request, &s)
-		if errors.Is(err, errNotThere) {
+		if errors.Is(err, errNotFound) {
 			continue
 		}
 		if err != nil {
--- a/emulator/arrival_test.go
+++ b/emulator/arrival_test.go
@@ -13,21 +13,21 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// TestNotHeldInVain plays twice what the engines can do. It looks that no request for a
+// TestRefusedInTime plays twice what the engines can do. It looks that no request for a
 // long prompt waits for longer than it could be in time and is refused then: its caller
 // has nothing of that, and others come all the time that go first.
-func TestNotHeldInVain(t *testing.T) {
+func TestRefusedInTime(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			s := third(t, "contended.toml", 2)
+			s := thirdOfSheet(t, "contended.toml", 2)
 			requests := emulator.Draw(s, seed)
 			r := emulator.Play(s, requests, pool.Settings{}, seed)
 			refused := 0
 			longest := make([]time.Duration, len(s.Kinds))
 			for i, o := range r.Outcomes {
 				k := requests[i].Kind
-				longest[k] = max(longest[k], o.Held)
+				longest[k] = max(longest[k], o.LongestRefusedWait)
 				if o.Cause == emulator.CauseRefused {
 					refused++
 				}
--- a/emulator/attempt.go
+++ b/emulator/attempt.go
@@ -10,33 +10,33 @@
 
 // attempt is a request at its engines.
 type attempt struct {
-	caller  *caller
-	id      string
-	grant   pool.Grant
-	engine  *engine
-	helpers []*engine
-	head    *job
-	// unread counts the engines that still read their parts.
-	unread int
-	events int
-	// heard is when the entry last heard of it.
-	heard time.Time
-	// looks is when the entry looks again for another place.
-	looks time.Duration
-	ended bool
+	caller       *caller
+	id           string
+	grant        pool.Grant
+	engine       *engine
+	shareEngines []*engine
+	mainJob      *job
+	// pendingPrefills counts the engines that still read their parts.
+	pendingPrefills int
+	events          int
+	// lastEventAt is when the entry last lastEventAt of it.
+	lastEventAt time.Time
+	// recheckAfter is when the entry recheckAfter again for another place.
+	recheckAfter time.Duration
+	ended        bool
 }
 
 // newAttempt returns an attempt at a place.
 func newAttempt(c *caller, id string, g pool.Grant) *attempt {
 	a := &attempt{
-		caller: c,
-		id:     id,
-		grant:  g,
-		engine: c.play.engines[g.Instance],
-		unread: len(g.Shares) + 1,
+		caller:          c,
+		id:              id,
+		grant:           g,
+		engine:          c.play.engines[g.Instance],
+		pendingPrefills: len(g.Shares) + 1,
 	}
 	for _, r := range g.Shares {
-		a.helpers = append(a.helpers, c.play.engines[r.Instance])
+		a.shareEngines = append(a.shareEngines, c.play.engines[r.Instance])
 	}
 	return a
 }
@@ -47,68 +47,68 @@
 		return
 	}
 	c := a.caller
-	tokens := max(c.request.Prompt/a.unread, 1)
-	perToken := a.engine.model.PrefillTime(c.request.Prompt, a.unread) / time.Duration(tokens)
+	tokens := max(c.request.Prompt/a.pendingPrefills, 1)
+	perToken := a.engine.model.PrefillTime(c.request.Prompt, a.pendingPrefills) / time.Duration(tokens)
 	memory := c.request.Prompt + c.request.Events*c.play.sheet.Engines.Stride
-	joint := len(a.helpers) > 0
-	for i, e := range a.helpers {
+	joint := len(a.shareEngines) > 0
+	for i, e := range a.shareEngines {
 		hold := a.grant.Shares[i].Reserved
 		memory -= hold
 		e.add(&job{
-			attempt:  a,
-			part:     true,
-			joint:    true,
-			tokens:   tokens,
-			perToken: perToken,
-			memory:   hold,
-			context:  hold,
+			attempt:    a,
+			isShare:    true,
+			joint:      true,
+			tokensLeft: tokens,
+			perToken:   perToken,
+			memory:     hold,
+			context:    hold,
 		})
 	}
-	a.head = &job{
-		attempt:  a,
-		joint:    joint,
-		tokens:   tokens,
-		perToken: perToken,
-		memory:   max(memory, 0),
-		context:  tokens,
-		events:   c.request.Events - c.events,
+	a.mainJob = &job{
+		attempt:    a,
+		joint:      joint,
+		tokensLeft: tokens,
+		perToken:   perToken,
+		memory:     max(memory, 0),
+		context:    tokens,
+		eventsLeft: c.request.Events - c.events,
 	}
-	a.engine.add(a.head)
+	a.engine.add(a.mainJob)
 }
 
-// read notes that an engine has read its part. The first event comes after the last one.
-func (a *attempt) read() {
-	a.unread--
-	if a.unread > 0 {
+// finishPrefill notes that an engine has finishPrefill its part. The first event comes after the last one.
+func (a *attempt) finishPrefill() {
+	a.pendingPrefills--
+	if a.pendingPrefills > 0 {
 		return
 	}
-	a.head.event()
-	a.engine.start()
+	a.mainJob.emitEvent()
+	a.engine.startPass()
 }
 
-// event passes an event on to the entry and the caller.
-func (a *attempt) event(last bool) {
+// sendEvent passes an sendEvent on to the entry and the caller.
+func (a *attempt) sendEvent(last bool) {
 	p := a.caller.play
 	if last {
-		a.leave()
+		a.removeFromEngines()
 	}
-	p.clock.after(p.hops(1), func() {
+	p.clock.after(p.delay(1), func() {
 		if a.ended {
 			return
 		}
-		a.heard = p.clock.now
+		a.lastEventAt = p.clock.now
 		a.events++
 		if a.events == 1 {
-			p.clock.after(p.hops(1), func() { p.pool.FirstEventFrom(a.id, service, a.caller.entry()) })
+			p.clock.after(p.delay(1), func() { p.pool.FirstEventFrom(a.id, service, a.caller.entry()) })
 		}
-		p.clock.after(p.hops(1), func() { a.caller.event(last) })
+		p.clock.after(p.delay(1), func() { a.caller.receiveEvent(last) })
 	})
 }
 
-// leave takes the attempt from its engines.
-func (a *attempt) leave() {
+// removeFromEngines takes the attempt from its engines.
+func (a *attempt) removeFromEngines() {
 	a.engine.remove(a)
-	for _, e := range a.helpers {
+	for _, e := range a.shareEngines {
 		e.remove(a)
 	}
 }
@@ -117,6 +117,6 @@
 func (a *attempt) stop(o pool.Outcome) {
 	a.ended = true
 	p := a.caller.play
-	p.clock.after(p.hops(1), a.leave)
-	p.end(a.caller, a.id, o, p.hops(1))
+	p.clock.after(p.delay(1), a.removeFromEngines)
+	p.reportEnd(a.caller, a.id, o, p.delay(1))
 }
--- a/emulator/bound.go
+++ b/emulator/bound.go
@@ -10,9 +10,9 @@
 	"github.com/linkmast/linkmast/batch"
 )
 
-// boundSlot is the grain of time of a bound. Windows are rounded outwards to it, so a
+// boundInterval is the grain of time of a bound. Windows are rounded outwards to it, so a
 // coarser one gives a higher bound.
-const boundSlot = 100 * time.Millisecond
+const boundInterval = 100 * time.Millisecond
 
 // Bound returns, for each request, a worth whose sum no way to decide exceeds, with all
 // arrivals known and no faults. It relaxes the engines to one store of engine time, which
@@ -31,13 +31,13 @@
 	var works []work
 	for i := range requests {
 		r := &requests[i]
-		kept[i] = r.Late
-		works = append(works, s.worksOf(i, r, model)...)
+		kept[i] = r.LateWorth
+		works = append(works, s.workOf(i, r, model)...)
 	}
-	slices.SortStableFunc(works, func(a, b work) int { return cmp.Compare(b.perSecond, a.perSecond) })
-	t := newTimetable(works, float64(s.Engines.Count)*boundSlot.Seconds())
+	slices.SortStableFunc(works, func(a, b work) int { return cmp.Compare(b.valuePerSecond, a.valuePerSecond) })
+	t := newCapacityTable(works, float64(s.Engines.Count)*boundInterval.Seconds())
 	for _, w := range works {
-		kept[w.request] += t.take(w) * w.perSecond
+		kept[w.request] += t.reserve(w) * w.valuePerSecond
 	}
 	return kept
 }
@@ -50,7 +50,7 @@
 	}
 	for _, kept := range Bound(s, requests) {
 		r.Outcomes = append(r.Outcomes, Outcome{
-			Kept: kept,
+			Worth: kept,
 		})
 	}
 	return r
@@ -62,65 +62,65 @@
 	// from and to are the first and the last slot of the window.
 	from, to int
 	// amount is in seconds of one engine, and perSecond what each is worth.
-	amount    float64
-	perSecond float64
+	amount         float64
+	valuePerSecond float64
 }
 
-// worksOf returns the reading and the writing of a request.
-func (s *Sheet) worksOf(i int, r *Request, m *batch.Model) []work {
+// workOf returns the reading and the writing of a request.
+func (s *Sheet) workOf(i int, r *Request, m *batch.Model) []work {
 	k := &s.Kinds[r.Kind]
 	read := m.PrefillTime(r.Prompt, 1)
 	write := time.Duration(r.Events-1) * m.PassTime(m.Slots, 0) / time.Duration(m.Slots)
 	due := r.At + time.Duration(k.Target)
 	last := min(due+time.Duration(r.Events-1)*time.Duration(k.Gap), r.At+time.Duration(k.Deadline))
-	perSecond := (r.Worth - r.Late) / (read + write).Seconds()
+	perSecond := (r.Worth - r.LateWorth) / (read + write).Seconds()
 	return []work{
 		{
-			request:   i,
-			from:      int(r.At / boundSlot),
-			to:        int(due / boundSlot),
-			amount:    read.Seconds(),
-			perSecond: perSecond,
+			request:        i,
+			from:           int(r.At / boundInterval),
+			to:             int(due / boundInterval),
+			amount:         read.Seconds(),
+			valuePerSecond: perSecond,
 		},
 		{
-			request:   i,
-			from:      int(r.At / boundSlot),
-			to:        int(last / boundSlot),
-			amount:    write.Seconds(),
-			perSecond: perSecond,
+			request:        i,
+			from:           int(r.At / boundInterval),
+			to:             int(last / boundInterval),
+			amount:         write.Seconds(),
+			valuePerSecond: perSecond,
 		},
 	}
 }
 
-// timetable holds how much work has been taken.
-type timetable struct {
-	slots int
+// capacityTable holds how much work has been taken.
+type capacityTable struct {
+	intervals int
 	// free is what is left of each interval of slots after the work within it, in
 	// seconds, by its first and last slot.
 	free []float64
 }
 
-// newTimetable returns an empty one in which each slot has room for some seconds of work.
-func newTimetable(works []work, room float64) *timetable {
-	t := &timetable{}
+// newCapacityTable returns an empty one in which each slot has room for some seconds of work.
+func newCapacityTable(works []work, room float64) *capacityTable {
+	t := &capacityTable{}
 	for _, w := range works {
-		t.slots = max(t.slots, w.to+1)
+		t.intervals = max(t.intervals, w.to+1)
 	}
-	t.free = make([]float64, t.slots*t.slots)
-	for from := range t.slots {
-		for to := from; to < t.slots; to++ {
-			t.free[from*t.slots+to] = room * float64(to-from+1)
+	t.free = make([]float64, t.intervals*t.intervals)
+	for from := range t.intervals {
+		for to := from; to < t.intervals; to++ {
+			t.free[from*t.intervals+to] = room * float64(to-from+1)
 		}
 	}
 	return t
 }
 
-// take takes as much of some work as fits beside what has been taken, and returns that:
+// reserve takes as much of some work as fits beside what has been taken, and returns that:
 // the least that is free in any interval that the window lies in.
-func (t *timetable) take(w work) float64 {
+func (t *capacityTable) reserve(w work) float64 {
 	fits := w.amount
 	for from := range w.from + 1 {
-		for _, free := range t.free[from*t.slots+w.to : (from+1)*t.slots] {
+		for _, free := range t.free[from*t.intervals+w.to : (from+1)*t.intervals] {
 			fits = min(fits, free)
 		}
 	}
@@ -128,7 +128,7 @@
 		return 0
 	}
 	for from := range w.from + 1 {
-		row := t.free[from*t.slots+w.to : (from+1)*t.slots]
+		row := t.free[from*t.intervals+w.to : (from+1)*t.intervals]
 		for i := range row {
 			row[i] -= fits
 		}
--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -10,17 +10,17 @@
 // clock is the virtual time: what is due is done in order, what is due at one moment in
 // the order in which it was set.
 type clock struct {
-	start time.Time
-	now   time.Time
-	due   timers
-	count int
+	start      time.Time
+	now        time.Time
+	queue      timers
+	timerCount int
 }
 
 // timer is something that is due.
 type timer struct {
-	at    time.Time
-	order int
-	do    func()
+	at     time.Time
+	order  int
+	action func()
 }
 
 // timers is a heap of them.
@@ -63,20 +63,20 @@
 
 // after sets something that is due in a while.
 func (c *clock) after(d time.Duration, do func()) {
-	c.count++
-	heap.Push(&c.due, timer{
-		at:    c.now.Add(max(d, 0)),
-		order: c.count,
-		do:    do,
+	c.timerCount++
+	heap.Push(&c.queue, timer{
+		at:     c.now.Add(max(d, 0)),
+		order:  c.timerCount,
+		action: do,
 	})
 }
 
 // run does what is due until nothing is left or a time is over.
 func (c *clock) run(until time.Duration) {
 	end := c.start.Add(until)
-	for len(c.due) > 0 && !c.due[0].at.After(end) {
-		t := heap.Pop(&c.due).(timer)
+	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
+		t := heap.Pop(&c.queue).(timer)
 		c.now = t.at
-		t.do()
+		t.action()
 	}
 }
--- a/emulator/draw.go
+++ b/emulator/draw.go
@@ -21,15 +21,15 @@
 	Prompt int
 	Events int
 	// Worth is what an answer in time is worth, and Late what a late one is.
-	Worth float64
-	Late  float64
+	Worth     float64
+	LateWorth float64
 }
 
 // The value of a request by its size: a part that each has, and a part in proportion to
 // its prompt, at most so many times the mean.
 const (
-	worthFixed = 0.3
-	worthMost  = 4
+	fixedWorthShare  = 0.3
+	maxRelativeWorth = 4
 )
 
 // Draw returns the requests of a seed in the order in which they come. The same seed gives
@@ -51,7 +51,7 @@
 	k := &s.Kinds[kind]
 	greatest := k.PerSecond
 	for _, b := range s.Bursts {
-		greatest = max(greatest, k.PerSecond*s.burst(k.Name, time.Duration(b.At)))
+		greatest = max(greatest, k.PerSecond*s.burstFactor(k.Name, time.Duration(b.At)))
 	}
 	greatest *= 1 + s.Wave.Swing
 	if greatest <= 0 {
@@ -65,31 +65,31 @@
 			return out
 		}
 		// All is drawn before it is decided, so that a burst changes no size.
-		keep := r.Float64() < k.PerSecond*s.factor(k.Name, t)/greatest
+		keep := r.Float64() < k.PerSecond*s.rateFactor(k.Name, t)/greatest
 		prompt := k.Prompt.draw(r)
 		events := k.Events.draw(r)
 		if !keep {
 			continue
 		}
-		size := min(worthFixed+(1-worthFixed)*prompt/k.Prompt.Mean, worthMost)
+		size := min(fixedWorthShare+(1-fixedWorthShare)*prompt/k.Prompt.Mean, maxRelativeWorth)
 		out = append(out, Request{
-			Kind:   kind,
-			At:     t,
-			Prompt: int(math.Round(prompt)),
-			Events: int(math.Round(events)),
-			Worth:  k.Worth * size,
-			Late:   k.LateWorth * size,
+			Kind:      kind,
+			At:        t,
+			Prompt:    int(math.Round(prompt)),
+			Events:    int(math.Round(events)),
+			Worth:     k.Worth * size,
+			LateWorth: k.LateWorth * size,
 		})
 	}
 }
 
-// factor returns what the rate of a kind is multiplied by at a moment.
-func (s *Sheet) factor(kind string, at time.Duration) float64 {
-	return s.burst(kind, at) * s.Wave.at(at)
+// rateFactor returns what the rate of a kind is multiplied by at a moment.
+func (s *Sheet) rateFactor(kind string, at time.Duration) float64 {
+	return s.burstFactor(kind, at) * s.Wave.factorAt(at)
 }
 
-// burst returns by how much bursts multiply the rate of a kind at a moment.
-func (s *Sheet) burst(kind string, at time.Duration) float64 {
+// burstFactor returns by how much bursts multiply the rate of a kind at a moment.
+func (s *Sheet) burstFactor(kind string, at time.Duration) float64 {
 	f := 1.0
 	for _, b := range s.Bursts {
 		from := time.Duration(b.At)
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -31,9 +31,9 @@
 	return s
 }
 
-// shortSheet returns six engines and short prompts, read in 34 ms and written in 1.7 s, of
+// shortPromptSheet returns six engines and short prompts, read in 34 ms and written in 1.7 s, of
 // which so many come a second.
-func shortSheet(perSecond float64, length time.Duration) *emulator.Sheet {
+func shortPromptSheet(perSecond float64, length time.Duration) *emulator.Sheet {
 	return &emulator.Sheet{
 		Name:   "short",
 		Length: config.Duration(length),
@@ -119,9 +119,9 @@
 	is.True(reflect.DeepEqual(one.Outcomes, two.Outcomes))
 }
 
-// calm returns a sheet of few requests, so that none waits for another.
-func calm() *emulator.Sheet {
-	s := shortSheet(2, 20*time.Second)
+// lightSheet returns a sheet of few requests, so that none waits for another.
+func lightSheet() *emulator.Sheet {
+	s := shortPromptSheet(2, 20*time.Second)
 	s.Kinds[0].Prompt = emulator.Spread{Mean: 20_000, Most: 20_000}
 	return s
 }
@@ -131,13 +131,13 @@
 // 1.31 ms between events. On the way are five messages of half to two and a half ms.
 func TestArithmetic(t *testing.T) {
 	is := is.New(t)
-	s := calm()
+	s := lightSheet()
 	requests := emulator.Draw(s, 1)[:1]
 	o := emulator.Play(s, requests, pool.Settings{}, 1).Outcomes[0]
 	read := 20_000.0/154_000 + 200*162e-6
-	is.Equal(o.Cause, emulator.Kept)
-	is.True(o.First.Seconds() > read+0.002 && o.First.Seconds() < read+0.015)
-	is.Equal(o.Pause.Round(time.Millisecond), 45*time.Millisecond)
+	is.Equal(o.Cause, emulator.CauseNone)
+	is.True(o.FirstEvent.Seconds() > read+0.002 && o.FirstEvent.Seconds() < read+0.015)
+	is.Equal(o.LongestPause.Round(time.Millisecond), 45*time.Millisecond)
 }
 
 // TestTroubles looks that troubles do what they say.
@@ -149,13 +149,13 @@
 		// cause is one that comes up with the trouble, and none without it.
 		cause emulator.Cause
 	}{
-		{"dark engines", emulator.Trouble{At: at, For: long, Engines: 6}, emulator.CauseGone},
-		{"slow engines", emulator.Trouble{At: at, For: long, Engines: 6, Slow: 8}, emulator.CauseFirst},
-		{"streams cut", emulator.Trouble{At: at, For: long, Slow: 1, Cut: 1}, emulator.CauseReturned},
+		{"dark engines", emulator.Trouble{At: at, For: long, Engines: 6}, emulator.CauseAbandoned},
+		{"slow engines", emulator.Trouble{At: at, For: long, Engines: 6, Slow: 8}, emulator.CauseLateFirstEvent},
+		{"streams cut", emulator.Trouble{At: at, For: long, Slow: 1, Cut: 1}, emulator.CauseRetried},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			s := calm()
+			s := lightSheet()
 			requests := emulator.Draw(s, 3)
 			causes := func() map[emulator.Cause]int {
 				n := make(map[emulator.Cause]int)
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestPaceKnown looks that less is lost to engines that work slowly for a while when their
+// TestSlowdownKnown looks that less is lost to engines that work slowly for a while when their
 // pace becomes known, and that which engines these are follows the sheet.
-func TestPaceKnown(t *testing.T) {
+func TestSlowdownKnown(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		spread bool
@@ -195,7 +195,7 @@
 			day := func(way pool.SlowdownMode) float64 {
 				return emulator.Play(s, requests, pool.Settings{
 					SlowdownMode: way,
-				}, 1).Day()
+				}, 1).DayShare()
 			}
 			known, ignored := day(pool.SlowdownQueriedOrEstimated), day(pool.SlowdownIgnored)
 			t.Log("known", known, "ignored", ignored)
@@ -218,8 +218,8 @@
 		is := is.New(t)
 		s := readSheet(t, "few.toml").Scaled(row.load)
 		requests := emulator.Draw(s, 1)
-		bound := emulator.Bounded(s, requests).Day()
-		played := emulator.Play(s, requests, pool.Settings{}, 1).Day()
+		bound := emulator.Bounded(s, requests).DayShare()
+		played := emulator.Play(s, requests, pool.Settings{}, 1).DayShare()
 		t.Log("load", row.load, "bound", bound, "played", played)
 		is.True(played <= bound)
 		is.Equal(bound > 0.9999, row.all)
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -12,49 +12,49 @@
 // job is a request, or a part of its prompt, on one engine.
 type job struct {
 	attempt *attempt
-	// part states that the job only helps with another engine's request.
-	part bool
+	// isShare states that the job only helps with another engine's request.
+	isShare bool
 	// joint states that several engines read the prompt.
 	joint bool
-	// tokens are left to read, of which inPass are read in the present pass.
-	tokens   int
-	inPass   int
-	perToken time.Duration
+	// tokensLeft are left to read, of which inPass are read in the present pass.
+	tokensLeft int
+	passTokens int
+	perToken   time.Duration
 	// memory and context are what the job holds and what a step looks at, in tokens.
 	memory  int
 	context int
-	// events are left to write; the first one ends the reading.
-	events int
-	// writes states that the job writes in the present pass.
-	writes bool
-	// begun states that the first event is out.
-	begun bool
+	// eventsLeft are left to write; the first one ends the reading.
+	eventsLeft int
+	// decodesInPass states that the job decodesInPass in the present pass.
+	decodesInPass bool
+	// decoding states that the first event is out.
+	decoding bool
 }
 
 // engine is an emulated engine.
 type engine struct {
 	clock *clock
 	model *batch.Model
-	// slow multiplies the time of all work; zero stops it.
-	slow float64
-	// paces are what slow was set to, and when.
-	paces []paceSince
-	jobs  []*job
+	// slowdown multiplies the time of all work; zero stops it.
+	slowdown float64
+	// slowdownChanges are what slow was set to, and when.
+	slowdownChanges []slowdownChange
+	jobs            []*job
 	// waiting are requests without a slot or memory, in order.
 	waiting []*job
-	// passing states that a pass is under way.
-	passing bool
+	// inPass states that a pass is under way.
+	inPass bool
 }
 
 // add gives the engine a job.
 func (e *engine) add(j *job) {
-	if j.part {
+	if j.isShare {
 		e.jobs = append(e.jobs, j)
 	} else {
 		e.waiting = append(e.waiting, j)
 	}
 	e.admit()
-	e.start()
+	e.startPass()
 }
 
 // admit lets requests in while there are slots and memory.
@@ -64,7 +64,7 @@
 		slots, free := e.model.Slots, e.model.Capacity
 		for _, o := range e.jobs {
 			free -= o.memory
-			if !o.part {
+			if !o.isShare {
 				slots--
 			}
 		}
@@ -82,21 +82,21 @@
 	e.jobs = slices.DeleteFunc(e.jobs, of)
 	e.waiting = slices.DeleteFunc(e.waiting, of)
 	e.admit()
-	e.start()
+	e.startPass()
 }
 
-// start begins a pass if the engine rests and has work.
-func (e *engine) start() {
-	if e.passing || e.slow == 0 {
+// startPass begins a pass if the engine rests and has work.
+func (e *engine) startPass() {
+	if e.inPass || e.slowdown == 0 {
 		return
 	}
 	writers, context := 0, 0
 	for _, j := range e.jobs {
-		j.writes = !j.part && j.begun
-		if j.writes {
+		j.decodesInPass = !j.isShare && j.decoding
+		if j.decodesInPass {
 			writers++
 		}
-		if j.tokens == 0 {
+		if j.tokensLeft == 0 {
 			context += j.context
 		}
 	}
@@ -105,69 +105,69 @@
 		length = e.model.PassTime(writers, context)
 	}
 	budget := e.model.PrefillBudget(writers)
-	for _, j := range e.readingOrder() {
-		j.inPass = min(j.tokens, budget)
-		budget -= j.inPass
-		length += time.Duration(j.inPass) * j.perToken
+	for _, j := range e.prefillOrder() {
+		j.passTokens = min(j.tokensLeft, budget)
+		budget -= j.passTokens
+		length += time.Duration(j.passTokens) * j.perToken
 	}
 	if length == 0 {
 		return
 	}
-	e.passing = true
-	e.clock.after(time.Duration(float64(length)*e.slow), e.finish)
+	e.inPass = true
+	e.clock.after(time.Duration(float64(length)*e.slowdown), e.finishPass)
 }
 
-// readingOrder returns what is to be read: joint parts first, the latest before the others.
-func (e *engine) readingOrder() []*job {
+// prefillOrder returns what is to be read: joint parts first, the latest before the others.
+func (e *engine) prefillOrder() []*job {
 	var out []*job
 	for _, j := range slices.Backward(e.jobs) {
-		if j.joint && j.tokens > 0 {
+		if j.joint && j.tokensLeft > 0 {
 			out = append(out, j)
 		}
 	}
 	for _, j := range e.jobs {
-		if !j.joint && j.tokens > 0 {
+		if !j.joint && j.tokensLeft > 0 {
 			out = append(out, j)
 		}
 	}
 	return out
 }
 
-// finish ends the present pass.
-func (e *engine) finish() {
+// finishPass ends the present pass.
+func (e *engine) finishPass() {
 	for _, j := range slices.Clone(e.jobs) {
 		switch {
-		case j.writes:
-			j.writes = false
-			j.event()
-		case j.inPass > 0:
-			j.tokens -= j.inPass
-			j.inPass = 0
-			if j.tokens == 0 {
-				j.attempt.read()
+		case j.decodesInPass:
+			j.decodesInPass = false
+			j.emitEvent()
+		case j.passTokens > 0:
+			j.tokensLeft -= j.passTokens
+			j.passTokens = 0
+			if j.tokensLeft == 0 {
+				j.attempt.finishPrefill()
 			}
 		}
 	}
 	e.jobs = slices.DeleteFunc(e.jobs, func(j *job) bool {
-		return j.part && j.tokens == 0 && j.memory == 0
+		return j.isShare && j.tokensLeft == 0 && j.memory == 0
 	})
-	e.passing = false
-	e.start()
+	e.inPass = false
+	e.startPass()
 }
 
-// event lets a job write one event.
-func (j *job) event() {
-	j.begun = true
-	j.events--
-	j.attempt.event(j.events <= 0)
+// emitEvent lets a job write one emitEvent.
+func (j *job) emitEvent() {
+	j.decoding = true
+	j.eventsLeft--
+	j.attempt.sendEvent(j.eventsLeft <= 0)
 }
 
-// setSlow changes the pace from the next pass on. An engine that stood still begins anew.
-func (e *engine) setSlow(slow float64) {
-	e.slow = slow
-	e.paces = append(e.paces, paceSince{
-		at:   e.clock.now,
-		slow: slow,
+// setSlowdown changes the pace from the next pass on. An engine that stood still begins anew.
+func (e *engine) setSlowdown(slow float64) {
+	e.slowdown = slow
+	e.slowdownChanges = append(e.slowdownChanges, slowdownChange{
+		at:       e.clock.now,
+		slowdown: slow,
 	})
-	e.start()
+	e.startPass()
 }
--- a/emulator/overload_test.go
+++ b/emulator/overload_test.go
@@ -13,49 +13,49 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// inTime returns the part of the requests of some seconds that kept all their worth.
-func inTime(requests []emulator.Request, r *emulator.Result, from, to time.Duration) float64 {
+// inTimeShare returns the part of the requests of some seconds that kept all their worth.
+func inTimeShare(requests []emulator.Request, r *emulator.Result, from, to time.Duration) float64 {
 	all, kept := 0, 0
 	for i, q := range requests {
 		if q.At < from || q.At >= to {
 			continue
 		}
 		all++
-		if r.Outcomes[i].Cause == emulator.Kept {
+		if r.Outcomes[i].Cause == emulator.CauseNone {
 			kept++
 		}
 	}
 	return float64(kept) / float64(all)
 }
 
-// TestBackWithEngines slows a third of the engines for some seconds while more short
+// TestRecoveryFromSlowEngines slows a third of the engines for some seconds while more short
 // prompts come than the slots can take. It looks that the sound engines go on serving
 // in time, as they don't when callers that have come back fill the slots with late
 // answers, and that the pool is back to its share within a second of its engines.
-func TestBackWithEngines(t *testing.T) {
+func TestRecoveryFromSlowEngines(t *testing.T) {
 	is := is.New(t)
-	s := shortSheet(30, 18*time.Second)
+	s := shortPromptSheet(30, 18*time.Second)
 	s.Bursts = []emulator.Burst{{At: config.Duration(5 * time.Second), For: config.Duration(6 * time.Second), Factor: 2}}
 	s.Troubles = []emulator.Trouble{{At: config.Duration(5 * time.Second), For: config.Duration(6 * time.Second), Engines: 2, Slow: 8}}
 	requests := emulator.Draw(s, 1)
 	r := emulator.Play(s, requests, pool.Settings{}, 1)
-	before, during, after := inTime(requests, r, 0, 2*time.Second), inTime(requests, r, 6*time.Second, 11*time.Second), inTime(requests, r, 12*time.Second, 18*time.Second)
+	before, during, after := inTimeShare(requests, r, 0, 2*time.Second), inTimeShare(requests, r, 6*time.Second, 11*time.Second), inTimeShare(requests, r, 12*time.Second, 18*time.Second)
 	t.Log("in time:", before, during, after)
 	is.True(before > 0.98)
 	is.True(during > 0.3) // of the 0.47 that the sound engines can serve
 	is.True(after > 0.95*before)
 }
 
-// TestWayToEngines lets requests be on their way for a while. The pool learns how long,
+// TestDelayToEngines lets requests be on their way for a while. The pool learns how long,
 // and that what comes during a pass waits for its end.
-func TestWayToEngines(t *testing.T) {
+func TestDelayToEngines(t *testing.T) {
 	is := is.New(t)
-	s := shortSheet(30, 20*time.Second)
+	s := shortPromptSheet(30, 20*time.Second)
 	s.Delay = config.Duration(2500 * time.Microsecond)
 	requests := emulator.Draw(s, 1)
 	r := emulator.Play(s, requests, pool.Settings{}, 1)
 	p := r.Predictions
-	t.Log("predictions met:", p.WithinTolerance, "of", p.Predicted, "in time:", inTime(requests, r, 5*time.Second, 20*time.Second))
+	t.Log("predictions met:", p.WithinTolerance, "of", p.Predicted, "in time:", inTimeShare(requests, r, 5*time.Second, 20*time.Second))
 	is.True(float64(p.WithinTolerance) > 0.56*float64(p.Predicted)) // 0.51 when they reach the engine at once
-	is.True(inTime(requests, r, 5*time.Second, 20*time.Second) > 0.98)
+	is.True(inTimeShare(requests, r, 5*time.Second, 20*time.Second) > 0.98)
 }
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -18,13 +18,13 @@
 // service names the emulated pool.
 const service = "engines"
 
-// settle is how long a play goes on after the last request came: longer than any caller
+// settleTime is how long a play goes on after the last request came: longer than any caller
 // waits on the sheets.
-const settle = 40 * time.Second
+const settleTime = 40 * time.Second
 
-// forgetAfter is how long the owner of a pool counts what an entry had running that was
+// entryLossDelay is how long the owner of a pool counts what an entry had running that was
 // lost, as it may be back.
-const forgetAfter = 2 * time.Second
+const entryLossDelay = 2 * time.Second
 
 // retryBudget is the budget of repeats: a fifth of the requests and 220 in 10 s.
 var retryBudget = pool.Budget{
@@ -37,18 +37,18 @@
 type play struct {
 	sheet   *Sheet
 	clock   *clock
-	draw    *rand.Rand
+	rng     *rand.Rand
 	pool    *pool.Scheduler
 	engines map[string]*engine
-	// names are the engines in order.
-	names   []string
-	callers []*caller
+	// engineNames are the engines in order.
+	engineNames []string
+	callers     []*caller
 	// pending are what has been submitted and is not decided.
 	pending []*pending
-	// reviewing states that a review is set.
-	reviewing bool
-	asks      int
-	silent    int
+	// reviewScheduled states that a review is set.
+	reviewScheduled bool
+	requestCount    int
+	silentAttempts  int
 }
 
 // pending is a submitted request with what its decision does.
@@ -65,14 +65,14 @@
 	p := &play{
 		sheet:   s,
 		clock:   newClock(),
-		draw:    rand.New(rand.NewPCG(seed, 1)),
+		rng:     rand.New(rand.NewPCG(seed, 1)),
 		engines: make(map[string]*engine),
 	}
 	settings.Self = "n0"
 	settings.Retries = retryBudget
 	settings.Now = func() time.Time { return p.clock.now }
-	settings.Draw = func(below time.Duration) time.Duration { return time.Duration(p.draw.Int64N(int64(below))) }
-	settings.SlowdownQuerier = reports{
+	settings.Draw = func(below time.Duration) time.Duration { return time.Duration(p.rng.Int64N(int64(below))) }
+	settings.SlowdownQuerier = slowdownQuerier{
 		play: p,
 	}
 	p.pool = pool.NewScheduler(settings, logr.Discard())
@@ -80,12 +80,12 @@
 	for i := range requests {
 		c := newCaller(p, i, &requests[i])
 		p.callers = append(p.callers, c)
-		p.clock.after(c.request.At, c.arrive)
+		p.clock.after(c.request.At, c.start)
 	}
 	for i := range s.Troubles {
-		p.trouble(&s.Troubles[i])
+		p.scheduleTrouble(&s.Troubles[i])
 	}
-	p.clock.run(time.Duration(s.Length) + settle)
+	p.clock.run(time.Duration(s.Length) + settleTime)
 	return p.result()
 }
 
@@ -95,13 +95,13 @@
 	model := e.Model()
 	snap := &catalog.Snapshot{
 		Table: route.New(1, nil, []route.Service{
-			{Name: service, Engine: model, TypicalSize: p.sheet.usual()},
+			{Name: service, Engine: model, TypicalSize: p.sheet.typicalSize()},
 		}, nil, false, route.Limits{}),
 		Endpoints: make(map[string]catalog.Endpoint),
 	}
 	for i := range e.Count {
 		name := fmt.Sprintf("e%04d", i)
-		p.names = append(p.names, name)
+		p.engineNames = append(p.engineNames, name)
 		snap.Endpoints[name] = catalog.Endpoint{
 			Instance: name,
 			Service:  service,
@@ -109,23 +109,23 @@
 			Slots:    e.Slots,
 		}
 		p.engines[name] = &engine{
-			clock: p.clock,
-			model: model,
-			slow:  1,
+			clock:    p.clock,
+			model:    model,
+			slowdown: 1,
 		}
 	}
 	p.pool.Update(snap)
 }
 
-// trouble sets what happens to engines or streams.
-func (p *play) trouble(t *Trouble) {
+// scheduleTrouble sets what happens to engines or streams.
+func (p *play) scheduleTrouble(t *Trouble) {
 	pace := func(slow float64) func() {
 		return func() {
 			for i := range t.Engines {
 				if t.Spread {
-					i = i * len(p.names) / t.Engines
+					i = i * len(p.engineNames) / t.Engines
 				}
-				p.engines[p.names[i]].setSlow(slow)
+				p.engines[p.engineNames[i]].setSlowdown(slow)
 			}
 		}
 	}
@@ -133,28 +133,28 @@
 	p.clock.after(time.Duration(t.At)+time.Duration(t.For), pace(1))
 	p.clock.after(time.Duration(t.At), func() {
 		for _, c := range p.callers {
-			if c.attempt != nil && p.draw.Float64() < t.Cut {
-				c.cut()
+			if c.attempt != nil && p.rng.Float64() < t.Cut {
+				c.loseEntry()
 			}
 		}
 	})
 }
 
-// hops returns the time of some messages, one after the other.
-func (p *play) hops(n int) time.Duration {
+// delay returns the time of some messages, one after the other.
+func (p *play) delay(n int) time.Duration {
 	return time.Duration(n) * time.Duration(p.sheet.Delay)
 }
 
-// ways returns the time of some messages of which each takes up to twice as long as it
+// jitteredDelay returns the time of some messages of which each takes up to twice as long as it
 // need, or as little as half.
-func (p *play) ways(n int) time.Duration {
-	return time.Duration((jitterLeast + (jitterMost-jitterLeast)*p.draw.Float64()) * float64(p.hops(n)))
+func (p *play) jitteredDelay(n int) time.Duration {
+	return time.Duration((minJitter + (maxJitter-minJitter)*p.rng.Float64()) * float64(p.delay(n)))
 }
 
 // The bounds of how long a message is on its way, in parts of the sheet's delay.
 const (
-	jitterLeast = 0.5
-	jitterMost  = 2.5
+	minJitter = 0.5
+	maxJitter = 2.5
 )
 
 // submit asks the scheduler, and calls grant or refuse once it has decided. It returns nil
@@ -165,16 +165,16 @@
 		grant:  grant,
 		refuse: refuse,
 	}
-	if q.decided() {
+	if q.deliverDecision() {
 		return nil
 	}
 	p.pending = append(p.pending, q)
-	p.review(0)
+	p.scheduleReview(0)
 	return q
 }
 
-// decided takes the decision over if there is one.
-func (q *pending) decided() bool {
+// deliverDecision takes the decision over if there is one.
+func (q *pending) deliverDecision() bool {
 	g, r, ok := q.waiter.Decision()
 	switch {
 	case !ok:
@@ -196,34 +196,34 @@
 	p.pending = slices.DeleteFunc(p.pending, func(o *pending) bool { return o == q })
 }
 
-// review sets a look at the waiting requests in a while, and again while any wait.
-func (p *play) review(in time.Duration) {
-	if p.reviewing {
+// scheduleReview sets a look at the waiting requests in a while, and again while any wait.
+func (p *play) scheduleReview(in time.Duration) {
+	if p.reviewScheduled {
 		return
 	}
-	p.reviewing = true
+	p.reviewScheduled = true
 	p.clock.after(in, func() {
-		p.reviewing = false
+		p.reviewScheduled = false
 		waiting := p.pool.Review()
 		left := p.pending[:0]
 		for _, q := range slices.Clone(p.pending) {
-			if !q.decided() {
+			if !q.deliverDecision() {
 				left = append(left, q)
 			}
 		}
 		p.pending = left
 		if waiting {
-			p.review(pool.ReviewInterval)
+			p.scheduleReview(pool.ReviewInterval)
 		}
 	})
 }
 
-// end tells the scheduler how an attempt ended.
-func (p *play) end(c *caller, id string, o pool.Outcome, in time.Duration) {
+// reportEnd tells the scheduler how an attempt ended.
+func (p *play) reportEnd(c *caller, id string, o pool.Outcome, in time.Duration) {
 	p.clock.after(in, func() {
 		p.pool.EndFrom(id, service, o, "", c.entry())
 		if len(p.pending) > 0 {
-			p.review(0)
+			p.scheduleReview(0)
 		}
 	})
 }
--- a/emulator/reports.go
+++ b/emulator/reports.go
@@ -8,37 +8,37 @@
 // engines state.
 const reportLag = 200 * time.Millisecond
 
-// paceSince is a pace that holds from a moment on.
-type paceSince struct {
-	at   time.Time
-	slow float64
+// slowdownChange is a pace that holds from a moment on.
+type slowdownChange struct {
+	at       time.Time
+	slowdown float64
 }
 
-// paceAt returns the pace that an engine had at a moment.
-func (e *engine) paceAt(at time.Time) float64 {
+// slowdownAt returns the pace that an engine had at a moment.
+func (e *engine) slowdownAt(at time.Time) float64 {
 	slow := 1.0
-	for _, p := range e.paces {
+	for _, p := range e.slowdownChanges {
 		if !p.at.After(at) {
-			slow = p.slow
+			slow = p.slowdown
 		}
 	}
 	return slow
 }
 
-// reports lets engines tell their pace. It implements pool.SlowdownQuerier.
-type reports struct {
+// slowdownQuerier lets engines tell their pace. It implements pool.SlowdownQuerier.
+type slowdownQuerier struct {
 	play *play
 }
 
 // QuerySlowdown implements pool.SlowdownQuerier. An engine that stands still doesn't answer.
-func (r reports) QuerySlowdown(address string, told func(pace float64)) {
+func (r slowdownQuerier) QuerySlowdown(address string, told func(pace float64)) {
 	p := r.play
 	e := p.engines[address]
-	p.clock.after(p.ways(1), func() {
-		if e.slow == 0 {
+	p.clock.after(p.jitteredDelay(1), func() {
+		if e.slowdown == 0 {
 			return
 		}
-		pace := e.paceAt(p.clock.now.Add(-reportLag))
-		p.clock.after(p.ways(1), func() { told(pace) })
+		pace := e.slowdownAt(p.clock.now.Add(-reportLag))
+		p.clock.after(p.jitteredDelay(1), func() { told(pace) })
 	})
 }
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -118,8 +118,8 @@
 	Phase float64 `toml:"phase"`
 }
 
-// at returns what rates are multiplied by at a moment.
-func (w *Wave) at(t time.Duration) float64 {
+// factorAt returns what rates are multiplied by factorAt a moment.
+func (w *Wave) factorAt(t time.Duration) float64 {
 	if w.Swing == 0 {
 		return 1
 	}
@@ -259,8 +259,8 @@
 	return -1
 }
 
-// usual returns the mean size of requests outside bursts, as a configuration tells it.
-func (s *Sheet) usual() route.Size {
+// typicalSize returns the mean size of requests outside bursts, as a configuration tells it.
+func (s *Sheet) typicalSize() route.Size {
 	all, prompts, answers := 0.0, 0.0, 0.0
 	for _, k := range s.Kinds {
 		all += k.PerSecond
--- a/emulator/worth_test.go
+++ b/emulator/worth_test.go
@@ -15,8 +15,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// third returns a third of a sheet under a load, for some seconds.
-func third(t *testing.T, name string, load float64) *emulator.Sheet {
+// thirdOfSheet returns a thirdOfSheet of a sheet under a load, for some seconds.
+func thirdOfSheet(t *testing.T, name string, load float64) *emulator.Sheet {
 	t.Helper()
 	data, err := os.ReadFile("sheets/" + name)
 	if err != nil {
@@ -32,15 +32,15 @@
 	return s.Scaled(load / part)
 }
 
-// served returns the part of the requests of a kind that had an answer.
-func served(requests []emulator.Request, r *emulator.Result, kind int) float64 {
+// servedShare returns the part of the requests of a kind that had an answer.
+func servedShare(requests []emulator.Request, r *emulator.Result, kind int) float64 {
 	all, n := 0, 0
 	for i, q := range requests {
 		if q.Kind != kind {
 			continue
 		}
 		all++
-		if r.Outcomes[i].Kept > 0 {
+		if r.Outcomes[i].Worth > 0 {
 			n++
 		}
 	}
@@ -54,17 +54,17 @@
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			s := third(t, "tiers.toml", 2)
+			s := thirdOfSheet(t, "tiers.toml", 2)
 			requests := emulator.Draw(s, seed)
 			r := emulator.Play(s, requests, pool.Settings{}, seed)
 			for kind := range s.Kinds {
-				t.Log(s.Kinds[kind].Name, "served:", served(requests, r, kind), "kept:", r.Kind(kind))
+				t.Log(s.Kinds[kind].Name, "served:", servedShare(requests, r, kind), "kept:", r.KindShare(kind))
 			}
 			for kind := range s.Kinds[1:] {
-				is.True(served(requests, r, kind) > served(requests, r, kind+1)-0.05)
-				is.True(r.Kind(kind) > r.Kind(kind+1)-0.05)
+				is.True(servedShare(requests, r, kind) > servedShare(requests, r, kind+1)-0.05)
+				is.True(r.KindShare(kind) > r.KindShare(kind+1)-0.05)
 			}
-			is.True(r.Kind(0) > 0.8)
+			is.True(r.KindShare(0) > 0.8)
 		})
 	}
 }
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -17,14 +17,14 @@
 	"github.com/linkmast/linkmast/experiment"
 )
 
-// sheets is where the sheets of the emulator are.
-const sheets = "../emulator/sheets"
+// sheetDir is where the sheetDir of the emulator are.
+const sheetDir = "../emulator/sheets"
 
-// load returns a plan from text, with a short day of the smallest sheet.
-func load(t *testing.T, plan string) ([]experiment.Row, error) {
+// runPlan returns a plan from text, with a short day of the smallest sheet.
+func runPlan(t *testing.T, plan string) ([]experiment.Row, error) {
 	t.Helper()
 	dir := t.TempDir()
-	data, err := os.ReadFile(filepath.Join(sheets, "few.toml"))
+	data, err := os.ReadFile(filepath.Join(sheetDir, "few.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 // TestRun compares a variant with itself, with another and with the bound.
 func TestRun(t *testing.T) {
 	is := is.New(t)
-	rows, err := load(t, `
+	rows, err := runPlan(t, `
 sheets = ["few.toml"]
 seeds = 3
 loads = [0.5, 1.5]
@@ -82,7 +82,7 @@
 	var again []experiment.Row
 	is.NoErr(json.Unmarshal(data.Bytes(), &again))
 	is.Equal(again, rows)
-	for _, write := range []func(io.Writer, []experiment.Row) error{experiment.WriteTimes, experiment.WriteLoads} {
+	for _, write := range []func(io.Writer, []experiment.Row) error{experiment.WriteWindowPlot, experiment.WriteLoadPlot} {
 		var svg bytes.Buffer
 		is.NoErr(write(&svg, rows))
 		var root struct{ XMLName xml.Name }
@@ -107,7 +107,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := load(t, row.plan)
+			_, err := runPlan(t, row.plan)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), row.name))
 		})
--- a/experiment/picture.go
+++ b/experiment/picture.go
@@ -19,13 +19,13 @@
 
 // The size of pictures.
 const (
-	pictureWidth  = 18 * vg.Centimeter
-	pictureHeight = 10 * vg.Centimeter
+	plotWidth  = 18 * vg.Centimeter
+	plotHeight = 10 * vg.Centimeter
 )
 
-// WriteTimes writes a picture, in SVG, of what each row keeps of the worth that comes in
+// WriteWindowPlot writes a picture, in SVG, of what each row keeps of the worth that comes in
 // each window of the day.
-func WriteTimes(out io.Writer, rows []Row) error {
+func WriteWindowPlot(out io.Writer, rows []Row) error {
 	lines := make(map[string]plotter.XYs)
 	for _, r := range rows {
 		name := fmt.Sprintf("%s %s ×%g", r.Sheet, r.Variant, r.Load)
@@ -33,21 +33,21 @@
 			lines[name] = append(lines[name], plotter.XY{X: float64(i) * emulator.Window.Seconds(), Y: kept})
 		}
 	}
-	return picture(out, "Worth kept over the day", "seconds", lines)
+	return writePlot(out, "Worth kept over the day", "seconds", lines)
 }
 
-// WriteLoads writes a picture, in SVG, of the figure of each variant over the load.
-func WriteLoads(out io.Writer, rows []Row) error {
+// WriteLoadPlot writes a picture, in SVG, of the figure of each variant over the load.
+func WriteLoadPlot(out io.Writer, rows []Row) error {
 	lines := make(map[string]plotter.XYs)
 	for _, r := range rows {
 		name := r.Sheet + " " + r.Variant
-		lines[name] = append(lines[name], plotter.XY{X: r.Load, Y: r.Figure})
+		lines[name] = append(lines[name], plotter.XY{X: r.Load, Y: r.Score})
 	}
-	return picture(out, "Worth kept over load", "times the usual load", lines)
+	return writePlot(out, "Worth kept over load", "times the usual load", lines)
 }
 
-// picture draws named lines.
-func picture(out io.Writer, title, x string, lines map[string]plotter.XYs) error {
+// writePlot draws named lines.
+func writePlot(out io.Writer, title, x string, lines map[string]plotter.XYs) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = x
@@ -63,7 +63,7 @@
 		p.Add(l)
 		p.Legend.Add(name, l)
 	}
-	w, err := p.WriterTo(pictureWidth, pictureHeight, "svg")
+	w, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return errors.Wrap(err, "picture")
 	}
--- a/experiment/plan.go
+++ b/experiment/plan.go
@@ -42,13 +42,13 @@
 // settings returns the scheduler's settings.
 func (v *Variant) settings() pool.Settings {
 	return pool.Settings{
-		SlowdownMode: paceWays[v.Pace],
+		SlowdownMode: slowdownModes[v.Pace],
 		Worth:        v.Worth,
 	}
 }
 
-// paceWays are the ways in which the pace of engines becomes known, by name.
-var paceWays = map[string]pool.SlowdownMode{
+// slowdownModes are the ways in which the pace of engines becomes known, by name.
+var slowdownModes = map[string]pool.SlowdownMode{
 	"":        pool.SlowdownQueriedOrEstimated,
 	"learned": pool.SlowdownEstimated,
 	"told":    pool.SlowdownQueried,
@@ -107,7 +107,7 @@
 			return errors.Errorf("variant %q: names must be given, each once", v.Name)
 		}
 		names[v.Name] = true
-		if _, ok := paceWays[v.Pace]; !ok {
+		if _, ok := slowdownModes[v.Pace]; !ok {
 			return errors.Errorf("variant %q: pace %q is not known", v.Name, v.Pace)
 		}
 	}
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -17,8 +17,8 @@
 	Sheet   string  `json:"sheet"`
 	Load    float64 `json:"load"`
 	Variant string  `json:"variant"`
-	// Figure is the mean of the days' figures, and Spread their standard deviation.
-	Figure float64 `json:"figure"`
+	// Score is the mean of the days' figures, and Spread their standard deviation.
+	Score  float64 `json:"figure"`
 	Spread float64 `json:"spread"`
 	// Gain is the mean of the difference to the first variant on the same seeds, and
 	// Error the half width of its interval of 95 in 100.
@@ -38,8 +38,8 @@
 // BoundName names the rows of the bound.
 const BoundName = "bound"
 
-// normal95 is the quantile of the normal distribution for an interval of 95 in 100.
-const normal95 = 1.96
+// normalQuantile95 is the quantile of the normal distribution for an interval of 95 in 100.
+const normalQuantile95 = 1.96
 
 // Run plays a plan, so many days at once.
 func Run(ctx context.Context, p *Plan, sheets []*emulator.Sheet, jobs int) ([]Row, error) {
@@ -75,7 +75,7 @@
 				if err := ctx.Err(); err != nil {
 					return err
 				}
-				days[i][k] = p.day(s, i, uint64(k+1))
+				days[i][k] = p.playDay(s, i, uint64(k+1))
 				return nil
 			})
 		}
@@ -85,13 +85,13 @@
 	}
 	rows := make([]Row, 0, len(names))
 	for i, name := range names {
-		rows = append(rows, summary(s, load, name, days[i], days[0]))
+		rows = append(rows, summarize(s, load, name, days[i], days[0]))
 	}
 	return rows, nil
 }
 
-// day plays a seed by the variant with an index; behind them comes the bound.
-func (p *Plan) day(s *emulator.Sheet, variant int, seed uint64) *emulator.Result {
+// playDay plays a seed by the variant with an index; behind them comes the bound.
+func (p *Plan) playDay(s *emulator.Sheet, variant int, seed uint64) *emulator.Result {
 	requests := emulator.Draw(s, seed)
 	if variant == len(p.Variants) {
 		return emulator.Bounded(s, requests)
@@ -99,8 +99,8 @@
 	return emulator.Play(s, requests, p.Variants[variant].settings(), seed)
 }
 
-// summary makes the row of some days beside those of the first variant.
-func summary(s *emulator.Sheet, load float64, name string, days, first []*emulator.Result) Row {
+// summarize makes the row of some days beside those of the first variant.
+func summarize(s *emulator.Sheet, load float64, name string, days, first []*emulator.Result) Row {
 	row := Row{
 		Sheet:   s.Name,
 		Load:    load,
@@ -111,30 +111,30 @@
 	gains := make([]float64, len(days))
 	n := float64(len(days))
 	for k, d := range days {
-		figures[k] = d.Figure()
-		gains[k] = figures[k] - first[k].Figure()
-		row.Day += d.Day() / n
-		row.Silent += float64(d.Silent) / float64(max(len(d.Outcomes), 1)) / n
+		figures[k] = d.Score()
+		gains[k] = figures[k] - first[k].Score()
+		row.Day += d.DayShare() / n
+		row.Silent += float64(d.SilentAttempts) / float64(max(len(d.Outcomes), 1)) / n
 		for i := range row.Kinds {
-			row.Kinds[i] += d.Kind(i) / n
+			row.Kinds[i] += d.KindShare(i) / n
 		}
-		row.Windows = addTo(row.Windows, d.Windows(), n)
-		for i, lost := range d.Lost() {
+		row.Windows = addMean(row.Windows, d.WindowShares(), n)
+		for i, lost := range d.LostShares() {
 			if len(row.Lost) <= i {
 				row.Lost = append(row.Lost, nil)
 			}
-			row.Lost[i] = addTo(row.Lost[i], lost, n)
+			row.Lost[i] = addMean(row.Lost[i], lost, n)
 		}
 	}
-	row.Figure, row.Spread = mean(figures)
-	gain, spread := mean(gains)
+	row.Score, row.Spread = meanAndDeviation(figures)
+	gain, spread := meanAndDeviation(gains)
 	row.Gain = gain
-	row.Error = normal95 * spread / math.Sqrt(n)
+	row.Error = normalQuantile95 * spread / math.Sqrt(n)
 	return row
 }
 
-// addTo adds each value's part of n to a sum.
-func addTo(sum, values []float64, n float64) []float64 {
+// addMean adds each value's part of n to a sum.
+func addMean(sum, values []float64, n float64) []float64 {
 	if sum == nil {
 		sum = make([]float64, len(values))
 	}
@@ -144,8 +144,8 @@
 	return sum
 }
 
-// mean returns the mean and the standard deviation of some figures.
-func mean(figures []float64) (float64, float64) {
+// meanAndDeviation returns the meanAndDeviation and the standard deviation of some figures.
+func meanAndDeviation(figures []float64) (float64, float64) {
 	n := float64(len(figures))
 	m, squares := 0.0, 0.0
 	for _, v := range figures {
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -20,7 +20,7 @@
 	fmt.Fprintln(w, "sheet\tload\tvariant\tfigure\tspread\tgain\t±\tday\tkinds\tsilent %")
 	for i := range rows {
 		r := &rows[i]
-		fmt.Fprintf(w, "%s\t%g\t%s\t%.4f\t%.3f\t%+.4f\t%.4f\t%.4f\t%.3f\t%.1f\n", r.Sheet, r.Load, r.Variant, r.Figure,
+		fmt.Fprintf(w, "%s\t%g\t%s\t%.4f\t%.3f\t%+.4f\t%.4f\t%.4f\t%.3f\t%.1f\n", r.Sheet, r.Load, r.Variant, r.Score,
 			r.Spread, r.Gain, r.Error, r.Day, r.Kinds, 100*r.Silent)
 	}
 	if causes {
@@ -34,14 +34,14 @@
 	return nil
 }
 
-// leastLoss is the smallest part of the day's worth whose cause is written.
-const leastLoss = 0.0005
+// minLoss is the smallest part of the day's worth whose cause is written.
+const minLoss = 0.0005
 
 // writeCauses writes what a row loses by which cause.
 func writeCauses(w io.Writer, r *Row) {
 	for kind, lost := range r.Lost {
 		for c, part := range lost {
-			if part >= leastLoss {
+			if part >= minLoss {
 				fmt.Fprintf(w, "%s\t%g\t%s\tkind %d\t%s\t%.1f ‰\n", r.Sheet, r.Load, r.Variant, kind, emulator.Cause(c), 1000*part)
 			}
 		}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -20,12 +20,12 @@
 			// One prompt in fifty is above 100 000 tokens, as the users say.
 			long := 0.0
 			for i := range p.Kinds {
-				if p.Kinds[i].Long() {
+				if p.Kinds[i].IsLong() {
 					long += p.Kinds[i].Weight
 				}
 			}
-			is.Equal(long/p.Weight(), 0.02)
-			is.Equal(p.WithoutLong().Weight(), p.Weight()-long)
+			is.Equal(long/p.TotalWeight(), 0.02)
+			is.Equal(p.WithoutLongPrompts().TotalWeight(), p.TotalWeight()-long)
 		})
 	}
 }
@@ -47,7 +47,7 @@
 	for _, a := range one {
 		work += float64(a.tokens - a.kind.SharedTokens)
 	}
-	is.True(math.Abs(work/float64(len(one))/p.Mean()-1) < 0.1)
+	is.True(math.Abs(work/float64(len(one))/p.MeanPrefill()-1) < 0.1)
 }
 
 // TestReport checks that outcomes are counted where they belong.
--- a/load/profile.go
+++ b/load/profile.go
@@ -54,22 +54,22 @@
 	Once bool `toml:"once"`
 }
 
-// plain states whether the kind calls the plain service.
-func (k *Kind) plain() bool {
+// isPlain states whether the kind calls the isPlain service.
+func (k *Kind) isPlain() bool {
 	return k.MaxTokens == 0
 }
 
-// Long states whether the kind's prompts are long ones.
-func (k *Kind) Long() bool {
+// IsLong states whether the kind's prompts are long ones.
+func (k *Kind) IsLong() bool {
 	return k.MaxTokens > longTokens
 }
 
 // longTokens is the length above which a prompt counts as long.
 const longTokens = 100_000
 
-// mean returns the mean prompt length, in tokens, that is not shared.
-func (k *Kind) mean() float64 {
-	if k.plain() {
+// meanPrefill returns the meanPrefill prompt length, in tokens, that is not shared.
+func (k *Kind) meanPrefill() float64 {
+	if k.isPlain() {
 		return 0
 	}
 	low, high := float64(k.MinTokens), float64(k.MaxTokens)
@@ -80,12 +80,12 @@
 	return (high-low)/math.Log(high/low) - float64(k.SharedTokens)
 }
 
-// Mean returns the mean prefill work of a request, in tokens.
-func (p *Profile) Mean() float64 {
+// MeanPrefill returns the mean prefill work of a request, in tokens.
+func (p *Profile) MeanPrefill() float64 {
 	total, work := 0.0, 0.0
 	for i := range p.Kinds {
 		total += p.Kinds[i].Weight
-		work += p.Kinds[i].Weight * p.Kinds[i].mean()
+		work += p.Kinds[i].Weight * p.Kinds[i].meanPrefill()
 	}
 	if total == 0 {
 		return 0
@@ -93,8 +93,8 @@
 	return work / total
 }
 
-// Weight returns the sum of the weights.
-func (p *Profile) Weight() float64 {
+// TotalWeight returns the sum of the weights.
+func (p *Profile) TotalWeight() float64 {
 	total := 0.0
 	for i := range p.Kinds {
 		total += p.Kinds[i].Weight
@@ -102,12 +102,12 @@
 	return total
 }
 
-// WithoutLong returns the profile without its long prompts.
-func (p *Profile) WithoutLong() *Profile {
+// WithoutLongPrompts returns the profile without its long prompts.
+func (p *Profile) WithoutLongPrompts() *Profile {
 	out := *p
 	out.Kinds = nil
 	for i := range p.Kinds {
-		if !p.Kinds[i].Long() {
+		if !p.Kinds[i].IsLong() {
 			out.Kinds = append(out.Kinds, p.Kinds[i])
 		}
 	}
@@ -130,7 +130,7 @@
 }
 
 func (p *Profile) check() error {
-	if p.Weight() <= 0 {
+	if p.TotalWeight() <= 0 {
 		return errors.Errorf("profile %s: no kind has a weight", p.Name)
 	}
 	for i := range p.Kinds {
@@ -138,7 +138,7 @@
 		if k.Weight < 0 || k.MinTokens < 0 || k.MaxTokens < k.MinTokens || k.SharedTokens > k.MinTokens {
 			return errors.Errorf("profile %s: kind %s: lengths or weight are impossible", p.Name, k.Name)
 		}
-		if !k.plain() && (k.MinTokens == 0 || k.OutputTokens <= 0) {
+		if !k.isPlain() && (k.MinTokens == 0 || k.OutputTokens <= 0) {
 			return errors.Errorf("profile %s: kind %s: min_tokens and output_tokens must be above zero", p.Name, k.Name)
 		}
 	}
@@ -163,17 +163,17 @@
 		if due >= within {
 			return out
 		}
-		k := p.pick(r.Float64() * p.Weight())
+		k := p.kindAt(r.Float64() * p.TotalWeight())
 		out = append(out, arrival{
 			at:     due,
 			number: len(out),
 			kind:   k,
-			tokens: k.draw(r),
+			tokens: k.drawLength(r),
 		})
 	}
 }
 
-func (p *Profile) pick(at float64) *Kind {
+func (p *Profile) kindAt(at float64) *Kind {
 	for i := range p.Kinds {
 		if at -= p.Kinds[i].Weight; at < 0 {
 			return &p.Kinds[i]
@@ -182,8 +182,8 @@
 	return &p.Kinds[len(p.Kinds)-1]
 }
 
-func (k *Kind) draw(r *rand.Rand) int {
-	if k.plain() {
+func (k *Kind) drawLength(r *rand.Rand) int {
+	if k.isPlain() {
 		return 0
 	}
 	low, high := math.Log(float64(k.MinTokens)), math.Log(float64(k.MaxTokens))
--- a/load/report.go
+++ b/load/report.go
@@ -16,11 +16,11 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// The range of the histograms, in microseconds, and their significant digits.
+// The range of the histograms, in microseconds, and their significant significantDigits.
 const (
-	lowest  = 1
-	highest = int64(time.Hour / time.Microsecond)
-	digits  = 3
+	minMicroseconds   = 1
+	maxMicroseconds   = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
 // outcome is what became of one request.
@@ -110,9 +110,9 @@
 	for _, n := range names {
 		r.Classes = append(r.Classes, &Class{
 			Name:    n,
-			first:   hdrhistogram.New(lowest, highest, digits),
-			total:   hdrhistogram.New(lowest, highest, digits),
-			refusal: hdrhistogram.New(lowest, highest, digits),
+			first:   hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits),
+			total:   hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits),
+			refusal: hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits),
 		})
 	}
 	return r
@@ -139,11 +139,11 @@
 	c := r.Class(name)
 	r.Sent++
 	c.Sent++
-	count(o.answered, &r.Answered, &c.Answered)
-	count(o.refused, &r.Refused, &c.Refused)
-	count(o.failed, &r.Failed, &c.Failed)
-	count(o.cut, &r.Cut, &c.Cut)
-	count(o.wrong, &r.Wrong, &c.Wrong)
+	increment(o.answered, &r.Answered, &c.Answered)
+	increment(o.refused, &r.Refused, &c.Refused)
+	increment(o.failed, &r.Failed, &c.Failed)
+	increment(o.cut, &r.Cut, &c.Cut)
+	increment(o.wrong, &r.Wrong, &c.Wrong)
 	switch {
 	case o.code != "":
 		r.Codes[string(o.code)]++
@@ -158,7 +158,7 @@
 	}
 }
 
-func count(yes bool, counters ...*int) {
+func increment(yes bool, counters ...*int) {
 	if !yes {
 		return
 	}
@@ -170,17 +170,17 @@
 func (c *Class) record(o *outcome) {
 	switch {
 	case o.answered:
-		put(c.first, o.first)
-		put(c.total, o.total)
+		recordClamped(c.first, o.first)
+		recordClamped(c.total, o.total)
 	case o.refused:
-		put(c.refusal, o.total)
+		recordClamped(c.refusal, o.total)
 	}
 }
 
-// put records a time. One beyond the range counts as its end.
-func put(h *hdrhistogram.Histogram, d time.Duration) {
+// recordClamped records a time. One beyond the range counts as its end.
+func recordClamped(h *hdrhistogram.Histogram, d time.Duration) {
 	// The value is kept within the range, so recording can't fail.
-	_ = h.RecordValue(min(max(d.Microseconds(), lowest), highest))
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicroseconds), maxMicroseconds))
 }
 
 // Finish works out the figures of all classes.
@@ -191,15 +191,15 @@
 		r.GoodTokens = float64(r.tokens) / r.Seconds
 	}
 	for _, c := range r.Classes {
-		c.FirstP50 = quantile(c.first, 50)
-		c.FirstP95 = quantile(c.first, 95)
-		c.FirstP99 = quantile(c.first, 99)
-		c.TotalP95 = quantile(c.total, 95)
-		c.RefusalP99 = quantile(c.refusal, 99)
+		c.FirstP50 = percentileMs(c.first, 50)
+		c.FirstP95 = percentileMs(c.first, 95)
+		c.FirstP99 = percentileMs(c.first, 99)
+		c.TotalP95 = percentileMs(c.total, 95)
+		c.RefusalP99 = percentileMs(c.refusal, 99)
 	}
 }
 
-func quantile(h *hdrhistogram.Histogram, q float64) float64 {
+func percentileMs(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
--- a/load/send.go
+++ b/load/send.go
@@ -46,7 +46,7 @@
 		profile:  p,
 		settings: s,
 		client:   wirehttp.Client(),
-		text:     filler(p, r),
+		filler:   fillerText(p, r),
 		report:   newReport(p, s),
 	}
 	var all sync.WaitGroup
@@ -58,7 +58,7 @@
 			all.Wait()
 			return x.report
 		}
-		all.Go(func() { x.one(ctx, a, start.Add(a.at)) })
+		all.Go(func() { x.sendOne(ctx, a, start.Add(a.at)) })
 	}
 	all.Wait()
 	x.report.Seconds = time.Since(start).Seconds()
@@ -70,13 +70,13 @@
 	profile  *Profile
 	settings Settings
 	client   *http.Client
-	text     string
-	turn     atomic.Uint64
+	filler   string
+	sent     atomic.Uint64
 	report   *Report
 }
 
-// filler returns text as long as the longest prompt.
-func filler(p *Profile, r *rand.Rand) string {
+// fillerText returns text as long as the longest prompt.
+func fillerText(p *Profile, r *rand.Rand) string {
 	longest := 0
 	for i := range p.Kinds {
 		longest = max(longest, p.Kinds[i].MaxTokens)
@@ -97,32 +97,32 @@
 	mark := fmt.Sprintf(" %s %d %d ", a.kind.Name, x.settings.Seed, a.number)
 	var b strings.Builder
 	b.Grow(size)
-	b.WriteString(x.text[:shared])
+	b.WriteString(x.filler[:shared])
 	b.WriteString(mark)
 	if rest := size - b.Len(); rest > 0 {
-		b.WriteString(x.text[shared : shared+rest])
+		b.WriteString(x.filler[shared : shared+rest])
 	}
 	return b.String()
 }
 
-// one sends one request and notes its outcome.
-func (x *sender) one(ctx context.Context, a arrival, due time.Time) {
+// sendOne sends sendOne request and notes its outcome.
+func (x *sender) sendOne(ctx context.Context, a arrival, due time.Time) {
 	o := outcome{
 		kind:     a.kind,
 		tokens:   a.tokens,
 		measured: a.at >= x.settings.Warmup,
 	}
-	if a.kind.plain() {
-		x.plain(ctx, a, due, &o)
+	if a.kind.isPlain() {
+		x.sendPlain(ctx, a, due, &o)
 	} else {
-		x.complete(ctx, a, due, &o)
+		x.sendCompletion(ctx, a, due, &o)
 	}
 	x.report.add(&o)
 }
 
-// request makes a request to the next address.
-func (x *sender) request(ctx context.Context, a arrival, path string, body []byte) (*http.Request, error) {
-	address := x.settings.Addresses[int(x.turn.Add(1))%len(x.settings.Addresses)]
+// newRequest makes a newRequest to the next address.
+func (x *sender) newRequest(ctx context.Context, a arrival, path string, body []byte) (*http.Request, error) {
+	address := x.settings.Addresses[int(x.sent.Add(1))%len(x.settings.Addresses)]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, wirehttp.Once(bytes.NewReader(body)))
 	if err != nil {
 		return nil, err
@@ -141,7 +141,7 @@
 func (x *sender) do(ctx context.Context, a arrival, path string, body []byte) (*http.Response, error) {
 	var last error
 	for range x.settings.Addresses {
-		req, err := x.request(ctx, a, path, body)
+		req, err := x.newRequest(ctx, a, path, body)
 		if err != nil {
 			return nil, err
 		}
@@ -157,8 +157,8 @@
 	return nil, last
 }
 
-// plain makes a plain call.
-func (x *sender) plain(ctx context.Context, a arrival, due time.Time, o *outcome) {
+// sendPlain makes a sendPlain call.
+func (x *sender) sendPlain(ctx context.Context, a arrival, due time.Time, o *outcome) {
 	body := []byte(fmt.Sprintf(`{"bid":%d,"seed":%d}`, a.number, x.settings.Seed))
 	res, err := x.do(ctx, a, "/services/"+x.profile.Service+"/bids", body)
 	if err != nil {
@@ -179,8 +179,8 @@
 	o.answered = true
 }
 
-// complete asks for a streamed completion.
-func (x *sender) complete(ctx context.Context, a arrival, due time.Time, o *outcome) {
+// sendCompletion asks for a streamed completion.
+func (x *sender) sendCompletion(ctx context.Context, a arrival, due time.Time, o *outcome) {
 	prompt := x.prompt(a)
 	body, err := json.Marshal(map[string]any{
 		"model":      x.profile.Model,
@@ -203,14 +203,14 @@
 		o.refuse(res, due)
 		return
 	}
-	x.read(res.Body, due, want, o)
+	x.readStream(res.Body, due, want, o)
 }
 
 // errCut is an answer without its end.
 var errCut = errors.New("the answer was cut")
 
-// read takes a streamed answer.
-func (x *sender) read(body io.Reader, due time.Time, want string, o *outcome) {
+// readStream takes a streamed answer.
+func (x *sender) readStream(body io.Reader, due time.Time, want string, o *outcome) {
 	var text strings.Builder
 	lines := bufio.NewReaderSize(body, 2<<10)
 	for {
