--- a/cmd/linkmast/deploy_test.go
+++ b/cmd/linkmast/deploy_test.go
@@ -26,7 +26,7 @@
 	"github.com/linkmast/linkmast/rollout"
 )
 
-// process is one running program.
+// process is a running program of a deployment.
 type process struct {
 	t       *testing.T
 	name    string
@@ -49,7 +49,7 @@
 	nodes    []*process
 }
 
-// build builds both programs once.
+// build builds both programs once and returns their directory.
 var build = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "linkmast-test")
 	if err != nil {
@@ -72,7 +72,7 @@
 	os.Exit(code)
 }
 
-// run starts a program and waits for the line that tells its address.
+// run starts a program and waits until it prints its address.
 func (d *deployment) run(name, program string, args ...string) *process {
 	d.t.Helper()
 	p := &process{
@@ -113,12 +113,12 @@
 	select {
 	case <-started:
 	case <-time.After(10 * time.Second):
-		d.t.Fatalf("%s does not start: %s", name, p.text())
+		d.t.Fatalf("%s did not start: %s", name, p.text())
 	}
 	return p
 }
 
-// parseAddresses takes the addresses from a line of output.
+// parseAddresses takes the addresses from a line of output and reports whether it had any.
 func (p *process) parseAddresses(line string) bool {
 	if a, ok := strings.CutPrefix(line, "listening on "); ok {
 		p.address = a
@@ -134,12 +134,14 @@
 	return true
 }
 
+// text returns the output so far.
 func (p *process) text() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.output.String()
 }
 
+// signal sends a signal. After SIGSTOP it waits until all threads have stopped.
 func (p *process) signal(s syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
@@ -150,22 +152,21 @@
 	}
 }
 
-// awaitFrozen waits until no thread of the process runs. A stop reaches one of them, which
-// stops the others once it is given a processor; beside load they go on until then.
+// awaitFrozen waits until all threads of the process are stopped. Under load, some threads
+// still run for a while after SIGSTOP.
 func (p *process) awaitFrozen() {
 	p.t.Helper()
 	for end := time.Now().Add(freezeTimeout); !p.frozen(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatal("process does not stop")
+			p.t.Fatal("process still runs after SIGSTOP")
 		}
 	}
 }
 
-// freezeTimeout bounds the wait for a process to stop; on a busy machine it takes some tens
-// of milliseconds.
+// freezeTimeout bounds the wait for a process to stop.
 const freezeTimeout = 5 * time.Second
 
-// frozen states whether all threads of the process are stopped.
+// frozen reports whether all threads of the process are stopped.
 func (p *process) frozen() bool {
 	stats, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -176,7 +177,7 @@
 		if err != nil {
 			return false
 		}
-		// The state follows the command's name, which is in parentheses (proc(5)).
+		// The state follows the name of the command, which is in parentheses (proc(5)).
 		_, rest, _ := strings.Cut(string(stat), ") ")
 		if !strings.HasPrefix(rest, "T") {
 			return false
@@ -185,7 +186,8 @@
 	return len(stats) > 0
 }
 
-// deploy starts a deployment of n nodes.
+// deploy starts a platform, three engines, a service and n nodes, and waits until the nodes
+// are ready.
 func deploy(t *testing.T, n int) *deployment {
 	t.Helper()
 	bin, err := build()
@@ -214,6 +216,7 @@
 	return d
 }
 
+// addNode starts a node and registers it with the platform.
 func (d *deployment) addNode(name string) {
 	path := filepath.Join(d.t.TempDir(), name+".toml")
 	text := fmt.Sprintf("id = %q\nregion = \"r1\"\nfailure_domain = \"d1\"\nlisten = \"127.0.0.1:0\"\n"+
@@ -227,7 +230,7 @@
 	d.register(name, p.peer, instances.KindNode)
 }
 
-// register puts an instance on the platform's register.
+// register adds an instance to the platform's list.
 func (d *deployment) register(id, address string, kind instances.Kind) {
 	data, _ := json.Marshal(instances.Instance{
 		ID:            id,
@@ -240,6 +243,7 @@
 	put(d.t, "http://"+d.platform.address+"/v1/instances/"+id, string(data))
 }
 
+// put sends body with a PUT request. It ignores the status of the response.
 func put(t *testing.T, url, body string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPut, url, strings.NewReader(body))
@@ -253,6 +257,7 @@
 	res.Body.Close()
 }
 
+// publish publishes a configuration with all engines and the service.
 func (d *deployment) publish() {
 	d.t.Helper()
 	var engines []*fleet.Host
@@ -269,7 +274,7 @@
 	}
 }
 
-// awaitReady waits until a node serves and knows n nodes.
+// awaitReady waits until a node is ready and knows n nodes.
 func (d *deployment) awaitReady(p *process, n int) {
 	d.t.Helper()
 	for range 200 {
@@ -287,10 +292,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	d.t.Fatalf("%s is not ready: %s", p.name, p.text())
+	d.t.Fatalf("%s did not become ready: %s", p.name, p.text())
 }
 
-// heldBytes returns the memory heldBytes at all engines that answer.
+// heldBytes returns the memory held at all engines that answer.
 func (d *deployment) heldBytes() int64 {
 	total := int64(0)
 	for _, p := range d.engines {
@@ -304,6 +309,7 @@
 	return total
 }
 
+// wantMemoryReleased fails the test if an engine still holds memory after the given time.
 func (d *deployment) wantMemoryReleased(within time.Duration) {
 	d.t.Helper()
 	until := time.Now().Add(within)
@@ -316,6 +322,7 @@
 	}
 }
 
+// addresses returns the addresses of all nodes.
 func (d *deployment) addresses() []string {
 	var out []string
 	for _, p := range d.nodes {
--- a/cmd/linkmast/main.go
+++ b/cmd/linkmast/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Command linkmast is one instance of the system: a gateway on a platform with a
-// store where the settings name one, else a node.
+// Command linkmast runs one instance: a gateway if the settings name a store of the
+// platform, or else a node.
 package main
 
 import (
@@ -33,28 +33,28 @@
 	exitUsage
 )
 
-// options are the command line.
+// options are the options of the command line.
 type options struct {
 	Settings string `short:"s" long:"settings" env:"LINKMAST_NODE_FILE" value-name:"FILE" description:"settings of this instance (TOML)"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
-	Verbose  bool   `short:"v" long:"verbose" description:"also write a line for each lease given"`
+	Verbose  bool   `short:"v" long:"verbose" description:"also write debug lines, such as one for each lease granted"`
 	Version  bool   `long:"version" description:"print the version and exit"`
 }
 
-// signalQueue is how many signals may wait: more than anybody sends at once.
+// signalQueue is the capacity of the channel for signals.
 const signalQueue = 8
 
 func main() {
 	os.Exit(run(os.Args[1:]))
 }
 
-// run carries the command line out and returns the exit code.
+// run runs the command line and returns the exit code.
 func run(args []string) int {
 	var o options
 	parser := flags.NewParser(&o, flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "Runs one instance of linkmast. SIGTERM and SIGINT are a planned stop: the instance hands\n" +
 		"over what it owns and serves requests in flight to their end. A second SIGINT stops it at once.\n" +
-		"SIGHUP checks the settings anew.\n" +
+		"SIGHUP checks the settings file again.\n" +
 		"Exit codes: 0 stopped as planned, 1 could not start, 2 wrong command line or settings."
 	if _, err := parser.ParseArgs(args); err != nil {
 		return reportUsage(err)
@@ -71,13 +71,13 @@
 		return reportUsage(err)
 	}
 	if o.Check {
-		fmt.Println("settings are fine")
+		fmt.Println("settings are valid")
 		return exitOK
 	}
 	return serve(s, o)
 }
 
-// reportUsage prints what is wrong with the command line, or the help asked for.
+// reportUsage prints the requested help or the error, and returns the exit code.
 func reportUsage(err error) int {
 	var f *flags.Error
 	if errors.As(err, &f) && f.Type == flags.ErrHelp {
@@ -90,11 +90,12 @@
 
 // instance is a node or a gateway.
 type instance interface {
-	// Stop ends the instance as planned; with the end of ctx at once.
+	// Stop drains and ends the instance. It stops immediately when ctx ends.
 	Stop(ctx context.Context)
 }
 
-// start starts the instance that the settings ask for.
+// start starts a gateway or a node, as the settings require. The function dropped returns
+// the number of log lines that were dropped.
 func start(s *settings.File, log logr.Logger, dropped func() int64) (instance, error) {
 	if s.Platform.Store != "" {
 		g, err := gateway.New(s, log, dropped)
@@ -112,7 +113,7 @@
 	return n, nil
 }
 
-// serve runs the instance until it is stopped.
+// serve runs the instance until a signal stops it, and returns the exit code.
 func serve(s *settings.File, o options) int {
 	level := slog.LevelInfo
 	if o.Verbose {
@@ -131,8 +132,8 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
 	}
-	for one := range signals {
-		if one != syscall.SIGHUP {
+	for sig := range signals {
+		if sig != syscall.SIGHUP {
 			break
 		}
 		reload(o.Settings, s, log)
@@ -141,13 +142,13 @@
 	return exitOK
 }
 
-// stop ends the instance as planned, and at once with a further SIGINT.
+// stop ends the instance gracefully, and immediately on a further SIGINT.
 func stop(n instance, signals <-chan os.Signal) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		for one := range signals {
-			if one == os.Interrupt {
+		for sig := range signals {
+			if sig == os.Interrupt {
 				cancel()
 			}
 		}
@@ -155,16 +156,16 @@
 	n.Stop(ctx)
 }
 
-// reload checks the settings file anew. What it holds is fixed for the life of
-// a process, so a change is told and takes effect with the next start.
+// reload checks the settings file again and logs whether it has changed. Settings are fixed
+// while the process runs, so a change takes effect at the next start.
 func reload(path string, s *settings.File, log logr.Logger) {
 	fresh, err := settings.Read(path)
 	switch {
 	case err != nil:
-		log.Error(err, "reload: settings are wrong and take no effect")
+		log.Error(err, "reload: settings are invalid and were not applied")
 	case reflect.DeepEqual(fresh, s):
 		log.Info("reload: settings are unchanged")
 	default:
-		log.Info("reload: settings have changed; they take effect with the next start")
+		log.Info("reload: settings have changed; they take effect at the next start")
 	}
 }
--- a/cmd/linkmast/process_test.go
+++ b/cmd/linkmast/process_test.go
@@ -19,7 +19,7 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// result is what a caller got.
+// result is the response that a caller received.
 type result struct {
 	status int
 	text   string
@@ -29,7 +29,7 @@
 	took   time.Duration
 }
 
-// complete asks a node for a streamed completion.
+// complete requests a streamed completion from a node.
 func complete(address, prompt string, tokens int) result {
 	body, _ := json.Marshal(map[string]any{
 		"model":      fleet.Model,
@@ -40,6 +40,7 @@
 	return call(address, "/v1/completions", string(body), map[string]string{"Linkmast-Deadline": "30s"})
 }
 
+// call sends a request to a node and reads the whole response.
 func call(address, path, body string, header map[string]string) result {
 	start := time.Now()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(body))
@@ -77,7 +78,8 @@
 	return r
 }
 
-// startStreams opens n startStreams through each address and returns what they get.
+// startStreams starts n streams through each address. The returned function waits for their
+// end and returns the results by address.
 func startStreams(addresses []string, n, tokens int) func() map[string][]result {
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -87,7 +89,7 @@
 			all.Go(func() {
 				r := complete(a, fmt.Sprintf("%s %d", a, i), tokens)
 				if r.whole && r.text != standin.Answer(fmt.Sprintf("%s %d", a, i), tokens) {
-					r.err = fmt.Errorf("not its own answer")
+					r.err = fmt.Errorf("answer differs from the expected one")
 				}
 				mu.Lock()
 				out[a] = append(out[a], r)
@@ -101,19 +103,21 @@
 	}
 }
 
-// wantWhole fails unless every answer is whole.
+// wantWhole fails the test unless all answers are complete.
 func wantWhole(t *testing.T, what string, results []result) {
 	t.Helper()
 	for _, r := range results {
 		if !r.whole || r.err != nil {
-			t.Errorf("%s: not whole: status %d, %v, %.200s", what, r.status, r.err, r.body)
+			t.Errorf("%s: answer is incomplete: status %d, %v, %.200s", what, r.status, r.err, r.body)
 		}
 	}
 }
 
+// TestNodeKilled kills a node. It guards against broken streams of other nodes, streams of
+// the killed node that look complete, and leaked engine memory.
 func TestNodeKilled(t *testing.T) {
 	d := deploy(t, 3)
-	wait := startStreams(d.addresses(), 4, 400) // 4 s
+	wait := startStreams(d.addresses(), 4, 400) // lasts about 4 s
 	time.Sleep(time.Second)
 	d.nodes[0].signal(syscall.SIGKILL)
 	got := wait()
@@ -122,7 +126,7 @@
 	}
 	for _, r := range got[d.nodes[0].address] {
 		if r.whole {
-			t.Error("a stream of a node that was killed seems whole")
+			t.Error("a stream of a killed node looks complete")
 		}
 	}
 	d.wantMemoryReleased(15 * time.Second)
@@ -132,6 +136,8 @@
 	}
 }
 
+// TestNodeFrozenAndAwake freezes a node and resumes it. It guards against broken streams of
+// other nodes, leaked engine memory, and wrong answers after the node resumes.
 func TestNodeFrozenAndAwake(t *testing.T) {
 	d := deploy(t, 3)
 	wait := startStreams(d.addresses(), 4, 400)
@@ -161,6 +167,7 @@
 	d.wantMemoryReleased(15 * time.Second)
 }
 
+// TestPlannedStop guards against requests that fail because nodes are stopped as planned.
 func TestPlannedStop(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -182,7 +189,7 @@
 			for _, i := range c.stops {
 				d.nodes[i].signal(syscall.SIGTERM)
 			}
-			// The balancer goes on sending for a while.
+			// A load balancer still sends requests to stopping nodes for a while.
 			time.Sleep(300 * time.Millisecond)
 			during := startStreams(d.addresses(), 4, 100)()
 			for a, r := range during {
@@ -196,7 +203,7 @@
 				case err := <-d.nodes[i].exited:
 					is.NoErr(err)
 				case <-time.After(15 * time.Second):
-					t.Errorf("%s does not end: %s", d.nodes[i].name, d.nodes[i].text())
+					t.Errorf("%s did not exit: %s", d.nodes[i].name, d.nodes[i].text())
 				}
 			}
 			d.wantMemoryReleased(10 * time.Second)
@@ -204,6 +211,8 @@
 	}
 }
 
+// TestEngineKilledAndFrozen guards against the loss of streams of other engines, and
+// against late failures, when an engine is killed or frozen.
 func TestEngineKilledAndFrozen(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGKILL, syscall.SIGSTOP} {
 		t.Run(s.String(), func(t *testing.T) {
@@ -221,15 +230,15 @@
 						whole++
 					}
 					if !r.whole {
-						t.Logf("not whole after %s: %.300s", r.took, r.body[max(0, len(r.body)-300):])
+						t.Logf("incomplete after %s: %.300s", r.took, r.body[max(0, len(r.body)-300):])
 					}
 					if !r.whole && r.took > 10*time.Second {
-						t.Errorf("failed only after %s: %s", r.took, r.body)
+						t.Errorf("failure took too long, %s: %s", r.took, r.body)
 					}
 				}
 			}
 			if whole < 6 {
-				t.Errorf("%d of 12 streams were whole; at most those of one engine may be lost", whole)
+				t.Errorf("%d of 12 streams were complete; only those of one engine may be lost", whole)
 			}
 			after := startStreams(d.addresses(), 4, 20)()
 			for a, r := range after {
@@ -241,6 +250,8 @@
 	}
 }
 
+// TestPlatformFrozen guards against calls that hang, and completions that fail, while the
+// platform is frozen.
 func TestPlatformFrozen(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 2)
--- a/cmd/linkmastctl/account.go
+++ b/cmd/linkmastctl/account.go
@@ -14,9 +14,9 @@
 	"github.com/linkmast/linkmast/account"
 )
 
-// accountCommand tells what became of the requests in a log.
+// accountCommand counts the requests in log lines by kind and cause.
 type accountCommand struct {
-	Seconds bool `long:"seconds" description:"print how many were not in time, second by second"`
+	Seconds bool `long:"seconds" description:"print how many requests were not in time in each second"`
 	Args    struct {
 		Log string `positional-arg-name:"LOGFILE" description:"log lines of all instances"`
 	} `positional-args:"yes" required:"yes"`
@@ -26,7 +26,7 @@
 func (c *accountCommand) Execute([]string) error {
 	f, err := os.Open(c.Args.Log)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "open log")
 	}
 	rows, err := account.Read(f)
 	if err := errors.Join(err, f.Close()); err != nil {
@@ -52,7 +52,7 @@
 	return w.Flush()
 }
 
-// writeSeconds writes how many requests were not in time, second by second.
+// writeSeconds writes how many requests of each kind were not in time in each second.
 func writeSeconds(w *tabwriter.Writer, rows []account.Row) {
 	for i := range rows {
 		r := &rows[i]
--- a/cmd/linkmastctl/configuration.go
+++ b/cmd/linkmastctl/configuration.go
@@ -20,24 +20,24 @@
 	"github.com/linkmast/linkmast/rollout"
 )
 
-// platformOptions are how the platform's log is reached.
+// platformOptions are the options for access to the platform's log.
 type platformOptions struct {
 	Log     string        `long:"log" value-name:"HOST:PORT" required:"yes" description:"the platform's log"`
 	Timeout time.Duration `long:"timeout" default:"10s" description:"how long to try"`
 }
 
-// open returns the log and a context that ends with the time-out.
+// open returns a client of the log and a context that ends after the timeout.
 func (o *platformOptions) open() (logsvc.Log, context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), o.Timeout)
 	return logsvc.NewHTTP(wirehttp.Client(), o.Log), ctx, cancel
 }
 
-// fileArgument is the configuration file that a command takes.
+// fileArgument is the configuration file that a command reads.
 type fileArgument struct {
 	File string `positional-arg-name:"FILE" required:"yes" description:"a configuration file (TOML)"`
 }
 
-// checkCommand checks a file as every node does.
+// checkCommand validates a configuration file.
 type checkCommand struct {
 	Args fileArgument `positional-args:"yes"`
 }
@@ -48,11 +48,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s is fine: %d customers, %d models, %d endpoints\n", c.Args.File, len(f.Customers), len(f.Models),
+	fmt.Printf("%s is valid: %d customers, %d models, %d endpoints\n", c.Args.File, len(f.Customers), len(f.Models),
 		len(f.Endpoints))
 	return nil
 }
 
+// readConfiguration reads and parses a configuration file.
 func readConfiguration(path string) ([]byte, *config.File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -60,24 +61,24 @@
 	}
 	f, err := config.Parse(text)
 	if err != nil {
-		return nil, nil, errors.Errorf("%s is refused:\n%v", path, err)
+		return nil, nil, errors.Errorf("%s is invalid:\n%v", path, err)
 	}
 	return text, f, nil
 }
 
-// publishCommand publishes a file.
+// publishCommand publishes a configuration file.
 type publishCommand struct {
 	platformOptions
 
 	Replaces int64  `long:"replaces" value-name:"GENERATION" description:"publish only if this generation is in force"`
-	Force    bool   `long:"force" description:"publish whatever is in force (instead of --replaces)"`
+	Force    bool   `long:"force" description:"publish regardless of the generation in force (instead of --replaces)"`
 	Whole    bool   `long:"whole" description:"write the whole file to the log, not just the change"`
 	Operator string `long:"operator" description:"who publishes (default: the user's name)"`
 
 	Args fileArgument `positional-args:"yes"`
 }
 
-// idBytes is the length of a publication's id.
+// idBytes is the length of a publication's ID.
 const idBytes = 8
 
 // Execute implements flags.Commander.
@@ -101,7 +102,7 @@
 		return err
 	}
 	var id [idBytes]byte
-	// crypto/rand.Read never fails.
+	// Read never returns an error (crypto/rand).
 	_, _ = rand.Read(id[:])
 	v, err := rollout.Publish(ctx, log, rollout.Publication{
 		ID:       hex.EncodeToString(id[:]),
@@ -120,8 +121,8 @@
 	return nil
 }
 
-// base returns the file that the publication replaces, so that only the change
-// is written; nil when a whole file is to be written.
+// base returns the file that the publication replaces, so that only the difference is
+// written to the log. It returns nil if the whole file is to be written.
 func (c *publishCommand) base(ctx context.Context, log logsvc.Log) ([]byte, error) {
 	if c.Force || c.Whole {
 		return nil, nil
@@ -136,7 +137,7 @@
 	return j.InForce.Text, nil
 }
 
-// inForce returns the configuration in force as the log tells it.
+// inForce replays the log and returns the configuration in force and all verdicts.
 func inForce(o *platformOptions) (*rollout.Judge, []rollout.Verdict, error) {
 	log, ctx, cancel := o.open()
 	defer cancel()
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// showCommand prints the configuration in force.
+// showCommand prints the configuration in force or the records of the log.
 type showCommand struct {
 	platformOptions
 
--- a/cmd/linkmastctl/demo.go
+++ b/cmd/linkmastctl/demo.go
@@ -22,9 +22,9 @@
 // demoCommand runs a whole deployment in this process.
 type demoCommand struct {
 	Profile  string        `long:"profile" default:"pinecrest" description:"pinecrest, tana, or a file (TOML)"`
-	Nodes    int           `long:"nodes" default:"3" description:"nodes"`
-	Engines  int           `long:"engines" default:"6" description:"engines"`
-	Duration time.Duration `long:"duration" default:"5s" description:"how long requests come"`
+	Nodes    int           `long:"nodes" default:"3" description:"number of nodes"`
+	Engines  int           `long:"engines" default:"6" description:"number of engines"`
+	Duration time.Duration `long:"duration" default:"5s" description:"how long requests are sent"`
 	Load     float64       `long:"load" default:"0.6" description:"part of the engines' prefill capacity"`
 	Seed     uint64        `long:"seed" default:"1" description:"decides arrivals, kinds and lengths"`
 	Exit     bool          `long:"exit" description:"exit after the table instead of staying up"`
@@ -32,8 +32,8 @@
 	Log      bool          `long:"log" description:"write the nodes' JSON lines to standard error"`
 }
 
-// The measures of the demo's engines, ten times as fast as rated so that the
-// demo is short.
+// Parameters of the demo's engines, which are faster than the defaults of the stand-ins so
+// that the demo is short.
 const (
 	demoPrefill = 400_000
 	demoChunk   = 4096
@@ -73,7 +73,7 @@
 		return err
 	}
 	if bad := out.Run.Wrong + out.Run.Doubled; bad > 0 || out.Run.LeakedBytes > 0 {
-		return errors.Errorf("promises broken: %d wrong, %d doubled, %d bytes leaked", out.Run.Wrong, out.Run.Doubled,
+		return errors.Errorf("wrong behavior detected: %d answers wrong, %d calls doubled, %d bytes leaked", out.Run.Wrong, out.Run.Doubled,
 			out.Run.LeakedBytes)
 	}
 	if !c.Exit {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// measure sends the profile without and with its long prompts.
+// measure runs the profile first without and then with its long prompts.
 func (c *demoCommand) measure(f *fleet.Fleet, p *load.Profile) *Result {
 	short := p.WithoutLongPrompts()
 	s := load.Settings{
@@ -104,6 +104,7 @@
 	return out
 }
 
+// print prints the results as JSON, or as a table with commands to try.
 func (c *demoCommand) print(out *Result, f *fleet.Fleet) error {
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(struct {
@@ -131,9 +132,9 @@
 	return nil
 }
 
-// awaitSignal waits for a signal.
+// awaitSignal waits for SIGTERM or SIGINT.
 func awaitSignal() {
-	fmt.Fprintln(os.Stderr, "\nrunning; interrupt to end")
+	fmt.Fprintln(os.Stderr, "\nrunning; interrupt to stop")
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	<-signals
--- a/cmd/linkmastctl/experiment.go
+++ b/cmd/linkmastctl/experiment.go
@@ -12,13 +12,13 @@
 	"github.com/linkmast/linkmast/experiment"
 )
 
-// experimentCommand compares ways to decide on emulated days.
+// experimentCommand compares policies on emulated days.
 type experimentCommand struct {
 	Jobs   int    `long:"jobs" default:"4" description:"days played at once"`
 	JSON   bool   `long:"json" description:"print JSON"`
-	Causes bool   `long:"causes" description:"print what is lost by which cause"`
-	Times  string `long:"times" description:"write a picture of the worth over the day to this SVG file"`
-	Loads  string `long:"loads" description:"write a picture of the figure over load to this SVG file"`
+	Causes bool   `long:"causes" description:"print the lost worth by kind and cause"`
+	Times  string `long:"times" description:"write a plot of the kept worth over the day to this SVG file"`
+	Loads  string `long:"loads" description:"write a plot of the score over load to this SVG file"`
 	Args   struct {
 		Plan string `positional-arg-name:"PLAN" description:"a plan in TOML"`
 	} `positional-args:"yes" required:"yes"`
@@ -46,20 +46,20 @@
 	return experiment.WriteTable(os.Stdout, rows, c.Causes)
 }
 
-// writePlot writes a picture to a file; no name means none.
+// writePlot writes a plot to a file. It does nothing if name is empty.
 func writePlot(name string, rows []experiment.Row, write func(io.Writer, []experiment.Row) error) error {
 	if name == "" {
 		return nil
 	}
 	f, err := os.Create(name)
 	if err != nil {
-		return errors.Wrap(err, "picture")
+		return errors.Wrap(err, "write plot")
 	}
 	if err := write(f, rows); err != nil {
 		return errors.Join(err, f.Close())
 	}
 	if err := f.Close(); err != nil {
-		return errors.Wrap(err, "picture")
+		return errors.Wrap(err, "write plot")
 	}
 	return nil
 }
--- a/cmd/linkmastctl/fit.go
+++ b/cmd/linkmastctl/fit.go
@@ -10,10 +10,10 @@
 	"github.com/linkmast/linkmast/internal/slope"
 )
 
-// fitCommand fits lines to benchmarks.
+// fitCommand fits a line to the results of each benchmark as a function of its size.
 type fitCommand struct{}
 
-// percent turns a part into percent.
+// percent converts a fraction to percent.
 const percent = 100
 
 // Execute implements flags.Commander.
--- a/cmd/linkmastctl/load.go
+++ b/cmd/linkmastctl/load.go
@@ -17,34 +17,34 @@
 	"github.com/linkmast/linkmast/settings"
 )
 
-// loadCommand sends requests to nodes, or to an embedded fleet.
+// loadCommand sends requests to nodes or to an embedded fleet.
 type loadCommand struct {
 	Profile  string        `long:"profile" default:"pinecrest" description:"pinecrest, tana, or a file (TOML)"`
 	Node     []string      `long:"node" value-name:"HOST:PORT" description:"address of a node; repeat for each (default: an embedded fleet)"`
 	Rate     float64       `long:"rate" description:"requests a second"`
 	Load     float64       `long:"load" default:"0.8" description:"part of the prefill capacity, instead of --rate (embedded fleet)"`
-	Duration time.Duration `long:"duration" default:"30s" description:"how long requests come"`
-	Warmup   time.Duration `long:"warmup" default:"3s" description:"how much of the beginning is not measured"`
+	Duration time.Duration `long:"duration" default:"30s" description:"how long requests are sent"`
+	Warmup   time.Duration `long:"warmup" default:"3s" description:"initial time whose latencies are not recorded"`
 	Seed     uint64        `long:"seed" default:"1" description:"decides arrivals, kinds and lengths"`
-	Baseline bool          `long:"baseline" description:"first run the profile without its long prompts"`
+	Baseline bool          `long:"baseline" description:"run the profile without its long prompts first"`
 	JSON     bool          `long:"json" description:"print JSON"`
 
 	Nodes    int           `long:"nodes" default:"8" description:"nodes of the embedded fleet"`
 	Engines  int           `long:"engines" default:"20" description:"engines of the embedded fleet"`
 	Services int           `long:"services" default:"3" description:"plain endpoints of the embedded fleet"`
 	Strategy string        `long:"strategy" default:"weighed" choice:"weighed" choice:"naive" description:"strategy of the embedded fleet"`
-	Watch    time.Duration `long:"watch" default:"200ms" description:"how often owners tell of their endpoints (embedded fleet)"`
-	Fault    string        `long:"fault" choice:"none" choice:"engine-killed" choice:"engine-frozen" choice:"node-killed" default:"none" description:"what goes wrong a third into the run (embedded fleet)"`
+	Watch    time.Duration `long:"watch" default:"200ms" description:"interval at which owners report on their endpoints (embedded fleet)"`
+	Fault    string        `long:"fault" choice:"none" choice:"engine-killed" choice:"engine-frozen" choice:"node-killed" default:"none" description:"fault injected after a third of the run (embedded fleet)"`
 }
 
-// Result is what the load tool prints as JSON.
+// Result is the JSON output of the load command.
 type Result struct {
-	// Baseline is the run without long prompts, when asked for.
+	// Baseline is the run without long prompts, if requested.
 	Baseline *load.Report `json:"baseline,omitempty"`
 	// Run is the run of the whole profile.
 	Run *load.Report `json:"run"`
-	// ShortSlowdown is the TTFT p95 of short prompts beside long ones, divided
-	// by that without them.
+	// ShortSlowdown is the 95th percentile of the time to the first token of short prompts
+	// in Run, divided by that in Baseline.
 	ShortSlowdown float64 `json:"short_slowdown,omitempty"`
 }
 
@@ -57,7 +57,7 @@
 	var out Result
 	if c.Baseline {
 		short := p.WithoutLongPrompts()
-		// The other requests come at the same rate as in the whole profile.
+		// The other kinds keep the rates that they have in the whole profile.
 		part := short.TotalWeight() / p.TotalWeight()
 		if out.Baseline, err = c.run(short, p, part, "none"); err != nil {
 			return err
@@ -74,6 +74,7 @@
 	return c.print(&out)
 }
 
+// print prints the results, as JSON or as tables.
 func (c *loadCommand) print(out *Result) error {
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(out)
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// run runs a part of the whole profile's rate once.
+// run runs profile p once, at part of the rate of the profile whole.
 func (c *loadCommand) run(p, whole *load.Profile, part float64, fault string) (*load.Report, error) {
 	s := load.Settings{
 		Addresses: c.Node,
@@ -106,7 +107,7 @@
 	}
 	if len(c.Node) > 0 {
 		if c.Rate <= 0 {
-			return nil, errors.New("--rate is needed with --node")
+			return nil, errors.New("--node requires --rate")
 		}
 		r := load.Run(context.Background(), p, s)
 		r.Finish()
@@ -134,14 +135,14 @@
 	return runFleet(f, p, s, fault), nil
 }
 
-// memoryTimeout bounds the wait for engine memory to come back after a run.
+// memoryTimeout bounds the wait for engines to release their memory after a run.
 const memoryTimeout = 15 * time.Second
 
-// runFleet runs a profile against an embedded fleet, with a fault a third into
-// it.
+// runFleet runs a profile against an embedded fleet and injects a fault after a third of
+// the time.
 func runFleet(f *fleet.Fleet, p *load.Profile, s load.Settings, fault string) *load.Report {
-	strike := time.AfterFunc(s.Duration/3, func() { f.Strike(fault) })
-	defer strike.Stop()
+	timer := time.AfterFunc(s.Duration/3, func() { f.Strike(fault) })
+	defer timer.Stop()
 	r := load.Run(context.Background(), p, s)
 	r.LeakedBytes = f.WaitFree(memoryTimeout)
 	r.Doubled = f.Doubled()
--- a/cmd/linkmastctl/main.go
+++ b/cmd/linkmastctl/main.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Command linkmastctl is the tool of operators and developers.
+// Command linkmastctl is the command-line tool for operators and developers.
 package main
 
 import (
@@ -16,8 +16,7 @@
 // The exit codes.
 const (
 	exitOK = iota
-	// exitFailed means that the command failed, or found what it looks for to
-	// be wrong.
+	// exitFailed means that the command failed or that its check found a fault.
 	exitFailed
 	// exitUsage means that the command line is wrong.
 	exitUsage
@@ -32,14 +31,14 @@
 	Diff       diffCommand       `command:"diff" description:"compare a file with the configuration in force"`
 	Show       showCommand       `command:"show" description:"print the configuration in force"`
 	Status     statusCommand     `command:"status" description:"show nodes, endpoints, queues and generations"`
-	Explain    explainCommand    `command:"explain" description:"tell why a request went where it went"`
-	Release    releaseCommand    `command:"release" description:"let requests run again that were banned as they crashed endpoints"`
+	Explain    explainCommand    `command:"explain" description:"explain how a request was routed"`
+	Release    releaseCommand    `command:"release" description:"end the bans of requests that crashed endpoints"`
 	Demo       demoCommand       `command:"demo" description:"run a whole deployment in this process"`
-	Standin    standinCommand    `command:"standin" description:"run a stand-in for an outside system"`
+	Standin    standinCommand    `command:"standin" description:"run a stand-in for an external system"`
 	Load       loadCommand       `command:"load" description:"send requests and measure the answers"`
-	Soak       soakCommand       `command:"soak" description:"run the real programs under drawn faults and check the promises"`
-	Account    accountCommand    `command:"account" description:"tell from log lines what became of requests, by kind and cause"`
-	Experiment experimentCommand `command:"experiment" description:"compare ways to decide on emulated days"`
+	Soak       soakCommand       `command:"soak" description:"run the real programs under random faults and check the guarantees"`
+	Account    accountCommand    `command:"account" description:"count the requests in log lines by kind and cause"`
+	Experiment experimentCommand `command:"experiment" description:"compare scheduling policies on emulated days"`
 	Fit        fitCommand        `command:"fit" description:"fit lines to the output of go test -bench, from standard input"`
 }
 
@@ -47,6 +46,7 @@
 	os.Exit(run(os.Args[1:]))
 }
 
+// run runs the command line and returns the exit code.
 func run(args []string) int {
 	r := root{
 		Version: func() {
@@ -55,7 +55,7 @@
 		},
 	}
 	parser := flags.NewParser(&r, flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = "Operators check, publish and compare configurations, look at the fleet and ask about\n" +
+	parser.LongDescription = "Operators check, publish and compare configurations, inspect the fleet and trace\n" +
 		"requests. Developers run the demo, the stand-ins and the load tool.\n" +
 		"Exit codes: 0 done, 1 failed or found wrong, 2 wrong command line."
 	_, err := parser.ParseArgs(args)
--- a/cmd/linkmastctl/release.go
+++ b/cmd/linkmastctl/release.go
@@ -19,7 +19,7 @@
 	Store   string        `long:"store" value-name:"HOST:PORT" required:"yes" description:"address of the platform's store"`
 	Timeout time.Duration `long:"timeout" default:"3s" description:"how long to wait for the store"`
 	Args    struct {
-		Identities []string `positional-arg-name:"IDENTITY" required:"1" description:"as the lines about the request have it"`
+		Identities []string `positional-arg-name:"IDENTITY" required:"1" description:"identity of the request, as in the log lines about it"`
 	} `positional-args:"yes"`
 }
 
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// release ends the record of one ban.
+// release erases the record of one ban from the store.
 func (c *releaseCommand) release(store *platform.Store, id quarantine.Identity) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
--- a/cmd/linkmastctl/release_test.go
+++ b/cmd/linkmastctl/release_test.go
@@ -16,7 +16,8 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// TestRelease ends bans by the command, or doesn't where it is told nonsense or the store is away.
+// TestRelease checks that the command erases exactly the bans that it names, and its exit
+// codes for invalid arguments and an unreachable store.
 func TestRelease(t *testing.T) {
 	for _, row := range []struct {
 		name string
@@ -25,12 +26,12 @@
 		code int
 		left bool
 	}{
-		{"of an identity", []string{"1f"}, false, exitOK, false},
-		{"of several", []string{"2e", "1f"}, false, exitOK, false},
-		{"of one that is not banned", []string{"2e"}, false, exitOK, true},
-		{"of what is no identity", []string{"1f", "no identity"}, false, exitFailed, true},
-		{"of none", nil, false, exitUsage, true},
-		{"while the store is away", []string{"1f"}, true, exitFailed, true},
+		{"one identity", []string{"1f"}, false, exitOK, false},
+		{"several identities", []string{"2e", "1f"}, false, exitOK, false},
+		{"identity that is not banned", []string{"2e"}, false, exitOK, true},
+		{"invalid identity", []string{"1f", "no identity"}, false, exitFailed, true},
+		{"no identity", nil, false, exitUsage, true},
+		{"unreachable store", []string{"1f"}, true, exitFailed, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
--- a/cmd/linkmastctl/soak.go
+++ b/cmd/linkmastctl/soak.go
@@ -17,14 +17,14 @@
 	"github.com/linkmast/linkmast/soak"
 )
 
-// soakCommand runs the real programs under drawn faults.
+// soakCommand runs the real programs under random faults.
 type soakCommand struct {
-	Seed       uint64  `long:"seed" description:"seed of the first run; without it a fresh one"`
-	Runs       int     `long:"runs" default:"1" description:"how many seeds, counted up"`
-	Minutes    float64 `long:"minutes" default:"0.5" description:"how long faults come in a run"`
-	Processes  int     `long:"processes" default:"4" description:"how many instances run"`
-	Statements bool    `long:"statements" description:"endpoints name limits, say that they leave and ask for rest in their answers, too"`
-	Program    string  `long:"program" description:"program of an instance; without it linkmast is built"`
+	Seed       uint64  `long:"seed" description:"seed of the first run (default: random)"`
+	Runs       int     `long:"runs" default:"1" description:"number of runs, with consecutive seeds"`
+	Minutes    float64 `long:"minutes" default:"0.5" description:"how long faults are injected in a run"`
+	Processes  int     `long:"processes" default:"4" description:"number of instances"`
+	Statements bool    `long:"statements" description:"endpoints also state limits, departures and back-offs in their answers"`
+	Program    string  `long:"program" description:"path of the linkmast program (default: build it)"`
 }
 
 // Execute implements flags.Commander.
@@ -48,8 +48,8 @@
 	return c.runSeeds(ctx)
 }
 
-// buildInstance builds the program of an instance from the source tree that is the
-// working directory.
+// buildInstance builds the command linkmast at path. The working directory must be the root
+// of the source tree.
 func buildInstance(ctx context.Context, path string) error {
 	build := exec.CommandContext(ctx, "go", "build", "-o", path, "./cmd/linkmast")
 	build.Stderr = os.Stderr
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// runSeeds plays the runs one after the other. The error says how many broke a promise.
+// runSeeds runs one soak for each seed, one after the other. It returns an error if any of
+// them broke a promise.
 func (c *soakCommand) runSeeds(ctx context.Context) error {
 	bad := 0
 	for i := range c.Runs {
--- a/cmd/linkmastctl/standin.go
+++ b/cmd/linkmastctl/standin.go
@@ -14,24 +14,24 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// standinCommand runs stand-ins as processes.
+// standinCommand runs a stand-in as a process.
 type standinCommand struct {
 	Engine   engineCommand   `command:"engine" description:"a model engine"`
 	Service  serviceCommand  `command:"service" description:"a plain service"`
 	Platform platformCommand `command:"platform" description:"the platform: log, list of instances, weight store"`
 }
 
-// serveOptions are where a stand-in listens, and what goes wrong with it.
+// serveOptions are the address of a stand-in and its initial faults.
 type serveOptions struct {
-	Listen string        `long:"listen" default:"127.0.0.1:0" description:"where to listen"`
-	Slow   float64       `long:"slow" description:"multiply every step"`
+	Listen string        `long:"listen" default:"127.0.0.1:0" description:"address to listen on"`
+	Slow   float64       `long:"slow" description:"factor for the time of every step"`
 	Frozen bool          `long:"frozen" description:"start frozen"`
-	Lag    time.Duration `long:"lag" description:"how old lists are"`
-	Outage bool          `long:"outage" description:"start with an outage"`
+	Lag    time.Duration `long:"lag" description:"age of the lists of instances"`
+	Outage bool          `long:"outage" description:"start with all calls of the platform failing"`
 }
 
-// faults returns the faults of the command line. All others are set at run
-// time: PUT /faults with a JSON object such as {"frozen":true}.
+// faults returns the faults of the command line. They and all others can be set while the
+// stand-in runs: PUT /faults with a JSON object such as {"frozen":true}.
 func (o *serveOptions) faults() standin.Faults {
 	return standin.Faults{
 		Slow:   o.Slow,
@@ -41,7 +41,7 @@
 	}
 }
 
-// serve serves until a signal comes.
+// serve serves until the process receives SIGTERM or SIGINT.
 func (o *serveOptions) serve(h http.Handler) error {
 	s, address, err := fleet.Serve(o.Listen, h)
 	if err != nil {
@@ -54,13 +54,13 @@
 	return s.Close()
 }
 
-// engineCommand runs an engine.
+// engineCommand runs a stand-in engine.
 type engineCommand struct {
 	serveOptions
 
 	Instance     string        `long:"instance" default:"engine-1" description:"name of the endpoint instance"`
-	Model        string        `long:"model" default:"m1" description:"model that is loaded"`
-	Loaded       string        `long:"loaded" default:"1" description:"version that is loaded"`
+	Model        string        `long:"model" default:"m1" description:"loaded model"`
+	Loaded       string        `long:"loaded" default:"1" description:"loaded version of the model"`
 	Memory       int64         `long:"memory" description:"KV memory in bytes (default 400000 tokens)"`
 	KV           int64         `long:"kv" description:"KV bytes per token (default 1024)"`
 	Prefill      float64       `long:"prefill" description:"prefill tokens a second (default 40000)"`
@@ -85,7 +85,7 @@
 	return c.serve(e.Handler())
 }
 
-// serviceCommand runs a plain service.
+// serviceCommand runs a stand-in service.
 type serviceCommand struct {
 	serveOptions
 
@@ -103,7 +103,7 @@
 	return c.serve(v.Handler())
 }
 
-// platformCommand runs the platform.
+// platformCommand runs a stand-in platform.
 type platformCommand struct {
 	serveOptions
 
--- a/cmd/linkmastctl/status.go
+++ b/cmd/linkmastctl/status.go
@@ -18,14 +18,14 @@
 	"github.com/linkmast/linkmast/node"
 )
 
-// adminOptions are the nodes to ask.
+// adminOptions are the nodes to query.
 type adminOptions struct {
 	Admin   []string      `long:"admin" value-name:"HOST:PORT" required:"yes" description:"admin address of a node; repeat for each"`
 	Timeout time.Duration `long:"timeout" default:"3s" description:"how long to wait for each node"`
 	JSON    bool          `long:"json" description:"print JSON"`
 }
 
-// get reads a JSON answer of one node.
+// get reads a JSON response of one node into out.
 func (o *adminOptions) get(address, path string, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), o.Timeout)
 	defer cancel()
@@ -47,10 +47,10 @@
 	return json.NewDecoder(res.Body).Decode(out)
 }
 
-// errNotFound is something that a node does not know.
+// errNotFound means that a node has no such resource.
 var errNotFound = errors.New("not there")
 
-// statusCommand shows the fleet.
+// statusCommand prints the state of all nodes and their endpoints.
 type statusCommand struct {
 	adminOptions
 }
@@ -77,6 +77,7 @@
 	return nil
 }
 
+// print prints the statuses, as JSON or as tables.
 func (c *statusCommand) print(all []node.Status) error {
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(all)
@@ -105,7 +106,7 @@
 	return w.Flush()
 }
 
-// explainCommand tells what happened to a request.
+// explainCommand prints the trace of a request.
 type explainCommand struct {
 	adminOptions
 
@@ -128,9 +129,10 @@
 		}
 		return c.print(&s)
 	}
-	return errors.New("no node that answered knows this request; a node keeps the latest 4096")
+	return errors.New("no node that answered has a trace of this request; each keeps the latest 4096")
 }
 
+// print prints a trace, as JSON or as text.
 func (c *explainCommand) print(s *entry.Trace) error {
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
--- a/emulator/arrival_test.go
+++ b/emulator/arrival_test.go
@@ -13,9 +13,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// TestRefusedInTime plays twice what the engines can do. It looks that no request for a
-// long prompt waits for longer than it could be in time and is refused then: its caller
-// has nothing of that, and others come all the time that go first.
+// TestRefusedInTime plays twice the load that the engines can serve. It guards against long
+// prompts that are queued beyond their target and then refused.
 func TestRefusedInTime(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -32,8 +31,8 @@
 					refused++
 				}
 			}
-			t.Log("refused in the end:", refused, "longest held and refused:", longest)
-			is.True(refused > 0) // or nothing is tested
+			t.Log("refused:", refused, "longest wait before a refusal:", longest)
+			is.True(refused > 0) // otherwise the test checks nothing
 			for k := range s.Kinds[1:] {
 				is.True(longest[k+1] <= time.Duration(s.Kinds[k+1].Target)+50*time.Millisecond)
 			}
--- a/emulator/attempt.go
+++ b/emulator/attempt.go
@@ -8,7 +8,7 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// attempt is a request at its engines.
+// attempt is one attempt of a request: its placement and its jobs on the engines.
 type attempt struct {
 	caller       *caller
 	id           string
@@ -16,17 +16,19 @@
 	engine       *engine
 	shareEngines []*engine
 	mainJob      *job
-	// pendingPrefills counts the engines that still read their parts.
+	// pendingPrefills is the number of engines that still prefill their share of the
+	// prompt.
 	pendingPrefills int
-	events          int
-	// lastEventAt is when the entry last lastEventAt of it.
+	// events is the number of events that the entry instance has received.
+	events int
+	// lastEventAt is when the entry instance received the last event, or sent the attempt.
 	lastEventAt time.Time
-	// recheckAfter is when the entry recheckAfter again for another place.
+	// recheckAfter is the delay until the entry instance checks a silent attempt again.
 	recheckAfter time.Duration
 	ended        bool
 }
 
-// newAttempt returns an attempt at a place.
+// newAttempt returns an attempt at the engines of a placement.
 func newAttempt(c *caller, id string, g pool.Grant) *attempt {
 	a := &attempt{
 		caller:          c,
@@ -41,7 +43,7 @@
 	return a
 }
 
-// begin gives the engines their parts.
+// begin adds the attempt's jobs to its engines.
 func (a *attempt) begin() {
 	if a.ended {
 		return
@@ -76,7 +78,8 @@
 	a.engine.add(a.mainJob)
 }
 
-// finishPrefill notes that an engine has finishPrefill its part. The first event comes after the last one.
+// finishPrefill records that one engine has prefilled its share. After the last share the
+// main engine emits the first event.
 func (a *attempt) finishPrefill() {
 	a.pendingPrefills--
 	if a.pendingPrefills > 0 {
@@ -86,7 +89,8 @@
 	a.engine.startPass()
 }
 
-// sendEvent passes an sendEvent on to the entry and the caller.
+// sendEvent sends an event from the main engine to the entry instance, which forwards it to
+// the caller and reports the first one to the pool.
 func (a *attempt) sendEvent(last bool) {
 	p := a.caller.play
 	if last {
@@ -105,7 +109,7 @@
 	})
 }
 
-// removeFromEngines takes the attempt from its engines.
+// removeFromEngines removes the attempt's jobs from all its engines.
 func (a *attempt) removeFromEngines() {
 	a.engine.remove(a)
 	for _, e := range a.shareEngines {
@@ -113,7 +117,7 @@
 	}
 }
 
-// stop ends the attempt, and tells the owner how.
+// stop ends the attempt and reports the outcome to the pool.
 func (a *attempt) stop(o pool.Outcome) {
 	a.ended = true
 	p := a.caller.play
--- a/emulator/bound.go
+++ b/emulator/bound.go
@@ -10,21 +10,23 @@
 	"github.com/linkmast/linkmast/batch"
 )
 
-// boundInterval is the grain of time of a bound. Windows are rounded outwards to it, so a
-// coarser one gives a higher bound.
+// boundInterval is the time resolution of Bound. Windows are rounded outwards to whole
+// intervals, so a longer one gives a higher bound.
 const boundInterval = 100 * time.Millisecond
 
-// Bound returns, for each request, a worth whose sum no way to decide exceeds, with all
-// arrivals known and no faults. It relaxes the engines to one store of engine time, which
-// any request may use at any rate:
+// Bound returns a worth for each request such that no policy can keep more than their sum,
+// even if it knows all arrivals beforehand and nothing fails. A single value is not a
+// bound. The engines are relaxed to one supply of engine time, which any request may use at
+// any rate:
 //
-//	maximize   Σ late + (worth − late) × (read share + written share)
-//	such that  in each interval, the work whose window lies in it fits into it
+//	maximize   Σ late + (worth − late) × (prefilled share + decoded share)
+//	such that  for each period, the work whose window lies within it fits into it
 //
-// The work of a request is reading its prompt, within its target, and its part of the
-// steps of full engines that write its answer, within its pauses. The relaxed problem is
-// that of a polymatroid, which taking the work in the order of its worth for each second
-// solves. What is not in time is taken to be kept late at no cost.
+// The work of a request has two parts: the prefill, whose window ends at the target, and
+// the request's part of the passes of full engines that decode its answer, whose window
+// ends with the last event in time. The shares are parts of the sum of both. The relaxed
+// problem is one over a polymatroid, so taking the work in descending order of worth per
+// second solves it. A late answer is assumed to cost no engine time.
 func Bound(s *Sheet, requests []Request) []float64 {
 	model := s.Engines.Model()
 	kept := make([]float64, len(requests))
@@ -42,7 +44,8 @@
 	return kept
 }
 
-// Bounded returns the bound as a result, in which each request keeps what Bound gives it.
+// Bounded returns the result of Bound as a Result in which each request keeps the worth
+// that Bound gives it.
 func Bounded(s *Sheet, requests []Request) *Result {
 	r := &Result{
 		sheet:    s,
@@ -56,17 +59,18 @@
 	return r
 }
 
-// work is engine time that a request needs within a window of slots.
+// work is engine time that a request needs within a window.
 type work struct {
 	request int
-	// from and to are the first and the last slot of the window.
+	// from and to are the first and the last interval of the window.
 	from, to int
-	// amount is in seconds of one engine, and perSecond what each is worth.
+	// amount is in seconds of one engine, and valuePerSecond the worth that each second
+	// adds.
 	amount         float64
 	valuePerSecond float64
 }
 
-// workOf returns the reading and the writing of a request.
+// workOf returns the prefill and the decode work of request i.
 func (s *Sheet) workOf(i int, r *Request, m *batch.Model) []work {
 	k := &s.Kinds[r.Kind]
 	read := m.PrefillTime(r.Prompt, 1)
@@ -92,15 +96,16 @@
 	}
 }
 
-// capacityTable holds how much work has been taken.
+// capacityTable holds the engine time that is left in each period.
 type capacityTable struct {
 	intervals int
-	// free is what is left of each interval of slots after the work within it, in
-	// seconds, by its first and last slot.
+	// free is the engine time in seconds that is left for work whose window lies within a
+	// period, indexed by intervals × first interval + last interval of the period.
 	free []float64
 }
 
-// newCapacityTable returns an empty one in which each slot has room for some seconds of work.
+// newCapacityTable returns a table that covers the windows of all works, with room seconds
+// of engine time in each interval.
 func newCapacityTable(works []work, room float64) *capacityTable {
 	t := &capacityTable{}
 	for _, w := range works {
@@ -115,8 +120,8 @@
 	return t
 }
 
-// reserve takes as much of some work as fits beside what has been taken, and returns that:
-// the least that is free in any interval that the window lies in.
+// reserve allocates as much of w as fits into every period that contains its window, and
+// returns the allocated time in seconds.
 func (t *capacityTable) reserve(w work) float64 {
 	fits := w.amount
 	for from := range w.from + 1 {
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -11,60 +11,65 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// The habits of callers and entries.
+// Parameters of callers and entry instances.
 const (
-	// entryCount is over how many instances callers are spread: reports of two agree.
+	// entryCount is the number of entry instances, over which callers are spread.
 	entryCount = 32
-	// maxTries is how often a caller asks.
+	// maxTries bounds how often a caller sends its request.
 	maxTries = 2
-	// maxAttempts is how many engines one try is sent to at the most.
+	// maxAttempts bounds the attempts of one try.
 	maxAttempts = 2
-	// maxRetryWaitShare is the part of its time left that a caller waits at the most before it
-	// comes back.
+	// maxRetryWaitShare bounds the wait before a retry, as a share of the time left until
+	// the deadline.
 	maxRetryWaitShare = 1.0 / 3
-	// hintDeviation is the deviation of the logarithm of what callers take the length of
-	// answers for.
+	// hintDeviation is the standard deviation of the logarithm of the ratio between the
+	// expected and the real length of an answer.
 	hintDeviation = 0.5
 )
 
-// caller is a request on its way, with the entry that serves it.
+// caller is the caller of one request, together with the entry instance that serves it.
 type caller struct {
 	play    *play
 	index   int
 	request *Request
 	kind    *Kind
-	// expectedTokens is the length of the answer that the caller expects, in tokens.
+	// expectedTokens is the length of the answer that the caller expects.
 	expectedTokens int
 
-	// startedAt is when it first asked, and asked when it asked last.
+	// startedAt is when the caller first sent the request, and sentAt when it last did.
 	startedAt time.Time
 	sentAt    time.Time
 	tries     int
-	// attempts counts the engines of this try, and exclude names them.
+	// attempts is the number of attempts of this try, and exclude lists the engines whose
+	// silent attempts were replaced.
 	attempts int
 	exclude  []string
 	attempt  *attempt
 	pending  *pending
-	// events is how many have come, the first of them at first, the last at last; gap
-	// is the longest pause.
+	// events is the number of events that the caller has received, and longestGap the
+	// longest pause between two of them. Before the first event, lastEventAt is when the
+	// request was sent.
 	events       int
 	firstEventAt time.Time
 	lastEventAt  time.Time
 	longestGap   time.Duration
-	// waitID counts what ends the wait for a sign.
+	// waitID changes with each try and each refusal. A timer of watchPatience that was set
+	// under another waitID has no effect.
 	waitID int
 
-	// done states that it has ended, with its fate.
+	// done is true once the request has ended; ending says how.
 	done   bool
 	ending Ending
-	// migrated states that it went elsewhere after a silence, and waited is the longest wait
-	// for a place that was given.
+	// migrated is true if a silent attempt was replaced, and longestWait is the longest
+	// queueing time of a granted placement.
 	migrated    bool
 	longestWait time.Duration
-	// longestRefusedWait is the longest wait that ended with a refusal.
+	// longestRefusedWait is the longest time from sending the request to a refusal.
 	longestRefusedWait time.Duration
 }
 
+// newCaller returns the caller of request i and draws the length of the answer that it
+// expects.
 func newCaller(p *play, i int, r *Request) *caller {
 	k := &p.sheet.Kinds[r.Kind]
 	tokens := float64(r.Events * p.sheet.Engines.Stride)
@@ -77,19 +82,19 @@
 	}
 }
 
-// entry names the entry that the caller's connection leads to.
+// entry returns the name of the caller's entry instance.
 func (c *caller) entry() string {
 	return fmt.Sprint("n", c.index%entryCount)
 }
 
-// start lets the caller ask for the first time.
+// start sends the request for the first time and schedules the deadline.
 func (c *caller) start() {
 	c.startedAt = c.play.clock.now
 	c.play.clock.after(time.Duration(c.kind.Deadline), func() { c.giveUp(Abandoned) })
 	c.sendRequest()
 }
 
-// sendRequest sends the request to an entry.
+// sendRequest starts a try: it sends the request to the entry instance.
 func (c *caller) sendRequest() {
 	if c.done {
 		return
@@ -104,29 +109,30 @@
 	c.play.clock.after(c.play.delay(1), c.requestPlacement)
 }
 
-// patience is how long the caller waits for a sign.
+// patience returns how long the caller waits for the next event.
 func (c *caller) patience() time.Duration {
 	return placement.Patience(time.Duration(c.kind.Target), time.Duration(c.kind.Gap))
 }
 
-// watchPatience lets the caller leave when nothing comes for too long.
+// watchPatience ends the request when the caller has received nothing for longer than its
+// patience.
 func (c *caller) watchPatience() {
 	turn := c.waitID
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if c.done || c.waitID != turn {
 			return
 		}
 		if left := c.lastEventAt.Add(c.patience()).Sub(c.play.clock.now); left > 0 {
-			c.play.clock.after(left, look)
+			c.play.clock.after(left, check)
 			return
 		}
 		c.giveUp(Abandoned)
 	}
-	c.play.clock.after(c.patience(), look)
+	c.play.clock.after(c.patience(), check)
 }
 
-// requestPlacement asks the owner of the pool for a requestPlacement.
+// requestPlacement asks the pool for a placement.
 func (c *caller) requestPlacement() {
 	if c.done {
 		return
@@ -148,7 +154,8 @@
 	})
 }
 
-// placementRequest describes the request to the owner.
+// placementRequest returns the message to the pool for a request that reached its entry
+// instance at entered.
 func (c *caller) placementRequest(entered time.Time) pool.PlacementRequest {
 	now := c.play.clock.now
 	c.play.requestCount++
@@ -173,7 +180,7 @@
 	return a
 }
 
-// handleRefusal lets the caller come back, once.
+// handleRefusal retries the request after the back-off, or ends it after the last try.
 func (c *caller) handleRefusal(r *pool.Refusal) {
 	if c.done {
 		return
@@ -189,7 +196,7 @@
 	c.play.clock.after(wait, c.sendRequest)
 }
 
-// startAttempt sends the request to its place.
+// startAttempt sends the request to the engines of a granted placement.
 func (c *caller) startAttempt(id string, g pool.Grant) {
 	if c.done {
 		c.play.reportEnd(c, id, pool.Abandoned, c.play.delay(1))
@@ -203,12 +210,13 @@
 	c.watchSilence(a, silence, first)
 }
 
-// watchSilence looks for another place when an attempt is silent for too long.
+// watchSilence requests a replacement of attempt a whenever a stays silent for too long:
+// for longer than first before its first event, and for longer than silence afterwards.
 func (c *caller) watchSilence(a *attempt, silence, first time.Duration) {
 	a.lastEventAt = c.play.clock.now
 	limit := first
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if c.done || c.attempt != a || c.attempts >= maxAttempts {
 			return
 		}
@@ -216,41 +224,42 @@
 			limit = silence
 		}
 		if left := a.lastEventAt.Add(limit).Sub(c.play.clock.now); left > 0 {
-			c.play.clock.after(left, look)
+			c.play.clock.after(left, check)
 			return
 		}
 		a.recheckAfter = silence
 		c.requestReplacement(a)
-		c.play.clock.after(a.recheckAfter, look)
+		c.play.clock.after(a.recheckAfter, check)
 	}
-	c.play.clock.after(first, look)
+	c.play.clock.after(first, check)
 }
 
-// requestReplacement asks for another place; without one the silent engine is the best there is.
+// requestReplacement asks the pool for another engine for the silent attempt a, which goes
+// on unless the pool grants one.
 func (c *caller) requestReplacement(a *attempt) {
-	ask := c.placementRequest(c.sentAt)
-	ask.Exclude = append(ask.Exclude, a.grant.Instance)
+	request := c.placementRequest(c.sentAt)
+	request.Exclude = append(request.Exclude, a.grant.Instance)
 	patience := c.patience()
 	if c.events > 0 {
 		patience = placement.Patience(0, time.Duration(c.kind.Gap))
 	}
 	silence := c.play.clock.now.Sub(a.lastEventAt)
-	ask.Replaces = pool.ReplacedAttempt{
+	request.Replaces = pool.ReplacedAttempt{
 		ID:        a.id,
 		SilentFor: silence,
 		Patience:  patience - silence,
 	}
-	q := c.play.submit(ask, func(g pool.Grant) {
+	q := c.play.submit(request, func(g pool.Grant) {
 		c.pending = nil
 		if c.done || c.attempt != a {
-			c.play.reportEnd(c, ask.ID, pool.Abandoned, 0)
+			c.play.reportEnd(c, request.ID, pool.Abandoned, 0)
 			return
 		}
 		c.play.silentAttempts++
 		c.migrated = true
 		c.exclude = append(c.exclude, a.grant.Instance)
 		a.stop(pool.Silent)
-		c.play.clock.after(c.play.jitteredDelay(1), func() { c.startAttempt(ask.ID, g) })
+		c.play.clock.after(c.play.jitteredDelay(1), func() { c.startAttempt(request.ID, g) })
 	}, func(r *pool.Refusal) {
 		c.pending = nil
 		if r.KeepReplaced {
@@ -260,7 +269,7 @@
 	c.play.clock.after(pool.ReplacementTimeout, func() { c.play.withdraw(q) })
 }
 
-// receiveEvent takes an receiveEvent of the attempt, at the caller.
+// receiveEvent records an event at the caller.
 func (c *caller) receiveEvent(last bool) {
 	if c.done {
 		return
@@ -278,8 +287,8 @@
 	}
 }
 
-// loseEntry ends the attempt as its entry is lost: the caller asks again at once if it may, for
-// what it lacks.
+// loseEntry ends the attempt because the entry instance has failed. If a try is left, the
+// caller sends the request again at once, for the events that it lacks.
 func (c *caller) loseEntry() {
 	a := c.attempt
 	c.attempt = nil
@@ -292,7 +301,7 @@
 	c.sendRequest()
 }
 
-// giveUp ends the request as its caller goes.
+// giveUp ends the request unless it has ended already.
 func (c *caller) giveUp(f Ending) {
 	if c.done {
 		return
@@ -300,7 +309,7 @@
 	c.end(f)
 }
 
-// end ends the request.
+// end ends the request, its queued placement request and its attempt.
 func (c *caller) end(f Ending) {
 	c.done = true
 	c.ending = f
--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// clock is the virtual time: what is due is done in order, what is due at one moment in
-// the order in which it was set.
+// clock is a virtual clock. It runs timers in the order of their times, and those of the
+// same time in the order in which they were set.
 type clock struct {
 	start      time.Time
 	now        time.Time
@@ -16,14 +16,14 @@
 	timerCount int
 }
 
-// timer is something that is due.
+// timer is an action that is due at a time.
 type timer struct {
 	at     time.Time
 	order  int
 	action func()
 }
 
-// timers is a heap of them.
+// timers is a heap of timers, ordered by time and then by order of setting.
 type timers []timer
 
 // Len implements heap.Interface.
@@ -52,7 +52,7 @@
 	return x
 }
 
-// newClock returns a clock at the start.
+// newClock returns a clock that shows the Unix epoch and has no timers.
 func newClock() *clock {
 	start := time.Unix(0, 0)
 	return &clock{
@@ -61,7 +61,7 @@
 	}
 }
 
-// after sets something that is due in a while.
+// after schedules do to run after d. A negative d counts as zero.
 func (c *clock) after(d time.Duration, do func()) {
 	c.timerCount++
 	heap.Push(&c.queue, timer{
@@ -71,7 +71,8 @@
 	})
 }
 
-// run does what is due until nothing is left or a time is over.
+// run runs timers until none is left or the next one is due later than until after the
+// start.
 func (c *clock) run(until time.Duration) {
 	end := c.start.Add(until)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -2,22 +2,24 @@
 
 // Package emulator plays requests against emulated engines in virtual time.
 //
-// The decisions are those of a real pool.Scheduler, whose clock is the emulator's.
-// Emulated are what stands around it:
+// A real pool.Scheduler decides, with the clock of the emulator. The emulator simulates
+// what surrounds it:
 //
-//   - engines that work in passes, by the arithmetic of package batch: with writers a
-//     pass plays Stride steps, without them one; it reads at most Chunk tokens a step;
-//     parts of prompts that several engines read go first, the latest before the others
-//   - memory: a request waits at its engine until its slot and its memory are free
-//   - callers, who have targets for the first event and for pauses, leave when nothing
-//     comes, come back once after a refusal, and have a cut stream continued
-//   - the way between them, a constant delay
+//   - Engines, which work in passes with the cost model of package batch. A pass of decoding
+//     requests has Stride steps, any other pass one step. A pass prefills at most Chunk tokens
+//     per step. Joint prefills go before other prompts, the latest one first.
+//   - Memory: a request waits at its engine until a slot and its memory are free.
+//   - Callers, which have targets for the first event and for pauses. They give up when they
+//     receive nothing for too long, retry once after a refusal, and send a request again when
+//     its stream is cut.
+//   - Messages, each of which takes the delay of the sheet, in part with jitter.
 //
-// Not emulated are the platform, other instances and the network beyond that delay:
-// an instance that is lost is a moment at which the streams of some callers end.
+// The emulator leaves out the platform, other instances and all other effects of the
+// network. The loss of an instance is simulated by cutting the streams of some callers at
+// one moment.
 //
-// A Sheet tells what callers ask for and which engines there are. Draw makes the
-// requests of a seed from it, which are the same whatever is decided, so that two
-// ways to decide are compared pair by pair. Play runs them and returns what each
-// request became. Bound returns what no way to decide can exceed.
+// A Sheet describes the workload and the engines. Draw derives the requests of a seed from
+// it. They don't depend on any decision, so results of two policies on the same requests
+// can be compared pair by pair. Play runs the requests and returns the outcome of each.
+// Bound returns an upper bound for all policies.
 package emulator
--- a/emulator/draw.go
+++ b/emulator/draw.go
@@ -10,34 +10,35 @@
 	"time"
 )
 
-// Request is what one caller asks for.
+// Request is one request of the workload.
 type Request struct {
-	// Kind is the index of its kind in the sheet.
+	// Kind is the index of the request's kind in Sheet.Kinds.
 	Kind int
-	// At is when it comes, from the start.
+	// At is the time of arrival since the start.
 	At time.Duration
-	// Prompt is the length of its prompt in tokens, and Events the number of events of
-	// its answer.
+	// Prompt is the length of the prompt in tokens, and Events the number of events of the
+	// answer.
 	Prompt int
 	Events int
-	// Worth is what an answer in time is worth, and Late what a late one is.
+	// Worth is the value of an answer in time, and LateWorth that of a late one.
 	Worth     float64
 	LateWorth float64
 }
 
-// The value of a request by its size: a part that each has, and a part in proportion to
-// its prompt, at most so many times the mean.
+// The worth of a request, relative to a request with a prompt of mean length, is a fixed
+// share plus a share in proportion to its prompt. It is limited to maxRelativeWorth.
 const (
 	fixedWorthShare  = 0.3
 	maxRelativeWorth = 4
 )
 
-// Draw returns the requests of a seed in the order in which they come. The same seed gives
-// the same requests.
+// Draw returns the requests of a seed in the order of their arrival. The same sheet and
+// seed give the same requests.
 func Draw(s *Sheet, seed uint64) []Request {
 	var out []Request
 	for i := range s.Kinds {
-		// Each kind has a generator of its own, so that more of one kind changes no other.
+		// Each kind has its own generator, so that the rate of one kind doesn't affect the
+		// others.
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
 		out = append(out, s.drawKind(i, r)...)
 	}
@@ -45,8 +46,9 @@
 	return out
 }
 
-// drawKind returns the requests of one kind: a Poisson process at the greatest rate, of
-// which those are taken that the rate of their moment lets through.
+// drawKind returns the requests of one kind, a Poisson process with a rate that varies. It
+// draws arrivals at the highest rate and drops each with the probability that yields the
+// current one.
 func (s *Sheet) drawKind(kind int, r *rand.Rand) []Request {
 	k := &s.Kinds[kind]
 	greatest := k.PerSecond
@@ -64,7 +66,8 @@
 		if t >= time.Duration(s.Length) {
 			return out
 		}
-		// All is drawn before it is decided, so that a burst changes no size.
+		// Sizes are drawn for dropped arrivals too, so that later sizes don't depend on
+		// what is dropped.
 		keep := r.Float64() < k.PerSecond*s.rateFactor(k.Name, t)/greatest
 		prompt := k.Prompt.draw(r)
 		events := k.Events.draw(r)
@@ -83,12 +86,13 @@
 	}
 }
 
-// rateFactor returns what the rate of a kind is multiplied by at a moment.
+// rateFactor returns the factor by which bursts and the wave multiply the rate of a kind at
+// a time.
 func (s *Sheet) rateFactor(kind string, at time.Duration) float64 {
 	return s.burstFactor(kind, at) * s.Wave.factorAt(at)
 }
 
-// burstFactor returns by how much bursts multiply the rate of a kind at a moment.
+// burstFactor returns the factor by which bursts multiply the rate of a kind at a time.
 func (s *Sheet) burstFactor(kind string, at time.Duration) float64 {
 	f := 1.0
 	for _, b := range s.Bursts {
@@ -100,7 +104,7 @@
 	return f
 }
 
-// draw returns a size.
+// draw returns a random size, at least 1.
 func (d *Spread) draw(r *rand.Rand) float64 {
 	v := math.Log1p(d.Deviation * d.Deviation)
 	size := d.Mean * math.Exp(math.Sqrt(v)*r.NormFloat64()-v/2)
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -17,7 +17,7 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// readSheet returns one of the sheets that come with the package.
+// readSheet returns a sheet from the directory sheets.
 func readSheet(t *testing.T, name string) *emulator.Sheet {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("sheets", name))
@@ -31,8 +31,8 @@
 	return s
 }
 
-// shortPromptSheet returns six engines and short prompts, read in 34 ms and written in 1.7 s, of
-// which so many come a second.
+// shortPromptSheet returns a sheet with six engines and one kind of short prompts, whose
+// prefill takes about 34 ms and whose decode takes about 1.7 s.
 func shortPromptSheet(perSecond float64, length time.Duration) *emulator.Sheet {
 	return &emulator.Sheet{
 		Name:   "short",
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestSheets reads all sheets, and looks that as much comes as they say.
+// TestSheets checks that the sheets parse and that the drawn requests have the rates of the
+// sheet.
 func TestSheets(t *testing.T) {
 	for _, name := range []string{"shifted", "shifted-short", "grown", "worst-seconds", "large", "few", "few-grown"} {
 		t.Run(name, func(t *testing.T) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// TestSheetErrors names the field that makes no sense.
+// TestSheetErrors checks that the error of a sheet names the invalid field.
 func TestSheetErrors(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -110,7 +111,8 @@
 	}
 }
 
-// TestPlayRepeats plays a day twice: all comes out the same.
+// TestPlayRepeats checks that two plays of the same requests and seed give the same
+// outcomes.
 func TestPlayRepeats(t *testing.T) {
 	is := is.New(t)
 	s := readSheet(t, "few.toml")
@@ -119,16 +121,16 @@
 	is.True(reflect.DeepEqual(one.Outcomes, two.Outcomes))
 }
 
-// lightSheet returns a sheet of few requests, so that none waits for another.
+// lightSheet returns a sheet with so few requests that none waits for another.
 func lightSheet() *emulator.Sheet {
 	s := shortPromptSheet(2, 20*time.Second)
 	s.Kinds[0].Prompt = emulator.Spread{Mean: 20_000, Most: 20_000}
 	return s
 }
 
-// TestArithmetic compares a lone request with what the page of the engines says: 20 000
-// tokens at 154 000 a second and 200 million pairs at 162 µs a million, and 34 steps of
-// 1.31 ms between events. On the way are five messages of half to two and a half ms.
+// TestArithmetic compares a lone request with the cost model: a prefill of 20 000 tokens at
+// 154 000 per second and 200 million pairs at 162 µs per million, and 34 steps of 1.31 ms
+// between events. The delay of messages may add 2 to 15 ms to the first event.
 func TestArithmetic(t *testing.T) {
 	is := is.New(t)
 	s := lightSheet()
@@ -140,13 +142,13 @@
 	is.Equal(o.LongestPause.Round(time.Millisecond), 45*time.Millisecond)
 }
 
-// TestTroubles looks that troubles do what they say.
+// TestTroubles checks that each kind of fault has its effect.
 func TestTroubles(t *testing.T) {
 	at, long := config.Duration(5*time.Second), config.Duration(10*time.Second)
 	for _, row := range []struct {
 		name    string
 		trouble emulator.Trouble
-		// cause is one that comes up with the trouble, and none without it.
+		// cause occurs with the fault and not without it.
 		cause emulator.Cause
 	}{
 		{"dark engines", emulator.Trouble{At: at, For: long, Engines: 6}, emulator.CauseAbandoned},
@@ -171,15 +173,15 @@
 	}
 }
 
-// TestSlowdownKnown looks that less is lost to engines that work slowly for a while when their
-// pace becomes known, and that which engines these are follows the sheet.
+// TestSlowdownKnown checks that the pool loses less to slow engines if it determines their
+// slowdown. The slow engines are the first ones, or are spread over all engines.
 func TestSlowdownKnown(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		spread bool
 	}{
-		{"the first ones", false},
-		{"spread", true},
+		{"first engines", false},
+		{"spread engines", true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -192,9 +194,9 @@
 				Spread:  row.spread,
 			}}
 			requests := emulator.Draw(s, 1)
-			day := func(way pool.SlowdownMode) float64 {
+			day := func(mode pool.SlowdownMode) float64 {
 				return emulator.Play(s, requests, pool.Settings{
-					SlowdownMode: way,
+					SlowdownMode: mode,
 				}, 1).DayShare()
 			}
 			known, ignored := day(pool.SlowdownQueriedOrEstimated), day(pool.SlowdownIgnored)
@@ -204,8 +206,8 @@
 	}
 }
 
-// TestBound looks that no play of a day keeps more than its bound, that it is all where
-// little comes, and that it falls where more comes than can be served.
+// TestBound checks that no play keeps more than the bound, that the bound is the whole
+// worth at low load, and that it is lower under overload.
 func TestBound(t *testing.T) {
 	for _, row := range []struct {
 		load float64
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -9,25 +9,29 @@
 	"github.com/linkmast/linkmast/batch"
 )
 
-// job is a request, or a part of its prompt, on one engine.
+// job is a request, or one share of its joint prefill, on one engine.
 type job struct {
 	attempt *attempt
-	// isShare states that the job only helps with another engine's request.
+	// isShare is true if the job only prefills a share and another engine decodes the
+	// answer.
 	isShare bool
-	// joint states that several engines read the prompt.
+	// joint is true if several engines prefill the prompt.
 	joint bool
-	// tokensLeft are left to read, of which inPass are read in the present pass.
+	// tokensLeft is the number of tokens to prefill, of which the current pass prefills
+	// passTokens.
 	tokensLeft int
 	passTokens int
 	perToken   time.Duration
-	// memory and context are what the job holds and what a step looks at, in tokens.
+	// memory is the number of tokens whose memory the job occupies, and context the number
+	// of tokens that it adds to the context of a decode step.
 	memory  int
 	context int
-	// eventsLeft are left to write; the first one ends the reading.
+	// eventsLeft is the number of events to send. The end of the prefill sends the first
+	// one.
 	eventsLeft int
-	// decodesInPass states that the job decodesInPass in the present pass.
+	// decodesInPass is true if the job decodes in the current pass.
 	decodesInPass bool
-	// decoding states that the first event is out.
+	// decoding is true after the first event.
 	decoding bool
 }
 
@@ -35,18 +39,19 @@
 type engine struct {
 	clock *clock
 	model *batch.Model
-	// slowdown multiplies the time of all work; zero stops it.
+	// slowdown multiplies the time of each pass. With zero, the engine starts no passes.
 	slowdown float64
-	// slowdownChanges are what slow was set to, and when.
+	// slowdownChanges are all changes of slowdown, in the order of their times.
 	slowdownChanges []slowdownChange
 	jobs            []*job
-	// waiting are requests without a slot or memory, in order.
+	// waiting is the queue of requests that have no slot and memory yet.
 	waiting []*job
-	// inPass states that a pass is under way.
+	// inPass is true while a pass runs.
 	inPass bool
 }
 
-// add gives the engine a job.
+// add adds a job. A share of another engine's request is admitted at once; a request is
+// queued.
 func (e *engine) add(j *job) {
 	if j.isShare {
 		e.jobs = append(e.jobs, j)
@@ -57,7 +62,7 @@
 	e.startPass()
 }
 
-// admit lets requests in while there are slots and memory.
+// admit starts queued requests in order while slots and memory are free.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
@@ -76,16 +81,16 @@
 	}
 }
 
-// remove ends all that an attempt has on the engine.
+// remove removes all jobs of an attempt.
 func (e *engine) remove(a *attempt) {
-	of := func(j *job) bool { return j.attempt == a }
-	e.jobs = slices.DeleteFunc(e.jobs, of)
-	e.waiting = slices.DeleteFunc(e.waiting, of)
+	matches := func(j *job) bool { return j.attempt == a }
+	e.jobs = slices.DeleteFunc(e.jobs, matches)
+	e.waiting = slices.DeleteFunc(e.waiting, matches)
 	e.admit()
 	e.startPass()
 }
 
-// startPass begins a pass if the engine rests and has work.
+// startPass starts a pass if none runs and the engine has work.
 func (e *engine) startPass() {
 	if e.inPass || e.slowdown == 0 {
 		return
@@ -117,7 +122,8 @@
 	e.clock.after(time.Duration(float64(length)*e.slowdown), e.finishPass)
 }
 
-// prefillOrder returns what is to be read: joint parts first, the latest before the others.
+// prefillOrder returns the jobs to prefill: joint prefills first, the latest before the
+// others, and then other prompts in order of admission.
 func (e *engine) prefillOrder() []*job {
 	var out []*job
 	for _, j := range slices.Backward(e.jobs) {
@@ -133,7 +139,8 @@
 	return out
 }
 
-// finishPass ends the present pass.
+// finishPass ends the current pass: decoding jobs send an event, prefills advance, and
+// shares that are prefilled and hold no memory are removed.
 func (e *engine) finishPass() {
 	for _, j := range slices.Clone(e.jobs) {
 		switch {
@@ -155,14 +162,15 @@
 	e.startPass()
 }
 
-// emitEvent lets a job write one emitEvent.
+// emitEvent sends the job's next event.
 func (j *job) emitEvent() {
 	j.decoding = true
 	j.eventsLeft--
 	j.attempt.sendEvent(j.eventsLeft <= 0)
 }
 
-// setSlowdown changes the pace from the next pass on. An engine that stood still begins anew.
+// setSlowdown sets the slowdown from the next pass on. It restarts an engine that was
+// stopped.
 func (e *engine) setSlowdown(slow float64) {
 	e.slowdown = slow
 	e.slowdownChanges = append(e.slowdownChanges, slowdownChange{
--- a/emulator/overload_test.go
+++ b/emulator/overload_test.go
@@ -13,7 +13,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// inTimeShare returns the part of the requests of some seconds that kept all their worth.
+// inTimeShare returns the share of the requests arriving in [from, to) that kept all their
+// worth.
 func inTimeShare(requests []emulator.Request, r *emulator.Result, from, to time.Duration) float64 {
 	all, kept := 0, 0
 	for i, q := range requests {
@@ -28,10 +29,9 @@
 	return float64(kept) / float64(all)
 }
 
-// TestRecoveryFromSlowEngines slows a third of the engines for some seconds while more short
-// prompts come than the slots can take. It looks that the sound engines go on serving
-// in time, as they don't when callers that have come back fill the slots with late
-// answers, and that the pool is back to its share within a second of its engines.
+// TestRecoveryFromSlowEngines slows a third of the engines under overload. It guards
+// against retries that fill the remaining engines with late answers, and against a slow
+// recovery.
 func TestRecoveryFromSlowEngines(t *testing.T) {
 	is := is.New(t)
 	s := shortPromptSheet(30, 18*time.Second)
@@ -42,12 +42,12 @@
 	before, during, after := inTimeShare(requests, r, 0, 2*time.Second), inTimeShare(requests, r, 6*time.Second, 11*time.Second), inTimeShare(requests, r, 12*time.Second, 18*time.Second)
 	t.Log("in time:", before, during, after)
 	is.True(before > 0.98)
-	is.True(during > 0.3) // of the 0.47 that the sound engines can serve
+	is.True(during > 0.3)
 	is.True(after > 0.95*before)
 }
 
-// TestDelayToEngines lets requests be on their way for a while. The pool learns how long,
-// and that what comes during a pass waits for its end.
+// TestDelayToEngines checks that predictions account for the delay of messages to the
+// engines and for requests that arrive during a pass.
 func TestDelayToEngines(t *testing.T) {
 	is := is.New(t)
 	s := shortPromptSheet(30, 20*time.Second)
@@ -56,6 +56,6 @@
 	r := emulator.Play(s, requests, pool.Settings{}, 1)
 	p := r.Predictions
 	t.Log("predictions met:", p.WithinTolerance, "of", p.Predicted, "in time:", inTimeShare(requests, r, 5*time.Second, 20*time.Second))
-	is.True(float64(p.WithinTolerance) > 0.56*float64(p.Predicted)) // 0.51 when they reach the engine at once
+	is.True(float64(p.WithinTolerance) > 0.56*float64(p.Predicted))
 	is.True(inTimeShare(requests, r, 5*time.Second, 20*time.Second) > 0.98)
 }
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -15,18 +15,19 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// service names the emulated pool.
+// service is the name of the emulated service.
 const service = "engines"
 
-// settleTime is how long a play goes on after the last request came: longer than any caller
-// waits on the sheets.
+// settleTime is how long a play continues after the length of the sheet. It exceeds all
+// deadlines of the sheets in this package.
 const settleTime = 40 * time.Second
 
-// entryLossDelay is how long the owner of a pool counts what an entry had running that was
-// lost, as it may be back.
+// entryLossDelay is the time from the loss of an entry instance until the pool stops
+// counting its attempts.
 const entryLossDelay = 2 * time.Second
 
-// retryBudget is the budget of repeats: a fifth of the requests and 220 in 10 s.
+// retryBudget limits the retries in each period of 10 s to 220 plus a fifth of the
+// requests.
 var retryBudget = pool.Budget{
 	Ratio:  0.2,
 	Extra:  220,
@@ -40,27 +41,27 @@
 	rng     *rand.Rand
 	pool    *pool.Scheduler
 	engines map[string]*engine
-	// engineNames are the engines in order.
+	// engineNames are the names of the engines in order.
 	engineNames []string
 	callers     []*caller
-	// pending are what has been submitted and is not decided.
+	// pending are the placement requests without a decision.
 	pending []*pending
-	// reviewScheduled states that a review is set.
+	// reviewScheduled is true while a timer for a review is set.
 	reviewScheduled bool
 	requestCount    int
 	silentAttempts  int
 }
 
-// pending is a submitted request with what its decision does.
+// pending is a placement request with the functions that handle its decision.
 type pending struct {
 	waiter *pool.Waiter
 	grant  func(pool.Grant)
 	refuse func(*pool.Refusal)
 }
 
-// Play runs requests by a scheduler with some settings, and returns what became of each.
-// Settings.Now, Draw and SlowdownQuerier are the emulator's. The same seed, requests and settings
-// give the same result.
+// Play runs requests against a scheduler and returns the outcome of each. It sets Self,
+// Retries, Now, Draw and SlowdownQuerier in settings. The same sheet, requests, settings
+// and seed give the same result.
 func Play(s *Sheet, requests []Request, settings pool.Settings, seed uint64) *Result {
 	p := &play{
 		sheet:   s,
@@ -89,7 +90,7 @@
 	return p.result()
 }
 
-// addEngines makes the engines, and tells the scheduler of them.
+// addEngines creates the engines and adds them to the scheduler.
 func (p *play) addEngines() {
 	e := &p.sheet.Engines
 	model := e.Model()
@@ -117,9 +118,9 @@
 	p.pool.Update(snap)
 }
 
-// scheduleTrouble sets what happens to engines or streams.
+// scheduleTrouble schedules the slowdown of engines and the loss of entry instances.
 func (p *play) scheduleTrouble(t *Trouble) {
-	pace := func(slow float64) func() {
+	slowDown := func(slow float64) func() {
 		return func() {
 			for i := range t.Engines {
 				if t.Spread {
@@ -129,8 +130,8 @@
 			}
 		}
 	}
-	p.clock.after(time.Duration(t.At), pace(t.Slow))
-	p.clock.after(time.Duration(t.At)+time.Duration(t.For), pace(1))
+	p.clock.after(time.Duration(t.At), slowDown(t.Slow))
+	p.clock.after(time.Duration(t.At)+time.Duration(t.For), slowDown(1))
 	p.clock.after(time.Duration(t.At), func() {
 		for _, c := range p.callers {
 			if c.attempt != nil && p.rng.Float64() < t.Cut {
@@ -140,25 +141,24 @@
 	})
 }
 
-// delay returns the time of some messages, one after the other.
+// delay returns the time that n consecutive messages take without jitter.
 func (p *play) delay(n int) time.Duration {
 	return time.Duration(n) * time.Duration(p.sheet.Delay)
 }
 
-// jitteredDelay returns the time of some messages of which each takes up to twice as long as it
-// need, or as little as half.
+// jitteredDelay returns a random time for n consecutive messages.
 func (p *play) jitteredDelay(n int) time.Duration {
 	return time.Duration((minJitter + (maxJitter-minJitter)*p.rng.Float64()) * float64(p.delay(n)))
 }
 
-// The bounds of how long a message is on its way, in parts of the sheet's delay.
+// Bounds of the factor by which jitter multiplies the delay of messages.
 const (
 	minJitter = 0.5
 	maxJitter = 2.5
 )
 
-// submit asks the scheduler, and calls grant or refuse once it has decided. It returns nil
-// when that is at once.
+// submit sends a placement request to the scheduler and calls grant or refuse with the
+// decision. It returns nil if the decision is available at once.
 func (p *play) submit(a pool.PlacementRequest, grant func(pool.Grant), refuse func(*pool.Refusal)) *pending {
 	q := &pending{
 		waiter: p.pool.Submit(a),
@@ -173,7 +173,8 @@
 	return q
 }
 
-// deliverDecision takes the decision over if there is one.
+// deliverDecision calls grant or refuse if the scheduler has decided, and reports whether
+// it has.
 func (q *pending) deliverDecision() bool {
 	g, r, ok := q.waiter.Decision()
 	switch {
@@ -187,7 +188,7 @@
 	return true
 }
 
-// withdraw takes a request back that nobody waits for.
+// withdraw cancels a placement request that is still queued. It does nothing if q is nil.
 func (p *play) withdraw(q *pending) {
 	if q == nil {
 		return
@@ -196,7 +197,8 @@
 	p.pending = slices.DeleteFunc(p.pending, func(o *pending) bool { return o == q })
 }
 
-// scheduleReview sets a look at the waiting requests in a while, and again while any wait.
+// scheduleReview schedules a review of the queued requests, which repeats while any is
+// queued. It does nothing if a review is scheduled already.
 func (p *play) scheduleReview(in time.Duration) {
 	if p.reviewScheduled {
 		return
@@ -218,7 +220,7 @@
 	})
 }
 
-// reportEnd tells the scheduler how an attempt ended.
+// reportEnd reports the outcome of an attempt to the scheduler after a delay.
 func (p *play) reportEnd(c *caller, id string, o pool.Outcome, in time.Duration) {
 	p.clock.after(in, func() {
 		p.pool.EndFrom(id, service, o, "", c.entry())
--- a/emulator/reports.go
+++ b/emulator/reports.go
@@ -4,17 +4,16 @@
 
 import "time"
 
-// reportLag is how old what engines tell of themselves is: the lag that the sheets of
-// engines state.
+// reportLag is the age of the slowdown that an engine reports.
 const reportLag = 200 * time.Millisecond
 
-// slowdownChange is a pace that holds from a moment on.
+// slowdownChange is a change of an engine's slowdown.
 type slowdownChange struct {
 	at       time.Time
 	slowdown float64
 }
 
-// slowdownAt returns the pace that an engine had at a moment.
+// slowdownAt returns the slowdown that the engine had at a time.
 func (e *engine) slowdownAt(at time.Time) float64 {
 	slow := 1.0
 	for _, p := range e.slowdownChanges {
@@ -25,20 +24,20 @@
 	return slow
 }
 
-// slowdownQuerier lets engines tell their pace. It implements pool.SlowdownQuerier.
+// slowdownQuerier implements pool.SlowdownQuerier for the emulated engines.
 type slowdownQuerier struct {
 	play *play
 }
 
-// QuerySlowdown implements pool.SlowdownQuerier. An engine that stands still doesn't answer.
-func (r slowdownQuerier) QuerySlowdown(address string, told func(pace float64)) {
+// QuerySlowdown implements pool.SlowdownQuerier. A stopped engine doesn't answer.
+func (r slowdownQuerier) QuerySlowdown(address string, report func(slowdown float64)) {
 	p := r.play
 	e := p.engines[address]
 	p.clock.after(p.jitteredDelay(1), func() {
 		if e.slowdown == 0 {
 			return
 		}
-		pace := e.slowdownAt(p.clock.now.Add(-reportLag))
-		p.clock.after(p.jitteredDelay(1), func() { told(pace) })
+		slowdown := e.slowdownAt(p.clock.now.Add(-reportLag))
+		p.clock.after(p.jitteredDelay(1), func() { report(slowdown) })
 	})
 }
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -13,37 +13,39 @@
 // Ending is how a request ended.
 type Ending int
 
-// The fates.
+// The possible endings.
 const (
-	// Served requests have a whole answer.
+	// Served means that the caller received the whole answer.
 	Served Ending = iota
-	// Refused ones were refused at their last try.
+	// Refused means that the last try was refused.
 	Refused
-	// Abandoned ones were left by their callers.
+	// Abandoned means that the caller gave up or reached its deadline.
 	Abandoned
-	// EntryLost ones lost their entry and had no try left.
+	// EntryLost means that the entry instance failed during the last try.
 	EntryLost
 )
 
 // Cause is why a request kept less than its worth.
 type Cause int
 
-// The causeCount, of which the first that holds counts.
+// The causes. If several apply, the first one counts.
 const (
-	// CauseNone requests lost nothing.
+	// CauseNone means that the request kept all its worth.
 	CauseNone Cause = iota
-	// CauseRefused, CauseGone and CauseCut are fates.
+	// CauseRefused, CauseAbandoned and CauseEntryLost mean that the request ended in this
+	// way without an answer.
 	CauseRefused
 	CauseAbandoned
 	CauseEntryLost
-	// CauseMigrated requests went elsewhere after a silence.
+	// CauseMigrated means a late answer after a silent attempt was replaced.
 	CauseMigrated
-	// CauseRetried ones were late as their callers had to come back.
+	// CauseRetried means a late answer after the caller sent the request again.
 	CauseRetried
-	// CauseQueued ones were late after waiting for a place for a quarter of the target
-	// or longer.
+	// CauseQueued means a late first event after the request was queued for more than a
+	// quarter of its target.
 	CauseQueued
-	// CauseLateFirstEvent ones had a late first event, and CausePause a pause that was too long.
+	// CauseLateFirstEvent means any other late first event, and CauseLongPause a pause
+	// between events that was too long.
 	CauseLateFirstEvent
 	CauseLongPause
 	causeCount
@@ -58,37 +60,37 @@
 	return names[c]
 }
 
-// Outcome is what became of a request.
+// Outcome is what happened to a request.
 type Outcome struct {
-	// Worth is the worth that it kept.
+	// Worth is the part of the request's worth that it kept.
 	Worth float64
-	// Cause is why that is not all.
+	// Cause is why the request kept less than its worth.
 	Cause Cause
-	// FirstEvent is the time to the first event from the first try; zero without one.
+	// FirstEvent is the time from the first try to the first event; zero without one.
 	FirstEvent time.Duration
-	// LongestPause is the longest pause between events.
+	// LongestPause is the longest pause between two events.
 	LongestPause time.Duration
-	// LongestRefusedWait is the longest wait for a place that ended with a refusal.
+	// LongestRefusedWait is the longest time from sending the request to a refusal.
 	LongestRefusedWait time.Duration
 }
 
-// Result is what became of the requests of a play.
+// Result holds the outcomes of the requests of one play.
 type Result struct {
 	sheet    *Sheet
 	requests []Request
 	// Outcomes are in the order of the requests.
 	Outcomes []Outcome
-	// Predictions tells how well first events were predicted.
+	// Predictions are the pool's statistics, with those of its predictions of first events.
 	Predictions pool.Stats
-	// SilentAttempts counts the attempts that ended for silence.
+	// SilentAttempts is the number of attempts that were replaced because they were silent.
 	SilentAttempts int
 }
 
-// queuedShare is the part of its target that a late request waited for it to count as late
-// for waiting.
+// queuedShare is the share of its target for which a late request must have been queued for
+// the cause to be CauseQueued.
 const queuedShare = 0.25
 
-// result judges all requests.
+// result returns the outcomes of all requests.
 func (p *play) result() *Result {
 	r := &Result{
 		sheet:          p.sheet,
@@ -102,7 +104,7 @@
 	return r
 }
 
-// outcome judges a request.
+// outcome returns what the request kept and why it did not keep more.
 func (c *caller) outcome() Outcome {
 	o := Outcome{
 		LongestPause:       c.longestGap,
@@ -143,12 +145,12 @@
 	return o
 }
 
-// keptShare returns the part of the worth that the requests keep for which take holds; one
-// without any.
-func (r *Result) keptShare(take func(*Request) bool) float64 {
+// keptShare returns the share of their worth that the requests selected by include keep, and 1
+// if none is selected.
+func (r *Result) keptShare(include func(*Request) bool) float64 {
 	kept, all := 0.0, 0.0
 	for i := range r.requests {
-		if q := &r.requests[i]; take(q) {
+		if q := &r.requests[i]; include(q) {
 			kept += r.Outcomes[i].Worth
 			all += q.Worth
 		}
@@ -159,21 +161,21 @@
 	return kept / all
 }
 
-// DayShare returns the part of the worth that all requests keep.
+// DayShare returns the share of their worth that all requests keep.
 func (r *Result) DayShare() float64 {
 	return r.keptShare(func(*Request) bool { return true })
 }
 
-// KindShare returns the part of the worth that the requests of a kind keep.
+// KindShare returns the share of their worth that the requests of a kind keep.
 func (r *Result) KindShare(kind int) float64 {
 	return r.keptShare(func(q *Request) bool { return q.Kind == kind })
 }
 
-// Window is the length of the windows of which the two worst count.
+// Window is the length of the periods that WindowShares returns.
 const Window = 2 * time.Second
 
-// WindowShares returns the part of the worth that is kept by the requests that came in each
-// window.
+// WindowShares returns, for each period of length Window, the share of their worth that the
+// requests that arrived in it keep.
 func (r *Result) WindowShares() []float64 {
 	n := int((time.Duration(r.sheet.Length) + Window - 1) / Window)
 	out := make([]float64, n)
@@ -183,7 +185,8 @@
 	return out
 }
 
-// Score returns the figure of the day: the parts by the weights of the sheet.
+// Score returns the mean of three shares with the weights of the sheet: that of all
+// requests, the mean of the two worst windows, and that of the worst kind.
 func (r *Result) Score() float64 {
 	w := r.sheet.Weights
 	windows := r.WindowShares()
@@ -200,8 +203,8 @@
 	return (w.Day*r.DayShare() + w.Windows*sum + w.Kind*kind) / (w.Day + w.Windows + w.Kind)
 }
 
-// LostShares returns, for each kind, the part of the worth of the whole day that it loses by
-// each cause.
+// LostShares returns, by kind and cause, the lost worth as a share of the worth of all
+// requests.
 func (r *Result) LostShares() [][]float64 {
 	out := make([][]float64, len(r.sheet.Kinds))
 	for i := range out {
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -15,46 +15,48 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// Sheet is what a deployment is asked for, and with what it serves.
+// Sheet describes a workload and the deployment that serves it.
 type Sheet struct {
-	// Name names the sheet in results.
+	// Name identifies the sheet in results.
 	Name string `toml:"name"`
-	// Length is how long requests come.
+	// Length is the time during which requests arrive.
 	Length config.Duration `toml:"length"`
-	// Engines are the engines.
+	// Engines describes the engines.
 	Engines Engines `toml:"engines"`
 	// Kinds are the kinds of requests.
 	Kinds []Kind `toml:"kinds"`
-	// Wave lets the rates of all kinds rise and fall.
+	// Wave varies the rates of all kinds periodically.
 	Wave Wave `toml:"wave"`
-	// Bursts change the rates for a while.
+	// Bursts change rates for a limited time.
 	Bursts []Burst `toml:"bursts"`
-	// Troubles are what happens to engines and streams.
+	// Troubles are the faults that are injected.
 	Troubles []Trouble `toml:"troubles"`
-	// Delay is how long a message is on its way between a caller, its entry, the owner
-	// of the pool and an engine.
+	// Delay is the nominal time of a message between a caller, its entry instance, the pool
+	// and an engine.
 	Delay config.Duration `toml:"delay"`
-	// Weights say what counts how much.
+	// Weights are the weights in the score of a day.
 	Weights Weights `toml:"weights"`
 }
 
-// Engines describes the engines, which are alike.
+// Engines describes the engines, which are all alike.
 type Engines struct {
-	// Count is how many there are.
+	// Count is the number of engines.
 	Count int `toml:"count"`
-	// Slots bounds the requests that run at once on one.
+	// Slots bounds the requests that run at once on one engine.
 	Slots int `toml:"slots"`
-	// Capacity is the memory of one, in tokens.
+	// Capacity is the memory of one engine in tokens.
 	Capacity int `toml:"capacity"`
-	// Stride is the number of steps in a pass with writers.
+	// Stride is the number of steps in a pass with decoding requests.
 	Stride int `toml:"stride"`
-	// Chunk bounds the tokens that are read in a step.
+	// Chunk bounds the tokens that an engine prefills per step.
 	Chunk int `toml:"chunk"`
-	// Step, PerSequence and PerThousandContext are the time of a step.
+	// Step is the fixed time of a step. PerSequence is added for each decoding request, and
+	// PerThousandContext for each thousand tokens of context.
 	Step               config.Duration `toml:"step"`
 	PerSequence        config.Duration `toml:"per_sequence"`
 	PerThousandContext config.Duration `toml:"per_thousand_context"`
-	// ReadPerSecond and PerMillionPairs are the pace of reading.
+	// ReadPerSecond is the prefill rate in tokens per second. PerMillionPairs is added for
+	// each million pairs of a token and an earlier one.
 	ReadPerSecond   float64         `toml:"read_per_second"`
 	PerMillionPairs config.Duration `toml:"per_million_pairs"`
 }
@@ -74,51 +76,51 @@
 	}
 }
 
-// Kind is a kind of requests.
+// Kind describes the requests of one kind.
 type Kind struct {
-	// Name names the kind.
+	// Name identifies the kind.
 	Name string `toml:"name"`
-	// PerSecond is the rate outside bursts.
+	// PerSecond is the rate of requests without wave and bursts.
 	PerSecond float64 `toml:"per_second"`
-	// Prompt is the length of prompts, in tokens.
+	// Prompt is the length of prompts in tokens.
 	Prompt Spread `toml:"prompt"`
 	// Events is the number of events of an answer, each of Stride tokens.
 	Events Spread `toml:"events"`
-	// Target is within what time the first event is in time.
+	// Target is the time within which the first event is in time.
 	Target config.Duration `toml:"target"`
-	// Gap is the longest pause between events in time.
+	// Gap is the longest pause between events that is in time; zero means any.
 	Gap config.Duration `toml:"gap"`
-	// Deadline is how long a caller waits in all.
+	// Deadline is how long a caller waits for the whole answer.
 	Deadline config.Duration `toml:"deadline"`
-	// Worth is what an answer in time is worth at the mean length of the prompt, and
-	// LateWorth what a late one is.
+	// Worth is the value of an answer in time to a prompt of mean length, and LateWorth
+	// that of a late one.
 	Worth     float64 `toml:"worth"`
 	LateWorth float64 `toml:"late_worth"`
-	// Rank is the priority; 0 goes first.
+	// Rank is the priority; 0 is the highest.
 	Rank int `toml:"rank"`
 }
 
-// Spread is a distribution of sizes: lognormal, cut off at Most.
+// Spread is a lognormal distribution of sizes that is cut off at Most.
 type Spread struct {
-	// Mean is the mean before the cut.
+	// Mean is the mean before the cut-off.
 	Mean float64 `toml:"mean"`
-	// Deviation is the standard deviation in parts of the mean.
+	// Deviation is the standard deviation before the cut-off, in units of the mean.
 	Deviation float64 `toml:"deviation"`
-	// Most is the greatest size.
+	// Most is the largest size.
 	Most float64 `toml:"most"`
 }
 
 // Wave multiplies rates by 1 + Swing × sin(2π × (t/Period + Phase)).
 type Wave struct {
-	// Swing is its height; zero means none.
+	// Swing is the amplitude, from 0 to 1; zero disables the wave.
 	Swing float64 `toml:"swing"`
-	// Period is its length.
+	// Period is the time of one oscillation.
 	Period config.Duration `toml:"period"`
-	// Phase is where it begins, from 0 to 1.
+	// Phase is the phase at the start, in periods.
 	Phase float64 `toml:"phase"`
 }
 
-// factorAt returns what rates are multiplied by factorAt a moment.
+// factorAt returns the factor for rates at time t.
 func (w *Wave) factorAt(t time.Duration) float64 {
 	if w.Swing == 0 {
 		return 1
@@ -126,46 +128,47 @@
 	return 1 + w.Swing*math.Sin(2*math.Pi*(t.Seconds()/time.Duration(w.Period).Seconds()+w.Phase))
 }
 
-// Burst multiplies the rate of a kind for a while.
+// Burst multiplies the rate of a kind for a limited time.
 type Burst struct {
-	// Kind names the kind; empty means all.
+	// Kind is the name of the kind; empty means all kinds.
 	Kind string `toml:"kind"`
-	// At and For are when it is.
+	// At is the start of the burst since the start of the day, and For its duration.
 	At  config.Duration `toml:"at"`
 	For config.Duration `toml:"for"`
-	// Factor is what the rate is multiplied by.
+	// Factor multiplies the rate.
 	Factor float64 `toml:"factor"`
 }
 
-// Trouble is what happens to engines or streams for a while.
+// Trouble is a fault that is injected for a limited time.
 type Trouble struct {
-	// At and For are when it is.
+	// At is the start of the fault since the start of the day, and For its duration.
 	At  config.Duration `toml:"at"`
 	For config.Duration `toml:"for"`
-	// Engines is how many engines work Slow times as long as usual; with a Slow of zero
-	// they do nothing.
+	// Engines is the number of engines whose passes take Slow times as long; a Slow of zero
+	// stops them.
 	Engines int     `toml:"engines"`
 	Slow    float64 `toml:"slow"`
-	// Spread states that these are spread over all engines, in place of the first ones.
+	// Spread selects engines at even distances instead of the first ones.
 	Spread bool `toml:"spread"`
-	// Cut is the part of the running requests whose entries are lost at that moment.
+	// Cut is the probability with which each running request loses its entry instance at
+	// the start of the fault.
 	Cut float64 `toml:"cut"`
 }
 
-// Weights say what counts how much in the figure of a day.
+// Weights are the weights of the parts of a day's score.
 type Weights struct {
-	// Day is the weight of the whole day, Windows that of the two worst windows, and
-	// Kind that of the worst-served kind.
+	// Day is the weight of all requests, Windows that of the two worst windows, and Kind
+	// that of the worst kind.
 	Day     float64 `toml:"day"`
 	Windows float64 `toml:"windows"`
 	Kind    float64 `toml:"kind"`
 }
 
-// ParseSheet reads a sheet and checks it.
+// ParseSheet parses a sheet in TOML and checks it.
 func ParseSheet(data []byte) (*Sheet, error) {
 	var s Sheet
 	if err := toml.Unmarshal(data, &s); err != nil {
-		return nil, errors.Wrap(err, "sheet")
+		return nil, errors.Wrap(err, "parse sheet")
 	}
 	if err := s.Check(); err != nil {
 		return nil, errors.Wrapf(err, "sheet %q", s.Name)
@@ -173,7 +176,7 @@
 	return &s, nil
 }
 
-// Check returns an error that names the first field that makes no sense.
+// Check returns an error that names the first invalid field.
 func (s *Sheet) Check() error {
 	e := &s.Engines
 	for _, row := range []struct {
@@ -204,10 +207,10 @@
 	}
 	for _, b := range s.Bursts {
 		if b.Kind != "" && s.kind(b.Kind) < 0 {
-			return errors.Errorf("burst of an unknown kind %q", b.Kind)
+			return errors.Errorf("burst: unknown kind %q", b.Kind)
 		}
 		if b.Factor < 0 || b.For <= 0 {
-			return errors.New("burst: factor or time is out of range")
+			return errors.New("burst: factor or duration is out of range")
 		}
 	}
 	for _, t := range s.Troubles {
@@ -218,7 +221,7 @@
 	return nil
 }
 
-// check returns an error that names the first field that makes no sense.
+// check returns an error that names the first invalid field.
 func (k *Kind) check() error {
 	for _, row := range []struct {
 		name string
@@ -239,7 +242,7 @@
 	return nil
 }
 
-// Scaled returns the sheet with all rates multiplied.
+// Scaled returns a copy of the sheet with all rates multiplied by load.
 func (s *Sheet) Scaled(load float64) *Sheet {
 	out := *s
 	out.Kinds = slices.Clone(s.Kinds)
@@ -249,7 +252,7 @@
 	return &out
 }
 
-// kind returns the index of the kind with a name; negative when there is none.
+// kind returns the index of the kind with a name, or -1.
 func (s *Sheet) kind(name string) int {
 	for i := range s.Kinds {
 		if s.Kinds[i].Name == name {
@@ -259,7 +262,8 @@
 	return -1
 }
 
-// typicalSize returns the mean size of requests outside bursts, as a configuration tells it.
+// typicalSize returns the mean sizes of a prompt and an answer without bursts, in tokens,
+// as a configuration states them.
 func (s *Sheet) typicalSize() route.Size {
 	all, prompts, answers := 0.0, 0.0, 0.0
 	for _, k := range s.Kinds {
--- a/emulator/worth_test.go
+++ b/emulator/worth_test.go
@@ -15,7 +15,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// thirdOfSheet returns a thirdOfSheet of a sheet under a load, for some seconds.
+// thirdOfSheet returns 16 s of a sheet with a third of its engines and load times a third
+// of its rates.
 func thirdOfSheet(t *testing.T, name string, load float64) *emulator.Sheet {
 	t.Helper()
 	data, err := os.ReadFile("sheets/" + name)
@@ -32,7 +33,7 @@
 	return s.Scaled(load / part)
 }
 
-// servedShare returns the part of the requests of a kind that had an answer.
+// servedShare returns the share of the requests of a kind that kept some of their worth.
 func servedShare(requests []emulator.Request, r *emulator.Result, kind int) float64 {
 	all, n := 0, 0
 	for i, q := range requests {
@@ -47,9 +48,9 @@
 	return float64(n) / float64(all)
 }
 
-// TestUrgentFirst plays nearly twice what the engines can do, in three ranks, the shorter
-// the prompts the more urgent. It looks that no kind is served less often than a less
-// urgent one, or keeps a smaller share of its worth, and that the urgent one keeps most.
+// TestUrgentFirst plays twice the load of a sheet with three ranks, of which the shortest
+// prompts have the highest. It guards against a less urgent kind that is served better than
+// a more urgent one.
 func TestUrgentFirst(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/experiment/doc.go
+++ b/experiment/doc.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package experiment compares ways to decide on emulated days.
+// Package experiment compares policies on emulated days.
 //
-// A Plan names sheets, seeds, loads and variants. Run plays each variant on the same
-// requests of the same seeds (package emulator), and takes the difference of each to the
-// first one pair by pair: what the seeds have in common drops out, so that a few tens of
-// them tell 0.005 apart. The bound of each sheet is what no way to decide exceeds.
+// A Plan names sheets, seeds, loads and variants of the scheduler's settings. Run plays all
+// variants on the requests of the same seeds with package emulator. It subtracts the scores
+// of the first variant seed by seed, which removes the variation that the variants share,
+// so that few seeds suffice to detect a small gain. A plan may add the bound, which is an
+// upper bound for all policies.
 package experiment
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -17,10 +17,10 @@
 	"github.com/linkmast/linkmast/experiment"
 )
 
-// sheetDir is where the sheetDir of the emulator are.
+// sheetDir is the directory of the emulator's sheets.
 const sheetDir = "../emulator/sheets"
 
-// runPlan returns a plan from text, with a short day of the smallest sheet.
+// runPlan runs a plan, given as TOML, on a copy of the smallest sheet that is cut to 6 s.
 func runPlan(t *testing.T, plan string) ([]experiment.Row, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -43,7 +43,8 @@
 	return experiment.Run(t.Context(), p, list, 2)
 }
 
-// TestRun compares a variant with itself, with another and with the bound.
+// TestRun checks that a variant gains nothing against itself, that another one differs
+// under overload, and that the bound is not below the first variant.
 func TestRun(t *testing.T) {
 	is := is.New(t)
 	rows, err := runPlan(t, `
@@ -71,7 +72,7 @@
 	testWriters(t, rows)
 }
 
-// testWriters looks that rows come out as a table, JSON and pictures.
+// testWriters checks that the table, JSON and plots of rows are well-formed.
 func testWriters(t *testing.T, rows []experiment.Row) {
 	t.Helper()
 	is := is.New(t)
@@ -91,7 +92,7 @@
 	}
 }
 
-// TestPlanErrors names what is wrong in a plan.
+// TestPlanErrors checks that the error of a plan names the fault.
 func TestPlanErrors(t *testing.T) {
 	for _, row := range []struct {
 		name string
--- a/experiment/picture.go
+++ b/experiment/picture.go
@@ -17,14 +17,14 @@
 	"github.com/linkmast/linkmast/emulator"
 )
 
-// The size of pictures.
+// The size of plots.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 )
 
-// WriteWindowPlot writes a picture, in SVG, of what each row keeps of the worth that comes in
-// each window of the day.
+// WriteWindowPlot writes a plot in SVG with a line for each row: the share of the worth
+// that it keeps in each window of the day.
 func WriteWindowPlot(out io.Writer, rows []Row) error {
 	lines := make(map[string]plotter.XYs)
 	for _, r := range rows {
@@ -36,7 +36,7 @@
 	return writePlot(out, "Worth kept over the day", "seconds", lines)
 }
 
-// WriteLoadPlot writes a picture, in SVG, of the figure of each variant over the load.
+// WriteLoadPlot writes a plot in SVG of the score of each sheet and variant over the load.
 func WriteLoadPlot(out io.Writer, rows []Row) error {
 	lines := make(map[string]plotter.XYs)
 	for _, r := range rows {
@@ -46,7 +46,7 @@
 	return writePlot(out, "Worth kept over load", "times the usual load", lines)
 }
 
-// writePlot draws named lines.
+// writePlot writes a plot of lines, which are labelled with their keys, in SVG.
 func writePlot(out io.Writer, title, x string, lines map[string]plotter.XYs) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -65,10 +65,10 @@
 	}
 	w, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
-		return errors.Wrap(err, "picture")
+		return errors.Wrap(err, "write plot")
 	}
 	if _, err := w.WriteTo(out); err != nil {
-		return errors.Wrap(err, "picture")
+		return errors.Wrap(err, "write plot")
 	}
 	return nil
 }
--- a/experiment/plan.go
+++ b/experiment/plan.go
@@ -14,32 +14,33 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// Plan is what is compared.
+// Plan describes an experiment.
 type Plan struct {
-	// Sheets are files with sheets, relative to the plan's.
+	// Sheets are the paths of emulator sheets, relative to the directory of the plan.
 	Sheets []string `toml:"sheets"`
-	// Seeds is how many seeds are played.
+	// Seeds is the number of seeds, which count up from 1.
 	Seeds int `toml:"seeds"`
-	// Loads are what the rates of the sheets are multiplied by; the default is 1 alone.
+	// Loads are the factors for the rates of the sheets. The default is 1 alone.
 	Loads []float64 `toml:"loads"`
-	// Bound states whether the bound is computed as well.
+	// Bound adds rows with the upper bound of each sheet.
 	Bound bool `toml:"bound"`
-	// Variants are the ways to decide; the first is what others are compared with.
+	// Variants are the policies to compare. The others are compared with the first one.
 	Variants []Variant `toml:"variants"`
 }
 
-// Variant is a way to decide: a name and what it sets.
+// Variant is a policy: a name and the settings of the scheduler.
 type Variant struct {
-	// Name names the variant in results.
+	// Name identifies the variant in results.
 	Name string `toml:"name"`
-	// Pace is how the pace of engines becomes known: "learned", "told" or "ignored"; empty
-	// means both.
+	// Pace selects how the scheduler determines the slowdown of engines: "told" queries
+	// engines, "learned" estimates it from their events, "ignored" does neither, and empty
+	// combines both.
 	Pace string `toml:"pace"`
-	// Worth says what answers are worth.
+	// Worth configures the value of answers.
 	Worth worth.Settings `toml:"worth"`
 }
 
-// settings returns the scheduler's settings.
+// settings returns the scheduler's settings for the variant.
 func (v *Variant) settings() pool.Settings {
 	return pool.Settings{
 		SlowdownMode: slowdownModes[v.Pace],
@@ -47,7 +48,7 @@
 	}
 }
 
-// slowdownModes are the ways in which the pace of engines becomes known, by name.
+// slowdownModes are the slowdown modes by their names in a plan.
 var slowdownModes = map[string]pool.SlowdownMode{
 	"":        pool.SlowdownQueriedOrEstimated,
 	"learned": pool.SlowdownEstimated,
@@ -59,7 +60,7 @@
 func Load(path string) (*Plan, []*emulator.Sheet, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "plan")
+		return nil, nil, errors.Wrap(err, "read plan")
 	}
 	var p Plan
 	if err := toml.Unmarshal(data, &p); err != nil {
@@ -79,16 +80,16 @@
 	return &p, sheets, nil
 }
 
-// readSheet reads a sheet from its file.
+// readSheet reads a sheet from a file.
 func readSheet(path string) (*emulator.Sheet, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "sheet")
+		return nil, errors.Wrap(err, "read sheet")
 	}
 	return emulator.ParseSheet(data)
 }
 
-// check returns an error that names what makes no sense, and sets defaults.
+// check sets defaults and returns an error that names the first invalid field.
 func (p *Plan) check() error {
 	if len(p.Loads) == 0 {
 		p.Loads = []float64{1}
@@ -104,11 +105,11 @@
 	names := make(map[string]bool)
 	for _, v := range p.Variants {
 		if v.Name == "" || names[v.Name] {
-			return errors.Errorf("variant %q: names must be given, each once", v.Name)
+			return errors.Errorf("variant %q: names must be set, each once", v.Name)
 		}
 		names[v.Name] = true
 		if _, ok := slowdownModes[v.Pace]; !ok {
-			return errors.Errorf("variant %q: pace %q is not known", v.Name, v.Pace)
+			return errors.Errorf("variant %q: unknown pace %q", v.Name, v.Pace)
 		}
 	}
 	for _, l := range p.Loads {
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -13,35 +13,37 @@
 
 // Row is the result of one variant on one sheet at one load.
 type Row struct {
-	// Sheet, Load and Variant name what was played.
+	// Sheet, Load and Variant identify the row.
 	Sheet   string  `json:"sheet"`
 	Load    float64 `json:"load"`
 	Variant string  `json:"variant"`
-	// Score is the mean of the days' figures, and Spread their standard deviation.
+	// Score is the mean of the days' scores, and Spread their standard deviation.
 	Score  float64 `json:"figure"`
 	Spread float64 `json:"spread"`
-	// Gain is the mean of the difference to the first variant on the same seeds, and
-	// Error the half width of its interval of 95 in 100.
+	// Gain is the mean difference from the score of the first variant on the same seed, and
+	// Error half the width of its confidence interval of 95 %.
 	Gain  float64 `json:"gain"`
 	Error float64 `json:"error"`
-	// Day is the part of all worth that is kept, and Kinds that of each kind.
+	// Day is the share of all worth that is kept, and Kinds that of each kind.
 	Day   float64   `json:"day"`
 	Kinds []float64 `json:"kinds"`
-	// Windows is the part that is kept of what came in each window of emulator.Window.
+	// Windows is the share that is kept in each period of length emulator.Window.
 	Windows []float64 `json:"windows"`
-	// Silent is the part of requests that went elsewhere after a silence.
+	// Silent is the number of replaced silent attempts per request.
 	Silent float64 `json:"silent"`
-	// Lost is, for each kind and cause, the part of the day's worth that is lost.
+	// Lost is, by kind and cause, the lost worth as a share of the worth of the day.
 	Lost [][]float64 `json:"lost"`
 }
 
-// BoundName names the rows of the bound.
+// BoundName is the variant in the rows of the bound.
 const BoundName = "bound"
 
-// normalQuantile95 is the quantile of the normal distribution for an interval of 95 in 100.
+// normalQuantile95 is the quantile of the normal distribution for a two-sided interval of
+// 95 %.
 const normalQuantile95 = 1.96
 
-// Run plays a plan, so many days at once.
+// Run plays all days of a plan, up to jobs of them concurrently. The rows are in the order
+// of sheets, loads and variants. It returns an error only if ctx ends.
 func Run(ctx context.Context, p *Plan, sheets []*emulator.Sheet, jobs int) ([]Row, error) {
 	var rows []Row
 	for _, s := range sheets {
@@ -56,7 +58,7 @@
 	return rows, nil
 }
 
-// compare plays all variants of a plan on one sheet, and its bound.
+// compare plays all variants, and the bound if the plan asks for it, on one sheet.
 func compare(ctx context.Context, p *Plan, s *emulator.Sheet, load float64, jobs int) ([]Row, error) {
 	names := make([]string, 0, len(p.Variants)+1)
 	for _, v := range p.Variants {
@@ -90,7 +92,8 @@
 	return rows, nil
 }
 
-// playDay plays a seed by the variant with an index; behind them comes the bound.
+// playDay plays a seed with the variant of an index. The index after the last variant
+// selects the bound.
 func (p *Plan) playDay(s *emulator.Sheet, variant int, seed uint64) *emulator.Result {
 	requests := emulator.Draw(s, seed)
 	if variant == len(p.Variants) {
@@ -99,7 +102,8 @@
 	return emulator.Play(s, requests, p.Variants[variant].settings(), seed)
 }
 
-// summarize makes the row of some days beside those of the first variant.
+// summarize returns the row of a variant. Days are its results and first those of the first
+// variant, by seed.
 func summarize(s *emulator.Sheet, load float64, name string, days, first []*emulator.Result) Row {
 	row := Row{
 		Sheet:   s.Name,
@@ -133,7 +137,7 @@
 	return row
 }
 
-// addMean adds each value's part of n to a sum.
+// addMean adds values divided by n to sum, which may be nil, and returns the sum.
 func addMean(sum, values []float64, n float64) []float64 {
 	if sum == nil {
 		sum = make([]float64, len(values))
@@ -144,7 +148,8 @@
 	return sum
 }
 
-// meanAndDeviation returns the meanAndDeviation and the standard deviation of some figures.
+// meanAndDeviation returns the mean and the standard deviation of a sample. The deviation
+// of a single value is 0.
 func meanAndDeviation(figures []float64) (float64, float64) {
 	n := float64(len(figures))
 	m, squares := 0.0, 0.0
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -13,8 +13,8 @@
 	"github.com/linkmast/linkmast/emulator"
 )
 
-// WriteTable writes rows for people: one for each, and with causes what each kind loses by
-// which cause, in thousandths of the worth of the day.
+// WriteTable writes rows as a table. With causes, it appends what each kind loses by each
+// cause, in thousandths of the worth of the day.
 func WriteTable(out io.Writer, rows []Row, causes bool) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "sheet\tload\tvariant\tfigure\tspread\tgain\t±\tday\tkinds\tsilent %")
@@ -29,15 +29,15 @@
 		}
 	}
 	if err := w.Flush(); err != nil {
-		return errors.Wrap(err, "table")
+		return errors.Wrap(err, "write table")
 	}
 	return nil
 }
 
-// minLoss is the smallest part of the day's worth whose cause is written.
+// minLoss is the smallest loss that WriteTable lists, as a share of the worth of the day.
 const minLoss = 0.0005
 
-// writeCauses writes what a row loses by which cause.
+// writeCauses writes the losses of a row by kind and cause.
 func writeCauses(w io.Writer, r *Row) {
 	for kind, lost := range r.Lost {
 		for c, part := range lost {
@@ -48,12 +48,12 @@
 	}
 }
 
-// WriteJSON writes rows for programs.
+// WriteJSON writes rows as a JSON array.
 func WriteJSON(out io.Writer, rows []Row) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	if err := e.Encode(rows); err != nil {
-		return errors.Wrap(err, "rows")
+		return errors.Wrap(err, "encode rows")
 	}
 	return nil
 }
--- a/load/doc.go
+++ b/load/doc.go
@@ -2,12 +2,11 @@
 
 // Package load sends requests to a deployment and measures the answers.
 //
-// Arrivals are open-loop: their times are drawn beforehand as a Poisson process
-// from a seed, and a slow answer holds back no later request. Every time is
-// measured from when the request was due, not from when it was sent, so a
-// stalled sender hides nothing (coordinated omission). Times go into HDR
-// histograms.
+// The load is open-loop: arrivals are a Poisson process that is drawn from a seed
+// beforehand, and a slow answer delays no later request. Times are measured from when a
+// request was due rather than from when it was sent, so that a stalled sender doesn't hide
+// latency (coordinated omission). They are recorded in HDR histograms.
 //
-// Each answer is compared with what the stand-in engines give to its prompt,
-// so a crossed, cut or doubled answer is counted and not taken for a good one.
+// Each answer is compared with the one that the stand-in engines give to its prompt, so
+// that a wrong or truncated answer isn't counted as a good one.
 package load
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -11,13 +11,15 @@
 	"github.com/matryer/is"
 )
 
+// TestProfiles checks that the embedded profiles are valid and have the required share of
+// long prompts.
 func TestProfiles(t *testing.T) {
 	for _, name := range []string{"pinecrest", "tana"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p, err := ReadProfile(name)
 			is.NoErr(err)
-			// One prompt in fifty is above 100 000 tokens, as the users say.
+			// One prompt in fifty must be longer than 100 000 tokens.
 			long := 0.0
 			for i := range p.Kinds {
 				if p.Kinds[i].IsLong() {
@@ -30,8 +32,8 @@
 	}
 }
 
-// TestArrivals checks that a seed decides everything, and that rate and mean
-// come out as stated.
+// TestArrivals checks that the seed determines the arrivals, and that their rate and mean
+// length match the profile.
 func TestArrivals(t *testing.T) {
 	is := is.New(t)
 	p, err := ReadProfile("pinecrest")
@@ -50,7 +52,7 @@
 	is.True(math.Abs(work/float64(len(one))/p.MeanPrefill()-1) < 0.1)
 }
 
-// TestReport checks that outcomes are counted where they belong.
+// TestReport checks that outcomes are counted in their classes.
 func TestReport(t *testing.T) {
 	is := is.New(t)
 	r := newReport(&Profile{}, Settings{})
--- a/load/profile.go
+++ b/load/profile.go
@@ -19,55 +19,56 @@
 //go:embed profiles/*.toml
 var profiles embed.FS
 
-// Profile is what is sent.
+// Profile describes a mix of requests.
 type Profile struct {
-	// Name names the profile.
+	// Name identifies the profile in reports.
 	Name string `toml:"name"`
-	// Model is the model that is asked.
+	// Model is the model that completions ask for.
 	Model string `toml:"model"`
-	// Service is the plain service that is called.
+	// Service is the service that receives the plain calls.
 	Service string `toml:"service"`
-	// Kinds are the kinds of request; their weights need not add up to one.
+	// Kinds are the kinds of requests. Their weights need not add up to 1.
 	Kinds []Kind `toml:"kinds"`
 }
 
-// Kind is one kind of request.
+// Kind describes the requests of one kind.
 type Kind struct {
-	// Name names the kind.
+	// Name identifies the kind.
 	Name string `toml:"name"`
-	// Weight is its part of all requests.
+	// Weight is the share of the kind in all requests, relative to the sum of all weights.
 	Weight float64 `toml:"weight"`
-	// Key is the bearer key of the customer.
+	// Key is the customer's API key, sent as a bearer token.
 	Key string `toml:"key"`
-	// MinTokens and MaxTokens bound the prompt; lengths between are spread
-	// evenly by their logarithm. Both zero means a plain call.
+	// MinTokens is the smallest length of a prompt. The logarithms of lengths are
+	// distributed uniformly.
 	MinTokens int `toml:"min_tokens"`
-	// MaxTokens bounds the prompt.
+	// MaxTokens is the largest length of a prompt. Zero means that the kind consists of
+	// plain calls.
 	MaxTokens int `toml:"max_tokens"`
 	// OutputTokens is the length of the answer.
 	OutputTokens int `toml:"output_tokens"`
-	// SharedTokens is how much of the prompt all requests of the kind share.
+	// SharedTokens is the length of the prefix that all prompts of the kind share.
 	SharedTokens int `toml:"shared_tokens"`
-	// Deadline is what the caller allows.
+	// Deadline is sent with each request.
 	Deadline config.Duration `toml:"deadline"`
-	// Once marks requests that must not be repeated.
+	// Once marks requests that must run at most once.
 	Once bool `toml:"once"`
 }
 
-// isPlain states whether the kind calls the isPlain service.
+// isPlain reports whether the kind consists of plain calls to a service.
 func (k *Kind) isPlain() bool {
 	return k.MaxTokens == 0
 }
 
-// IsLong states whether the kind's prompts are long ones.
+// IsLong reports whether the longest prompts of the kind exceed 100 000 tokens.
 func (k *Kind) IsLong() bool {
 	return k.MaxTokens > longTokens
 }
 
-// longTokens is the length above which a prompt counts as long.
+// longTokens is the length above which a prompt is long.
 const longTokens = 100_000
 
-// meanPrefill returns the meanPrefill prompt length, in tokens, that is not shared.
+// meanPrefill returns the mean number of prompt tokens after the shared prefix.
 func (k *Kind) meanPrefill() float64 {
 	if k.isPlain() {
 		return 0
@@ -76,11 +77,12 @@
 	if low == high {
 		return low - float64(k.SharedTokens)
 	}
-	// The mean of a length whose logarithm is spread evenly.
+	// The mean of a log-uniform distribution.
 	return (high-low)/math.Log(high/low) - float64(k.SharedTokens)
 }
 
-// MeanPrefill returns the mean prefill work of a request, in tokens.
+// MeanPrefill returns the mean number of prompt tokens per request after shared prefixes,
+// with plain calls as 0.
 func (p *Profile) MeanPrefill() float64 {
 	total, work := 0.0, 0.0
 	for i := range p.Kinds {
@@ -93,7 +95,7 @@
 	return work / total
 }
 
-// TotalWeight returns the sum of the weights.
+// TotalWeight returns the sum of the weights of all kinds.
 func (p *Profile) TotalWeight() float64 {
 	total := 0.0
 	for i := range p.Kinds {
@@ -102,7 +104,7 @@
 	return total
 }
 
-// WithoutLongPrompts returns the profile without its long prompts.
+// WithoutLongPrompts returns a copy of the profile without the kinds whose IsLong is true.
 func (p *Profile) WithoutLongPrompts() *Profile {
 	out := *p
 	out.Kinds = nil
@@ -114,12 +116,13 @@
 	return &out
 }
 
-// ReadProfile reads a profile by name, or from a file.
+// ReadProfile returns the embedded profile with the name, or else reads the file at that
+// path.
 func ReadProfile(name string) (*Profile, error) {
 	data, err := profiles.ReadFile("profiles/" + name + ".toml")
 	if err != nil {
 		if data, err = os.ReadFile(name); err != nil {
-			return nil, errors.Wrap(err, "profile is neither pinecrest nor tana, nor a file")
+			return nil, errors.Wrap(err, "profile is neither pinecrest nor tana nor a readable file")
 		}
 	}
 	p := &Profile{}
@@ -129,6 +132,7 @@
 	return p, p.check()
 }
 
+// check returns an error that names the first invalid kind.
 func (p *Profile) check() error {
 	if p.TotalWeight() <= 0 {
 		return errors.Errorf("profile %s: no kind has a weight", p.Name)
@@ -136,7 +140,7 @@
 	for i := range p.Kinds {
 		k := &p.Kinds[i]
 		if k.Weight < 0 || k.MinTokens < 0 || k.MaxTokens < k.MinTokens || k.SharedTokens > k.MinTokens {
-			return errors.Errorf("profile %s: kind %s: lengths or weight are impossible", p.Name, k.Name)
+			return errors.Errorf("profile %s: kind %s: lengths or weight are invalid", p.Name, k.Name)
 		}
 		if !k.isPlain() && (k.MinTokens == 0 || k.OutputTokens <= 0) {
 			return errors.Errorf("profile %s: kind %s: min_tokens and output_tokens must be above zero", p.Name, k.Name)
@@ -145,7 +149,7 @@
 	return nil
 }
 
-// arrival is one request that is due.
+// arrival is one request of a run.
 type arrival struct {
 	at     time.Duration
 	number int
@@ -153,7 +157,8 @@
 	tokens int
 }
 
-// arrivals draws the requests that are due within a time.
+// arrivals draws the arrivals of a Poisson process with rate requests per second during
+// within.
 func (p *Profile) arrivals(rate float64, within time.Duration, r *rand.Rand) []arrival {
 	var out []arrival
 	at := 0.0
@@ -173,6 +178,7 @@
 	}
 }
 
+// kindAt returns the kind at a position from 0 to the total weight.
 func (p *Profile) kindAt(at float64) *Kind {
 	for i := range p.Kinds {
 		if at -= p.Kinds[i].Weight; at < 0 {
@@ -182,6 +188,7 @@
 	return &p.Kinds[len(p.Kinds)-1]
 }
 
+// drawLength returns a random prompt length in tokens; 0 for plain calls.
 func (k *Kind) drawLength(r *rand.Rand) int {
 	if k.isPlain() {
 		return 0
--- a/load/report.go
+++ b/load/report.go
@@ -16,14 +16,14 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// The range of the histograms, in microseconds, and their significant significantDigits.
+// The range of the histograms in microseconds, and their precision in decimal digits.
 const (
 	minMicroseconds   = 1
 	maxMicroseconds   = int64(time.Hour / time.Microsecond)
 	significantDigits = 3
 )
 
-// outcome is what became of one request.
+// outcome is the result of one request.
 type outcome struct {
 	kind     *Kind
 	tokens   int
@@ -39,26 +39,28 @@
 	total    time.Duration
 }
 
-// Class is what was measured of one class of prompt length, or of plain calls.
+// Class holds the results of one class of prompt lengths, or of plain calls.
 type Class struct {
-	// Name names the class.
+	// Name is the name of the class.
 	Name string `json:"class"`
-	// Sent, Answered, Refused, Failed, Cut and Wrong count requests. Refused
-	// requests did not run; cut ones failed after part of the answer; wrong
-	// ones got an answer that is not theirs.
+	// Sent, Answered, Refused, Failed, Cut and Wrong count requests. Refused requests did
+	// not run. Cut requests are failed ones that ended after part of the answer. Wrong
+	// requests are answered ones whose answer is not the expected one.
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
 	Cut      int `json:"cut"`
 	Wrong    int `json:"wrong"`
-	// The times to first token, in milliseconds.
+	// FirstP50, FirstP95 and FirstP99 are percentiles of the time to the first token, in
+	// milliseconds.
 	FirstP50 float64 `json:"ttft_p50_ms"`
 	FirstP95 float64 `json:"ttft_p95_ms"`
 	FirstP99 float64 `json:"ttft_p99_ms"`
-	// TotalP95 is the time to the end, in milliseconds.
+	// TotalP95 is the 95th percentile of the time to the end of the answer, in
+	// milliseconds.
 	TotalP95 float64 `json:"total_p95_ms"`
-	// RefusalP99 is the time to a refusal, in milliseconds.
+	// RefusalP99 is the 99th percentile of the time to a refusal, in milliseconds.
 	RefusalP99 float64 `json:"refusal_p99_ms"`
 
 	first   *hdrhistogram.Histogram
@@ -66,37 +68,39 @@
 	refusal *hdrhistogram.Histogram
 }
 
-// Report is what was measured in a run.
+// Report holds the results of a run.
 type Report struct {
-	// Profile and Rate are what was sent.
+	// Profile and Rate are the profile and the requests per second of the run.
 	Profile string  `json:"profile"`
 	Rate    float64 `json:"rate"`
-	// Seconds is how long the run took.
+	// Seconds is the duration of the run, with the wait for the last answers.
 	Seconds float64 `json:"seconds"`
-	// Sent, Answered, Refused, Failed, Cut and Wrong count requests.
+	// Sent, Answered, Refused, Failed, Cut and Wrong count requests as in Class.
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
 	Cut      int `json:"cut"`
 	Wrong    int `json:"wrong"`
-	// Doubled counts requests that ran more than once though they must not;
-	// only an embedded fleet can tell.
+	// Doubled counts requests that ran more than once although they must not. Only an
+	// embedded fleet can detect them.
 	Doubled int `json:"doubled"`
-	// LeakedBytes is engine memory that was not returned; only an embedded
-	// fleet can tell.
+	// LeakedBytes is engine memory that was not released. Only an embedded fleet can detect
+	// it.
 	LeakedBytes int64 `json:"leaked_bytes"`
-	// GoodTokens is the prompt tokens of answered requests, a second.
+	// GoodTokens is the rate of prompt tokens of answered requests, per second.
 	GoodTokens float64 `json:"good_tokens_per_second"`
-	// Codes counts refusals and failures by code or cause.
+	// Codes counts refusals and failures by problem code, or by error text if there is no
+	// code.
 	Codes map[string]int `json:"codes"`
-	// Classes are what was measured of each class.
+	// Classes are the results of each class.
 	Classes []*Class `json:"classes"`
 
 	mu     sync.Mutex
 	tokens int
 }
 
+// newReport returns an empty report with all classes.
 func newReport(p *Profile, s Settings) *Report {
 	r := &Report{
 		Profile: p.Name,
@@ -118,7 +122,7 @@
 	return r
 }
 
-// Class returns what was measured of a class.
+// Class returns the results of the class with a name, or an empty Class if there is none.
 func (r *Report) Class(name string) *Class {
 	for _, c := range r.Classes {
 		if c.Name == name {
@@ -128,7 +132,7 @@
 	return &Class{}
 }
 
-// add takes over an outcome.
+// add counts an outcome and, after the warm-up, records its times.
 func (r *Report) add(o *outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,6 +162,7 @@
 	}
 }
 
+// increment increments the counters if yes is true.
 func increment(yes bool, counters ...*int) {
 	if !yes {
 		return
@@ -167,6 +172,7 @@
 	}
 }
 
+// record records the times of an answered or refused request.
 func (c *Class) record(o *outcome) {
 	switch {
 	case o.answered:
@@ -177,13 +183,13 @@
 	}
 }
 
-// recordClamped records a time. One beyond the range counts as its end.
+// recordClamped records a duration. Durations out of range count as the nearest bound.
 func recordClamped(h *hdrhistogram.Histogram, d time.Duration) {
-	// The value is kept within the range, so recording can't fail.
+	// The value is within the range, so RecordValue can't fail.
 	_ = h.RecordValue(min(max(d.Microseconds(), minMicroseconds), maxMicroseconds))
 }
 
-// Finish works out the figures of all classes.
+// Finish computes the rates and percentiles from the recorded outcomes.
 func (r *Report) Finish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,11 +205,12 @@
 	}
 }
 
+// percentileMs returns a percentile in milliseconds, with q from 0 to 100.
 func percentileMs(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// Table writes the report for a person.
+// Table writes the report as a table, followed by the counts in Codes.
 func (r *Report) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tsent\tanswered\trefused\tfailed\tcut\twrong\tTTFT p50 ms\tTTFT p95 ms\tend p95 ms\t")
--- a/load/send.go
+++ b/load/send.go
@@ -24,21 +24,23 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// Settings are the measures of a run.
+// Settings configures a run.
 type Settings struct {
-	// Addresses are the nodes, or the balancer before them.
+	// Addresses are the addresses of the nodes, or of a load balancer in front of them.
 	Addresses []string
-	// Rate is how many requests come in a second.
+	// Rate is the mean number of requests per second.
 	Rate float64
-	// Duration is for how long they come.
+	// Duration is the time during which requests are sent.
 	Duration time.Duration
-	// Seed decides arrivals, kinds and lengths.
+	// Seed determines arrivals, kinds and lengths.
 	Seed uint64
-	// Warmup is how much of the beginning is sent but not measured.
+	// Warmup is the initial time whose requests are sent but whose latencies are not
+	// recorded.
 	Warmup time.Duration
 }
 
-// Run sends the requests of a profile and waits for all answers.
+// Run sends the requests of a profile and waits for all answers. If ctx ends, it sends no
+// further requests and leaves Report.Seconds at zero.
 func Run(ctx context.Context, p *Profile, s Settings) *Report {
 	r := rand.New(rand.NewPCG(s.Seed, s.Seed))
 	due := p.arrivals(s.Rate, s.Duration, r)
@@ -65,7 +67,7 @@
 	return x.report
 }
 
-// sender sends requests and takes their answers.
+// sender sends the requests of a run and records their outcomes.
 type sender struct {
 	profile  *Profile
 	settings Settings
@@ -75,7 +77,7 @@
 	report   *Report
 }
 
-// fillerText returns text as long as the longest prompt.
+// fillerText returns random text of the length of the longest prompt.
 func fillerText(p *Profile, r *rand.Rand) string {
 	longest := 0
 	for i := range p.Kinds {
@@ -89,8 +91,8 @@
 	return string(b)
 }
 
-// prompt returns a prompt that no other request has: the kind's shared
-// beginning, the request's number, and filler.
+// prompt returns a prompt that is unique in the run: the prefix shared by the kind, the
+// number of the request, and filler.
 func (x *sender) prompt(a arrival) string {
 	size := a.tokens * engine.TokenBytes
 	shared := a.kind.SharedTokens * engine.TokenBytes
@@ -105,7 +107,7 @@
 	return b.String()
 }
 
-// sendOne sends sendOne request and notes its outcome.
+// sendOne sends one request and records its outcome.
 func (x *sender) sendOne(ctx context.Context, a arrival, due time.Time) {
 	o := outcome{
 		kind:     a.kind,
@@ -120,7 +122,7 @@
 	x.report.add(&o)
 }
 
-// newRequest makes a newRequest to the next address.
+// newRequest returns an HTTP request to the next address in rotation.
 func (x *sender) newRequest(ctx context.Context, a arrival, path string, body []byte) (*http.Request, error) {
 	address := x.settings.Addresses[int(x.sent.Add(1))%len(x.settings.Addresses)]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, wirehttp.Once(bytes.NewReader(body)))
@@ -136,7 +138,7 @@
 	return req, nil
 }
 
-// do sends a request. A node that refuses the connection is left out, as a
+// do sends a request. If a node refuses the connection, it tries the next one, as a load
 // balancer does.
 func (x *sender) do(ctx context.Context, a arrival, path string, body []byte) (*http.Response, error) {
 	var last error
@@ -157,7 +159,7 @@
 	return nil, last
 }
 
-// sendPlain makes a sendPlain call.
+// sendPlain makes a plain call to the service.
 func (x *sender) sendPlain(ctx context.Context, a arrival, due time.Time, o *outcome) {
 	body := []byte(fmt.Sprintf(`{"bid":%d,"seed":%d}`, a.number, x.settings.Seed))
 	res, err := x.do(ctx, a, "/services/"+x.profile.Service+"/bids", body)
@@ -179,7 +181,7 @@
 	o.answered = true
 }
 
-// sendCompletion asks for a streamed completion.
+// sendCompletion requests a streamed completion.
 func (x *sender) sendCompletion(ctx context.Context, a arrival, due time.Time, o *outcome) {
 	prompt := x.prompt(a)
 	body, err := json.Marshal(map[string]any{
@@ -206,10 +208,10 @@
 	x.readStream(res.Body, due, want, o)
 }
 
-// errCut is an answer without its end.
+// errCut reports that a stream ended before its end marker or sent an invalid event.
 var errCut = errors.New("the answer was cut")
 
-// readStream takes a streamed answer.
+// readStream reads a streamed answer and compares it with want.
 func (x *sender) readStream(body io.Reader, due time.Time, want string, o *outcome) {
 	var text strings.Builder
 	lines := bufio.NewReaderSize(body, 2<<10)
@@ -247,7 +249,8 @@
 	}
 }
 
-// refuse notes a refusal.
+// refuse records an answer with an error status. It counts as refused if its problem says
+// that the request did not run, and else as failed.
 func (o *outcome) refuse(res *http.Response, due time.Time) {
 	data, err := io.ReadAll(io.LimitReader(res.Body, wirehttp.MaxRefusal))
 	p, ok := problem.Parse(data)
@@ -261,7 +264,7 @@
 	o.total = time.Since(due)
 }
 
-// fail notes a failure.
+// fail records a failure without a problem.
 func (o *outcome) fail(err error) {
 	o.failed = true
 	o.cause = err.Error()
