--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -117,10 +117,10 @@
 // watchPatience ends the request when the caller has received nothing for longer than its
 // patience.
 func (c *caller) watchPatience() {
-	turn := c.waitID
+	id := c.waitID
 	var check func()
 	check = func() {
-		if c.done || c.waitID != turn {
+		if c.done || c.waitID != id {
 			return
 		}
 		if left := c.lastEventAt.Add(c.patience()).Sub(c.play.clock.now); left > 0 {
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -14,9 +14,9 @@
 //     its stream is cut.
 //   - Messages, each of which takes the delay of the sheet, in part with jitter.
 //
-// The emulator leaves out the platform, other instances and all other effects of the
-// network. The loss of an instance is simulated by cutting the streams of some callers at
-// one moment.
+// The emulator leaves out the platform and all other effects of the network. One scheduler
+// serves all entry instances. The loss of an entry instance is simulated by cutting the
+// streams of some callers at one moment.
 //
 // A Sheet describes the workload and the engines. Draw derives the requests of a seed from
 // it. They don't depend on any decision, so results of two policies on the same requests
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -37,9 +37,11 @@
 	CauseRefused
 	CauseAbandoned
 	CauseEntryLost
-	// CauseMigrated means a late answer after a silent attempt was replaced.
+	// CauseMigrated means an answer that was not in time after a silent attempt had been
+	// replaced.
 	CauseMigrated
-	// CauseRetried means a late answer after the caller sent the request again.
+	// CauseRetried means an answer that was not in time after the caller had sent the
+	// request again.
 	CauseRetried
 	// CauseQueued means a late first event after the request was queued for more than a
 	// quarter of its target.
@@ -80,7 +82,8 @@
 	requests []Request
 	// Outcomes are in the order of the requests.
 	Outcomes []Outcome
-	// Predictions are the pool's statistics, with those of its predictions of first events.
+	// Predictions are the pool's statistics at the end, which count the predictions of
+	// first events.
 	Predictions pool.Stats
 	// SilentAttempts is the number of attempts that were replaced because they were silent.
 	SilentAttempts int
