--- a/cmd/linkmast/deploy_test.go
+++ b/cmd/linkmast/deploy_test.go
@@ -26,7 +26,7 @@
 	"github.com/linkmast/linkmast/rollout"
 )
 
-// process is one running program.
+// process is a running program of a deployment.
 type process struct {
 	t       *testing.T
 	name    string
@@ -49,7 +49,7 @@
 	nodes    []*process
 }
 
-// build builds both programs once.
+// build builds both programs once and returns their directory.
 var build = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "linkmast-test")
 	if err != nil {
@@ -72,7 +72,7 @@
 	os.Exit(code)
 }
 
-// run starts a program and waits for the line that tells its address.
+// run starts a program and waits until it prints its address.
 func (d *deployment) run(name, program string, args ...string) *process {
 	d.t.Helper()
 	p := &process{
@@ -99,7 +99,7 @@
 			p.mu.Lock()
 			p.output.WriteString(in.Text() + "\n")
 			p.mu.Unlock()
-			if p.read(in.Text()) {
+			if p.parseAddresses(in.Text()) {
 				once()
 			}
 		}
@@ -113,13 +113,13 @@
 	select {
 	case <-started:
 	case <-time.After(10 * time.Second):
-		d.t.Fatalf("%s does not start: %s", name, p.text())
+		d.t.Fatalf("%s did not start: %s", name, p.text())
 	}
 	return p
 }
 
-// read takes the addresses from a line of output.
-func (p *process) read(line string) bool {
+// parseAddresses takes the addresses from a line of output and reports whether it had any.
+func (p *process) parseAddresses(line string) bool {
 	if a, ok := strings.CutPrefix(line, "listening on "); ok {
 		p.address = a
 		return true
@@ -134,12 +134,14 @@
 	return true
 }
 
+// text returns the output so far.
 func (p *process) text() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.output.String()
 }
 
+// signal sends a signal. After SIGSTOP it waits until all threads have stopped.
 func (p *process) signal(s syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
@@ -150,22 +152,21 @@
 	}
 }
 
-// awaitFrozen waits until no thread of the process runs. A stop reaches one of them, which
-// stops the others once it is given a processor; beside load they go on until then.
+// awaitFrozen waits until all threads of the process are stopped. Under load, some threads
+// still run for a while after SIGSTOP.
 func (p *process) awaitFrozen() {
 	p.t.Helper()
-	for end := time.Now().Add(frozenWithin); !p.frozen(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(freezeTimeout); !p.frozen(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatal("process does not stop")
+			p.t.Fatal("process still runs after SIGSTOP")
 		}
 	}
 }
 
-// frozenWithin bounds the wait for a process to stop; on a busy machine it takes some tens
-// of milliseconds.
-const frozenWithin = 5 * time.Second
+// freezeTimeout bounds the wait for a process to stop.
+const freezeTimeout = 5 * time.Second
 
-// frozen states whether all threads of the process are stopped.
+// frozen reports whether all threads of the process are stopped.
 func (p *process) frozen() bool {
 	stats, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -176,7 +177,7 @@
 		if err != nil {
 			return false
 		}
-		// The state follows the command's name, which is in parentheses (proc(5)).
+		// The state follows the name of the command, which is in parentheses (proc(5)).
 		_, rest, _ := strings.Cut(string(stat), ") ")
 		if !strings.HasPrefix(rest, "T") {
 			return false
@@ -185,7 +186,8 @@
 	return len(stats) > 0
 }
 
-// deploy starts a deployment of n nodes.
+// deploy starts a platform, three engines, a service and n nodes, and waits until the nodes
+// are ready.
 func deploy(t *testing.T, n int) *deployment {
 	t.Helper()
 	bin, err := build()
@@ -200,20 +202,21 @@
 	for i := range 3 {
 		name := fmt.Sprintf("e%d", i+1)
 		d.engines = append(d.engines, d.run(name, "linkmastctl", "standin", "engine", "--instance", name, "--step", "10ms"))
-		d.list(name, d.engines[i].address, instances.KindEndpoint)
+		d.register(name, d.engines[i].address, instances.KindEndpoint)
 	}
 	d.service = d.run("s1", "linkmastctl", "standin", "service", "--instance", "s1")
-	d.list("s1", d.service.address, instances.KindEndpoint)
+	d.register("s1", d.service.address, instances.KindEndpoint)
 	for i := range n {
 		d.addNode(fmt.Sprintf("n%d", i+1))
 	}
 	d.publish()
 	for _, p := range d.nodes {
-		d.ready(p, n)
+		d.awaitReady(p, n)
 	}
 	return d
 }
 
+// addNode starts a node and registers it with the platform.
 func (d *deployment) addNode(name string) {
 	path := filepath.Join(d.t.TempDir(), name+".toml")
 	text := fmt.Sprintf("id = %q\nregion = \"r1\"\nfailure_domain = \"d1\"\nlisten = \"127.0.0.1:0\"\n"+
@@ -224,11 +227,11 @@
 	}
 	p := d.run(name, "linkmast", "--settings", path)
 	d.nodes = append(d.nodes, p)
-	d.list(name, p.peer, instances.KindNode)
+	d.register(name, p.peer, instances.KindNode)
 }
 
-// list puts an instance on the platform's list.
-func (d *deployment) list(id, address string, kind instances.Kind) {
+// register adds an instance to the platform's list.
+func (d *deployment) register(id, address string, kind instances.Kind) {
 	data, _ := json.Marshal(instances.Instance{
 		ID:            id,
 		Kind:          kind,
@@ -240,6 +243,7 @@
 	put(d.t, "http://"+d.platform.address+"/v1/instances/"+id, string(data))
 }
 
+// put sends body with a PUT request. It ignores the status of the response.
 func put(t *testing.T, url, body string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPut, url, strings.NewReader(body))
@@ -253,6 +257,7 @@
 	res.Body.Close()
 }
 
+// publish publishes a configuration with all engines and the service.
 func (d *deployment) publish() {
 	d.t.Helper()
 	var engines []*fleet.Endpoint
@@ -269,8 +274,8 @@
 	}
 }
 
-// ready waits until a node serves and knows n nodes.
-func (d *deployment) ready(p *process, n int) {
+// awaitReady waits until a node is ready and knows n nodes.
+func (d *deployment) awaitReady(p *process, n int) {
 	d.t.Helper()
 	for range 200 {
 		var s struct {
@@ -287,11 +292,11 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	d.t.Fatalf("%s is not ready: %s", p.name, p.text())
+	d.t.Fatalf("%s did not become ready: %s", p.name, p.text())
 }
 
-// held returns the memory held at all engines that answer.
-func (d *deployment) held() int64 {
+// heldBytes returns the memory held at all engines that answer.
+func (d *deployment) heldBytes() int64 {
 	total := int64(0)
 	for _, p := range d.engines {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -304,18 +309,20 @@
 	return total
 }
 
-func (d *deployment) wantFree(within time.Duration) {
+// wantMemoryReleased fails the test if an engine still holds memory after the given time.
+func (d *deployment) wantMemoryReleased(within time.Duration) {
 	d.t.Helper()
 	until := time.Now().Add(within)
-	for d.held() > 0 {
+	for d.heldBytes() > 0 {
 		if time.Now().After(until) {
-			d.t.Errorf("%d bytes are still held after %s", d.held(), within)
+			d.t.Errorf("%d bytes are still held after %s", d.heldBytes(), within)
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
+// addresses returns the addresses of all nodes.
 func (d *deployment) addresses() []string {
 	var out []string
 	for _, p := range d.nodes {
--- a/cmd/linkmast/process_test.go
+++ b/cmd/linkmast/process_test.go
@@ -19,7 +19,7 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// result is what a caller got.
+// result is the response that a caller received.
 type result struct {
 	status int
 	text   string
@@ -29,8 +29,8 @@
 	took   time.Duration
 }
 
-// ask asks a node for a streamed completion.
-func ask(address, prompt string, tokens int) result {
+// complete requests a streamed completion from a node.
+func complete(address, prompt string, tokens int) result {
 	body, _ := json.Marshal(map[string]any{
 		"model":      fleet.Model,
 		"prompt":     prompt,
@@ -40,6 +40,7 @@
 	return call(address, "/v1/completions", string(body), map[string]string{"Linkmast-Deadline": "30s"})
 }
 
+// call sends a request to a node and reads the whole response.
 func call(address, path, body string, header map[string]string) result {
 	start := time.Now()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(body))
@@ -77,17 +78,18 @@
 	return r
 }
 
-// streams opens n streams through each address and returns what they get.
-func streams(addresses []string, n, tokens int) func() map[string][]result {
+// startStreams starts n streams through each address. The returned function waits for their
+// end and returns the results by address.
+func startStreams(addresses []string, n, tokens int) func() map[string][]result {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	out := make(map[string][]result)
 	for _, a := range addresses {
 		for i := range n {
 			all.Go(func() {
-				r := ask(a, fmt.Sprintf("%s %d", a, i), tokens)
+				r := complete(a, fmt.Sprintf("%s %d", a, i), tokens)
 				if r.whole && r.text != standin.Answer(fmt.Sprintf("%s %d", a, i), tokens) {
-					r.err = fmt.Errorf("not its own answer")
+					r.err = fmt.Errorf("answer differs from the expected one")
 				}
 				mu.Lock()
 				out[a] = append(out[a], r)
@@ -101,19 +103,21 @@
 	}
 }
 
-// wantWhole fails unless every answer is whole.
+// wantWhole fails the test unless all answers are complete.
 func wantWhole(t *testing.T, what string, results []result) {
 	t.Helper()
 	for _, r := range results {
 		if !r.whole || r.err != nil {
-			t.Errorf("%s: not whole: status %d, %v, %.200s", what, r.status, r.err, r.body)
+			t.Errorf("%s: answer is incomplete: status %d, %v, %.200s", what, r.status, r.err, r.body)
 		}
 	}
 }
 
+// TestNodeKilled kills a node. It guards against broken streams of other nodes, streams of
+// the killed node that look complete, and leaked engine memory.
 func TestNodeKilled(t *testing.T) {
 	d := deploy(t, 3)
-	wait := streams(d.addresses(), 4, 400) // 4 s
+	wait := startStreams(d.addresses(), 4, 400) // lasts about 4 s
 	time.Sleep(time.Second)
 	d.nodes[0].signal(syscall.SIGKILL)
 	got := wait()
@@ -122,27 +126,29 @@
 	}
 	for _, r := range got[d.nodes[0].address] {
 		if r.whole {
-			t.Error("a stream of a node that was killed seems whole")
+			t.Error("a stream of a killed node looks complete")
 		}
 	}
-	d.wantFree(15 * time.Second)
-	after := streams(d.addresses()[1:], 4, 20)()
+	d.wantMemoryReleased(15 * time.Second)
+	after := startStreams(d.addresses()[1:], 4, 20)()
 	for a, r := range after {
 		wantWhole(t, a, r)
 	}
 }
 
+// TestNodeFrozenAndAwake freezes a node and resumes it. It guards against broken streams of
+// other nodes, leaked engine memory, and wrong answers after the node resumes.
 func TestNodeFrozenAndAwake(t *testing.T) {
 	d := deploy(t, 3)
-	wait := streams(d.addresses(), 4, 400)
+	wait := startStreams(d.addresses(), 4, 400)
 	time.Sleep(time.Second)
 	d.nodes[0].signal(syscall.SIGSTOP)
 	time.Sleep(500 * time.Millisecond)
-	during := streams(d.addresses()[1:], 6, 20)()
+	during := startStreams(d.addresses()[1:], 6, 20)()
 	for a, r := range during {
 		wantWhole(t, a, r)
 	}
-	d.wantFree(20 * time.Second)
+	d.wantMemoryReleased(20 * time.Second)
 	d.nodes[0].signal(syscall.SIGCONT)
 	got := wait()
 	for _, p := range d.nodes[1:] {
@@ -154,13 +160,14 @@
 		}
 	}
 	time.Sleep(2 * time.Second)
-	after := streams(d.addresses(), 4, 20)()
+	after := startStreams(d.addresses(), 4, 20)()
 	for a, r := range after {
 		wantWhole(t, a, r)
 	}
-	d.wantFree(15 * time.Second)
+	d.wantMemoryReleased(15 * time.Second)
 }
 
+// TestPlannedStop guards against requests that fail because nodes are stopped as planned.
 func TestPlannedStop(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -174,7 +181,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			d := deploy(t, 3)
-			wait := streams(d.addresses(), 6, 400)
+			wait := startStreams(d.addresses(), 6, 400)
 			time.Sleep(500 * time.Millisecond)
 			if c.outage {
 				put(t, "http://"+d.platform.address+"/faults", `{"outage":true}`)
@@ -182,9 +189,9 @@
 			for _, i := range c.stops {
 				d.nodes[i].signal(syscall.SIGTERM)
 			}
-			// The balancer goes on sending for a while.
+			// A load balancer still sends requests to stopping nodes for a while.
 			time.Sleep(300 * time.Millisecond)
-			during := streams(d.addresses(), 4, 100)()
+			during := startStreams(d.addresses(), 4, 100)()
 			for a, r := range during {
 				wantWhole(t, "sent while stopping "+a, r)
 			}
@@ -196,19 +203,21 @@
 				case err := <-d.nodes[i].exited:
 					is.NoErr(err)
 				case <-time.After(15 * time.Second):
-					t.Errorf("%s does not end: %s", d.nodes[i].name, d.nodes[i].text())
+					t.Errorf("%s did not exit: %s", d.nodes[i].name, d.nodes[i].text())
 				}
 			}
-			d.wantFree(10 * time.Second)
+			d.wantMemoryReleased(10 * time.Second)
 		})
 	}
 }
 
+// TestEngineKilledAndFrozen guards against the loss of streams of other engines, and
+// against late failures, when an engine is killed or frozen.
 func TestEngineKilledAndFrozen(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGKILL, syscall.SIGSTOP} {
 		t.Run(s.String(), func(t *testing.T) {
 			d := deploy(t, 2)
-			wait := streams(d.addresses(), 6, 300)
+			wait := startStreams(d.addresses(), 6, 300)
 			time.Sleep(time.Second)
 			d.engines[0].signal(s)
 			whole := 0
@@ -221,26 +230,28 @@
 						whole++
 					}
 					if !r.whole {
-						t.Logf("not whole after %s: %.300s", r.took, r.body[max(0, len(r.body)-300):])
+						t.Logf("incomplete after %s: %.300s", r.took, r.body[max(0, len(r.body)-300):])
 					}
 					if !r.whole && r.took > 10*time.Second {
-						t.Errorf("failed only after %s: %s", r.took, r.body)
+						t.Errorf("failure took too long, %s: %s", r.took, r.body)
 					}
 				}
 			}
 			if whole < 6 {
-				t.Errorf("%d of 12 streams were whole; at most those of one engine may be lost", whole)
+				t.Errorf("%d of 12 streams were complete; only those of one engine may be lost", whole)
 			}
-			after := streams(d.addresses(), 4, 20)()
+			after := startStreams(d.addresses(), 4, 20)()
 			for a, r := range after {
 				wantWhole(t, a, r)
 			}
 			d.engines = d.engines[1:]
-			d.wantFree(10 * time.Second)
+			d.wantMemoryReleased(10 * time.Second)
 		})
 	}
 }
 
+// TestPlatformFrozen guards against calls that hang, and completions that fail, while the
+// platform is frozen.
 func TestPlatformFrozen(t *testing.T) {
 	is := is.New(t)
 	d := deploy(t, 2)
@@ -258,7 +269,7 @@
 	is.Equal(down.status, http.StatusServiceUnavailable)
 	is.True(strings.Contains(down.body, `"ran":"not_run"`))
 	is.True(down.took < 5*time.Second)
-	plain := streams(d.addresses(), 3, 20)()
+	plain := startStreams(d.addresses(), 3, 20)()
 	for a, r := range plain {
 		wantWhole(t, a, r)
 	}
--- a/emulator/attempt.go
+++ b/emulator/attempt.go
@@ -8,115 +8,119 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// attempt is a request at its engines.
+// attempt is one attempt of a request: its placement and its jobs on the engines.
 type attempt struct {
-	caller  *caller
-	id      string
-	grant   pool.Grant
-	engine  *engine
-	helpers []*engine
-	head    *job
-	// unread counts the engines that still read their parts.
-	unread int
+	caller       *caller
+	id           string
+	grant        pool.Grant
+	engine       *engine
+	shareEngines []*engine
+	mainJob      *job
+	// pendingPrefills is the number of engines that still prefill their share of the
+	// prompt.
+	pendingPrefills int
+	// events is the number of events that the entry instance has received.
 	events int
-	// heard is when the entry last heard of it.
-	heard time.Time
-	// looks is when the entry looks again for another place.
-	looks time.Duration
-	ended bool
+	// lastEventAt is when the entry instance received the last event, or sent the attempt.
+	lastEventAt time.Time
+	// recheckAfter is the delay until the entry instance checks a silent attempt again.
+	recheckAfter time.Duration
+	ended        bool
 }
 
-// newAttempt returns an attempt at a place.
+// newAttempt returns an attempt at the engines of a placement.
 func newAttempt(c *caller, id string, g pool.Grant) *attempt {
 	a := &attempt{
-		caller: c,
-		id:     id,
-		grant:  g,
-		engine: c.play.engines[g.Instance],
-		unread: len(g.Shares) + 1,
+		caller:          c,
+		id:              id,
+		grant:           g,
+		engine:          c.play.engines[g.Instance],
+		pendingPrefills: len(g.Shares) + 1,
 	}
 	for _, r := range g.Shares {
-		a.helpers = append(a.helpers, c.play.engines[r.Instance])
+		a.shareEngines = append(a.shareEngines, c.play.engines[r.Instance])
 	}
 	return a
 }
 
-// begin gives the engines their parts.
+// begin adds the attempt's jobs to its engines.
 func (a *attempt) begin() {
 	if a.ended {
 		return
 	}
 	c := a.caller
-	tokens := max(c.request.Prompt/a.unread, 1)
-	perToken := a.engine.model.PrefillTime(c.request.Prompt, a.unread) / time.Duration(tokens)
+	tokens := max(c.request.Prompt/a.pendingPrefills, 1)
+	perToken := a.engine.model.PrefillTime(c.request.Prompt, a.pendingPrefills) / time.Duration(tokens)
 	memory := c.request.Prompt + c.request.Events*c.play.sheet.Engines.Stride
-	joint := len(a.helpers) > 0
-	for i, e := range a.helpers {
+	joint := len(a.shareEngines) > 0
+	for i, e := range a.shareEngines {
 		hold := a.grant.Shares[i].Reserved
 		memory -= hold
 		e.add(&job{
-			attempt:  a,
-			part:     true,
-			joint:    true,
-			tokens:   tokens,
-			perToken: perToken,
-			memory:   hold,
-			context:  hold,
+			attempt:    a,
+			isShare:    true,
+			joint:      true,
+			tokensLeft: tokens,
+			perToken:   perToken,
+			memory:     hold,
+			context:    hold,
 		})
 	}
-	a.head = &job{
-		attempt:  a,
-		joint:    joint,
-		tokens:   tokens,
-		perToken: perToken,
-		memory:   max(memory, 0),
-		context:  tokens,
-		events:   c.request.Events - c.events,
+	a.mainJob = &job{
+		attempt:    a,
+		joint:      joint,
+		tokensLeft: tokens,
+		perToken:   perToken,
+		memory:     max(memory, 0),
+		context:    tokens,
+		eventsLeft: c.request.Events - c.events,
 	}
-	a.engine.add(a.head)
+	a.engine.add(a.mainJob)
 }
 
-// read notes that an engine has read its part. The first event comes after the last one.
-func (a *attempt) read() {
-	a.unread--
-	if a.unread > 0 {
+// finishPrefill records that one engine has prefilled its share. After the last share the
+// main engine emits the first event.
+func (a *attempt) finishPrefill() {
+	a.pendingPrefills--
+	if a.pendingPrefills > 0 {
 		return
 	}
-	a.head.event()
-	a.engine.start()
+	a.mainJob.emitEvent()
+	a.engine.startPass()
 }
 
-// event passes an event on to the entry and the caller.
-func (a *attempt) event(last bool) {
+// sendEvent sends an event from the main engine to the entry instance, which forwards it to
+// the caller and reports the first one to the pool.
+func (a *attempt) sendEvent(last bool) {
 	p := a.caller.play
 	if last {
-		a.leave()
+		a.removeFromEngines()
 	}
-	p.clock.after(p.hops(1), func() {
+	p.clock.after(p.delay(1), func() {
 		if a.ended {
 			return
 		}
-		a.heard = p.clock.now
+		a.lastEventAt = p.clock.now
 		a.events++
 		if a.events == 1 {
-			p.clock.after(p.hops(1), func() { p.pool.FirstEventFrom(a.id, service, a.caller.entry()) })
+			p.clock.after(p.delay(1), func() { p.pool.FirstEventFrom(a.id, service, a.caller.entry()) })
 		}
-		p.clock.after(p.hops(1), func() { a.caller.event(last) })
+		p.clock.after(p.delay(1), func() { a.caller.receiveEvent(last) })
 	})
 }
 
-// leave takes the attempt from its engines.
-func (a *attempt) leave() {
+// removeFromEngines removes the attempt's jobs from all its engines.
+func (a *attempt) removeFromEngines() {
 	a.engine.remove(a)
-	for _, e := range a.helpers {
+	for _, e := range a.shareEngines {
 		e.remove(a)
 	}
 }
 
-// stop ends the attempt, and tells the owner how.
+// stop ends the attempt and reports the outcome to the pool.
 func (a *attempt) stop(o pool.Outcome) {
 	a.ended = true
 	p := a.caller.play
-	p.clock.after(p.hops(1), a.leave)
-	p.end(a.caller, a.id, o, p.hops(1))
+	p.clock.after(p.delay(1), a.removeFromEngines)
+	p.reportEnd(a.caller, a.id, o, p.delay(1))
 }
--- a/emulator/worth_test.go
+++ b/emulator/worth_test.go
@@ -15,8 +15,9 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// third returns a third of a sheet under a load, for some seconds.
-func third(t *testing.T, name string, load float64) *emulator.Sheet {
+// thirdOfSheet returns 16 s of a sheet with a third of its engines and load times a third
+// of its rates.
+func thirdOfSheet(t *testing.T, name string, load float64) *emulator.Sheet {
 	t.Helper()
 	data, err := os.ReadFile("sheets/" + name)
 	if err != nil {
@@ -32,39 +33,39 @@
 	return s.Scaled(load / part)
 }
 
-// served returns the part of the requests of a kind that had an answer.
-func served(requests []emulator.Request, r *emulator.Result, kind int) float64 {
+// servedShare returns the share of the requests of a kind that kept some of their worth.
+func servedShare(requests []emulator.Request, r *emulator.Result, kind int) float64 {
 	all, n := 0, 0
 	for i, q := range requests {
 		if q.Kind != kind {
 			continue
 		}
 		all++
-		if r.Outcomes[i].Kept > 0 {
+		if r.Outcomes[i].Worth > 0 {
 			n++
 		}
 	}
 	return float64(n) / float64(all)
 }
 
-// TestUrgentFirst plays nearly twice what the engines can do, in three ranks, the shorter
-// the prompts the more urgent. It looks that no kind is served less often than a less
-// urgent one, or keeps a smaller share of its worth, and that the urgent one keeps most.
+// TestUrgentFirst plays twice the load of a sheet with three ranks, of which the shortest
+// prompts have the highest. It guards against a less urgent kind that is served better than
+// a more urgent one.
 func TestUrgentFirst(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			s := third(t, "tiers.toml", 2)
+			s := thirdOfSheet(t, "tiers.toml", 2)
 			requests := emulator.Draw(s, seed)
 			r := emulator.Play(s, requests, pool.Settings{}, seed)
 			for kind := range s.Kinds {
-				t.Log(s.Kinds[kind].Name, "served:", served(requests, r, kind), "kept:", r.Kind(kind))
+				t.Log(s.Kinds[kind].Name, "served:", servedShare(requests, r, kind), "kept:", r.KindShare(kind))
 			}
 			for kind := range s.Kinds[1:] {
-				is.True(served(requests, r, kind) > served(requests, r, kind+1)-0.05)
-				is.True(r.Kind(kind) > r.Kind(kind+1)-0.05)
+				is.True(servedShare(requests, r, kind) > servedShare(requests, r, kind+1)-0.05)
+				is.True(r.KindShare(kind) > r.KindShare(kind+1)-0.05)
 			}
-			is.True(r.Kind(0) > 0.8)
+			is.True(r.KindShare(0) > 0.8)
 		})
 	}
 }
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -17,14 +17,14 @@
 	"github.com/linkmast/linkmast/experiment"
 )
 
-// sheets is where the sheets of the emulator are.
-const sheets = "../emulator/sheets"
+// sheetDir is the directory of the emulator's sheets.
+const sheetDir = "../emulator/sheets"
 
-// load returns a plan from text, with a short day of the smallest sheet.
-func load(t *testing.T, plan string) ([]experiment.Row, error) {
+// runPlan runs a plan, given as TOML, on a copy of the smallest sheet that is cut to 6 s.
+func runPlan(t *testing.T, plan string) ([]experiment.Row, error) {
 	t.Helper()
 	dir := t.TempDir()
-	data, err := os.ReadFile(filepath.Join(sheets, "few.toml"))
+	data, err := os.ReadFile(filepath.Join(sheetDir, "few.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,10 +43,11 @@
 	return experiment.Run(t.Context(), p, list, 2)
 }
 
-// TestRun compares a variant with itself, with another and with the bound.
+// TestRun checks that a variant gains nothing against itself, that another one differs
+// under overload, and that the bound is not below the first variant.
 func TestRun(t *testing.T) {
 	is := is.New(t)
-	rows, err := load(t, `
+	rows, err := runPlan(t, `
 sheets = ["few.toml"]
 seeds = 3
 loads = [0.5, 1.5]
@@ -71,7 +72,7 @@
 	testWriters(t, rows)
 }
 
-// testWriters looks that rows come out as a table, JSON and pictures.
+// testWriters checks that the table, JSON and plots of rows are well-formed.
 func testWriters(t *testing.T, rows []experiment.Row) {
 	t.Helper()
 	is := is.New(t)
@@ -82,7 +83,7 @@
 	var again []experiment.Row
 	is.NoErr(json.Unmarshal(data.Bytes(), &again))
 	is.Equal(again, rows)
-	for _, write := range []func(io.Writer, []experiment.Row) error{experiment.WriteTimes, experiment.WriteLoads} {
+	for _, write := range []func(io.Writer, []experiment.Row) error{experiment.WriteWindowPlot, experiment.WriteLoadPlot} {
 		var svg bytes.Buffer
 		is.NoErr(write(&svg, rows))
 		var root struct{ XMLName xml.Name }
@@ -91,7 +92,7 @@
 	}
 }
 
-// TestPlanErrors names what is wrong in a plan.
+// TestPlanErrors checks that the error of a plan names the fault.
 func TestPlanErrors(t *testing.T) {
 	for _, row := range []struct {
 		name string
@@ -107,7 +108,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := load(t, row.plan)
+			_, err := runPlan(t, row.plan)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), row.name))
 		})
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -11,27 +11,29 @@
 	"github.com/matryer/is"
 )
 
+// TestProfiles checks that the embedded profiles are valid and have the required share of
+// long prompts.
 func TestProfiles(t *testing.T) {
 	for _, name := range []string{"pinecrest", "tana"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p, err := ReadProfile(name)
 			is.NoErr(err)
-			// One prompt in fifty is above 100 000 tokens, as the users say.
+			// One prompt in fifty must be longer than 100 000 tokens.
 			long := 0.0
 			for i := range p.Kinds {
-				if p.Kinds[i].Long() {
+				if p.Kinds[i].IsLong() {
 					long += p.Kinds[i].Weight
 				}
 			}
-			is.Equal(long/p.Weight(), 0.02)
-			is.Equal(p.WithoutLong().Weight(), p.Weight()-long)
+			is.Equal(long/p.TotalWeight(), 0.02)
+			is.Equal(p.WithoutLongPrompts().TotalWeight(), p.TotalWeight()-long)
 		})
 	}
 }
 
-// TestArrivals checks that a seed decides everything, and that rate and mean
-// come out as stated.
+// TestArrivals checks that the seed determines the arrivals, and that their rate and mean
+// length match the profile.
 func TestArrivals(t *testing.T) {
 	is := is.New(t)
 	p, err := ReadProfile("pinecrest")
@@ -47,10 +49,10 @@
 	for _, a := range one {
 		work += float64(a.tokens - a.kind.SharedTokens)
 	}
-	is.True(math.Abs(work/float64(len(one))/p.Mean()-1) < 0.1)
+	is.True(math.Abs(work/float64(len(one))/p.MeanPrefill()-1) < 0.1)
 }
 
-// TestReport checks that outcomes are counted where they belong.
+// TestReport checks that outcomes are counted in their classes.
 func TestReport(t *testing.T) {
 	is := is.New(t)
 	r := newReport(&Profile{}, Settings{})
--- a/load/profile.go
+++ b/load/profile.go
@@ -19,73 +19,75 @@
 //go:embed profiles/*.toml
 var profiles embed.FS
 
-// Profile is what is sent.
+// Profile describes a mix of requests.
 type Profile struct {
-	// Name names the profile.
+	// Name identifies the profile in reports.
 	Name string `toml:"name"`
-	// Model is the model that is asked.
+	// Model is the model that completions ask for.
 	Model string `toml:"model"`
-	// Service is the plain service that is called.
+	// Service is the service that receives the plain calls.
 	Service string `toml:"service"`
-	// Kinds are the kinds of request; their weights need not add up to one.
+	// Kinds are the kinds of requests. Their weights need not add up to 1.
 	Kinds []Kind `toml:"kinds"`
 }
 
-// Kind is one kind of request.
+// Kind describes the requests of one kind.
 type Kind struct {
-	// Name names the kind.
+	// Name identifies the kind.
 	Name string `toml:"name"`
-	// Weight is its part of all requests.
+	// Weight is the share of the kind in all requests, relative to the sum of all weights.
 	Weight float64 `toml:"weight"`
-	// Key is the bearer key of the customer.
+	// Key is the customer's API key, sent as a bearer token.
 	Key string `toml:"key"`
-	// MinTokens and MaxTokens bound the prompt; lengths between are spread
-	// evenly by their logarithm. Both zero means a plain call.
+	// MinTokens is the smallest length of a prompt. The logarithms of lengths are
+	// distributed uniformly.
 	MinTokens int `toml:"min_tokens"`
-	// MaxTokens bounds the prompt.
+	// MaxTokens is the largest length of a prompt. Zero means that the kind consists of
+	// plain calls.
 	MaxTokens int `toml:"max_tokens"`
 	// OutputTokens is the length of the answer.
 	OutputTokens int `toml:"output_tokens"`
-	// SharedTokens is how much of the prompt all requests of the kind share.
+	// SharedTokens is the length of the prefix that all prompts of the kind share.
 	SharedTokens int `toml:"shared_tokens"`
-	// Deadline is what the caller allows.
+	// Deadline is sent with each request.
 	Deadline config.Duration `toml:"deadline"`
-	// Once marks requests that must not be repeated.
+	// Once marks requests that must run at most once.
 	Once bool `toml:"once"`
 }
 
-// plain states whether the kind calls the plain service.
-func (k *Kind) plain() bool {
+// isPlain reports whether the kind consists of plain calls to a service.
+func (k *Kind) isPlain() bool {
 	return k.MaxTokens == 0
 }
 
-// Long states whether the kind's prompts are long ones.
-func (k *Kind) Long() bool {
+// IsLong reports whether the longest prompts of the kind exceed 100 000 tokens.
+func (k *Kind) IsLong() bool {
 	return k.MaxTokens > longTokens
 }
 
-// longTokens is the length above which a prompt counts as long.
+// longTokens is the length above which a prompt is long.
 const longTokens = 100_000
 
-// mean returns the mean prompt length, in tokens, that is not shared.
-func (k *Kind) mean() float64 {
-	if k.plain() {
+// meanPrefill returns the mean number of prompt tokens after the shared prefix.
+func (k *Kind) meanPrefill() float64 {
+	if k.isPlain() {
 		return 0
 	}
 	low, high := float64(k.MinTokens), float64(k.MaxTokens)
 	if low == high {
 		return low - float64(k.SharedTokens)
 	}
-	// The mean of a length whose logarithm is spread evenly.
+	// The mean of a log-uniform distribution.
 	return (high-low)/math.Log(high/low) - float64(k.SharedTokens)
 }
 
-// Mean returns the mean prefill work of a request, in tokens.
-func (p *Profile) Mean() float64 {
+// MeanPrefill returns the mean number of prompt tokens per request after shared prefixes,
+// with plain calls as 0.
+func (p *Profile) MeanPrefill() float64 {
 	total, work := 0.0, 0.0
 	for i := range p.Kinds {
 		total += p.Kinds[i].Weight
-		work += p.Kinds[i].Weight * p.Kinds[i].mean()
+		work += p.Kinds[i].Weight * p.Kinds[i].meanPrefill()
 	}
 	if total == 0 {
 		return 0
@@ -93,8 +95,8 @@
 	return work / total
 }
 
-// Weight returns the sum of the weights.
-func (p *Profile) Weight() float64 {
+// TotalWeight returns the sum of the weights of all kinds.
+func (p *Profile) TotalWeight() float64 {
 	total := 0.0
 	for i := range p.Kinds {
 		total += p.Kinds[i].Weight
@@ -102,24 +104,25 @@
 	return total
 }
 
-// WithoutLong returns the profile without its long prompts.
-func (p *Profile) WithoutLong() *Profile {
+// WithoutLongPrompts returns a copy of the profile without the kinds whose IsLong is true.
+func (p *Profile) WithoutLongPrompts() *Profile {
 	out := *p
 	out.Kinds = nil
 	for i := range p.Kinds {
-		if !p.Kinds[i].Long() {
+		if !p.Kinds[i].IsLong() {
 			out.Kinds = append(out.Kinds, p.Kinds[i])
 		}
 	}
 	return &out
 }
 
-// ReadProfile reads a profile by name, or from a file.
+// ReadProfile returns the embedded profile with the name, or else reads the file at that
+// path.
 func ReadProfile(name string) (*Profile, error) {
 	data, err := profiles.ReadFile("profiles/" + name + ".toml")
 	if err != nil {
 		if data, err = os.ReadFile(name); err != nil {
-			return nil, errors.Wrap(err, "profile is neither pinecrest nor tana, nor a file")
+			return nil, errors.Wrap(err, "profile is neither pinecrest nor tana nor a readable file")
 		}
 	}
 	p := &Profile{}
@@ -129,23 +132,24 @@
 	return p, p.check()
 }
 
+// check returns an error that names the first invalid kind.
 func (p *Profile) check() error {
-	if p.Weight() <= 0 {
+	if p.TotalWeight() <= 0 {
 		return errors.Errorf("profile %s: no kind has a weight", p.Name)
 	}
 	for i := range p.Kinds {
 		k := &p.Kinds[i]
 		if k.Weight < 0 || k.MinTokens < 0 || k.MaxTokens < k.MinTokens || k.SharedTokens > k.MinTokens {
-			return errors.Errorf("profile %s: kind %s: lengths or weight are impossible", p.Name, k.Name)
+			return errors.Errorf("profile %s: kind %s: lengths or weight are invalid", p.Name, k.Name)
 		}
-		if !k.plain() && (k.MinTokens == 0 || k.OutputTokens <= 0) {
+		if !k.isPlain() && (k.MinTokens == 0 || k.OutputTokens <= 0) {
 			return errors.Errorf("profile %s: kind %s: min_tokens and output_tokens must be above zero", p.Name, k.Name)
 		}
 	}
 	return nil
 }
 
-// arrival is one request that is due.
+// arrival is one request of a run.
 type arrival struct {
 	at     time.Duration
 	number int
@@ -153,7 +157,8 @@
 	tokens int
 }
 
-// arrivals draws the requests that are due within a time.
+// arrivals draws the arrivals of a Poisson process with rate requests per second during
+// within.
 func (p *Profile) arrivals(rate float64, within time.Duration, r *rand.Rand) []arrival {
 	var out []arrival
 	at := 0.0
@@ -163,17 +168,18 @@
 		if due >= within {
 			return out
 		}
-		k := p.pick(r.Float64() * p.Weight())
+		k := p.kindAt(r.Float64() * p.TotalWeight())
 		out = append(out, arrival{
 			at:     due,
 			number: len(out),
 			kind:   k,
-			tokens: k.draw(r),
+			tokens: k.drawLength(r),
 		})
 	}
 }
 
-func (p *Profile) pick(at float64) *Kind {
+// kindAt returns the kind at a position from 0 to the total weight.
+func (p *Profile) kindAt(at float64) *Kind {
 	for i := range p.Kinds {
 		if at -= p.Kinds[i].Weight; at < 0 {
 			return &p.Kinds[i]
@@ -182,8 +188,9 @@
 	return &p.Kinds[len(p.Kinds)-1]
 }
 
-func (k *Kind) draw(r *rand.Rand) int {
-	if k.plain() {
+// drawLength returns a random prompt length in tokens; 0 for plain calls.
+func (k *Kind) drawLength(r *rand.Rand) int {
+	if k.isPlain() {
 		return 0
 	}
 	low, high := math.Log(float64(k.MinTokens)), math.Log(float64(k.MaxTokens))
