--- a/catalog/announcing.go
+++ b/catalog/announcing.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// checkOwnEntry adds this instance to the pending entries if its entry is due and missing in
-// the store.
+// checkOwnEntry adds this instance to the pending entries if a check is due, the list of instances
+// is known and the store lacks this instance's entry.
 func (c *Catalog) checkOwnEntry() {
 	due := c.ownEntryDue.Load()
 	if due == nil || steady.Now().Before(*due) || !c.knowsPeers() || c.entryStored(c.settings.Self) {
@@ -86,8 +86,8 @@
 	return len(c.records[Peers][p.ID].Value) > 0 && known == p
 }
 
-// announceDue writes the due entries to the store or forwards them to the followed instance, so
-// that those of many instances are written together. It returns false if that failed; failures
+// announceDue writes the due entries to the store or forwards them to another instance, so that
+// those of many instances are written together. It returns false if that failed; failures
 // is the number of consecutive failures before.
 func (c *Catalog) announceDue(ctx context.Context, failures int) bool {
 	target, known := c.announceTarget()
--- a/catalog/checksums.go
+++ b/catalog/checksums.go
@@ -54,7 +54,7 @@
 }
 
 // differ returns the parts whose checksums differ from those of another instance, or all parts
-// if that instance sent none.
+// if that instance did not send one for each part.
 func (s *checksums) differ(other []uint64) parts {
 	if len(other) != partCount {
 		return allParts
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -12,8 +12,8 @@
 // differ, unchanged and with their offsets. A record with a higher offset replaces one with a
 // lower offset, whichever instance sent it.
 //
-// An instance whose data is stale holds a follower briefly and then rejects it. An instance
-// that finds no upstream reads the store itself, after a delay that grows with its position in
+// An instance whose data is stale rejects followers that already have a configuration, and may
+// hold their requests briefly before. An instance that finds no upstream reads the store itself, after a delay that grows with its position in
 // the order. A reader that the store rejects follows other instances. A starting instance asks
 // one of a few seeds, which its settings name, for instances to follow; the first seed reads
 // the list of instances for all of them. If no seed answers, the instance reads the store
--- a/catalog/full_read.go
+++ b/catalog/full_read.go
@@ -10,7 +10,7 @@
 )
 
 // fullRead is the state of reading a whole feed page by page. After a failed page it resumes
-// from the last page, so that a slow store is read to the end eventually. The zero value, with
+// after the last page that was read, so that a slow store is read to the end eventually. The zero value, with
 // the feed set, is a read that has not started.
 type fullRead struct {
 	feed Feed
--- a/catalog/joining.go
+++ b/catalog/joining.go
@@ -22,7 +22,7 @@
 	// instance. joinTimeout is the timeout of that request, including the connection setup.
 	joinHold    = 700 * time.Millisecond
 	joinTimeout = 1200 * time.Millisecond
-	// joinPause is the pause after a seed has failed to answer.
+	// joinPause is the pause after a seed has failed to answer or has not joined yet.
 	joinPause = 50 * time.Millisecond
 	// seedStartWait is how long a seed waits for an earlier seed that does not answer and may
 	// still be starting. seedAnswerWait is how long it waits for one that answers but has not
@@ -170,7 +170,7 @@
 
 // askSeed asks a seed for instances to follow and accepts its answer if this instance has not
 // joined yet. With wait set, a seed that has not joined yet holds the request briefly. The seed
-// also takes care of this instance's entry.
+// also writes this instance's entry to the store or forwards it.
 func (c *Catalog) askSeed(ctx context.Context, address string, wait bool) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
--- a/catalog/large_fleet_test.go
+++ b/catalog/large_fleet_test.go
@@ -18,7 +18,7 @@
 
 // TestStartTogether checks that instances that start together with their entries in the store
 // don't all read all feeds: few instances beside the readers make more than two calls. It runs
-// in virtual time to be independent of the machine's load.
+// in virtual time to be independent of the load of the test host.
 func TestStartTogether(t *testing.T) {
 	for _, row := range []struct {
 		name string
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -22,8 +22,8 @@
 	// Endpoints are all known endpoints by name, including leaving ones.
 	Endpoints map[string]Endpoint
 	// Departed maps leaving and removed endpoints to the time at which this instance noticed
-	// it. Entries are kept for departedFor, because another instance may learn of the departure
-	// later.
+	// it. Entries are kept for at least departedFor, because another instance may learn of the
+	// departure later.
 	Departed map[string]time.Time
 	// Drained maps the drained failure domains to the time at which this instance noticed it.
 	// Their endpoints must receive no new requests.
@@ -34,7 +34,8 @@
 	Peers map[string]Peer
 }
 
-// departedFor is how long departed endpoints are kept in Departed. It exceeds the usual
+// departedFor is the minimum time for which departed endpoints are kept in Departed; the first
+// snapshot after it omits them. It exceeds the usual
 // duration of an outage of the store.
 const departedFor = 2 * time.Minute
 
--- a/catalog/stats.go
+++ b/catalog/stats.go
@@ -26,8 +26,8 @@
 	// instance that read the data from the store.
 	Hops int    `json:"hops"`
 	Root string `json:"root"`
-	// AnsweredMS is the time since the store last answered Root, in ms; one hour if it never
-	// did.
+	// AnsweredMS is the time since the store last answered Root, in ms. It is one hour if the
+	// store never did, or if this instance can't read some feed and has no upstream.
 	AnsweredMS int64 `json:"answered_ms"`
 	// Drained are the drained failure domains in alphabetical order.
 	Drained []string `json:"emptied"`
--- a/catalog/suspension_test.go
+++ b/catalog/suspension_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestAgeOverSuspension checks that the age of the configuration includes the time for which
-// the machine was suspended, and that only reads after it reduce the age.
+// the instance was suspended, and that only reads after it reduce the age.
 func TestAgeOverSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	run(t, func(is *is.I, _ *fakeStore, c *catalog.Catalog) {
@@ -28,7 +28,7 @@
 	})
 }
 
-// TestAnswerFromBeforeSuspension checks that the age counts from the request if the machine was
+// TestAnswerFromBeforeSuspension checks that the age counts from the request if the instance was
 // suspended during a read, because the answer may date from before.
 func TestAnswerFromBeforeSuspension(t *testing.T) {
 	m := steadytest.New(t)
@@ -45,7 +45,7 @@
 }
 
 // TestHeldRemovalsOverSuspension checks that the time for which removals are held back after an
-// outage includes a suspension of the machine.
+// outage includes a suspension of the instance.
 func TestHeldRemovalsOverSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
--- a/catalog/topology_test.go
+++ b/catalog/topology_test.go
@@ -131,7 +131,7 @@
 	is.True(!a.precedes("unknown"))
 }
 
-// BenchmarkTopology measures the recomputation of the topology after a change of the instances.
+// BenchmarkTopology measures the computation of the topology and of the primary followers.
 func BenchmarkTopology(b *testing.B) {
 	for _, n := range []int{295, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
