--- a/quarantine/admission.go
+++ b/quarantine/admission.go
@@ -13,8 +13,9 @@
 	Release func()
 }
 
-// retestDelay is the least time between two requests of an identity after its ban: enough for a
-// short answer, and for all instances to learn how it ended.
+// retestDelay is the least time from the end of a request of an identity until the same instance
+// admits the next one after a ban. It is also the delay between the first such requests of
+// successive instances, unless there are so many that maxTurnsDuration shortens it.
 const retestDelay = 2 * time.Second
 
 // Admit admits a request, or returns the time after which the caller may retry. After a ban each
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -19,7 +19,7 @@
 	// SettleDelay is the time from a crash until the registry decides whether it counts. Until then
 	// a suspected request that crashed its endpoint isn't sent again.
 	SettleDelay = 2 * commonCauseWindow
-	// endRetention is how long the end of an endpoint is kept.
+	// endRetention is the time after which the next recorded end removes the end of an endpoint.
 	endRetention = 2 * time.Second
 	// maxIdentitiesPerEnd bounds the requests that are recorded for one end. It exceeds the number
 	// of slots of an engine.
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -24,8 +24,8 @@
 	// minBanRetention is the least time for which an expired ban is kept, so that a request that
 	// returns within it is banned again after one crash.
 	minBanRetention = time.Hour
-	// suspectRetention is how long a suspect is kept after its last crash: much longer than callers
-	// take to retry.
+	// suspectRetention is the time after the last crash of a suspect from which its next crash starts
+	// a new count: much longer than callers take to retry.
 	suspectRetention = 10 * time.Minute
 )
 
@@ -81,7 +81,7 @@
 	// pendingErasures are the identities whose bans must be erased from the store, with the time
 	// when each was cleared or evicted.
 	pendingErasures map[Identity]time.Time
-	// listeners are called with each new verdict.
+	// listeners are the functions added by OnVerdict.
 	listeners map[*func(Verdict)]struct{}
 	// changed receives a value when the store may need to be written to.
 	changed chan struct{}
@@ -124,8 +124,9 @@
 	}
 }
 
-// OnVerdict calls the listener with each verdict that is new to this instance, until stop is
-// called. The listener must not call the registry, whose lock is held meanwhile.
+// OnVerdict calls the listener, until stop is called, with the verdicts that this instance decides,
+// and with bans and clearances that it receives from other instances if they are new to it. It does
+// not report bans that SyncStored adds, nor suspicions received from others. The listener must not call the registry, whose lock is held meanwhile.
 func (r *Registry) OnVerdict(listener func(Verdict)) (stop func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -279,7 +280,8 @@
 // remaining time from when it received the verdict.
 const sameBanTolerance = 10 * time.Second
 
-// applyBan applies a ban that is new or ends later than the known one, and reports whether it did.
+// applyBan applies a ban that is new, or that ends more than sameBanTolerance later than the known
+// one, and reports whether it did.
 // The caller must hold the lock.
 func (r *Registry) applyBan(v Verdict, now time.Time) bool {
 	length := min(v.Remaining, maxBanDuration)
@@ -327,7 +329,7 @@
 }
 
 // Verdicts returns what another instance that starts needs to know: the bans in force, and the
-// identities that the next crash would ban.
+// suspects that are one crash short of a first ban.
 func (r *Registry) Verdicts() []Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -25,8 +25,8 @@
 	synctest.Test(t, f)
 }
 
-// crashedAttempt is an attempt that crashed its endpoint. Times are in ms from the start of the
-// test.
+// crashedAttempt is an attempt that crashed its endpoint. Times are in ms from the call of
+// reportCrashes.
 type crashedAttempt struct {
 	attempt  string
 	endpoint string
@@ -36,7 +36,8 @@
 	identity Identity
 }
 
-// reportCrashes reports the crashes in the order and at the times of their ends.
+// reportCrashes reports the crashes in the order and at the times of their ends, and waits until
+// they are settled.
 func reportCrashes(b *Registry, crashes ...crashedAttempt) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
