--- a/placement/observe.go
+++ b/placement/observe.go
@@ -40,7 +40,8 @@
 	return 0
 }
 
-// FinishShare records that a helper has completed its share of a prompt.
+// FinishShare records that a helper has completed its share of a prompt. A share that holds no
+// memory is removed.
 func (e *Engine) FinishShare(id string, now time.Time) {
 	e.Advance(now)
 	e.Jobs = slices.DeleteFunc(e.Jobs, func(j *Job) bool {
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -28,7 +28,7 @@
 	LateWorth float64
 	// TransitTime is how long the request takes to reach an engine.
 	TransitTime time.Duration
-	// Exclude lists the instances that must not be used.
+	// Exclude lists the endpoints that must not be used, by Engine.Instance.
 	Exclude []string
 	// LongPrefills describes the competition by long prompts.
 	LongPrefills LongPrefills
