--- a/relay/crash.go
+++ b/relay/crash.go
@@ -31,7 +31,7 @@
 }
 
 // checkBan returns the final answer to a request whose identity was banned after its admission,
-// or nil. It stops attempts that wait for a placement and retries after a failed attempt.
+// or nil. The relay calls it before and after it waits for a placement.
 func (l *Relay) checkBan(j *job) *refusal {
 	if l.parts.Quarantine == nil {
 		return nil
--- a/relay/excluded.go
+++ b/relay/excluded.go
@@ -17,7 +17,7 @@
 
 // Error returns a message with the endpoint's id and the reason.
 func (e *excludedError) Error() string {
-	return fmt.Sprintf("endpoint %s gets nothing new: %s", e.endpoint, e.reason)
+	return fmt.Sprintf("endpoint %s is excluded: %s", e.endpoint, e.reason)
 }
 
 // findExcluded returns an error if an endpoint of the grant must not get new requests, else
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -86,14 +86,14 @@
 	// stream.
 	last  string
 	count int
-	// at is when the relay sent the last event; zero before the first.
+	// at is when the relay last sent an event with an id; zero before the first.
 	at time.Time
 }
 
 // idField starts the line with an event's id (HTML Standard, section 9.2).
 var idField = []byte("id:")
 
-// observe records the events in data.
+// observe records the events in data that have an id.
 func (e *streamProgress) observe(data []byte) {
 	for _, line := range bytes.Split(data, []byte("\n")) {
 		value, ok := bytes.CutPrefix(line, idField)
