--- a/notice/notice.go
+++ b/notice/notice.go
@@ -6,7 +6,7 @@
 
 // Notice is what the instances know of one incarnation of an endpoint from its answers.
 type Notice struct {
-	// Instance is the name of the endpoint's instance.
+	// Instance is the name of the endpoint.
 	Instance string
 	// StartedAt is when the incarnation started; zero if the endpoint doesn't report it.
 	StartedAt time.Time
@@ -36,8 +36,7 @@
 
 // Answer identifies an answer of an endpoint.
 type Answer struct {
-	// Instance is the name of the endpoint's instance, and StartedAt is when its incarnation
-	// started; zero if the endpoint doesn't report it.
+	// Instance is the name of the endpoint, and StartedAt is when its incarnation started; zero if the endpoint doesn't report it.
 	Instance  string
 	StartedAt time.Time
 	// Request is the id of the request.
--- a/notice/registry.go
+++ b/notice/registry.go
@@ -17,7 +17,7 @@
 
 // The limits of back-offs.
 const (
-	// maxBackoff bounds a back-off. After it requests are sent to the endpoint again.
+	// maxBackoff bounds the length of a back-off, to which the jitter is added.
 	maxBackoff = time.Minute
 	// backoffJitter is the largest random extension of a back-off, relative to its length, so that
 	// instances that were asked at the same moment don't all return together.
@@ -184,7 +184,8 @@
 // listed, as the list may lag.
 const unlistedRetention = 2 * time.Minute
 
-// RemoveUnlisted removes the endpoints that are no longer listed.
+// RemoveUnlisted removes the endpoints that are not listed and whose notice has not changed for
+// unlistedRetention.
 func (r *Registry) RemoveUnlisted(listed func(instance string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/notice/view.go
+++ b/notice/view.go
@@ -17,7 +17,7 @@
 	startedAt time.Time
 }
 
-// Age returns how long before now the limit became known to this instance; zero for the zero value.
+// Age returns the time from Since to now; zero for the zero value.
 func (l Limit) Age(now time.Time) time.Duration {
 	if l.Since.IsZero() {
 		return 0
