--- a/limit/borrower.go
+++ b/limit/borrower.go
@@ -25,7 +25,7 @@
 const (
 	// borrowTimeout bounds a call to a quota owner.
 	borrowTimeout = 250 * time.Millisecond
-	// batchTime is how much time's worth of recent starts is borrowed at once.
+	// batchTime is the time for which starts are borrowed at once, at the recent rate of starts.
 	batchTime = 200 * time.Millisecond
 	// startsValid is how long borrowed starts may be used.
 	startsValid = time.Second
@@ -38,7 +38,7 @@
 	// Concurrency is true if the request exceeded the concurrency limit, and false if it exceeded
 	// the rate limit.
 	Concurrency bool
-	// RetryAfter is when to retry.
+	// RetryAfter is the time after which a retry may succeed.
 	RetryAfter time.Duration
 }
 
@@ -145,7 +145,7 @@
 }
 
 // borrow asks the quota owner for what the next requests need, and falls back to the local share if
-// it can't be reached.
+// the call fails.
 func (b *Borrower) borrow(ctx context.Context, customer string, h *holdings, now time.Time) *Refusal {
 	want := h.batchSize(now)
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
@@ -188,7 +188,7 @@
 }
 
 // spendLocal admits one request under the local share, an equal part of the quota for each
-// instance, while the quota owner can't be reached.
+// instance, after a failed call to the quota owner.
 func (b *Borrower) spendLocal(h *holdings, now time.Time) *Refusal {
 	instances := max(b.owners.InstanceCount(), 1)
 	share := max(h.quota.Concurrency/instances, 1)
--- a/limit/lender.go
+++ b/limit/lender.go
@@ -38,14 +38,15 @@
 	Running int
 	// RunningValidFor is how long Running is valid.
 	RunningValidFor time.Duration
-	// RetryAfter is when to ask again if the loan is smaller than requested.
+	// RetryAfter is the time after which to ask again if the loan is smaller than requested; zero
+	// otherwise.
 	RetryAfter time.Duration
 }
 
 // DefaultValid is how long lent concurrency is valid by default.
 const DefaultValid = 15 * time.Second
 
-// concurrencyRetry is when to ask again if the concurrency limit is reached.
+// concurrencyRetry is the time after which to ask again if the concurrency limit is reached.
 const concurrencyRetry = time.Second
 
 // Lender lends the quotas of the customers whose quota owner is this instance. The zero value is
