--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -256,7 +256,8 @@
 	return orphans
 }
 
-// confirm records that a holder has an attempt, and creates a lease for it if there is none.
+// confirm records that a holder has an attempt. It creates a lease for an attempt that runs without
+// one.
 func (o *Owner) confirm(e *endpoint, holder, id string, running map[string]engine.Held, now time.Time) {
 	if l, ok := e.leases[id]; ok {
 		l.confirmed = now
