--- a/member/doc.go
+++ b/member/doc.go
@@ -6,8 +6,8 @@
 // at regular intervals. Two failed probes in a row create a report, and probes and their answers
 // carry the reports. An instance is considered down if at least Quorum instances report it, so that
 // a single partitioned instance can't mark others as down for everyone. An instance also considers
-// a peer as down for itself after more failures in a row. A report ends when its reporter reaches
-// the peer again, or by age.
+// a peer as down for itself after more failures in a row. A reporter removes its report when it
+// reaches the peer again; the copies of the report at other instances end by age.
 //
 // The owner of an endpoint is the instance of the endpoint's region that wins rendezvous hashing
 // (Thaler and Ravishankar, 1998) among the listed instances that are not leaving, down or stopping.
