--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -168,7 +168,7 @@
 		return Claim{}, errors.Wrap(ErrLog, err.Error())
 	}
 	if reply.Winner == nil || len(reply.Winner.Key) != len(claim.Key) {
-		return Claim{}, errors.Wrap(ErrLog, "answer names no claim")
+		return Claim{}, errors.Wrap(ErrLog, "reply contains no claim")
 	}
 	return decode(reply.Winner), nil
 }
