--- a/policy/choose.go
+++ b/policy/choose.go
@@ -73,10 +73,10 @@
 type Decision struct {
 	// Index is the index of the chosen candidate; -1 when none is usable.
 	Index int
-	// Estimate is the estimated time to first token on the chosen candidate.
+	// Estimate is the estimated time to first token on the chosen candidate; zero with Naive.
 	Estimate time.Duration
 	// Alternative is the estimate of the next best candidate; the maximum duration when there
-	// is none.
+	// is none, and zero with Naive.
 	Alternative time.Duration
 	// Reason explains the choice.
 	Reason Reason
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -11,7 +11,8 @@
 	// prefillWindow bounds the outstanding prefill of at least the same priority on an engine,
 	// so that requests wait in the owner's queue, where it can still reorder them.
 	prefillWindow = 150 * time.Millisecond
-	// longShare is the fraction of an engine's memory that long prompts may hold.
+	// longShare is the fraction of an engine's memory that several long prompts may hold
+	// together. A single one may hold more.
 	longShare = 0.8
 	// maxLong is the number of long prompts that one engine may prefill at once.
 	maxLong = 1
@@ -282,7 +283,7 @@
 }
 
 // MemoryWait estimates the time until the given number of bytes is free; zero when that much is
-// free now.
+// free now, and one second when the turnover is unknown.
 func (l *Ledger) MemoryWait(bytes int64) time.Duration {
 	missing := bytes - l.Free()
 	if l.Memory == 0 || missing <= 0 {
