--- a/entry/crash.go
+++ b/entry/crash.go
@@ -34,7 +34,7 @@
 }
 
 // checkBan returns the final answer to a request whose identity was banned after its admission,
-// or nil. It stops attempts that wait for a lease and retries after a failed attempt.
+// or nil. It is called after each lease is acquired and before the request is dispatched.
 func (e *Entry) checkBan(j *job) *problem.Error {
 	if e.parts.Quarantine == nil {
 		return nil
