--- a/catalog/announcing.go
+++ b/catalog/announcing.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// checkOwnEntry adds this instance to the pending entries if a check is due, the list of instances
-// is known and the store lacks this instance's entry.
+// checkOwnEntry adds this instance to the pending entries if a check is due, the list of
+// instances is known and the store lacks this instance's entry.
 func (c *Catalog) checkOwnEntry() {
 	due := c.ownEntryDue.Load()
 	if due == nil || steady.Now().Before(*due) || !c.knowsPeers() || c.entryStored(c.settings.Self) {
@@ -87,8 +87,8 @@
 }
 
 // announceDue writes the due entries to the store or forwards them to another instance, so that
-// those of many instances are written together. It returns false if that failed; failures
-// is the number of consecutive failures before.
+// those of many instances are written together. It returns false if that failed; failures is
+// the number of consecutive failures before.
 func (c *Catalog) announceDue(ctx context.Context, failures int) bool {
 	target, known := c.announceTarget()
 	if !known {
--- a/catalog/apply.go
+++ b/catalog/apply.go
@@ -20,9 +20,9 @@
 	fromPeer
 )
 
-// maxRecordLogs is the number of records in a batch up to which each added or changed endpoint and
-// instance has its own log line. Larger batches, as at the start of an instance, have one line for
-// all of these. Removals and configurations are always logged individually.
+// maxRecordLogs is the number of records in a batch up to which each added or changed endpoint
+// and instance has its own log line. Larger batches, as at the start of an instance, have one
+// line for all of these. Removals and configurations are always logged individually.
 const maxRecordLogs = 16
 
 // batch contains records of one feed. For the parts in whole, it contains all records before
@@ -49,8 +49,8 @@
 	})
 }
 
-// applyBatch applies a batch of records and publishes a snapshot if anything changed. After the last
-// part of a batch that changed the Peers feed, it updates the topology.
+// applyBatch applies a batch of records and publishes a snapshot if anything changed. After the
+// last part of a batch that changed the Peers feed, it updates the topology.
 func (c *Catalog) applyBatch(b batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,8 +83,8 @@
 	}
 }
 
-// applyRecord applies a record if it is newer than the known one of its key. It returns whether a
-// new snapshot must be published.
+// applyRecord applies a record if it is newer than the known one of its key. It returns whether
+// a new snapshot must be published.
 func (c *Catalog) applyRecord(f Feed, r Record, from recordSource) bool {
 	if old, known := c.records[f][r.Key]; known && r.Offset <= old.Offset {
 		return false
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -123,8 +123,8 @@
 	peers     cowMap[Peer]
 	// topologyStale is set if peers has changed since the topology was computed.
 	topologyStale bool
-	// suppressRecordLogs is set while a large batch is applied, whose added and changed endpoints
-	// and instances are not logged individually.
+	// suppressRecordLogs is set while a large batch is applied, whose added and changed
+	// endpoints and instances are not logged individually.
 	suppressRecordLogs bool
 	// reportedTotal is the number of instances as reported by the instance that provided the
 	// first list of instances.
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -12,13 +12,14 @@
 // differ, unchanged and with their offsets. A record with a higher offset replaces one with a
 // lower offset, whichever instance sent it.
 //
-// An instance whose data is stale rejects followers that already have a configuration, and may
-// hold their requests briefly before. An instance that finds no upstream reads the store itself, after a delay that grows with its position in
-// the order. A reader that the store rejects follows other instances. A starting instance asks
-// one of a few seeds, which its settings name, for instances to follow; the first seed reads
-// the list of instances for all of them. If no seed answers, the instance reads the store
-// itself, unless a relay introduces itself first. Entries of starting instances are forwarded
-// upstream, and the instance that reads the store writes many of them in one call.
+// An instance whose data is stale accepts only followers that have no configuration yet. It may
+// hold the requests of others briefly before it rejects them. An instance that finds no
+// upstream reads the store itself, after a delay that grows with its position in the order. A
+// reader that the store rejects follows other instances. A starting instance asks one of a few
+// seeds, which its settings name, for instances to follow; the first seed reads the list of
+// instances for all of them. If no seed answers, the instance reads the store itself, unless a
+// relay introduces itself first. Entries of starting instances are forwarded upstream, and the
+// instance that reads the store writes many of them in one call.
 //
 // A configuration with a higher version replaces a lower one, never the other way round. The
 // age of the configuration counts from when the read that confirmed it was sent, by the
--- a/catalog/encoding.go
+++ b/catalog/encoding.go
@@ -42,8 +42,8 @@
 var errUnknownBase = errors.New("value compressed with an unknown record")
 
 // base returns the value that serves as the dictionary of a compressed record: that of an
-// earlier compressed record in the same message, or of a stored one. It returns nil for a record
-// that was compressed without a dictionary.
+// earlier compressed record in the same message, or of a stored one. It returns nil for a
+// record that was compressed without a dictionary.
 func (c *Catalog) base(f Feed, m *catalogpb.Record, seen map[string]Record) ([]byte, error) {
 	if m.GetBase() < 0 {
 		return nil, nil
--- a/catalog/following.go
+++ b/catalog/following.go
@@ -70,8 +70,9 @@
 	}
 }
 
-// retryPause returns the pause after an attempt to follow an instance that lasted for took. After a
-// patient request that the upstream held, the pause is only roleCheckInterval.
+// retryPause returns the pause after an attempt to follow an instance. took is the duration of
+// the attempt. After a patient request that the upstream held, the pause is only
+// roleCheckInterval.
 func retryPause(patient bool, took time.Duration) time.Duration {
 	switch {
 	case !patient:
@@ -82,8 +83,8 @@
 	return maxRetryPause
 }
 
-// handleFollowEnd logs why and after which time following p ended. If p rejected the request, it
-// records that p answered. If p stopped answering, it closes the connection.
+// handleFollowEnd logs why p is no longer followed and how long it was followed. If p rejected
+// the request, it records that p answered. If p stopped answering, it closes the connection.
 func (c *Catalog) handleFollowEnd(p Peer, err error, after time.Duration) {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.ResourceExhausted:
--- a/catalog/full_read.go
+++ b/catalog/full_read.go
@@ -10,8 +10,8 @@
 )
 
 // fullRead is the state of reading a whole feed page by page. After a failed page it resumes
-// after the last page that was read, so that a slow store is read to the end eventually. The zero value, with
-// the feed set, is a read that has not started.
+// after the last page that was read, so that a slow store is read to the end eventually. The
+// zero value, with the feed set, is a read that has not started.
 type fullRead struct {
 	feed Feed
 	// due is set if following the feed is impossible, because the store no longer keeps the
--- a/catalog/full_read_test.go
+++ b/catalog/full_read_test.go
@@ -44,8 +44,8 @@
 	return Page{}, nil
 }
 
-// TestFullReadResumes checks that a full read repeats only the page that failed, and that it returns
-// the offset of its first page.
+// TestFullReadResumes checks that a full read repeats only the page that failed, and that it
+// returns the offset of its first page.
 func TestFullReadResumes(t *testing.T) {
 	is := is.New(t)
 	s := &pagedStore{
--- a/catalog/pending_entries.go
+++ b/catalog/pending_entries.go
@@ -11,8 +11,8 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// At the first start of all instances, a seed that has read the list of instances waits until no
-// entry has been added for settleQuiet, but at least minSettle and at most maxSettle.
+// At the first start of all instances, a seed that has read the list of instances waits until
+// no entry has been added for settleQuiet, but at least minSettle and at most maxSettle.
 const (
 	settleQuiet = 250 * time.Millisecond
 	minSettle   = 500 * time.Millisecond
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -35,8 +35,7 @@
 }
 
 // departedFor is the minimum time for which departed endpoints are kept in Departed; the first
-// snapshot after it omits them. It exceeds the usual
-// duration of an outage of the store.
+// snapshot after it omits them. It exceeds the usual duration of an outage of the store.
 const departedFor = 2 * time.Minute
 
 // DepartedEndpoints returns the names of the leaving and recently removed endpoints, which must
--- a/catalog/start_test.go
+++ b/catalog/start_test.go
@@ -213,7 +213,8 @@
 	for _, row := range []struct {
 		name   string
 		within time.Duration
-		// alone is set if there are no seeds or none answers, so that each instance reads the store.
+		// alone is set if there are no seeds or none answers, so that each instance reads the
+		// store.
 		alone bool
 		fault func(c *testFleet)
 	}{
@@ -274,8 +275,8 @@
 	})
 }
 
-// TestStartBeforeStore checks that an unreachable store receives no more calls at a start than its
-// seeds alone may make, and that all instances are ready soon after it is back.
+// TestStartBeforeStore checks that an unreachable store receives no more calls at a start than
+// its seeds alone may make, and that all instances are ready soon after it is back.
 func TestStartBeforeStore(t *testing.T) {
 	atTwoSizes(t, func(t *testing.T, n int) {
 		withFleet(t, func(c *testFleet) {
--- a/catalog/suspension_test.go
+++ b/catalog/suspension_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// TestAnswerFromBeforeSuspension checks that the age counts from the request if the instance was
-// suspended during a read, because the answer may date from before.
+// TestAnswerFromBeforeSuspension checks that the age counts from the request if the instance
+// was suspended during a read, because the answer may date from before.
 func TestAnswerFromBeforeSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -192,12 +192,13 @@
 
 // The pattern of attempts after the quick ones.
 const (
-	// patientEvery is the period, in attempts, at which one goes to a preferred upstream and
-	// waits there, because these learn first when the store is back. The attempts in between go
-	// mostly to the early readers, which have data if the store rejects the readers.
+	// patientEvery is the number of attempts of which one goes to a preferred upstream and
+	// waits there, because preferred upstreams learn first that the store is back. The other
+	// attempts go mostly to the early readers, which have data if the store rejects the
+	// readers.
 	patientEvery = 3
-	// restEvery is the period, in the attempts in between, at which one goes to any other
-	// instance, since it may be the only one with fresh data.
+	// restEvery is the number of those other attempts of which one goes to an instance beyond
+	// the early readers, since it may be the only one with fresh data.
 	restEvery = 8
 )
 
--- a/catalog/types.go
+++ b/catalog/types.go
@@ -12,7 +12,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// Endpoint is one incarnation of an endpoint: the time from a start of the endpoint to its end.
+// Endpoint is the entry of one incarnation of an endpoint. An incarnation lasts from a start of
+// the endpoint to its end.
 type Endpoint struct {
 	// Instance is the endpoint's name, which a later incarnation may reuse.
 	Instance string
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -82,7 +82,8 @@
 }
 
 // Apply applies the records of a batch in the order of their offsets, and skips those that were
-// applied before. Records that the log no longer keeps belong to expired keys.
+// applied before. It continues at the earliest record that the log still keeps, because dropped
+// records belong to expired keys.
 func (r *Registry) Apply(batch logsvc.Batch) {
 	r.next = max(r.next, batch.Earliest)
 	for _, record := range batch.Records {
--- a/entry/answers.go
+++ b/entry/answers.go
@@ -130,8 +130,9 @@
 	return nil
 }
 
-// Write implements Writer. If the answer exceeds maxAnswerBytes, it ends with errNoAnswer for those
-// that copy it, but Write returns no error, so that the request's own caller still gets all of it.
+// Write implements Writer. If the answer exceeds maxAnswerBytes, repeated requests receive
+// errNoAnswer after the part that was kept. Write returns no error then, so that the request's
+// own caller still gets all of it.
 func (k *keptAnswer) Write(data []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -58,7 +58,8 @@
 // defaultRetryAfter is sent to the caller if no refusal names a time.
 const defaultRetryAfter = time.Second
 
-// lease chooses an endpoint for a request that is not split into shares, and acquires a lease on it.
+// lease chooses an endpoint for a request that is not split into shares, and acquires a lease
+// on it.
 func (e *Entry) lease(ctx context.Context, s *leaseSearch, w policy.Work) (*heldLease, *problem.Error) {
 	for {
 		if err := e.checkExpired(ctx, s.job); err != nil {
@@ -172,8 +173,9 @@
 }
 
 // patience returns the wait at the chosen endpoint above which its owner should refuse the
-// lease: slightly more than the estimate of the next best endpoint, or than twice the chosen one's
-// estimate if that is longer. Without another endpoint it returns zero, which means no limit.
+// lease: slightly more than the estimate of the next best endpoint, or than twice the chosen
+// one's estimate if that is longer. Without another endpoint it returns zero, which means no
+// limit.
 func patience(d policy.Decision) time.Duration {
 	if d.Alternative > time.Hour {
 		return 0
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -15,7 +15,8 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// maxSummaryAge is the age above which a summary is ignored and its endpoint counts as unknown.
+// maxSummaryAge is the age above which a summary is ignored and its endpoint counts as
+// unknown.
 const maxSummaryAge = 3 * time.Second
 
 // fleet holds the candidates for requests, with the latest summaries of their owners.
--- a/limit/borrower.go
+++ b/limit/borrower.go
@@ -25,7 +25,7 @@
 const (
 	// borrowTimeout bounds a call to a quota owner.
 	borrowTimeout = 250 * time.Millisecond
-	// batchTime is the time for which starts are borrowed at once, at the recent rate of starts.
+	// batchTime is the time for which the starts of one loan should last at the recent rate.
 	batchTime = 200 * time.Millisecond
 	// startsValid is how long borrowed starts may be used.
 	startsValid = time.Second
--- a/limit/doc.go
+++ b/limit/doc.go
@@ -14,7 +14,7 @@
 // the loans of an instance that dies expire.
 //
 // While the quota owner can't be reached, an instance uses a local share: rate/n
-// with a burst of one, and concurrency/n but at least one request, where n is the
-// number of instances. If all n instances do so, they exceed the rate limit by at
-// most n requests.
+// with a burst of one, and concurrency/n but at least one request, where n is
+// the number of instances. If all n instances do so, they exceed the rate limit
+// by at most n requests.
 package limit
--- a/member/probe.go
+++ b/member/probe.go
@@ -32,10 +32,10 @@
 // maxDoubtfulTargets bounds the doubtful peers that are probed in addition to the random ones.
 const maxDoubtfulTargets = 4
 
-// targets picks the peers to probe: a few of the doubtful ones, and random ones of the other listed
-// peers. A peer is doubtful if this instance has not failed to reach it failuresToReport times in a
-// row, but its last probe failed or another instance reported it. Probing doubtful peers resolves
-// the doubt soon in a fleet of any size.
+// targets picks the peers to probe: a few of the doubtful ones, and random ones of the other
+// listed peers. A peer with fewer than failuresToReport failures in a row is doubtful if its
+// last probe failed or another instance reported it. Probing doubtful peers resolves the doubt
+// soon in a fleet of any size.
 func (m *Member) targets() []instances.Instance {
 	v := m.View()
 	m.mu.Lock()
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -36,7 +36,8 @@
 
 // Answer identifies an answer of an endpoint.
 type Answer struct {
-	// Instance is the name of the endpoint, and StartedAt is when its incarnation started; zero if the endpoint doesn't report it.
+	// Instance is the name of the endpoint, and StartedAt is when its incarnation started; zero
+	// if the endpoint doesn't report it.
 	Instance  string
 	StartedAt time.Time
 	// Request is the id of the request.
@@ -55,8 +56,8 @@
 	RateMalformed bool
 	// Leaving reports that the endpoint is leaving.
 	Leaving bool
-	// Backoff is for how long the endpoint asks the instance that it answers to send it no
-	// requests; zero if it doesn't ask.
+	// Backoff is how long the endpoint wants no requests from the instance that it answers; zero
+	// if it asks for no back-off.
 	Backoff time.Duration
 	// Malformed is a statement that can't be parsed, truncated; empty if there is none.
 	Malformed string
--- a/owner/doc.go
+++ b/owner/doc.go
@@ -10,12 +10,12 @@
 // the attempts that don't fit.
 //
 // An owner frees memory that is no longer used. It compares what runs at the
-// endpoint with its leases, and asks the holders about attempts without a lease,
-// about leases that remain unused and about leases that have not been confirmed
-// for ConfirmAfter. It cancels at
-// once an attempt that its holder no longer has, and after OrphanAfter one whose
-// holder doesn't answer. Cancels are repeated until the endpoint no longer lists
-// the attempt, so that the memory of an attempt whose holder died is free within
+// endpoint with its leases, and asks the holders about attempts without a
+// lease, about leases that remain unused and about leases that have not been
+// confirmed for ConfirmAfter. It cancels at once an attempt that its holder no
+// longer has, and after OrphanAfter one whose holder doesn't answer. Cancels
+// are repeated until the endpoint no longer lists the attempt, so that the
+// memory of an attempt whose holder died is free within
 //
 //	ConfirmAfter + OrphanAfter + 2·SweepInterval
 //
--- a/placement/apply.go
+++ b/placement/apply.go
@@ -79,16 +79,16 @@
 	}
 }
 
-// assign advances the engine to now, postpones the expected first events of its waiting prompts by
-// delay, a time of the model, and adds the job.
+// assign advances the engine to now, postpones the expected first events of its waiting prompts
+// by delay, a time of the model, and adds the job.
 func (e *Engine) assign(j Job, delay time.Duration, now time.Time) {
 	e.Advance(now)
 	e.delayPrefills(e.scaled(delay))
 	e.Add(&j, now)
 }
 
-// delayPrefills postpones the expected first event of every request, except helpers' shares, whose
-// prompt the current pass does not complete.
+// delayPrefills postpones the expected first event of every request, except helpers' shares,
+// whose prompt the current pass does not complete.
 func (e *Engine) delayPrefills(delay time.Duration) {
 	for _, j := range e.Jobs {
 		if j.PromptLeft > j.inPass && !j.Helper {
--- a/placement/simulate_test.go
+++ b/placement/simulate_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestSimulationMatchesEngine compares the simulation of an engine with advancing an equal engine in
-// small steps of time.
+// TestSimulationMatchesEngine compares the simulation of an engine with advancing an equal
+// engine in small steps of time.
 func TestSimulationMatchesEngine(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/policy/order.go
+++ b/policy/order.go
@@ -29,8 +29,9 @@
 const (
 	// ageing is the expected work, in seconds, that one second of waiting offsets.
 	ageing = 0.2
-	// shareWeight is the expected work, in seconds, that counts for a customer who holds all
-	// leases. It keeps a customer with many requests from delaying others of its tier.
+	// shareWeight is added to the expected work, in seconds, of a request whose customer holds
+	// all leases, and a part of it in proportion to a smaller share. It keeps a customer with
+	// many requests from delaying others of its tier.
 	shareWeight = 2
 	// reserveAfter is the fraction of MaxWait after which memory that becomes free is reserved
 	// for the waiting request.
--- a/quarantine/admission.go
+++ b/quarantine/admission.go
@@ -6,8 +6,8 @@
 
 // Admission is the permission for one request to run.
 type Admission struct {
-	// SingleEndpoint reports that the request may be sent to one endpoint only: its identity was
-	// banned, and it tests whether it still crashes endpoints.
+	// SingleEndpoint reports that the request may be sent to one endpoint only, because its
+	// identity was banned and may still crash endpoints.
 	SingleEndpoint bool
 	// Release ends the admission. It must be called once.
 	Release func()
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -2,9 +2,9 @@
 
 // Package quarantine stops requests that crash the endpoints that run them.
 //
-// Requests with the same path, query, customer and body share an Identity. Callers use a new request
-// id for each retry, may send it to any instance and retry when an endpoint fails, so the identity is
-// the only link between the crashes that such a request causes.
+// Requests with the same path, query, customer and body share an Identity. Callers use a new
+// request id for each retry, may send it to any instance and retry when an endpoint fails, so the
+// identity is the only link between the crashes that such a request causes.
 //
 // When an attempt breaks off, a Detector checks whether the endpoint still accepts connections, and
 // reports a Crash if it does not. A Registry counts consecutive crashes of one identity: a crash
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -10,8 +10,9 @@
 
 // The limits for matching the ends of endpoints.
 const (
-	// sameEndWindow is the most by which two reports of the same end of an endpoint differ. It
-	// covers detection by silence and is shorter than the restart of an endpoint.
+	// sameEndWindow is the greatest difference between the times that two reports give for the same
+	// end of an endpoint. It covers detection by silence and is shorter than the restart of an
+	// endpoint.
 	sameEndWindow = time.Second
 	// commonCauseWindow is the most time between the ends of two endpoints that are attributed to a
 	// common cause. It covers the delays with which instances notice an end.
@@ -19,7 +20,8 @@
 	// SettleDelay is the time from a crash until the registry decides whether it counts. Until then
 	// a suspected request that crashed its endpoint isn't sent again.
 	SettleDelay = 2 * commonCauseWindow
-	// endRetention is the time after which the next recorded end removes the end of an endpoint.
+	// endRetention is the least time for which the end of an endpoint is kept, unless the endpoint
+	// ends again. Older ones are removed when a new one is recorded.
 	endRetention = 2 * time.Second
 	// maxIdentitiesPerEnd bounds the requests that are recorded for one end. It exceeds the number
 	// of slots of an engine.
--- a/quarantine/explain.go
+++ b/quarantine/explain.go
@@ -8,8 +8,8 @@
 )
 
 // isExplained reports whether another suspect explains the crashes of a suspect: its chain contains
-// the same endpoint ends, and its attempts had run for a shorter time on average. The request
-// that arrived last at these endpoints is the more likely cause. The caller must hold the lock.
+// the same endpoint ends, and its attempts had run for a shorter time on average. The request that
+// arrived last at these endpoints is the more likely cause. The caller must hold the lock.
 func (r *Registry) isExplained(id Identity, s *suspect) bool {
 	for other, o := range r.suspects {
 		if other != id && o.containsEndsOf(s) && o.meanRunTime() < s.meanRunTime() {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -24,8 +24,8 @@
 	// minBanRetention is the least time for which an expired ban is kept, so that a request that
 	// returns within it is banned again after one crash.
 	minBanRetention = time.Hour
-	// suspectRetention is the time after the last crash of a suspect from which its next crash starts
-	// a new count: much longer than callers take to retry.
+	// suspectRetention is the time after the last crash of a suspect from which its next crash
+	// starts a new count: much longer than callers take to retry.
 	suspectRetention = 10 * time.Minute
 )
 
@@ -126,7 +126,8 @@
 
 // OnVerdict calls the listener, until stop is called, with the verdicts that this instance decides,
 // and with bans and clearances that it receives from other instances if they are new to it. It does
-// not report bans that SyncStored adds, nor suspicions received from others. The listener must not call the registry, whose lock is held meanwhile.
+// not report bans that SyncStored adds, nor suspicions received from others. The listener must not
+// call the registry, whose lock is held meanwhile.
 func (r *Registry) OnVerdict(listener func(Verdict)) (stop func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -281,8 +282,7 @@
 const sameBanTolerance = 10 * time.Second
 
 // applyBan applies a ban that is new, or that ends more than sameBanTolerance later than the known
-// one, and reports whether it did.
-// The caller must hold the lock.
+// one, and reports whether it did. The caller must hold the lock.
 func (r *Registry) applyBan(v Verdict, now time.Time) bool {
 	length := min(v.Remaining, maxBanDuration)
 	until := now.Add(length)
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -52,8 +52,8 @@
 }
 
 // follows reports whether an attempt started after another one had ended, with a tolerance of
-// overlapSlack, and ended more than overlapSlack after it. Successive attempts of
-// one request always follow each other, even if they are only milliseconds apart.
+// overlapSlack, and ended more than overlapSlack after it. Successive attempts of one request
+// always follow each other, even if they are only milliseconds apart.
 func follows(before, after Crash) bool {
 	if after.PreviousAttempt != "" && after.PreviousAttempt == before.Attempt {
 		return true
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -193,8 +193,8 @@
 	})
 }
 
-// TestWaitSettled guards against a suspected request that runs again before it is decided whether
-// its crash counts.
+// TestWaitSettled guards against a suspected request that runs again before it is decided
+// whether its crash counts.
 func TestWaitSettled(t *testing.T) {
 	for _, row := range []struct {
 		name      string
--- a/relay/suspicion.go
+++ b/relay/suspicion.go
@@ -88,8 +88,8 @@
 }
 
 // migrate makes the attempt leave its endpoint, which has stopped. A stream with events first
-// searches for another placement, and repeats the search while there is none. An attempt without events ends at
-// once, which frees its engines, and the request is placed again.
+// searches for another placement, and repeats the search while there is none. An attempt
+// without events ends at once, which frees its engines, and the request is placed again.
 func (w *watch) migrate() {
 	w.mu.Lock()
 	ended := w.stopped.Err() != nil || w.next != nil || w.abandoned
