--- a/catalog/large_fleet_test.go
+++ b/catalog/large_fleet_test.go
@@ -81,7 +81,7 @@
 
 // TestStartInOutage checks that an instance that restarts during an outage of the store
 // receives the other instances, the data and its age from others. It runs in virtual time,
-// because the data and its age arrive in two messages and a slow machine might check in
+// because the data and its age arrive in two messages and a slow host might check in
 // between.
 func TestStartInOutage(t *testing.T) {
 	virtualGroup(t, 6, 0, func(t *testing.T, net *memoryNet, fake *fakeStore, all []*instance) {
--- a/catalog/outage_test.go
+++ b/catalog/outage_test.go
@@ -22,8 +22,7 @@
 }
 
 // TestBackoffWithoutContact checks that an instance without contact to others keeps a short
-// back-off, since nobody would report that the store is back. It runs in real time, because
-// timestamps count from the start of the process.
+// back-off, since nobody would report that the store is back.
 func TestBackoffWithoutContact(t *testing.T) {
 	is := is.New(t)
 	c := New(Settings{
