--- a/catalog/large_fleet_test.go
+++ b/catalog/large_fleet_test.go
@@ -18,7 +18,7 @@
 
 // TestStartTogether checks that instances that start together with their entries in the store
 // don't all read all feeds: few instances beside the readers make more than two calls. It runs
-// in virtual time to be independent of the machine's load.
+// in virtual time to be independent of the load of the test host.
 func TestStartTogether(t *testing.T) {
 	for _, row := range []struct {
 		name string
@@ -81,7 +81,7 @@
 
 // TestStartInOutage checks that an instance that restarts during an outage of the store
 // receives the other instances, the data and its age from others. It runs in virtual time,
-// because the data and its age arrive in two messages and a slow machine might check in
+// because the data and its age arrive in two messages and a slow host might check in
 // between.
 func TestStartInOutage(t *testing.T) {
 	virtualGroup(t, 6, 0, func(t *testing.T, net *memoryNet, fake *fakeStore, all []*instance) {
