--- a/batch/doc.go
+++ b/batch/doc.go
@@ -8,11 +8,12 @@
 //	Step + n*PerSequence + c/1000*PerThousandContext
 //
 // for n decoding requests with c tokens of context in total, and generates one token for each
-// of them. Waiting prompts are prefilled within the pass, which takes
+// of them. A pass also prefills waiting prompts, which takes
 //
 //	t/PrefillPerSecond + p/1e6*PerMillionPairs
 //
-// for t tokens with p pairs of a token and an earlier one. Decoding pauses in the meantime.
+// in addition, for t tokens with p pairs of a token and an earlier one. Decoding pauses during
+// the prefill.
 // When k engines prefill a prompt together, each has t/k tokens and p/k pairs, and these shares
 // go before other prompts. A pass prefills at most Chunk tokens per step, so that a long prompt
 // takes several passes.
--- a/order/order.go
+++ b/order/order.go
@@ -83,7 +83,8 @@
 	// LoadTime is how long to wait for an order to take effect before it is repeated; the
 	// default is 30s.
 	LoadTime time.Duration
-	// Retry is the wait after a failure or a refusal; the default is 2s.
+	// Retry is the wait after a failure or a refusal, and how much longer than the weight store
+	// demands an endpoint without waiting requests waits for a permit; the default is 2s.
 	Retry time.Duration
 }
 
@@ -184,8 +185,9 @@
 	return !now.Before(p.next) || !p.want.equal(t.Want)
 }
 
-// giveOrder obtains a permit and a fence and sends the order to the endpoint. It returns how
-// long to wait before the next attempt if the state does not change.
+// giveOrder obtains a fence, and a permit if the weights differ, and sends the order to the
+// endpoint. It also returns how long to wait before the next attempt unless the desired state
+// changes.
 func (r *Reconciler) giveOrder(ctx context.Context, t *Target, have State, client engine.Client) (Outcome, time.Duration) {
 	if !t.Want.sameWeights(have) {
 		_, err := r.store.Permit(ctx, t.Want.Model, t.Want.Version)
