--- a/fleet/virtual_test.go
+++ b/fleet/virtual_test.go
@@ -47,7 +47,8 @@
 const frozenTimeout = 5 * time.Second
 
 // gate returns nil if a call from a to b may pass. It waits while a or b is
-// frozen, and fails if a or b is dead or they are disconnected.
+// frozen, for at most frozenTimeout, and fails if a or b is dead, if they are
+// disconnected, or if ctx ends.
 func (v *virtualFleet) gate(ctx context.Context, a, b string) error {
 	for {
 		v.mu.Lock()
--- a/route/route.go
+++ b/route/route.go
@@ -60,14 +60,15 @@
 	Timeout time.Duration
 	// Target is the time within which an answer, or the first event of a stream, is on time.
 	Target time.Duration
-	// GapTarget is the longest allowed pause between events of a stream; zero means no limit.
+	// GapTarget is the longest pause between events of a stream that is on time; zero means no
+	// target.
 	GapTarget time.Duration
-	// Rank is the priority of the route's requests; rank 0 goes first. A customer's rank
-	// replaces it.
+	// Rank is the priority of the route's requests; rank 0 goes first. The value of a request
+	// depends on this rank and on its customer's. Elsewhere a customer's rank replaces it.
 	Rank int
 	// Shares lists the services of the route; there is at least one.
 	Shares []Share
-	// MaxAttempts is the maximum number of endpoints that one request is sent to.
+	// MaxAttempts is the maximum number of attempts of one request that may reach an endpoint.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
@@ -107,7 +108,8 @@
 type Service struct {
 	// Name identifies the service.
 	Name string
-	// MaxConns is the maximum number of connections to one endpoint, from all callers.
+	// MaxConns is the configured maximum number of connections to one endpoint, from all
+	// callers. It is not enforced.
 	MaxConns int
 	// Engine is the cost model of the service's engines; nil for a plain service.
 	Engine *batch.Model
@@ -136,8 +138,8 @@
 	Rank int
 }
 
-// Limits bounds what callers may send. Zero means that the configuration does not set the
-// limit, in which case a default may apply.
+// Limits holds the configured bounds on what callers may send; zero means that the configuration
+// does not set the bound. Only BodyBytes is enforced, with a default if it is zero.
 type Limits struct {
 	// HeaderBytes is the maximum size of a request's header.
 	HeaderBytes int
