--- a/account/account.go
+++ b/account/account.go
@@ -21,7 +21,7 @@
 // The causes. A request that is not in time has the first of the other causes that one of its
 // lines shows.
 const (
-	// InTime means that the first event and all pauses were in time in the only attempt.
+	// InTime means that the first event and all pauses of each attempt were in time.
 	InTime Cause = iota
 	// Refused means that the request was not placed. If the caller sends it again under another
 	// ID, that is another request.
@@ -71,7 +71,7 @@
 	// Counts are the numbers of requests by cause.
 	Counts [CauseCount]int
 	// Seconds are the numbers of requests that were not in time, by the second of their last
-	// line, counted from the first line of the log.
+	// line, counted from the earliest line that Read evaluates.
 	Seconds map[int]int
 }
 
--- a/account/doc.go
+++ b/account/doc.go
@@ -4,6 +4,7 @@
 // and cause.
 //
 // It reads the lines "attempt", "refuse" and "caller gone" of all instances, in any order. It
-// ignores other lines and the text before a line's JSON object. The kind of a request consists
-// of its route's targets for the first event and for the pauses between events.
+// ignores other lines, attempts on routes without a target, and the text before a line's JSON
+// object. The kind of a request consists of its route's targets for the first event and for the
+// pauses between events.
 package account
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -19,7 +19,9 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// File contains the settings of one process.
+// File contains the settings of one process. On a platform with a store, Strategy, LogDecisions
+// and TLS have no effect. On a platform with a log, ReadyListen, FirstStart, ProcessorShare,
+// LinkMbps, Retries, Cold and Worth have none.
 type File struct {
 	// ID is the instance's ID in the platform's list of instances.
 	ID string `toml:"id"`
@@ -34,7 +36,7 @@
 	// AdminListen is the address for operators; the default is "127.0.0.1:8082".
 	AdminListen string `toml:"admin_listen"`
 	// ReadyListen is the address for the readiness checks of a load balancer; the default is
-	// "127.0.0.1:8083". It is used only on a platform with a store.
+	// "127.0.0.1:8083".
 	ReadyListen string `toml:"ready_listen"`
 	// FirstStart is set if all instances are starting at the same time, so that their entries
 	// appear in the store only gradually.
@@ -64,8 +66,8 @@
 	LogDecisions *bool `toml:"log_decisions"`
 	// Platform contains the addresses of the platform's services.
 	Platform Platform `toml:"platform"`
-	// TLS contains the files for connections between instances; if it is empty, these are not
-	// encrypted.
+	// TLS contains the files for connections between instances on a platform with a log; if it is
+	// empty, these are not encrypted. On a platform with a store they are never encrypted.
 	TLS TLS `toml:"tls"`
 	// Times contains intervals, time limits and a traffic limit.
 	Times Times `toml:"times"`
@@ -116,7 +118,9 @@
 	Authorities string `toml:"authorities"`
 }
 
-// Times contains intervals, time limits and a traffic limit. Zero selects the default.
+// Times contains intervals, time limits and a traffic limit. Zero selects the default. Only
+// StopWithin has an effect on both kinds of platforms; Revoke and RevokeStrict have one only on a
+// platform with a store, and the others only on a platform with a log.
 type Times struct {
 	// Drain is how long a stopping instance still accepts requests, because the load balancer
 	// takes some time to stop sending them; the default is 5s.
@@ -129,11 +133,12 @@
 	// configuration is so old that it can't guarantee Revoke. If true, which is the default, it
 	// refuses them; if false, it serves them by the newest configuration that it has.
 	RevokeStrict *bool `toml:"revoke_strict"`
-	// Watch is the interval at which owners send summaries of their endpoints; the default is
-	// 200ms.
+	// Watch is the shortest interval at which other owners send the instance summaries of their
+	// endpoints; the default is 200ms.
 	Watch config.Duration `toml:"watch"`
 	// WatchBytesPerSecond limits the summaries that the instance receives of other instances'
-	// endpoints. If necessary, it requests them less often than Watch. The default is 4000.
+	// endpoints. If necessary, the instance requests them at a longer interval than Watch. The
+	// default is 4000.
 	WatchBytesPerSecond int `toml:"watch_bytes_per_second"`
 	// Probe is the interval at which peers are probed; the default is 500ms.
 	Probe config.Duration `toml:"probe"`
