--- a/internal/days/main.go
+++ b/internal/days/main.go
@@ -6,10 +6,9 @@
 //
 //	go run ./internal/days --player PROGRAM --site FILE --day NAME --seed 1 --seed 2
 //
-// The flag --small plays scaled-down variants of the days, which take a few seconds each. The
-// last row of the table covers all days together. The player is told not to charge processor
-// time, so a seed whose scores are reproducible before a policy change differs after it only
-// because of the change.
+// The flag --small plays scaled-down variants of the days. The last row of the table covers all
+// days together. The player runs with --no-cpu, so that the processor time of a run, which varies,
+// doesn't change its score.
 package main
 
 import (
--- a/internal/jsonlog/jsonlog.go
+++ b/internal/jsonlog/jsonlog.go
@@ -17,8 +17,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits of a Writer. With lines of about 400 bytes, the queue holds about 1 MB and the output
-// is limited to about 400 KB per second.
+// Limits of a Writer.
 const (
 	// queueLines is the capacity of the queue in lines.
 	queueLines = 2048
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -35,8 +35,8 @@
 
 var namePattern = regexp.MustCompile(`^Benchmark(?:Slope)?(.+)/n=(\d+)(?:-\d+)?$`)
 
-// Read parses the output of go test -bench and fits every value that is reported for at least
-// two sizes. It skips lines that it cannot parse.
+// Read parses the output of go test -bench and fits every value that is reported at least twice;
+// only a fit over two or more sizes is meaningful. It skips lines that it cannot parse.
 func Read(r io.Reader) ([]Line, error) {
 	var order []string
 	found := make(map[string]*Line)
--- a/internal/steady/doc.go
+++ b/internal/steady/doc.go
@@ -9,7 +9,8 @@
 // CLOCK_BOOTTIME includes the suspension. Now adds to time.Now the amount by which
 // CLOCK_BOOTTIME has advanced further than CLOCK_MONOTONIC since the process started.
 //
-// The offset of the clocks is b - m, with b read before m, so that the time between the two
-// readings never counts as suspension. The suspended time grows only if the offset grows by at
-// least minSuspension, and it never shrinks.
+// The offset of the clocks is b - m, with b a reading of CLOCK_BOOTTIME and m a later one of
+// CLOCK_MONOTONIC, so that a delay between the two readings makes the offset smaller and not
+// larger. The suspended time grows only if the offset grows by at least minSuspension, and it
+// never shrinks.
 package steady
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -88,9 +88,9 @@
 // pollInterval is how often WithTimeout checks for an expiry caused by a suspension.
 const pollInterval = 50 * time.Millisecond
 
-// WithTimeout is like context.WithTimeout but measures d with this package's clock: if a
-// suspension outlasts d, the context is canceled within pollInterval of the resumption. It
-// runs a goroutine until the context ends.
+// WithTimeout is like context.WithTimeout but measures d with this package's clock: if d has
+// passed only because of suspensions, the context ends within pollInterval of the resumption,
+// with the error context.Canceled. WithTimeout runs a goroutine until the context ends.
 func WithTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	began := Now()
 	ctx, cancel := context.WithTimeout(ctx, d)
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -24,7 +24,8 @@
 	// probes.
 	probeIdle     = time.Second
 	probeInterval = time.Second
-	// probeCount is the number of unanswered probes after which the connection is closed.
+	// probeCount is the number of unanswered probes after which the connection is closed. With
+	// TCP_USER_TIMEOUT, the kernel closes it after unackedTimeout instead.
 	probeCount = 2
 )
 
@@ -53,8 +54,7 @@
 	}, nil
 }
 
-// listener sets TCP_USER_TIMEOUT on each accepted connection, which the listening socket does
-// not pass on.
+// listener sets TCP_USER_TIMEOUT on each accepted connection.
 type listener struct {
 	net.Listener
 }
@@ -93,7 +93,8 @@
 // setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent data may stay
 // unacknowledged.
 func setUserTimeout(c syscall.RawConn) error {
-	// Without support for the option, only the timeouts of the requests apply.
+	// Without support for the option, only the keep-alive probes and the timeouts of the
+	// requests apply.
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
--- a/internal/tcp/tcptest/proxy.go
+++ b/internal/tcp/tcptest/proxy.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package tcptest provides a TCP proxy that injects network faults: it delays, blocks or
-// resets connections, in one or both directions.
+// Package tcptest provides a TCP proxy that injects network faults: it delays data, blocks one or
+// both directions, resets or refuses connections, or discards their data.
 package tcptest
 
 import (
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -187,14 +187,15 @@
 	x.pool.put(x.conn)
 }
 
-// MarkComplete records that the body was read to its end. Otherwise Close closes the
+// MarkComplete records that the body was read to its end. Without this call, Close closes the
 // connection.
 func (x *Exchange) MarkComplete() {
 	x.complete = true
 }
 
-// Close ends the exchange. It returns the connection to the pool if the request was written
-// and the response read completely, and closes it otherwise.
+// Close ends the exchange. It returns the connection to the pool if the request was written and
+// the response read completely, the endpoint keeps the connection open and the context has not
+// ended. Otherwise it closes the connection.
 func (x *Exchange) Close() {
 	free := x.stop()
 	sent := false
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -56,7 +56,7 @@
 	// callersPerInstance is the number of callers, each with its own connection, per instance.
 	callersPerInstance = 4
 	// maxCallers bounds the callers of all instances together, so that the engines do not run
-	// out of slots with many instances.
+	// out of slots with many instances. Each instance has at least one caller nevertheless.
 	maxCallers = 40
 	// giveUpShare is the share of requests that the caller cancels early.
 	giveUpShare = 0.05
@@ -70,7 +70,7 @@
 	// callerSlack is how much longer than the time limit of the request a caller waits for the
 	// answer or refusal.
 	callerSlack = time.Second
-	// outputTokens is the expected length of the answer that callers announce.
+	// outputTokens is the maximum length of the answer that callers announce, in tokens.
 	outputTokens = 100
 )
 
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -34,8 +34,8 @@
 	maxLateRuns     = 3
 )
 
-// setFaults replaces the faults of an endpoint, which always crashes on requests that are
-// marked for it.
+// setFaults replaces the faults of an endpoint. In addition, the endpoint always crashes on
+// requests whose bodies begin with crashBody.
 func (e *endpoint) setFaults(f platformtest.EndpointFaults) {
 	f.CrashPrefix = crashBody
 	e.SetFaults(f)
@@ -113,9 +113,9 @@
 	return out
 }
 
-// lateRuns returns how many runs of a request began more than detectWithin after its third
-// crash. The count of crashes starts again whenever all instances were lost in an outage of
-// the store, as they lose their records then.
+// lateRuns returns how many runs of a request began more than detectWithin after the start of its
+// third run; each run crashes an endpoint. The count starts again whenever all instances were
+// lost in an outage of the store, because they lose their records of crashes then.
 func (w *World) lateRuns(runs []time.Time) int {
 	slices.SortFunc(runs, time.Time.Compare)
 	n, first := 0, 0
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -82,8 +82,8 @@
 }
 
 // informedSince returns the time from which the instance of a request was able to read the
-// order that was written to the store at the time since. This is since itself, or the end of
-// the last fault that began before until and blocked the store for the instance.
+// order that was written to the store at the time since. This is the latest of since and the ends
+// of the faults that began before until and blocked the store for the instance.
 func (w *World) informedSince(x *Exchange, since, until time.Time) time.Time {
 	for _, p := range w.played {
 		if p.began.Before(until) && w.blocksStore(&p, x) && p.ended().After(since) {
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -22,10 +22,8 @@
 	"github.com/linkmast/linkmast/weights"
 )
 
-// Each contract test covers the stand-in itself and the HTTP adapter connected to the
-// stand-in's handler.
-//
-// engineClients returns the clients that reach an engine directly and over HTTP.
+// engineClients returns the clients that reach an engine directly and over HTTP, so that each
+// contract test covers the stand-in itself and the HTTP client of package engine.
 func engineClients(t *testing.T, e *Engine) map[string]engine.Client {
 	t.Helper()
 	s := httptest.NewServer(e.Handler())
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -21,7 +21,7 @@
 	Model string
 	// Version is the version of the loaded weights.
 	Version string
-	// MemoryBytes is the size of the KV memory; the default is 400 000 tokens.
+	// MemoryBytes is the size of the KV memory; the default is enough for 400 000 tokens.
 	MemoryBytes int64
 	// KVBytesPerToken is the KV memory of one token; the default is 1024.
 	KVBytesPerToken int64
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -11,18 +11,20 @@
 // other than CutAfter and EventGap counts how many more times the fault occurs; a negative
 // count never runs out.
 type Faults struct {
-	// Dead makes the stand-in refuse everything, as if its process had ended.
+	// Dead makes an Engine or a Service refuse everything, as if its process had ended. Other
+	// stand-ins ignore it.
 	Dead bool `json:"dead"`
 	// CrashOn is the prefix of the prompts and bodies that make an endpoint Dead when it
 	// starts to process them; empty means none.
 	CrashOn string `json:"crash_on"`
-	// Frozen makes the stand-in stop responding and making progress.
+	// Frozen makes an Engine stop responding and making progress, and makes new calls and probes
+	// of a Service wait. Other stand-ins ignore it.
 	Frozen bool `json:"frozen"`
 	// Slow is the factor by which the duration of every step of an Engine is multiplied; zero
 	// counts as one.
 	Slow float64 `json:"slow"`
-	// RefuseBefore refuses attempts and calls before they start, with an error that says so,
-	// and reservations.
+	// RefuseBefore refuses attempts and calls before they start, with an error that says so. It
+	// also refuses reservations, as if the memory were taken.
 	RefuseBefore int `json:"refuse_before"`
 	// RefuseAfter refuses attempts and calls after they have started.
 	RefuseAfter int `json:"refuse_after"`
@@ -47,7 +49,7 @@
 	Lag time.Duration `json:"lag"`
 	// ReadOutage makes reads of the log fail.
 	ReadOutage bool `json:"read_outage"`
-	// Outage makes every operation of the platform fail.
+	// Outage makes every operation of a Log, of Instances and of Weights fail.
 	Outage bool `json:"outage"`
 }
 
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// List implements instances.Lister. It returns the list as of Faults.Lag ago, as a change if
-// the version since is still in the history.
+// List implements instances.Lister. It returns the list as of Faults.Lag ago. If the version since
+// is still in the history and not newer than that list, it returns only the changes since then.
 func (l *Instances) List(_ context.Context, since int64) (instances.List, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
