--- a/account/account.go
+++ b/account/account.go
@@ -23,10 +23,11 @@
 const (
 	// InTime means that the first event and all pauses of each attempt were in time.
 	InTime Cause = iota
-	// Refused means that the request was not placed. If the caller sends it again under another
-	// ID, that is another request.
+	// Refused means that a placement of the request was refused. If the caller sends it again
+	// under another ID, that is another request.
 	Refused
-	// CallerGone means that the caller closed the connection or the request ran out of time.
+	// CallerGone means that the caller closed the connection, the request ran out of time, or an
+	// attempt was not sent because its endpoint had been excluded meanwhile.
 	CallerGone
 	// Migrated means that the request was sent to another endpoint because the first one was
 	// silent.
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// RepeatedCalls returns the number of bodies that took effect more than once in
-// calls of plain services. Calls with equal bodies count as the same call.
+// RepeatedCalls returns the number of calls of plain services that took effect
+// more than once. Calls with equal bodies count as the same call.
 func (f *Fleet) RepeatedCalls() int {
 	n := 0
 	for body, calls := range f.callsByBody() {
@@ -46,8 +46,8 @@
 	return n
 }
 
-// callsByBody returns how often each body took effect on all endpoints together,
-// keyed by the SHA-256 of the body.
+// callsByBody returns how many calls with each body took effect on all endpoints
+// together. The keys are the SHA-256 hashes of the bodies in hexadecimal.
 func (f *Fleet) callsByBody() map[string]int {
 	total := make(map[string]int)
 	for _, h := range f.Services {
--- a/internal/zdelta/zdelta.go
+++ b/internal/zdelta/zdelta.go
@@ -53,8 +53,9 @@
 	return out, nil
 }
 
-// Unpack decompresses the result of Pack, given the same base. It fails if data is damaged, if
-// the base is not the one of Pack, or if the text is larger than MaxBytes.
+// Unpack decompresses the result of Pack, given the same base. It fails if data is damaged, is a
+// delta to another base, or holds a text larger than MaxBytes. It ignores the base if data is not a
+// delta.
 func Unpack(data, base []byte) ([]byte, error) {
 	opts := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -95,7 +95,8 @@
 	return e
 }
 
-// Busy returns an error that states when the caller may retry.
+// Busy returns the error, with status 503, for a request that did not run and that the caller may
+// retry after the given time.
 func Busy(code Code, detail string, after time.Duration) *Error {
 	e := New(code, http.StatusServiceUnavailable, detail)
 	e.RetryAfter = after
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -57,8 +57,8 @@
 	// with a log it asks them for the list of instances while the platform doesn't provide it,
 	// and for the configuration while it knows no other instances. On a platform with a store it
 	// asks them for instances to follow, so that few instances read the store. All instances
-	// should use the same addresses, which may include their own and those of stopped instances.
-	// The list may be empty.
+	// should use the same addresses in the same order. The list may include their own addresses
+	// and those of stopped instances, and it may be empty.
 	Peers []string `toml:"peers"`
 	// Strategy is "weighed", which is the default, or "naive".
 	Strategy string `toml:"strategy"`
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -9,8 +9,8 @@
 // block connections in one or both directions, connections that discard all data, revoked
 // keys, endpoints that leave or restart, drained failure domains, requests that crash
 // endpoints, and the loss of all instances during an outage of the store. Faults may overlap
-// and repeat. Callers may cancel requests at any time and reuse a connection as long as the
-// process keeps it open. After the last fault, the system must recover.
+// and repeat. Callers cancel some requests early and reuse a connection as long as the process
+// keeps it open. After the last fault, the system must recover.
 //
 // The package only signals processes that it has started itself.
 package soak
