--- a/account/account.go
+++ b/account/account.go
@@ -21,12 +21,13 @@
 // The causes. A request that is not in time has the first of the other causes that one of its
 // lines shows.
 const (
-	// InTime means that the first event and all pauses were in time in the only attempt.
+	// InTime means that the first event and all pauses of each attempt were in time.
 	InTime Cause = iota
-	// Refused means that the request was not placed. If the caller sends it again under another
-	// ID, that is another request.
+	// Refused means that a placement of the request was refused. If the caller sends it again
+	// under another ID, that is another request.
 	Refused
-	// CallerGone means that the caller closed the connection or the request ran out of time.
+	// CallerGone means that the caller closed the connection, the request ran out of time, or an
+	// attempt was not sent because its endpoint had been excluded meanwhile.
 	CallerGone
 	// Migrated means that the request was sent to another endpoint because the first one was
 	// silent.
@@ -71,7 +72,7 @@
 	// Counts are the numbers of requests by cause.
 	Counts [CauseCount]int
 	// Seconds are the numbers of requests that were not in time, by the second of their last
-	// line, counted from the first line of the log.
+	// line, counted from the earliest line that Read evaluates.
 	Seconds map[int]int
 }
 
