--- a/cmd/linkmast/main.go
+++ b/cmd/linkmast/main.go
@@ -37,7 +37,7 @@
 type options struct {
 	Settings string `short:"s" long:"settings" env:"LINKMAST_NODE_FILE" value-name:"FILE" description:"settings of this instance (TOML)"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
-	Verbose  bool   `short:"v" long:"verbose" description:"also write debug lines, such as one for each lease granted"`
+	Verbose  bool   `short:"v" long:"verbose" description:"also write a line for each lease given"`
 	Version  bool   `long:"version" description:"print the version and exit"`
 }
 
--- a/cmd/linkmastctl/account.go
+++ b/cmd/linkmastctl/account.go
@@ -16,7 +16,7 @@
 
 // accountCommand counts the requests in log lines by kind and cause.
 type accountCommand struct {
-	Seconds bool `long:"seconds" description:"print how many requests were not in time in each second"`
+	Seconds bool `long:"seconds" description:"print how many were not in time, second by second"`
 	Args    struct {
 		Log string `positional-arg-name:"LOGFILE" description:"log lines of all instances"`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/linkmastctl/configuration.go
+++ b/cmd/linkmastctl/configuration.go
@@ -71,7 +71,7 @@
 	platformOptions
 
 	Replaces int64  `long:"replaces" value-name:"GENERATION" description:"publish only if this generation is in force"`
-	Force    bool   `long:"force" description:"publish regardless of the generation in force (instead of --replaces)"`
+	Force    bool   `long:"force" description:"publish whatever is in force (instead of --replaces)"`
 	Whole    bool   `long:"whole" description:"write the whole file to the log, not just the change"`
 	Operator string `long:"operator" description:"who publishes (default: the user's name)"`
 
--- a/cmd/linkmastctl/demo.go
+++ b/cmd/linkmastctl/demo.go
@@ -22,9 +22,9 @@
 // demoCommand runs a whole deployment in this process.
 type demoCommand struct {
 	Profile  string        `long:"profile" default:"pinecrest" description:"pinecrest, tana, or a file (TOML)"`
-	Nodes    int           `long:"nodes" default:"3" description:"number of nodes"`
-	Engines  int           `long:"engines" default:"6" description:"number of engines"`
-	Duration time.Duration `long:"duration" default:"5s" description:"how long requests are sent"`
+	Nodes    int           `long:"nodes" default:"3" description:"nodes"`
+	Engines  int           `long:"engines" default:"6" description:"engines"`
+	Duration time.Duration `long:"duration" default:"5s" description:"how long requests come"`
 	Load     float64       `long:"load" default:"0.6" description:"part of the engines' prefill capacity"`
 	Seed     uint64        `long:"seed" default:"1" description:"decides arrivals, kinds and lengths"`
 	Exit     bool          `long:"exit" description:"exit after the table instead of staying up"`
--- a/cmd/linkmastctl/experiment.go
+++ b/cmd/linkmastctl/experiment.go
@@ -16,9 +16,9 @@
 type experimentCommand struct {
 	Jobs   int    `long:"jobs" default:"4" description:"days played at once"`
 	JSON   bool   `long:"json" description:"print JSON"`
-	Causes bool   `long:"causes" description:"print the lost worth by kind and cause"`
-	Times  string `long:"times" description:"write a plot of the kept worth over the day to this SVG file"`
-	Loads  string `long:"loads" description:"write a plot of the score over load to this SVG file"`
+	Causes bool   `long:"causes" description:"print what is lost by which cause"`
+	Times  string `long:"times" description:"write a picture of the worth over the day to this SVG file"`
+	Loads  string `long:"loads" description:"write a picture of the figure over load to this SVG file"`
 	Args   struct {
 		Plan string `positional-arg-name:"PLAN" description:"a plan in TOML"`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/linkmastctl/load.go
+++ b/cmd/linkmastctl/load.go
@@ -23,18 +23,18 @@
 	Node     []string      `long:"node" value-name:"HOST:PORT" description:"address of a node; repeat for each (default: an embedded fleet)"`
 	Rate     float64       `long:"rate" description:"requests a second"`
 	Load     float64       `long:"load" default:"0.8" description:"part of the prefill capacity, instead of --rate (embedded fleet)"`
-	Duration time.Duration `long:"duration" default:"30s" description:"how long requests are sent"`
-	Warmup   time.Duration `long:"warmup" default:"3s" description:"initial time whose latencies are not recorded"`
+	Duration time.Duration `long:"duration" default:"30s" description:"how long requests come"`
+	Warmup   time.Duration `long:"warmup" default:"3s" description:"how much of the beginning is not measured"`
 	Seed     uint64        `long:"seed" default:"1" description:"decides arrivals, kinds and lengths"`
-	Baseline bool          `long:"baseline" description:"run the profile without its long prompts first"`
+	Baseline bool          `long:"baseline" description:"first run the profile without its long prompts"`
 	JSON     bool          `long:"json" description:"print JSON"`
 
 	Nodes    int           `long:"nodes" default:"8" description:"nodes of the embedded fleet"`
 	Engines  int           `long:"engines" default:"20" description:"engines of the embedded fleet"`
 	Services int           `long:"services" default:"3" description:"plain endpoints of the embedded fleet"`
 	Strategy string        `long:"strategy" default:"weighed" choice:"weighed" choice:"naive" description:"strategy of the embedded fleet"`
-	Watch    time.Duration `long:"watch" default:"200ms" description:"interval at which owners report on their endpoints (embedded fleet)"`
-	Fault    string        `long:"fault" choice:"none" choice:"engine-killed" choice:"engine-frozen" choice:"node-killed" default:"none" description:"fault injected after a third of the run (embedded fleet)"`
+	Watch    time.Duration `long:"watch" default:"200ms" description:"how often owners tell of their endpoints (embedded fleet)"`
+	Fault    string        `long:"fault" choice:"none" choice:"engine-killed" choice:"engine-frozen" choice:"node-killed" default:"none" description:"what goes wrong a third into the run (embedded fleet)"`
 }
 
 // Result is the JSON output of the load command.
--- a/cmd/linkmastctl/main.go
+++ b/cmd/linkmastctl/main.go
@@ -31,14 +31,14 @@
 	Diff       diffCommand       `command:"diff" description:"compare a file with the configuration in force"`
 	Show       showCommand       `command:"show" description:"print the configuration in force"`
 	Status     statusCommand     `command:"status" description:"show nodes, endpoints, queues and generations"`
-	Explain    explainCommand    `command:"explain" description:"explain how a request was routed"`
-	Release    releaseCommand    `command:"release" description:"end the bans of requests that crashed endpoints"`
+	Explain    explainCommand    `command:"explain" description:"tell why a request went where it went"`
+	Release    releaseCommand    `command:"release" description:"let requests run again that were banned as they crashed endpoints"`
 	Demo       demoCommand       `command:"demo" description:"run a whole deployment in this process"`
-	Standin    standinCommand    `command:"standin" description:"run a stand-in for an external system"`
+	Standin    standinCommand    `command:"standin" description:"run a stand-in for an outside system"`
 	Load       loadCommand       `command:"load" description:"send requests and measure the answers"`
-	Soak       soakCommand       `command:"soak" description:"run the real programs under random faults and check the guarantees"`
-	Account    accountCommand    `command:"account" description:"count the requests in log lines by kind and cause"`
-	Experiment experimentCommand `command:"experiment" description:"compare scheduling policies on emulated days"`
+	Soak       soakCommand       `command:"soak" description:"run the real programs under drawn faults and check the promises"`
+	Account    accountCommand    `command:"account" description:"tell from log lines what became of requests, by kind and cause"`
+	Experiment experimentCommand `command:"experiment" description:"compare ways to decide on emulated days"`
 	Fit        fitCommand        `command:"fit" description:"fit lines to the output of go test -bench, from standard input"`
 }
 
--- a/cmd/linkmastctl/release.go
+++ b/cmd/linkmastctl/release.go
@@ -19,7 +19,7 @@
 	Store   string        `long:"store" value-name:"HOST:PORT" required:"yes" description:"address of the platform's store"`
 	Timeout time.Duration `long:"timeout" default:"3s" description:"how long to wait for the store"`
 	Args    struct {
-		Identities []string `positional-arg-name:"IDENTITY" required:"1" description:"identity of the request, as in the log lines about it"`
+		Identities []string `positional-arg-name:"IDENTITY" required:"1" description:"as the lines about the request have it"`
 	} `positional-args:"yes"`
 }
 
--- a/cmd/linkmastctl/soak.go
+++ b/cmd/linkmastctl/soak.go
@@ -19,12 +19,12 @@
 
 // soakCommand runs the real programs under random faults.
 type soakCommand struct {
-	Seed       uint64  `long:"seed" description:"seed of the first run (default: random)"`
-	Runs       int     `long:"runs" default:"1" description:"number of runs, with consecutive seeds"`
-	Minutes    float64 `long:"minutes" default:"0.5" description:"how long faults are injected in a run"`
-	Processes  int     `long:"processes" default:"4" description:"number of instances"`
-	Statements bool    `long:"statements" description:"endpoints also state limits, departures and back-offs in their answers"`
-	Program    string  `long:"program" description:"path of the linkmast program (default: build it)"`
+	Seed       uint64  `long:"seed" description:"seed of the first run; without it a fresh one"`
+	Runs       int     `long:"runs" default:"1" description:"how many seeds, counted up"`
+	Minutes    float64 `long:"minutes" default:"0.5" description:"how long faults come in a run"`
+	Processes  int     `long:"processes" default:"4" description:"how many instances run"`
+	Statements bool    `long:"statements" description:"endpoints name limits, say that they leave and ask for rest in their answers, too"`
+	Program    string  `long:"program" description:"program of an instance; without it linkmast is built"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/linkmastctl/standin.go
+++ b/cmd/linkmastctl/standin.go
@@ -23,11 +23,11 @@
 
 // serveOptions are the address of a stand-in and its initial faults.
 type serveOptions struct {
-	Listen string        `long:"listen" default:"127.0.0.1:0" description:"address to listen on"`
-	Slow   float64       `long:"slow" description:"factor for the time of every step"`
+	Listen string        `long:"listen" default:"127.0.0.1:0" description:"where to listen"`
+	Slow   float64       `long:"slow" description:"multiply every step"`
 	Frozen bool          `long:"frozen" description:"start frozen"`
-	Lag    time.Duration `long:"lag" description:"age of the lists of instances"`
-	Outage bool          `long:"outage" description:"start with all calls of the platform failing"`
+	Lag    time.Duration `long:"lag" description:"how old lists are"`
+	Outage bool          `long:"outage" description:"start with an outage"`
 }
 
 // faults returns the faults of the command line. They and all others can be set while the
@@ -59,8 +59,8 @@
 	serveOptions
 
 	Instance     string        `long:"instance" default:"engine-1" description:"name of the endpoint instance"`
-	Model        string        `long:"model" default:"m1" description:"loaded model"`
-	Loaded       string        `long:"loaded" default:"1" description:"loaded version of the model"`
+	Model        string        `long:"model" default:"m1" description:"model that is loaded"`
+	Loaded       string        `long:"loaded" default:"1" description:"version that is loaded"`
 	Memory       int64         `long:"memory" description:"KV memory in bytes (default 400000 tokens)"`
 	KV           int64         `long:"kv" description:"KV bytes per token (default 1024)"`
 	Prefill      float64       `long:"prefill" description:"prefill tokens a second (default 40000)"`
