--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -59,16 +59,16 @@
 		name:     name,
 		service:  o.service,
 		sameName: o.sameName,
-		downtime: cmp.Or(o.away, downtime),
+		downtime: cmp.Or(o.downtime, downtime),
 	}
 	x.endpoint = &platformtest.Endpoint{
 		Engine: o.model,
 		Events: max(o.events, 10),
 		Work:   5 * time.Millisecond,
-		Crash: func(readers []string) {
+		Crash: func(helpers []string) {
 			x.crash()
-			if o.crashReaders {
-				w.crashAt(readers)
+			if o.crashHelpers {
+				w.crashAt(helpers)
 			}
 		},
 	}
@@ -175,10 +175,10 @@
 	// sameName makes endpoints keep their names when they restart.
 	sameName bool
 	// downtime is how long an endpoint is down after a crash. Zero means the constant downtime.
-	away time.Duration
-	// crashReaders makes endpoints that share in the prefill of a request crash with the endpoint
+	downtime time.Duration
+	// crashHelpers makes endpoints that share in the prefill of a request crash with the endpoint
 	// that runs it.
-	crashReaders bool
+	crashHelpers bool
 }
 
 // engineOptions returns the options of engines that crash when they start to run crashBody.
@@ -197,7 +197,7 @@
 		cluster:              newCluster(t, 3),
 		maxCrashesPerAttempt: 1,
 	}
-	if o.crashReaders {
+	if o.crashHelpers {
 		w.maxCrashesPerAttempt = 3
 	}
 	for i := range 6 {
@@ -308,9 +308,9 @@
 // share of the prefill must not count as a sign of another cause.
 func TestCrashingRequestWithReaders(t *testing.T) {
 	o := engineOptions()
-	o.crashReaders, o.events = true, 100
+	o.crashHelpers, o.events = true, 100
 	// Crashes at one address within a second count as one.
-	o.away = 1200 * time.Millisecond
+	o.downtime = 1200 * time.Millisecond
 	w := newCrashCluster(t, o)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
