--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -18,7 +18,7 @@
 	return mux
 }
 
-// handleMetrics writes the statistics of all components as one JSON object.
+// handleMetrics writes the instance's statistics as one JSON object.
 func (g *Gateway) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	all := new(expvar.Map).Init()
 	all.Set("relay", g.relay.Metrics.Vars)
@@ -35,7 +35,7 @@
 type storeStats struct {
 	// Version is the version of the configuration in force.
 	Version int64 `json:"version"`
-	// AgeMS is the maximum age of the configuration in ms.
+	// AgeMS is an upper bound of the age of the configuration, in ms.
 	AgeMS     int64 `json:"age_ms"`
 	Endpoints int   `json:"endpoints"`
 	// Departed is the number of endpoints that are leaving or were removed recently.
@@ -45,7 +45,8 @@
 	Following catalog.Stats `json:"following"`
 }
 
-// storeStats returns the current statistics. Fields whose data is not known yet are zero.
+// storeStats returns the current statistics. AgeMS is zero before the store has confirmed a
+// configuration, and the version and the numbers are zero before the first snapshot.
 func (g *Gateway) storeStats() storeStats {
 	f := storeStats{
 		Following: g.catalog.Stats(),
@@ -69,7 +70,7 @@
 	InFlight int64 `json:"in_flight"`
 	// Connections is the number of open connections from callers.
 	Connections int `json:"connections"`
-	// Dials is the number of connections opened to endpoints since the start.
+	// Dials is the number of attempts to open a connection to an endpoint since the start.
 	Dials int64 `json:"dials"`
 	// LinesDropped is the number of log lines dropped since the start.
 	LinesDropped int64 `json:"lines_dropped"`
--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -49,12 +49,12 @@
 	g.assembleRelay(client)
 }
 
-// maxIdleReportConns bounds the idle connections over which the scheduler queries engines for their
-// slowdown. Slow engines are queried repeatedly.
+// maxIdleReportConns is the maximum number of idle connections that are kept for querying engines
+// for their slowdown. Slow engines are queried repeatedly.
 const maxIdleReportConns = 128
 
-// assemblePools creates the scheduler of the pools that this instance owns, and the client that
-// sends placement requests to other owners.
+// assemblePools creates the scheduler of pools, and the client that sends placement requests to the
+// owners of pools.
 func (g *Gateway) assemblePools() {
 	f := g.settings
 	log := g.log.WithName("pool")
@@ -95,8 +95,8 @@
 	catalogpb.RegisterCatalogServer(g.rpc, catalog.NewServer(g.catalog, g.stopping))
 }
 
-// assembleRelay creates the relay that serves callers. It sends orders for engine memory over
-// client.
+// assembleRelay creates the relay that serves callers. The relay uses client to reserve and release
+// memory of engines.
 func (g *Gateway) assembleRelay(client *http.Client) {
 	f := g.settings
 	g.relay = relay.New(relay.Settings{
@@ -124,8 +124,8 @@
 // capacityPerMbps is the capacity that one Mbit/s of the link provides. 200 Mbit/s match one core.
 const capacityPerMbps = 5
 
-// capacity returns the instance's capacity, which its processor share or its link limits. It is at
-// least 1.
+// capacity returns the instance's capacity: the smaller of the capacities that its processor share
+// and its link provide, but at least 1. A LinkMbps of zero means that the link is no limit.
 func capacity(f *settings.File) int {
 	c := f.ProcessorShare * capacityPerCore
 	if f.LinkMbps > 0 {
@@ -138,11 +138,11 @@
 // instance. Most messages are far smaller.
 const rpcBufferBytes = 16 << 10
 
-// pollsPerRevoke is the number of polls for configurations within the time limit for refusing
-// revoked keys.
+// pollsPerRevoke is the time limit for refusing revoked keys, as a multiple of the wait time of a
+// poll for configurations.
 const pollsPerRevoke = 10
 
-// maxAgeShare is the maximum age of a usable configuration, as a share of the time limit for
-// refusing revoked keys. The remainder covers the time from the check of a key until the request
+// maxAgeShare is the age from which the relay no longer relies on a configuration, as a share of the
+// time limit for refusing revoked keys. The remainder covers the time from the check of a key until the request
 // reaches the endpoint.
 const maxAgeShare = 0.8
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -27,8 +27,8 @@
 const (
 	// downtime is how long an endpoint is down after a crash.
 	downtime = 300 * time.Millisecond
-	// maxCrashes is the maximum number of endpoints that one request may crash: three before it is
-	// quarantined, and three more.
+	// maxCrashes is the maximum number of attempts that the crashing request may get: the three
+	// that lead to its ban, and three more.
 	maxCrashes = 6
 )
 
@@ -303,9 +303,9 @@
 	}
 }
 
-// TestCrashingRequestWithReaders guards against wrong conclusions about a request that crashes all
-// engines of its joint prefill while they serve others. The crash of an engine that only has a
-// share of the prefill must not count as a sign of another cause.
+// TestCrashingRequestWithReaders checks that a request is banned if it crashes all engines of its
+// joint prefill while they serve other requests. The crash of an engine that only has a share of the
+// prefill must not count as a sign of another cause.
 func TestCrashingRequestWithReaders(t *testing.T) {
 	o := engineOptions()
 	o.crashHelpers, o.events = true, 100
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -44,11 +44,13 @@
 	// self describes this instance to other instances.
 	self    catalog.Peer
 	catalog *catalog.Catalog
-	// pools schedules the pools that this instance owns. placer sends each placement request to
-	// the pool's owner, which may be this instance.
+	// pools places requests in the pools that this instance owns and in those without an owner.
+	// placer sends each placement request to the pool's owner, or to pools if this instance is the
+	// owner, or if the pool has no owner or none can be reached.
 	pools  *pool.Scheduler
 	placer *pool.Client
-	// quarantine tracks requests that crash endpoints. recorder writes its bans to the store.
+	// quarantine tracks requests that crash endpoints. recorder writes its bans to the store and
+	// erases them there.
 	quarantine *quarantine.Registry
 	recorder   *quarantine.Recorder
 	// notices holds the statements that endpoints make about themselves in their answers.
@@ -108,7 +110,8 @@
 	return g, nil
 }
 
-// followCatalog forwards each new snapshot of the catalog to the other components until ctx ends.
+// followCatalog forwards the current snapshot of the catalog to the other components after each
+// change, until ctx ends. It may skip snapshots that are replaced quickly.
 func (g *Gateway) followCatalog(ctx context.Context) {
 	known := false
 	var banned map[quarantine.Identity]quarantine.Verdict
@@ -142,11 +145,11 @@
 	}
 }
 
-// idleCheckInterval is how often connections to endpoints are checked for their idle time.
+// idleCheckInterval is how often idle connections to endpoints are checked.
 const idleCheckInterval = time.Second
 
-// closeIdleUpstream periodically closes connections to endpoints that have been idle for too long,
-// until ctx ends.
+// closeIdleUpstream closes the connections to endpoints whose idle timeout has passed, until ctx
+// ends.
 func (g *Gateway) closeIdleUpstream(ctx context.Context) {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -269,8 +269,8 @@
 	w.t.Fatalf("condition not met within 5 s: %s", what)
 }
 
-// request is a request from a caller. send fills in defaults for zero fields. wait is the caller's
-// time limit in ms.
+// request is a request from a caller. wait is the caller's time limit in ms. For zero fields, send
+// uses method POST, key k1 and a wait of 4000, and it raises output to at least 100.
 type request struct {
 	id     string
 	method string
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// recoverWithin is the time after the end of a limit in which instances must learn of it. The
-// answers to the requests that the limit still allows tell them.
+// recoverWithin is the maximum time from the end of a limit until all instances must know of it.
+// They learn of it from the answers to the requests that the limit still allows.
 const recoverWithin = 2 * time.Second
 
 // TestRateLimitEnds guards against requests that are still refused after the limit of all endpoints
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -14,14 +14,15 @@
 	// balancerDelay is how long the load balancer may still send new connections. It checks
 	// readiness every second and removes an instance after two failed checks.
 	balancerDelay = 2200 * time.Millisecond
-	// stopMargin is how long before the platform kills the process the instance ends by itself.
+	// stopMargin is how much earlier the instance's time limit for a stop ends than the platform's,
+	// after which the platform kills the process.
 	stopMargin = 700 * time.Millisecond
 )
 
 // Stop ends the instance gracefully and returns when it has ended. The instance reports that it is
 // not ready, but serves new requests for balancerDelay and asks callers to close their connections.
-// Then it closes the address for callers and ends with the last request, or cuts off the remaining
-// requests when ctx or the time limit for a stop ends.
+// Then it closes the address for callers and ends after the last request. When ctx ends, or
+// stopMargin before the platform's time limit, it cuts off the remaining requests.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.stopOnce.Do(func() {
 		g.log.Info("stopping", "in_flight", g.relay.InFlight(), "connections", g.callerConns.count())
@@ -61,7 +62,8 @@
 	}
 }
 
-// shutdown closes all servers and connections, and waits for all goroutines.
+// shutdown closes all servers and the connections to other instances, and waits for the instance's
+// goroutines.
 func (g *Gateway) shutdown() {
 	defer close(g.Done)
 	g.cancel()
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -14,7 +14,8 @@
 )
 
 // TestKeyRevokedDuringSuspension guards against an instance that accepts a key that was revoked
-// while the operating system was suspended. The store is silent until after the first requests.
+// while the operating system was suspended. The store doesn't answer until the first requests
+// after the suspension have been refused.
 func TestKeyRevokedDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	m := steadytest.New(t)
