--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -12,7 +12,8 @@
 //   - A publication that carries a delta against the file of G is accepted by the same rule. It
 //     can't be decoded unless G is in force.
 //   - A repeat of the generation in force carries its file beyond the log's retention time. It
-//     changes the configuration only of a reader that has an older one or none.
+//     changes the configuration only of a reader that has missed records or doesn't know the format
+//     of one.
 //
 // A newer generation replaces an older one and never the reverse, even if an instance that was
 // paused repeats an old generation.
--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -26,13 +26,13 @@
 const (
 	// Accepted is a publication that came into force.
 	Accepted Outcome = "accepted"
-	// Repeated is a repeat of the generation in force, or, if records were missed, of a newer
-	// generation than the known one.
+	// Repeated is a repeat of the generation in force, or, while the evaluator is not certain, of a
+	// newer generation than the known one.
 	Repeated Outcome = "repeated"
 	// Stale is a repeat of a generation older than the one in force.
 	Stale Outcome = "stale"
-	// Overtaken is a publication whose Replaces is not the generation in force, or a repeat that
-	// carries a delta.
+	// Overtaken is a publication that replaces another generation than the one in force, or a
+	// repeat that carries a delta.
 	Overtaken Outcome = "overtaken"
 	// Invalid is a malformed record, a record without a valid file, or a repeat of a generation
 	// that was not accepted.
@@ -80,7 +80,8 @@
 	// uncertain is true if InForce may be outdated, because a record was missed or has an unknown
 	// format.
 	uncertain bool
-	// pending are the publications that were read while uncertain was true.
+	// pending are the publications read while uncertain was true that replace a particular
+	// generation and carry a whole file.
 	pending []pending
 }
 
@@ -96,9 +97,8 @@
 	return !e.uncertain
 }
 
-// Adopt applies the state of a peer that has read the stream up to offset next. A configuration
-// that is not newer than InForce is ignored, and so is an offset that is not above Next. sure is
-// the peer's Certain.
+// Adopt applies the state of a peer, whose Next is next and whose Certain is sure. It takes over s
+// only if s is newer than InForce, and next and sure only if next is above Next.
 func (e *Evaluator) Adopt(s State, next int64, sure bool) {
 	if s.Generation > e.InForce.Generation {
 		e.InForce = s
@@ -174,8 +174,9 @@
 	return v
 }
 
-// evaluateRepeat evaluates a repeat. If the state is uncertain, it takes the repeated generation as
-// the one in force and evaluates the pending publications, which makes the state certain.
+// evaluateRepeat evaluates a repeat. If the evaluator is uncertain and the repeated generation is
+// not older than InForce, that generation becomes InForce. Then the pending publications are
+// evaluated, and the evaluator is certain.
 func (e *Evaluator) evaluateRepeat(v Verdict, rec *rolloutpb.Record, s State) Verdict {
 	switch {
 	case rec.Repeats >= v.Offset:
--- a/rollout/publish.go
+++ b/rollout/publish.go
@@ -37,8 +37,11 @@
 const rereadDelay = 200 * time.Millisecond
 
 // Publish checks a file, appends it to the log and returns its verdict, which it reads from the
-// log, also if the answer to the append was lost. If the reads fail until ctx ends, it returns an
-// error saying that the outcome is unknown. Find can then look up the verdict later.
+// log, also if the answer to the append was lost. It returns an error saying that the file is not
+// published if the append failed, or if its answer was lost and the log doesn't hold the record. It
+// returns an error saying that the outcome is unknown if the reads fail until ctx ends, or if the
+// log no longer holds the record after a successful append. After failed reads, Find can look up
+// the verdict later.
 func Publish(ctx context.Context, log logsvc.Log, p Publication) (Verdict, error) {
 	if _, err := config.Parse(p.Text); err != nil {
 		return Verdict{}, err
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -24,7 +24,7 @@
 type Settings struct {
 	// PullInterval is the mean time between two pulls from peers. The default is 1s.
 	PullInterval time.Duration
-	// StaleAfter is how long after its last successful read or pull an instance that isn't a
+	// StaleAfter is the time without a successful read or pull after which an instance that isn't a
 	// reader reads the log itself. The default is 5s.
 	StaleAfter time.Duration
 	// ReadWait is how long a read of the log waits for a new record. The default is 1s.
@@ -247,8 +247,8 @@
 	r.changed = make(chan struct{})
 }
 
-// repeat writes the file in force to the log again if its last record there is older than
-// RepeatAfter and this instance is the repeater.
+// repeat writes the newest accepted file to the log again if its last known record there is at least
+// RepeatAfter old, the evaluator is certain, and this instance is the repeater.
 func (r *Rollout) repeat(ctx context.Context) {
 	r.mu.Lock()
 	s := r.evaluator.InForce
@@ -325,7 +325,8 @@
 	r.logger.Info("configuration from peer rejected", "peer", address, "generation", reply.Generation, "cause", err.Error())
 }
 
-// adopt brings the configuration of a pull's reply into force if it is newer.
+// adopt applies the reply to a pull: it adopts the peer's position in the log if that is further on,
+// and brings the peer's configuration into force if that is newer.
 func (r *Rollout) adopt(s State, reply *rolloutpb.PullReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -37,7 +37,7 @@
 	reader bool
 }
 
-var errUnreachable = errors.New("cut off")
+var errUnreachable = errors.New("peer or log is unreachable")
 
 func (i *instance) Append(ctx context.Context, s string, r [][]byte) (int64, error) {
 	if i.noLog.Load() {
