--- a/node/admin.go
+++ b/node/admin.go
@@ -49,7 +49,7 @@
 }
 
 // adminHandler returns the handler of the admin address. It serves liveness, readiness, the status,
-// the trace of a request, the configuration in force, and counters.
+// the trace of a request, the newest accepted configuration, and counters.
 func (n *Node) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -292,8 +292,8 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkSlopeIdle reports the CPU time that an idle node uses among n nodes, as a percentage of
-// one core.
+// BenchmarkSlopeIdle reports the CPU time of a process with n idle nodes, divided by n, as a
+// percentage of one core. It includes the simulated engines and platform.
 func BenchmarkSlopeIdle(b *testing.B) {
 	for _, n := range []int{2, 4, 8, 16} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
--- a/node/follow.go
+++ b/node/follow.go
@@ -36,7 +36,8 @@
 }
 
 // applyChanges sets the endpoints that the instance owns, updates the entry, and closes connections
-// to instances that are no longer listed. It does nothing while there is no configuration.
+// to addresses that belong neither to a listed instance nor to a seed. It does nothing while there is
+// no configuration.
 func (n *Node) applyChanges() {
 	v, m := n.rollout.View(), n.member.View()
 	if v == nil {
--- a/node/node.go
+++ b/node/node.go
@@ -61,7 +61,8 @@
 	peers    *peers
 	member   *member.Member
 	rollout  *rollout.Rollout
-	// generation is nil until the rollout exists, as Generation may be called earlier.
+	// generation holds the rollout for Generation, which may be called before the rollout exists;
+	// nil until then.
 	generation atomic.Pointer[rollout.Rollout]
 	owner      *owner.Owner
 	entry      *entry.Entry
@@ -323,7 +324,7 @@
 	return 0
 }
 
-// quota returns a customer's quota by the configuration in force, or false if the customer is
+// quota returns a customer's quota from the configuration in force, or false if the customer is
 // unknown or there is no configuration.
 func (n *Node) quota(customer string) (limit.Quota, bool) {
 	v := n.rollout.View()
--- a/node/peers.go
+++ b/node/peers.go
@@ -112,8 +112,9 @@
 	return rolloutpb.NewRolloutClient(c).Pull(ctx, in)
 }
 
-// Reader implements rollout.Peers. The first readersPerDomain instances of each failure domain by
-// rendezvous hashing are readers.
+// Reader implements rollout.Peers. The first readersPerDomain available instances of each failure
+// domain by rendezvous hashing are readers. An instance that isn't available itself is one too if its
+// failure domain has fewer available instances.
 func (p *peers) Reader() bool {
 	v := p.view()
 	before := 0
--- a/node/stop.go
+++ b/node/stop.go
@@ -9,8 +9,9 @@
 
 // Stop ends the node gracefully and returns when it has stopped. The node reports that it is not
 // ready, and other instances take over its endpoints, but it serves new requests for the drain
-// time. Then it closes the address for callers and lets requests in flight finish. When ctx or the
-// time limit for a stop ends, it cuts off the remaining ones.
+// time. Then it closes the address for callers and waits for the requests in flight, for the tasks
+// that they left in the background, and for claims to be freed. It cuts off what remains when ctx
+// ends, or StopWithin after the drain time.
 func (n *Node) Stop(ctx context.Context) {
 	n.stopOnce.Do(func() {
 		n.log.Info("stopping", "in_flight", n.entry.InFlight())
@@ -38,14 +39,14 @@
 	}
 }
 
-// The maximum time to wait until released claims are freed, and the polling interval.
+// The maximum time to wait until abandoned claims are freed, and the polling interval.
 const (
 	claimFreeTimeout  = 5 * time.Second
 	claimPollInterval = 50 * time.Millisecond
 )
 
-// awaitFreedClaims waits until the claimer has freed all claims that it should, or claimFreeTimeout
-// has passed.
+// awaitFreedClaims waits until the claimer has freed all claims that it should, ctx ends, or
+// claimFreeTimeout has passed.
 func (n *Node) awaitFreedClaims(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, claimFreeTimeout)
 	defer cancel()
@@ -63,7 +64,8 @@
 	<-n.Done
 }
 
-// shutdown closes all servers, components and connections, and waits for their goroutines.
+// shutdown closes the servers, the components and the connections to other instances, and waits for
+// the goroutines that run them. It doesn't wait for the handlers of requests that it cuts off.
 func (n *Node) shutdown() {
 	defer close(n.Done)
 	close(n.closing)
--- a/node/wire_test.go
+++ b/node/wire_test.go
@@ -62,7 +62,7 @@
 	return c, n
 }
 
-// BenchmarkMessage reports the bytes on the wire of each kind of call between nodes, in both
+// BenchmarkMessage reports the bytes on the wire of several kinds of calls between nodes, in both
 // directions and with HTTP/2 framing.
 func BenchmarkMessage(b *testing.B) {
 	f := startFleet(b, fleet.Settings{
