--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// shutdown closes all servers and the connections to other instances, and waits for the instance's
-// goroutines.
+// shutdown closes all servers and the connections to other instances, and waits for the goroutines
+// that run the servers and components. It doesn't wait for the handlers of requests that it cuts off.
 func (g *Gateway) shutdown() {
 	defer close(g.Done)
 	g.cancel()
