--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -142,7 +142,7 @@
 // poll for configurations.
 const pollsPerRevoke = 10
 
-// maxAgeShare is the age from which the relay no longer relies on a configuration, as a share of the
-// time limit for refusing revoked keys. The remainder covers the time from the check of a key until the request
-// reaches the endpoint.
+// maxAgeShare is the MaxAge of the relay's settings as a share of the time limit for refusing
+// revoked keys. The remainder covers the time from the check of a key until the request reaches the
+// endpoint.
 const maxAgeShare = 0.8
--- a/gateway/configchange_test.go
+++ b/gateway/configchange_test.go
@@ -15,8 +15,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// publishLarge publishes a next version of the configuration that has the route /safe/ and a number
-// of copies of it under other prefixes, but no other routes.
+// publishLarge publishes the next version of the configuration, which has only the route /safe/ and
+// a number of copies of it under other prefixes.
 func (w *cluster) publishLarge(more int) {
 	w.version++
 	routes := []route.Route{{
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -148,8 +148,8 @@
 // idleCheckInterval is how often idle connections to endpoints are checked.
 const idleCheckInterval = time.Second
 
-// closeIdleUpstream closes the connections to endpoints whose idle timeout has passed, until ctx
-// ends.
+// closeIdleUpstream periodically closes the idle connections whose idle timeout has passed, until
+// ctx ends. The connections are those to endpoints.
 func (g *Gateway) closeIdleUpstream(ctx context.Context) {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
