--- a/pool/cold.go
+++ b/pool/cold.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// undrained treats the endpoints as just started whose failure domain is no longer drained.
+// undrained treats the endpoints of failure domains that are no longer drained as just started.
 func (c *coldLedger) undrained(list []*placement.Engine, before, after drainedDomains, now time.Time) {
 	for _, e := range list {
 		_, was := before[e.FailureDomain]
@@ -166,7 +166,7 @@
 	delete(c.endpoints, instance)
 }
 
-// recordPlacement records that an instance placed a request on an endpoint.
+// recordPlacement records the placement of a request on the endpoint with the given name.
 func (c *coldLedger) recordPlacement(instance string, now time.Time) {
 	if !c.enabled() {
 		return
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -12,8 +12,8 @@
 
 // Parameters of placement decisions.
 const (
-	// toleratedHarm is the largest loss of other requests, in units of worth, for which a plan is
-	// neither deferred nor weighed against the worth that its own request keeps.
+	// toleratedHarm is the largest loss of other requests, in units of worth, that doesn't count
+	// against a plan: it neither defers the request nor is weighed against the worth that it keeps.
 	toleratedHarm = 0.25
 	// harmFactor is how much worth a request must keep by its plan for each unit of worth that
 	// other requests lose by it.
@@ -90,9 +90,9 @@
 	return !w.request.TargetAt.After(w.arrived)
 }
 
-// coversCost reports whether the worth that a request keeps under its plan covers the price of the
-// engine time that it takes and the loss of other requests. Requests that yield are exempt from the
-// price.
+// coversCost reports whether the worth that a request keeps under its plan is at least the price of
+// the engine time that it takes, and exceeds harmFactor times the loss of other requests if that
+// loss is above toleratedHarm. Requests that yield are exempt from the price.
 func (p *poolState) coversCost(w *Waiter, plan *placement.Plan, now time.Time) bool {
 	keeps := w.request.Worth - plan.OwnLoss
 	if !w.yields() && keeps < p.priceNow(now)*p.engineTime(w).Seconds() {
--- a/pool/drained_test.go
+++ b/pool/drained_test.go
@@ -61,7 +61,8 @@
 }
 
 // assertOnly places some requests and checks that all of them, and the helpers of their
-// prefills, are in the given failure domain. The entry instance knows of the drained domains.
+// prefills, are in the given failure domain. Drained lists the domains that are drained according
+// to the entry instance.
 func assertOnly(ctx context.Context, is *is.I, s *pool.Scheduler, service, domain string, drained ...string) {
 	is.Helper()
 	at := drainedSnapshot().Endpoints
--- a/pool/ejection.go
+++ b/pool/ejection.go
@@ -21,7 +21,7 @@
 	// its address, until the catalog has caught up.
 	misplacedEjection = 5 * time.Second
 	// toleratedFailures is how many failures in a row are attributed to the requests rather
-	// than to the endpoint.
+	// than to the endpoint. An Unreachable outcome exceeds it at once.
 	toleratedFailures = 2
 	// agreementWindow is the time within which failures reported by two instances count as
 	// agreement.
@@ -45,7 +45,8 @@
 	// shared is the record that applies to all requests. Failures count only if two instances
 	// report them.
 	shared ejectionRecord
-	// failureRate is the moving average of the part of requests that failed.
+	// failureRate is the moving average of the part of requests that were not served, without
+	// abandoned ones.
 	failureRate float64
 	// reporter is the instance that reported the last failure, and reportedAt when it did.
 	reporter   string
@@ -92,8 +93,8 @@
 }
 
 // agreed reports whether an outcome counts for all instances. Answers, rejections and misplaced
-// attempts do, as the endpoint itself showed them. Failures do if another instance reported the
-// previous one, less than agreementWindow ago.
+// attempts do, as an answer from the endpoint's address proves them. Failures do if another
+// instance reported the previous one, less than agreementWindow ago.
 func (h *endpointHealth) agreed(o Outcome, reporter string, now time.Time) bool {
 	if o == Served || o == Rejected || o == Misplaced {
 		return true
@@ -103,8 +104,8 @@
 	return other
 }
 
-// markAlive clears the failures after a sign of life. Own is set if it came from a request of this
-// instance.
+// markAlive clears the failures and ends the ejection after a sign of life. Own is set if it came
+// from a request of this instance; only then the instance's own record is cleared too.
 func (h *endpointHealth) markAlive(own bool) {
 	h.shared = ejectionRecord{}
 	h.absentSince = time.Time{}
--- a/pool/incarnation_test.go
+++ b/pool/incarnation_test.go
@@ -186,8 +186,8 @@
 	is.Equal(w.running(g.Instance, "engines"), 0)
 }
 
-// TestAdoptOfEarlierIncarnation checks that an adopted attempt counts if its grant is for the
-// known incarnation, a newer one or an unknown one, but not if it is for an earlier one.
+// TestAdoptOfEarlierIncarnation checks that an adopted attempt counts if its grant is for a newer
+// incarnation or an unknown one, but not if it is for an earlier one.
 func TestAdoptOfEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
 	w := newIncarnationHarness(t, 1)
--- a/pool/overload_test.go
+++ b/pool/overload_test.go
@@ -22,8 +22,7 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// The emulated pool has short prompts, each of which holds a slot for almost two seconds, at
-// nearly the rate that the slots allow.
+// The emulated pool has short prompts, each of which holds a slot for almost two seconds.
 const (
 	emulatedEngines = 6
 	emulatedSlots   = 16
@@ -239,8 +238,8 @@
 	}
 }
 
-// assertNewCallersServed plays an outage of four seconds with the given seed, while new callers
-// arrive at the rate that the slots allow.
+// assertNewCallersServed emulates an outage of four seconds with the given seed, while new callers
+// arrive at a rate that occupies about three quarters of the slots.
 func assertNewCallersServed(t *testing.T, seed uint64) {
 	is := is.New(t)
 	m := newEmulation(seed)
--- a/pool/plain.go
+++ b/pool/plain.go
@@ -42,7 +42,7 @@
 
 // load returns the load that a request finds on a plain endpoint: the number of requests for each
 // slot, plus a penalty for recent failures. For an endpoint in slowdowns, the number of requests,
-// including the new one, is multiplied by its slowdown.
+// including the new one, is multiplied by its slowdown, and the new one is then subtracted.
 func (p *poolState) load(e *placement.Engine, slowdowns map[string]float64) float64 {
 	busy := float64(len(e.Jobs))
 	if slowdown, slow := slowdowns[e.Instance]; slow {
--- a/pool/price.go
+++ b/pool/price.go
@@ -79,9 +79,9 @@
 	return p.price.perSecond(now) * p.utilization(now)
 }
 
-// utilization returns the part of the engines that is in use, from 0 to 1, without those that
-// are excluded. An engine with pending prefill counts in full, any other by its part of slots
-// in use.
+// utilization returns the part of the engines that is in use, without those that are excluded
+// because of their health. An engine with pending prefill counts in full, any other by its part of
+// slots in use.
 func (p *poolState) utilization(now time.Time) float64 {
 	used, all := 0.0, 0
 	for _, e := range p.list {
--- a/pool/rate_limit.go
+++ b/pool/rate_limit.go
@@ -12,10 +12,11 @@
 
 // Parameters for keeping an endpoint's rate limit.
 const (
-	// rateWindow is the time over which the mean rate is kept below the limit.
+	// rateWindow is the time over which the mean rate is kept within the limit.
 	rateWindow = 4 * time.Second
 	// minGapShare is the least time between two requests, as a part of the mean time that the limit
-	// allows. It prevents bursts, but lets requests that arrive unevenly use most of the limit.
+	// allows. It prevents bursts, but lets requests that arrive unevenly use most of the limit. If
+	// the limit allows fewer than two requests in a rateWindow, the whole mean time must pass.
 	minGapShare = 0.8
 	// minRate is the rate, in requests a second, that an endpoint is sent even if its limit is
 	// lower, as only an answer shows that the limit has ended.
@@ -78,8 +79,8 @@
 	fallbackPhase float64
 }
 
-// fallbackTimeout is how long after such a decision the instance still counts as deciding by
-// itself.
+// fallbackTimeout is how long an instance still counts as deciding by itself after the last request
+// for which it reached no owner.
 const fallbackTimeout = 10 * time.Second
 
 // rateLimit returns the rate limit that the current incarnation of an endpoint announces, if any.
--- a/pool/rate_limit_test.go
+++ b/pool/rate_limit_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// request submits a request to one instance and ends its attempt at once. It returns the
-// refusal, if any, and whether there was a decision at once.
+// request submits a request to one instance. It ends the attempt at once, or withdraws the request
+// if it is queued. It returns the refusal, if any, and whether there was a decision at once.
 func (w *rateLimitHarness) request(s *Scheduler, fallback bool) (*Refusal, bool) {
 	w.count++
 	id := fmt.Sprint("r", w.count)
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -16,7 +16,8 @@
 	// reconnect. After that it counts as a new caller.
 	reconnectWindow = time.Second
 	// Interrupted streams count as a burst if there are at least minBurst of them, and
-	// minBurstShare for each engine. Fewer are normal, as single callers leave at any time.
+	// minBurstShare for each engine, and the interrupted attempts have at least minBurst different
+	// workloads. Fewer are normal, as single callers leave at any time.
 	minBurstShare = 0.25
 	minBurst      = 4
 	// burstMinPrefill is the least prefill time of a request that may have to wait for a burst:
@@ -49,7 +50,8 @@
 // cutAttempt is an interrupted attempt.
 type cutAttempt struct {
 	at time.Time
-	// dueAt is when the next event would be late.
+	// dueAt is when the next event of an interrupted stream would be late, or the first event of
+	// any other attempt.
 	dueAt time.Time
 	// resumes is set if the caller has received events of a stream, and gap is the longest pause
 	// between events that it allows.
@@ -202,9 +204,9 @@
 	return first
 }
 
-// burstGoesFirst reports whether a request with a long prefill must wait until the streams of a
-// reconnect burst have been placed or can't be in time any more. It must if it is late anyway, if
-// it would still be in time after that, or if the part of the burst that falls on its engines is
+// burstGoesFirst reports whether a request with a long prefill must wait until the next events of all
+// streams of a reconnect burst are due, even if the streams are placed earlier. It must if it is
+// late anyway, if it would still be in time after that, or if the part of the burst that falls on its engines is
 // worth more. Streams placed on its engines would otherwise wait for the whole prefill.
 func (r *reconnects) burstGoesFirst(w *Waiter, plan *placement.Plan, engines int, now time.Time) bool {
 	if plan.PrefillTime < burstMinPrefill {
--- a/pool/refused_callers.go
+++ b/pool/refused_callers.go
@@ -41,8 +41,8 @@
 // large pool.
 const maxRefusedCallers = 8192
 
-// add remembers the caller of a refused request, unless maxRefusedCallers callers are still
-// waiting.
+// add remembers the caller of a refused request, unless the hash of its prompt is unknown or
+// maxRefusedCallers remembered callers still wait.
 func (r *refusedCallers) add(w *Waiter, now time.Time) {
 	key, ok := callerKeyOf(&w.placementRequest)
 	if !ok {
@@ -63,8 +63,9 @@
 	}
 }
 
-// recognize sets Returning and Elapsed of a request whose caller was refused before. Requests that
-// were already sent to an endpoint are not a new try of the caller and stay unchanged.
+// recognize sets Returning and Elapsed of a request whose caller was refused before and still
+// waits, and forgets the caller. Requests that were already sent to an endpoint are not a new try
+// of the caller and stay unchanged.
 func (r *refusedCallers) recognize(a *PlacementRequest, now time.Time) {
 	if a.Retry || a.Replaces.ID != "" {
 		return
@@ -96,9 +97,9 @@
 
 // refuseLate returns the refusal of a request with a long prompt that is late already, or nil if it
 // may wait. Ready is when its prefill can be done after the work ahead of it. The request is
-// refused if its late answer is worth less than the price of its engine time, or if it is still not
-// placed at the time that ready was when the request was first found late: more urgent requests
-// keep arriving, so waiting longer would not help.
+// refused if its late answer is worth less than the price of its engine time. It is also refused
+// once the first value of ready, kept in placeBy, has passed: more urgent requests keep arriving,
+// so waiting longer would not help. Retries are never refused here.
 func (s *Scheduler) refuseLate(p *poolState, w *Waiter, ready, now time.Time) *Refusal {
 	if w.placementRequest.Target <= shortTarget || w.placementRequest.Retry || w.request.TargetAt.After(now) {
 		return nil
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -217,7 +217,7 @@
 	s.wakeUp()
 }
 
-// recordRefusal updates the price and the list of refused callers, and logs the refusal. The
+// recordRefusal updates the price and the record of refused callers, and logs the refusal. The
 // caller must hold s.mu.
 func (s *Scheduler) recordRefusal(p *poolState, w *Waiter, r *Refusal, now time.Time) {
 	work := p.engineTime(w)
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -67,8 +67,9 @@
 	return s.refuseWaited(w, now)
 }
 
-// refusal returns a refusal with the given reason. Its RetryAfter is at least ahead, the time
-// that the work ahead of the request takes, plus a random time.
+// refusal returns a refusal with the given reason. Its RetryAfter is the larger of minRetryAfter and
+// ahead, plus a random time. Ahead is the time until a new try may succeed, or zero
+// if that is unknown.
 func (s *Scheduler) refusal(reason string, ahead time.Duration) *Refusal {
 	return &Refusal{
 		Reason:     reason,
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -24,7 +24,8 @@
 // The slowdown modes.
 const (
 	// SlowdownQueriedOrEstimated queries engines whose first events deviate from the
-	// prediction, and estimates the slowdown of those that don't answer from their events.
+	// prediction. From events it estimates the slowdown of engines that don't answer or must not
+	// be queried.
 	SlowdownQueriedOrEstimated SlowdownMode = iota
 	// SlowdownEstimated estimates the slowdown from events and queries no engines.
 	SlowdownEstimated
@@ -185,8 +186,9 @@
 
 // observeFirstEvent compares the first event of an attempt with its prediction, after deducting the
 // delay that all engines have in common. An event that deviates makes the slowdown of its engines
-// unsure. The event also becomes a sample, unless its predicted time is too short, or several
-// engines did the prefill and any of them may have been late.
+// unsure. The event also becomes a sample, unless its predicted time is too short, several
+// engines did the prefill, so that any of them may have been late, or the slowdown has changed
+// since the placement.
 func (p *poolState) observeFirstEvent(at *attempt, late time.Duration, now time.Time) {
 	took := now.Sub(at.placedAt) - p.transit.time
 	predicted := took - late
@@ -310,7 +312,7 @@
 }
 
 // markOverdue marks as unsure the slowdown of all engines with an attempt whose first event is
-// overdue.
+// overdue, unless the session of its entry instance has ended.
 func (p *poolState) markOverdue(now time.Time) {
 	for _, at := range p.attempts {
 		if at.begun || at.orphanMark != 0 {
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -102,7 +102,7 @@
 
 // refuseUnavailable returns a refusal if list, the usable endpoints, is empty because of
 // departures, back-offs or rate limits, and no endpoint accepts the request soon enough; nil
-// otherwise. Ahead is the number of waiting requests that are more urgent.
+// otherwise. Ahead is the number of waiting requests that go before this one.
 func (s *Scheduler) refuseUnavailable(p *poolState, w *Waiter, list []*placement.Engine, ahead int, now time.Time) *Refusal {
 	if len(list) > 0 {
 		return nil
