--- a/pool/budget.go
+++ b/pool/budget.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Budget bounds how many requests are retried: in any Window at most Ratio times the number of
-// first sends, plus Extra. The zero value allows no retries.
+// Budget bounds how many requests are retried: in a sliding window, at most Ratio times the number
+// of first sends, plus Extra. The zero value allows no retries.
 type Budget struct {
 	// Ratio is the number of retries allowed for each first send.
 	Ratio float64
 	// Extra is the number of retries allowed in a window in addition.
 	Extra float64
-	// Window is the length of the window.
+	// Window is the length of the window. The window moves by whole tenths of its length, so that
+	// what is older than nine tenths of it may not count any more.
 	Window time.Duration
 }
 
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -204,10 +204,11 @@
 	return first
 }
 
-// burstGoesFirst reports whether a request with a long prefill must wait until the next events of all
-// streams of a reconnect burst are due, even if the streams are placed earlier. It must if it is
-// late anyway, if it would still be in time after that, or if the part of the burst that falls on its engines is
-// worth more. Streams placed on its engines would otherwise wait for the whole prefill.
+// burstGoesFirst reports whether a request with a long prefill must wait until the next events of
+// all streams of a reconnect burst are due, even if the streams are placed earlier. It must if it
+// is late anyway, if it would still be in time after that, or if the part of the burst that falls
+// on its engines is worth more. Streams placed on its engines would otherwise wait for the whole
+// prefill.
 func (r *reconnects) burstGoesFirst(w *Waiter, plan *placement.Plan, engines int, now time.Time) bool {
 	if plan.PrefillTime < burstMinPrefill {
 		return false
