--- a/pool/check.go
+++ b/pool/check.go
@@ -34,11 +34,12 @@
 	// instance's network.
 	recheckInterval = 300 * time.Millisecond
 	maxAbsence      = 5 * time.Second
-	// maxConcurrentChecks bounds the connections that are open for checks, so that a pool of
-	// thousands of engines does not exhaust the file descriptors.
+	// maxConcurrentChecks bounds the connections that one call of runChecks opens at the same time,
+	// so that a pool of thousands of engines does not exhaust the file descriptors.
 	maxConcurrentChecks = 128
-	// maxUnansweredShare is the largest share of the endpoints that may time out in a check. If
-	// more do, the fault is assumed to lie in this instance's network and the timeouts are ignored.
+	// maxUnansweredShare is the largest share of the endpoints that may fail a check of the whole
+	// pool other than by refusing the connection. If more do, the fault is assumed to lie in this
+	// instance's network and these failures are ignored.
 	maxUnansweredShare = 0.75
 )
 
@@ -95,13 +96,14 @@
 }
 
 // acceptsRequests reports whether an endpoint may get requests at all: it is not leaving, and its
-// failure domain is not drained as far as this instance knows. No other endpoints are checked.
+// failure domain is not drained as far as this instance knows. Other endpoints are not checked.
 func (p *poolState) acceptsRequests(e *placement.Engine) bool {
 	return !p.isLeaving(e, p.notices.View()) && !p.drained.excludes(&PlacementRequest{}, e)
 }
 
-// check connects to endpoints, given as addresses by name, and excludes those that fail. If too
-// many time out, it excludes only those that refuse the connection.
+// check connects to endpoints, given as addresses by name, and excludes those that fail. If more
+// than maxUnansweredShare fail other than by refusing the connection, it excludes only those that
+// refuse it.
 func (s *Scheduler) check(service string, addresses map[string]string) {
 	failed := s.runChecks(addresses)
 	timedOut := 0
@@ -123,7 +125,8 @@
 
 // verify connects to an endpoint on which several instances have silent attempts, and excludes it
 // if it does not answer. If it accepts the connection, it is only busy, for example with long
-// passes, and keeps its streams. The caller must hold s.mu.
+// passes, and keeps its streams. Where endpoints are not checked, it is excluded at once. The caller
+// must hold s.mu.
 func (s *Scheduler) verify(p *poolState, service string, e *placement.Engine, silent int, now time.Time) {
 	h := p.health[e.Instance]
 	switch {
--- a/pool/client.go
+++ b/pool/client.go
@@ -20,8 +20,8 @@
 
 // Client sends the placement requests of this instance to the owners of the pools. It implements
 // Placer. The instances are ordered by rendezvous hashing for each pool. The owner is the first one
-// that is reachable; the next ones receive the same reports as standbys, so that they can take
-// over.
+// that is reachable; the next reachable one is its standby and receives the same reports, so that it
+// can take over.
 type Client struct {
 	self   catalog.Peer
 	local  *Scheduler
@@ -30,8 +30,8 @@
 
 	mu       sync.Mutex
 	snapshot *catalog.Snapshot
-	// ownerOrder has the instances in the order in which they own a pool, by service. Only services
-	// whose pool has an owner are in it.
+	// ownerOrder has the instances in the order in which they own a pool, by service. It contains
+	// only the services whose pool has an owner, and noEnginesPool if no service has engines.
 	ownerOrder map[string][]string
 	// plainOwned has the services without engines whose pool has an owner. Attempts of those in
 	// unannounced have not been reported to the owners yet.
@@ -154,8 +154,8 @@
 const maxPlacementRounds = 3
 
 // placeAtOwners sends a placement request to the owners of a pool in order. The error is
-// errDecideLocally if this instance has to place the request, and errLost if the session to an
-// owner ended while the request waited there. Fallback is set if this instance has to place the
+// errDecideLocally if this instance has to place the request, and errLost if no owner answered and
+// a session ended before its owner did. Fallback is set if this instance has to place the
 // request although another one may act as the owner at the same time: none of the owners before it
 // is reachable from here.
 func (c *Client) placeAtOwners(ctx context.Context, a *PlacementRequest) (g Grant, fallback bool, err error) {
--- a/pool/client_crashes.go
+++ b/pool/client_crashes.go
@@ -18,15 +18,17 @@
 
 // Limits on the crashes that an instance reports again to a new owner.
 const (
-	// maxCrashAge is the age up to which a crash is reported again, and maxKeptCrashes the number
-	// of the latest crashes that are. The age covers callers that retry after minutes.
+	// Crashes older than maxCrashAge are dropped when the next one is recorded. The age covers
+	// callers that retry after minutes. maxKeptCrashes bounds the number of crashes that are kept;
+	// the oldest one is dropped first.
 	maxCrashAge    = 10 * time.Minute
 	maxKeptCrashes = 64
 )
 
 // pickCommon returns the service whose owners count the crashes of all services and send the
-// verdicts to all instances: the first one by name that has engines. Every instance has sessions
-// with these owners anyway. The caller must hold c.mu.
+// verdicts to all instances: the first one by name that has engines, as every instance has sessions
+// with its owners anyway. If no service has engines, it adds noEnginesPool to c.ownerOrder and returns
+// that. The caller must hold c.mu, and c.ownerOrder must have only the services with engines.
 func (c *Client) pickCommon(snap *catalog.Snapshot) string {
 	if len(c.ownerOrder) == 0 {
 		c.ownerOrder[noEnginesPool] = c.rankOwners(noEnginesPool, snap)
--- a/pool/link.go
+++ b/pool/link.go
@@ -16,7 +16,7 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// errLost means that the session to the owner ended before it answered.
+// errLost means that the session to the owner was not open, or ended before the owner answered.
 var errLost = errors.New("session to the owner of the pool ended")
 
 // Intervals and timeouts of a link.
--- a/pool/messages.go
+++ b/pool/messages.go
@@ -151,7 +151,7 @@
 	return g
 }
 
-// runningMessage reports a running attempt to an owner that did not place it.
+// runningMessage reports a running attempt to an owner that may not know it.
 func runningMessage(r *running) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Running{
--- a/pool/stats.go
+++ b/pool/stats.go
@@ -16,9 +16,10 @@
 	Placed int `json:"placed"`
 	// Queued is the number of waiting requests.
 	Queued int `json:"queued"`
-	// Predicted counts the first events, whose times are always predicted.
+	// Predicted counts the first events. Their predicted time is 0 in a pool without engines.
 	Predicted int `json:"predicted"`
-	// WithinTolerance counts those whose time was off by at most a fifth of the predicted time.
+	// WithinTolerance counts the first events whose time was off by at most a fifth of the
+	// predicted time.
 	WithinTolerance int `json:"within"`
 	// Cold is the number of endpoints that are cold or assumed to be.
 	Cold int `json:"cold"`
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -301,9 +301,9 @@
 	s.log.Info("endpoint suspected", "service", service, "endpoint", instance, "silent_for", silent, "moved", n)
 }
 
-// handleUnreachable excludes an endpoint that several instances cannot connect to and migrates its
-// attempts. It does nothing if a stream from there is alive, since an overloaded endpoint refuses
-// connections, too. The caller must hold s.mu.
+// handleUnreachable excludes an endpoint that an instance could not connect to shortly after another
+// instance reported a failure of it, and migrates its attempts. It does nothing if a stream from
+// there is alive, since an overloaded endpoint refuses connections, too. The caller must hold s.mu.
 func (s *Scheduler) handleUnreachable(p *poolState, service, instance string, now time.Time) {
 	if p.plain || p.hasLiveStream(instance, now) {
 		return
--- a/pool/types.go
+++ b/pool/types.go
@@ -94,7 +94,8 @@
 	StartedAt time.Time
 	// Shares lists the endpoints that take part in a joint prefill of the prompt, besides Instance.
 	Shares []PrefillShare
-	// FirstEventIn is the predicted time from the placement to the first event.
+	// FirstEventIn is the predicted time from the placement to the first event; zero in a pool
+	// without engines.
 	FirstEventIn time.Duration
 	// Waited is how long the request was queued.
 	Waited time.Duration
