--- a/pool/check.go
+++ b/pool/check.go
@@ -125,8 +125,8 @@
 
 // verify connects to an endpoint on which several instances have silent attempts, and excludes it
 // if it does not answer. If it accepts the connection, it is only busy, for example with long
-// passes, and keeps its streams. Where endpoints are not checked, it is excluded at once. The caller
-// must hold s.mu.
+// passes, and keeps its streams. Where endpoints are not checked, it is excluded at once. The
+// caller must hold s.mu.
 func (s *Scheduler) verify(p *poolState, service string, e *placement.Engine, silent int, now time.Time) {
 	h := p.health[e.Instance]
 	switch {
--- a/pool/client.go
+++ b/pool/client.go
@@ -20,8 +20,8 @@
 
 // Client sends the placement requests of this instance to the owners of the pools. It implements
 // Placer. The instances are ordered by rendezvous hashing for each pool. The owner is the first one
-// that is reachable; the next reachable one is its standby and receives the same reports, so that it
-// can take over.
+// that is reachable; the next reachable one is its standby and receives the same reports, so that
+// it can take over.
 type Client struct {
 	self   catalog.Peer
 	local  *Scheduler
--- a/pool/client_crashes.go
+++ b/pool/client_crashes.go
@@ -27,8 +27,9 @@
 
 // pickCommon returns the service whose owners count the crashes of all services and send the
 // verdicts to all instances: the first one by name that has engines, as every instance has sessions
-// with its owners anyway. If no service has engines, it adds noEnginesPool to c.ownerOrder and returns
-// that. The caller must hold c.mu, and c.ownerOrder must have only the services with engines.
+// with its owners anyway. If no service has engines, it adds noEnginesPool to c.ownerOrder and
+// returns that. The caller must hold c.mu, and c.ownerOrder must have only the services with
+// engines.
 func (c *Client) pickCommon(snap *catalog.Snapshot) string {
 	if len(c.ownerOrder) == 0 {
 		c.ownerOrder[noEnginesPool] = c.rankOwners(noEnginesPool, snap)
--- a/pool/client_notices.go
+++ b/pool/client_notices.go
@@ -41,8 +41,8 @@
 	return out
 }
 
-// RecordAnswer implements notice.Guard. A new notice is sent to the owners of the common pool,
-// which forward it to all instances.
+// RecordAnswer implements notice.Guard. If the answer changes the endpoint's notice, the new notice
+// is sent to the owners of the common pool, which forward it to all instances.
 func (c *Client) RecordAnswer(a notice.Answer, s notice.Statements) {
 	if n, changed := c.local.settings.Notices.RecordAnswer(a, s); changed {
 		c.broadcast(c.commonPool(), ownerNoticeMessage(n), nil)
--- a/pool/messages_test.go
+++ b/pool/messages_test.go
@@ -93,8 +93,8 @@
 }
 
 // TestCrashMessages guards against lost fields in the messages for crashes and verdicts, and
-// against large messages: the loss of a failure domain causes thousands of crash reports to an
-// owner, and an instance that starts gets up to 512 verdicts.
+// against large messages: an owner gets many crash reports at once when a failure domain is lost,
+// and an instance that starts gets all bans.
 func TestCrashMessages(t *testing.T) {
 	t.Run("crash", func(t *testing.T) {
 		is := is.New(t)
--- a/pool/server_notify.go
+++ b/pool/server_notify.go
@@ -13,9 +13,9 @@
 // starts with the current state.
 const notifyQueueSize = 256
 
-// notifyChanges sends all verdicts on requests that crash endpoints and all notices of endpoints to
-// the entry instance, and then each change in order. The queue keeps an entry instance that reads
-// slowly from delaying the others.
+// notifyChanges sends the entry instance all notices of endpoints and the verdicts that a starting
+// instance needs (see quarantine.Registry.Verdicts), and then later changes in order. The queue
+// keeps an entry instance that reads slowly from delaying the others.
 func (x *session) notifyChanges() {
 	s := &x.server.scheduler.settings
 	queue := make(chan *poolpb.FromOwner, notifyQueueSize)
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -103,8 +103,9 @@
 	alive  map[string]bool
 }
 
-// watched reports whether the entry instance reports the attempt when it is silent. It does so for
-// streams that can still be sent to another endpoint.
+// watched reports whether the entry instance is expected to report the attempt when it is silent:
+// it is the first send of a stream with a Gap. The entry instance reports only streams that another
+// endpoint may resume, which the request does not say.
 func (a *PlacementRequest) watched() bool {
 	return a.Gap > 0 && !a.Retry
 }
@@ -301,9 +302,10 @@
 	s.log.Info("endpoint suspected", "service", service, "endpoint", instance, "silent_for", silent, "moved", n)
 }
 
-// handleUnreachable excludes an endpoint that an instance could not connect to shortly after another
-// instance reported a failure of it, and migrates its attempts. It does nothing if a stream from
-// there is alive, since an overloaded endpoint refuses connections, too. The caller must hold s.mu.
+// handleUnreachable excludes an endpoint that an instance could not connect to, shortly after
+// another instance reported a failure of it, and migrates its attempts. It does nothing if a stream
+// from there is alive, since an overloaded endpoint refuses connections, too. The caller must hold
+// s.mu.
 func (s *Scheduler) handleUnreachable(p *poolState, service, instance string, now time.Time) {
 	if p.plain || p.hasLiveStream(instance, now) {
 		return
--- a/pool/types.go
+++ b/pool/types.go
@@ -15,8 +15,8 @@
 	Service string
 	// Customer is the customer that the request is accounted to.
 	Customer string
-	// Rank is the priority of the customer, or of the route if the customer has none; requests of
-	// rank 0 go first.
+	// Rank is the priority of the customer, or of the route if the request has no customer;
+	// requests of rank 0 go first.
 	Rank int
 	// Route is the route's name, and RouteRank its priority.
 	Route     string
@@ -28,7 +28,8 @@
 	Content uint64
 	// Output is the expected length of the answer in tokens.
 	Output int
-	// Target is the time left until the first event is late; negative if it is late already.
+	// Target is the time left until the first event of this try is late; negative if it is late
+	// already. Elapsed is not yet subtracted.
 	Target time.Duration
 	// Gap is the longest pause between two events of a stream that is still in time; zero means
 	// that pauses don't count.
