--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -12,8 +12,8 @@
 }
 
 // adoptFor records an attempt of an entry instance. A known attempt only stops being an orphan.
-// An attempt on an endpoint that is unknown, or that has restarted since, is not recorded, but still
-// counts for the retry budget if it is a first send, and may count as a reconnect.
+// An attempt on an endpoint that is unknown, or that has restarted since, is not recorded, but
+// still counts for the retry budget if it is a first send, and may count as a reconnect.
 func (s *Scheduler) adoptFor(a PlacementRequest, g Grant, entry string, begun bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pool/client.go
+++ b/pool/client.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// Run keeps the links to the owners open until ctx ends.
+// Run keeps the links to the owners open, and migrates attempts on the orders of the local
+// scheduler, until ctx ends. It returns once all links have ended.
 func (c *Client) Run(ctx context.Context) {
 	defer c.local.onMigrations(c.self.ID, c.migrateLocally)()
 	defer c.local.settings.Notices.OnChange(func(notice.Notice) { c.wakeRun() })()
--- a/pool/stats.go
+++ b/pool/stats.go
@@ -32,9 +32,9 @@
 	// endpoint's slowdown.
 	PaceAsked   int `json:"pace_asked"`
 	PaceChanges int `json:"pace_changes"`
-	// Cut counts the attempts that failed, were abandoned or were lost with a session, Returned
-	// those of them whose callers came back within a second, and ReconnectBursts the reconnect
-	// bursts.
+	// Cut counts the attempts with a known prompt length that failed, were abandoned or were lost
+	// with a session, Returned those of them whose callers came back within a second, and
+	// ReconnectBursts the reconnect bursts.
 	Cut             int `json:"cut"`
 	Returned        int `json:"returned"`
 	ReconnectBursts int `json:"crowds"`
@@ -48,7 +48,7 @@
 	Absent    int `json:"absent"`
 	// Limited is the number of endpoints that announce a rate limit, PassedOver counts the
 	// endpoints that placements skipped because of a back-off or a rate limit, and Unavailable the
-	// requests refused because no endpoint accepted any.
+	// requests refused because all endpoints were leaving, backing off or at their rate limits.
 	Limited     int   `json:"limited"`
 	PassedOver  int64 `json:"passed_over"`
 	Unavailable int64 `json:"unavailable"`
