--- a/experiment/plan.go
+++ b/experiment/plan.go
@@ -24,7 +24,7 @@
 	Loads []float64 `toml:"loads"`
 	// Bound adds rows with the upper bound of each sheet.
 	Bound bool `toml:"bound"`
-	// Variants are the policies to compare. The others are compared with the first one.
+	// Variants are the policies to compare. The first is the reference for the others.
 	Variants []Variant `toml:"variants"`
 }
 
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -24,7 +24,7 @@
 	// Error half the width of its confidence interval of 95 %.
 	Gain  float64 `json:"gain"`
 	Error float64 `json:"error"`
-	// Day is the share of all worth that is kept, and Kinds that of each kind.
+	// Day is the mean share of all worth that is kept, and Kinds that of each kind.
 	Day   float64   `json:"day"`
 	Kinds []float64 `json:"kinds"`
 	// Windows is the share that is kept in each period of length emulator.Window.
--- a/load/doc.go
+++ b/load/doc.go
@@ -7,6 +7,7 @@
 // request was due rather than from when it was sent, so that a stalled sender doesn't hide
 // latency (coordinated omission). They are recorded in HDR histograms.
 //
-// Each answer is compared with the one that the stand-in engines give to its prompt, so
-// that a wrong or truncated answer isn't counted as a good one.
+// Each completion is compared with the one that the stand-in engines give to its prompt. An
+// answer that differs is counted as answered and as wrong, and a truncated one as failed.
+// Answers to plain calls are not compared.
 package load
--- a/load/profile.go
+++ b/load/profile.go
@@ -132,7 +132,7 @@
 	return p, p.check()
 }
 
-// check returns an error that names the first invalid kind.
+// check returns an error if no kind has a weight, or one that names the first invalid kind.
 func (p *Profile) check() error {
 	if p.TotalWeight() <= 0 {
 		return errors.Errorf("profile %s: no kind has a weight", p.Name)
--- a/load/report.go
+++ b/load/report.go
@@ -52,8 +52,8 @@
 	Failed   int `json:"failed"`
 	Cut      int `json:"cut"`
 	Wrong    int `json:"wrong"`
-	// FirstP50, FirstP95 and FirstP99 are percentiles of the time to the first token, in
-	// milliseconds.
+	// FirstP50, FirstP95 and FirstP99 are percentiles of the time to the first token, or to
+	// the response header of a plain call, in milliseconds.
 	FirstP50 float64 `json:"ttft_p50_ms"`
 	FirstP95 float64 `json:"ttft_p95_ms"`
 	FirstP99 float64 `json:"ttft_p99_ms"`
@@ -73,7 +73,8 @@
 	// Profile and Rate are the profile and the requests per second of the run.
 	Profile string  `json:"profile"`
 	Rate    float64 `json:"rate"`
-	// Seconds is the duration of the run, with the wait for the last answers.
+	// Seconds is the duration of the run, with the wait for the last answers. It is zero if
+	// the run was interrupted.
 	Seconds float64 `json:"seconds"`
 	// Sent, Answered, Refused, Failed, Cut and Wrong count requests as in Class.
 	Sent     int `json:"sent"`
@@ -82,8 +83,8 @@
 	Failed   int `json:"failed"`
 	Cut      int `json:"cut"`
 	Wrong    int `json:"wrong"`
-	// Doubled counts requests that ran more than once although they must not. Only an
-	// embedded fleet can detect them.
+	// Doubled counts plain calls that took effect more than once. Only an embedded fleet can
+	// detect them.
 	Doubled int `json:"doubled"`
 	// LeakedBytes is engine memory that was not released. Only an embedded fleet can detect
 	// it.
@@ -189,7 +190,8 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), minMicroseconds), maxMicroseconds))
 }
 
-// Finish computes the rates and percentiles from the recorded outcomes.
+// Finish computes GoodTokens and the percentiles from the recorded outcomes. It leaves
+// GoodTokens at zero if Seconds is zero.
 func (r *Report) Finish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/load/send.go
+++ b/load/send.go
@@ -39,8 +39,9 @@
 	Warmup time.Duration
 }
 
-// Run sends the requests of a profile and waits for all answers. If ctx ends, it sends no
-// further requests and leaves Report.Seconds at zero.
+// Run sends the requests of a profile and waits for all answers. If ctx ends before the last
+// request is sent, Run sends no more and leaves Report.Seconds at zero. The caller must call
+// Report.Finish to compute the percentiles.
 func Run(ctx context.Context, p *Profile, s Settings) *Report {
 	r := rand.New(rand.NewPCG(s.Seed, s.Seed))
 	due := p.arrivals(s.Rate, s.Duration, r)
@@ -92,7 +93,8 @@
 }
 
 // prompt returns a prompt that is unique in the run: the prefix shared by the kind, the
-// number of the request, and filler.
+// number of the request, and filler. It is longer than a.tokens if prefix and number don't
+// fit.
 func (x *sender) prompt(a arrival) string {
 	size := a.tokens * engine.TokenBytes
 	shared := a.kind.SharedTokens * engine.TokenBytes
