--- a/cmd/linkmast/deploy_test.go
+++ b/cmd/linkmast/deploy_test.go
@@ -72,7 +72,7 @@
 	os.Exit(code)
 }
 
-// run starts a program and waits until it prints its address.
+// run starts a program and waits until it prints its address or exits.
 func (d *deployment) run(name, program string, args ...string) *process {
 	d.t.Helper()
 	p := &process{
--- a/cmd/linkmastctl/load.go
+++ b/cmd/linkmastctl/load.go
@@ -37,9 +37,9 @@
 	Fault    string        `long:"fault" choice:"none" choice:"engine-killed" choice:"engine-frozen" choice:"node-killed" default:"none" description:"what goes wrong a third into the run (embedded fleet)"`
 }
 
-// Result is the JSON output of the load command.
+// Result holds the results of the load and demo commands. The load command prints it as JSON.
 type Result struct {
-	// Baseline is the run without long prompts, if requested.
+	// Baseline is the run without long prompts; nil if there was none.
 	Baseline *load.Report `json:"baseline,omitempty"`
 	// Run is the run of the whole profile.
 	Run *load.Report `json:"run"`
