--- a/emulator/arrival_test.go
+++ b/emulator/arrival_test.go
@@ -13,8 +13,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// TestRefusedInTime plays twice the load that the engines can serve. It guards against long
-// prompts that are queued beyond their target and then refused.
+// TestRefusedInTime plays a sheet at twice its load. It guards against long prompts that are
+// queued beyond their target and then refused.
 func TestRefusedInTime(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/emulator/bound.go
+++ b/emulator/bound.go
@@ -16,8 +16,8 @@
 
 // Bound returns a worth for each request such that no policy can keep more than their sum,
 // even if it knows all arrivals beforehand and nothing fails. A single value is not a
-// bound. The engines are relaxed to one supply of engine time, which any request may use at
-// any rate:
+// bound. All kinds must have a Gap above zero. The engines are relaxed to one supply of
+// engine time, which any request may use at any rate:
 //
 //	maximize   Σ late + (worth − late) × (prefilled share + decoded share)
 //	such that  for each period, the work whose window lies within it fits into it
@@ -70,7 +70,9 @@
 	valuePerSecond float64
 }
 
-// workOf returns the prefill and the decode work of request i.
+// workOf returns the prefill and the decode work of request i. The decode window ends with the
+// last event in time if Kind.Gap is above zero. With a Gap of zero it ends at the target
+// already, so the result of Bound may be too low.
 func (s *Sheet) workOf(i int, r *Request, m *batch.Model) []work {
 	k := &s.Kinds[r.Kind]
 	read := m.PrefillTime(r.Prompt, 1)
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -47,21 +47,21 @@
 	attempt  *attempt
 	pending  *pending
 	// events is the number of events that the caller has received, and longestGap the
-	// longest pause between two of them. Before the first event, lastEventAt is when the
-	// request was sent.
+	// longest pause between two of them. A try sets lastEventAt to its start, so the time
+	// from the last event to a second try doesn't count in longestGap.
 	events       int
 	firstEventAt time.Time
 	lastEventAt  time.Time
 	longestGap   time.Duration
-	// waitID changes with each try and each refusal. A timer of watchPatience that was set
-	// under another waitID has no effect.
+	// waitID changes when a try or the back-off before it begins. A timer of watchPatience
+	// that was set under another waitID has no effect.
 	waitID int
 
 	// done is true once the request has ended; ending says how.
 	done   bool
 	ending Ending
 	// migrated is true if a silent attempt was replaced, and longestWait is the longest
-	// queueing time of a granted placement.
+	// queueing time of a granted placement, replacements excluded.
 	migrated    bool
 	longestWait time.Duration
 	// longestRefusedWait is the longest time from sending the request to a refusal.
@@ -114,8 +114,8 @@
 	return placement.Patience(time.Duration(c.kind.Target), time.Duration(c.kind.Gap))
 }
 
-// watchPatience ends the request when the caller has received nothing for longer than its
-// patience.
+// watchPatience ends the request when the caller has received nothing for the time of its
+// patience since the last event, or since the try started.
 func (c *caller) watchPatience() {
 	id := c.waitID
 	var check func()
@@ -154,8 +154,8 @@
 	})
 }
 
-// placementRequest returns the message to the pool for a request that reached its entry
-// instance at entered.
+// placementRequest returns the message to the pool. The target counts from entered, and the
+// deadline from the first try.
 func (c *caller) placementRequest(entered time.Time) pool.PlacementRequest {
 	now := c.play.clock.now
 	c.play.requestCount++
@@ -180,7 +180,8 @@
 	return a
 }
 
-// handleRefusal retries the request after the back-off, or ends it after the last try.
+// handleRefusal retries the request after the back-off, which is at most maxRetryWaitShare
+// of the time left. It ends the request after the last try or the deadline.
 func (c *caller) handleRefusal(r *pool.Refusal) {
 	if c.done {
 		return
@@ -210,8 +211,9 @@
 	c.watchSilence(a, silence, first)
 }
 
-// watchSilence requests a replacement of attempt a whenever a stays silent for too long:
-// for longer than first before its first event, and for longer than silence afterwards.
+// watchSilence requests a replacement of attempt a when a has been silent for too long: for
+// first before its first event, and for silence afterwards. It ends when the try has had
+// maxAttempts attempts.
 func (c *caller) watchSilence(a *attempt, silence, first time.Duration) {
 	a.lastEventAt = c.play.clock.now
 	limit := first
@@ -234,8 +236,9 @@
 	c.play.clock.after(first, check)
 }
 
-// requestReplacement asks the pool for another engine for the silent attempt a, which goes
-// on unless the pool grants one.
+// requestReplacement asks the pool for another engine for the silent attempt a. It withdraws
+// a request that is still queued after pool.ReplacementTimeout. Attempt a goes on unless the
+// pool grants another engine.
 func (c *caller) requestReplacement(a *attempt) {
 	request := c.placementRequest(c.sentAt)
 	request.Exclude = append(request.Exclude, a.grant.Instance)
@@ -287,8 +290,10 @@
 	}
 }
 
-// loseEntry ends the attempt because the entry instance has failed. If a try is left, the
-// caller sends the request again at once, for the events that it lacks.
+// loseEntry removes the attempt because the entry instance has failed, and reports its end
+// to the pool after entryLossDelay. If a try is left, a request that has not ended is sent
+// again at once, for the events that it lacks. If none is left, the request ends as
+// EntryLost, even if it had ended differently before.
 func (c *caller) loseEntry() {
 	a := c.attempt
 	c.attempt = nil
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -10,8 +10,8 @@
 //     per step. Joint prefills go before other prompts, the latest one first.
 //   - Memory: a request waits at its engine until a slot and its memory are free.
 //   - Callers, which have targets for the first event and for pauses. They give up when they
-//     receive nothing for too long, retry once after a refusal, and send a request again when
-//     its stream is cut.
+//     receive nothing for too long. They send a request a second time after a refusal or when
+//     its stream is cut, but never a third time.
 //   - Messages, each of which takes the delay of the sheet, in part with jitter.
 //
 // The emulator leaves out the platform and all other effects of the network. One scheduler
--- a/emulator/draw.go
+++ b/emulator/draw.go
@@ -104,7 +104,7 @@
 	return f
 }
 
-// draw returns a random size, at least 1.
+// draw returns a random size from 1 to Most.
 func (d *Spread) draw(r *rand.Rand) float64 {
 	v := math.Log1p(d.Deviation * d.Deviation)
 	size := d.Mean * math.Exp(math.Sqrt(v)*r.NormFloat64()-v/2)
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -207,7 +207,7 @@
 }
 
 // TestBound checks that no play keeps more than the bound, that the bound is the whole
-// worth at low load, and that it is lower under overload.
+// worth up to the load of the sheet, and that it is lower at three times that load.
 func TestBound(t *testing.T) {
 	for _, row := range []struct {
 		load float64
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -90,7 +90,7 @@
 	e.startPass()
 }
 
-// startPass starts a pass if none runs and the engine has work.
+// startPass starts a pass if none runs, the engine is not stopped and it has work.
 func (e *engine) startPass() {
 	if e.inPass || e.slowdown == 0 {
 		return
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -33,7 +33,8 @@
 	// CauseNone means that the request kept all its worth.
 	CauseNone Cause = iota
 	// CauseRefused, CauseAbandoned and CauseEntryLost mean that the request ended in this
-	// way without an answer.
+	// way without a whole answer. CauseAbandoned also covers requests that had not ended when
+	// the play did.
 	CauseRefused
 	CauseAbandoned
 	CauseEntryLost
@@ -70,7 +71,8 @@
 	Cause Cause
 	// FirstEvent is the time from the first try to the first event; zero without one.
 	FirstEvent time.Duration
-	// LongestPause is the longest pause between two events.
+	// LongestPause is the longest pause between two events. A pause with a second try in it
+	// counts from the start of that try.
 	LongestPause time.Duration
 	// LongestRefusedWait is the longest time from sending the request to a refusal.
 	LongestRefusedWait time.Duration
@@ -89,8 +91,8 @@
 	SilentAttempts int
 }
 
-// queuedShare is the share of its target for which a late request must have been queued for
-// the cause to be CauseQueued.
+// queuedShare is the share of the target that the queueing time of a late request must exceed
+// for its cause to be CauseQueued.
 const queuedShare = 0.25
 
 // result returns the outcomes of all requests.
@@ -169,7 +171,8 @@
 	return r.keptShare(func(*Request) bool { return true })
 }
 
-// KindShare returns the share of their worth that the requests of a kind keep.
+// KindShare returns the share of their worth that the requests of a kind keep, and 1 if there
+// are none.
 func (r *Result) KindShare(kind int) float64 {
 	return r.keptShare(func(q *Request) bool { return q.Kind == kind })
 }
@@ -178,7 +181,7 @@
 const Window = 2 * time.Second
 
 // WindowShares returns, for each period of length Window, the share of their worth that the
-// requests that arrived in it keep.
+// requests that arrived in it keep, and 1 for a period without requests.
 func (r *Result) WindowShares() []float64 {
 	n := int((time.Duration(r.sheet.Length) + Window - 1) / Window)
 	out := make([]float64, n)
@@ -206,8 +209,8 @@
 	return (w.Day*r.DayShare() + w.Windows*sum + w.Kind*kind) / (w.Day + w.Windows + w.Kind)
 }
 
-// LostShares returns, by kind and cause, the lost worth as a share of the worth of all
-// requests.
+// LostShares returns, by kind and cause, the lost worth divided by the worth of all requests,
+// or by 1 if that is less than 1.
 func (r *Result) LostShares() [][]float64 {
 	out := make([][]float64, len(r.sheet.Kinds))
 	for i := range out {
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -48,7 +48,7 @@
 	Capacity int `toml:"capacity"`
 	// Stride is the number of steps in a pass with decoding requests.
 	Stride int `toml:"stride"`
-	// Chunk bounds the tokens that an engine prefills per step.
+	// Chunk bounds the tokens that an engine prefills per step; zero means no limit.
 	Chunk int `toml:"chunk"`
 	// Step is the fixed time of a step. PerSequence is added for each decoding request, and
 	// PerThousandContext for each thousand tokens of context.
@@ -150,8 +150,8 @@
 	Slow    float64 `toml:"slow"`
 	// Spread selects engines at even distances instead of the first ones.
 	Spread bool `toml:"spread"`
-	// Cut is the probability with which each running request loses its entry instance at
-	// the start of the fault.
+	// Cut is the probability with which each request that has an attempt loses its entry
+	// instance at the start of the fault. It also applies to requests that have ended.
 	Cut float64 `toml:"cut"`
 }
 
