--- a/cmd/linkmastctl/status.go
+++ b/cmd/linkmastctl/status.go
@@ -47,10 +47,10 @@
 	return json.NewDecoder(res.Body).Decode(out)
 }
 
-// errNotFound means that a node has no such resource.
+// errNotFound means that a node answered with status 404.
 var errNotFound = errors.New("not there")
 
-// statusCommand prints the state of all nodes and their endpoints.
+// statusCommand prints the state of the nodes that answer and their endpoints.
 type statusCommand struct {
 	adminOptions
 }
@@ -63,7 +63,7 @@
 		var s node.Status
 		if err := c.get(a, "/status", &s); err != nil {
 			silent++
-			fmt.Fprintf(os.Stderr, "%s does not answer: %v\n", a, err)
+			fmt.Fprintf(os.Stderr, "%s gave no valid answer: %v\n", a, err)
 			continue
 		}
 		all = append(all, s)
@@ -72,7 +72,7 @@
 		return err
 	}
 	if silent > 0 {
-		return errors.Errorf("%d of %d nodes do not answer", silent, len(c.Admin))
+		return errors.Errorf("%d of %d nodes gave no valid answer", silent, len(c.Admin))
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 	return w.Flush()
 }
 
-// explainCommand prints the trace of a request.
+// explainCommand prints the trace of a request from the first node that has one.
 type explainCommand struct {
 	adminOptions
 
@@ -124,7 +124,7 @@
 			continue
 		}
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "%s does not answer: %v\n", a, err)
+			fmt.Fprintf(os.Stderr, "%s gave no valid answer: %v\n", a, err)
 			continue
 		}
 		return c.print(&s)
