--- a/cmd/linkmast/main.go
+++ b/cmd/linkmast/main.go
@@ -90,7 +90,8 @@
 
 // instance is a node or a gateway.
 type instance interface {
-	// Stop drains and ends the instance. It stops immediately when ctx ends.
+	// Stop drains and ends the instance. It cuts off the remaining requests when ctx ends or
+	// the instance's own time limit is reached.
 	Stop(ctx context.Context)
 }
 
--- a/cmd/linkmastctl/account.go
+++ b/cmd/linkmastctl/account.go
@@ -52,7 +52,8 @@
 	return w.Flush()
 }
 
-// writeSeconds writes how many requests of each kind were not in time in each second.
+// writeSeconds writes how many requests of each kind were not in time, by the second of their
+// last log line, counted from the first line of the log that is evaluated.
 func writeSeconds(w *tabwriter.Writer, rows []account.Row) {
 	for i := range rows {
 		r := &rows[i]
