--- a/entry/crash.go
+++ b/entry/crash.go
@@ -29,7 +29,7 @@
 	if !ok {
 		return nil, e.banProblem(j, after)
 	}
-	j.singleAttempt = p.SingleEndpoint
+	j.singleEndpoint = p.SingleEndpoint
 	return p.Release, nil
 }
 
@@ -81,5 +81,5 @@
 // mayRetry reports whether a request may be sent to another endpoint after one that may have
 // run it.
 func (j *job) mayRetry() bool {
-	return !j.once && !j.singleAttempt && j.dispatches < maxDispatches
+	return !j.once && !j.singleEndpoint && j.dispatches < maxDispatches
 }
--- a/entry/job.go
+++ b/entry/job.go
@@ -39,9 +39,9 @@
 	// history holds the request's identity, which is the same for all its tries at any
 	// instance, and its failed attempts.
 	history quarantine.RequestHistory
-	// singleAttempt states that only one endpoint may run the request, because its ban has just
+	// singleEndpoint states that only one endpoint may run the request, because its ban has just
 	// ended.
-	singleAttempt bool
+	singleEndpoint bool
 	// dispatches counts the attempts that may have reached an endpoint.
 	dispatches int
 }
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -59,7 +59,7 @@
 	firstTry, returning := l.timeouts.observe(h.Wait)
 	snapshot := l.awaitConfiguration(r.Context(), h.Wait, firstTry)
 	if snapshot == nil {
-		return nil, unavailable("no configuration yet", l.retryAfterOutage(h.Wait))
+		return nil, serviceUnavailable("no configuration yet", l.retryAfterOutage(h.Wait))
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	rt := snapshot.Table.Match(r.Host, path)
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -43,9 +43,9 @@
 	culprit string
 	// answered states that the caller has received a complete answer.
 	answered bool
-	// brokenOff states that the connection failed before the answer was complete, and neither
+	// interrupted states that the connection failed before the answer was complete, and neither
 	// the caller, the deadline nor the relay ended it.
-	brokenOff bool
+	interrupted bool
 	// unsent states that nothing was sent, because an endpoint of the grant was excluded after
 	// the placement.
 	unsent bool
@@ -122,7 +122,7 @@
 		Body:    j.body,
 		MaxIdle: fresh,
 		Check: func() error {
-			if b := t.relay.findExcluded(&t.grant); b != nil {
+			if b := t.relay.findUnavailable(&t.grant); b != nil {
 				return b
 			}
 			return nil
@@ -158,15 +158,15 @@
 // arrived.
 func (t *attempt) handleNoAnswer(err error, w *watch) result {
 	var e *upstream.Error
-	var excluded *excludedError
-	if errors.As(err, &excluded) {
+	var unavailable *unavailableError
+	if errors.As(err, &unavailable) {
 		t.job.sends--
 		t.relay.Metrics.add("places_declined")
 		return result{
 			outcome: pool.Abandoned,
 			unsent:  true,
-			culprit: excluded.endpoint,
-			reason:  excluded.Error(),
+			culprit: unavailable.endpoint,
+			reason:  unavailable.Error(),
 		}
 	}
 	if errors.As(err, &e) && !e.Sent {
@@ -177,11 +177,11 @@
 		}
 	}
 	t.job.mayHaveRun = true
-	return t.handleBroken(err, w)
+	return t.handleInterrupted(err, w)
 }
 
-// handleBroken returns the result of an attempt that failed after the request was sent.
-func (t *attempt) handleBroken(err error, w *watch) result {
+// handleInterrupted returns the result of an attempt that failed after the request was sent.
+func (t *attempt) handleInterrupted(err error, w *watch) result {
 	res := result{
 		outcome: pool.Failed,
 		reason:  "answer broke off: " + err.Error(),
@@ -200,7 +200,7 @@
 		res.outcome = pool.Abandoned
 		res.reason = "caller gone"
 	default:
-		res.brokenOff, res.connectionLost = true, true
+		res.interrupted, res.connectionLost = true, true
 	}
 	return res
 }
@@ -256,9 +256,9 @@
 	}
 }
 
-// excluded returns the id of the endpoint that must not get the request again: the one at fault
+// endpointToExclude returns the id of the endpoint that must not get the request again: the one at fault
 // if it took part in the attempt, else the one of the grant.
-func (t *attempt) excluded(res result) []string {
+func (t *attempt) endpointToExclude(res result) []string {
 	if res.culprit == "" || res.culprit == t.grant.Address {
 		return []string{t.grant.Instance}
 	}
--- a/relay/configuration.go
+++ b/relay/configuration.go
@@ -80,7 +80,7 @@
 	if ok && age < l.settings.MaxAge {
 		return nil
 	}
-	return unavailable("configuration is too old", l.retryAfterOutage(wait))
+	return serviceUnavailable("configuration is too old", l.retryAfterOutage(wait))
 }
 
 // minOutage is the shortest assumed remaining time of an outage. It is longer than the start of
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -24,7 +24,7 @@
 	p, after, ok := l.parts.Quarantine.Admit(j.history.Identity)
 	if !ok {
 		l.Metrics.add("refused_quarantine")
-		return nil, unavailable(quarantine.BannedDetail, after)
+		return nil, serviceUnavailable(quarantine.BannedDetail, after)
 	}
 	j.singleEndpoint = p.SingleEndpoint
 	return p.Release, nil
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -100,7 +100,7 @@
 // endpoints that still run.
 func TestReportOutcome(t *testing.T) {
 	all := []string{"e1", "e2"}
-	cut := result{
+	interrupted := result{
 		outcome:        pool.Failed,
 		connectionLost: true,
 	}
@@ -119,10 +119,10 @@
 		crashed string
 		served  int
 	}{
-		{"broke off, endpoint down", cut, []string{"e2"}, time.Second, "e1", 0},
-		{"broke off, helper down", cut, []string{"e1"}, time.Second, "e2", 0},
-		{"broke off, both down", cut, nil, time.Second, "e1", 0},
-		{"broke off, both up", cut, all, time.Second, "", 0},
+		{"broke off, endpoint down", interrupted, []string{"e2"}, time.Second, "e1", 0},
+		{"broke off, helper down", interrupted, []string{"e1"}, time.Second, "e2", 0},
+		{"broke off, both down", interrupted, nil, time.Second, "e1", 0},
+		{"broke off, both up", interrupted, all, time.Second, "", 0},
 		{"silent, endpoint down", result{outcome: pool.Silent}, []string{"e2"}, time.Second, "e1", 0},
 		{"silent, both down", result{outcome: pool.Silent}, nil, time.Second, "e1", 0},
 		{"silent, both up", result{outcome: pool.Silent}, all, time.Second, "", 0},
@@ -174,14 +174,14 @@
 			suspected: true,
 		}
 		r, attempt := newCrashTest(l)
-		cut := result{
+		interrupted := result{
 			outcome:        pool.Failed,
 			connectionLost: true,
 		}
 		away := result{
 			outcome: pool.Rejected,
 		}
-		for i, res := range []result{cut, away, cut, away, away, cut} {
+		for i, res := range []result{interrupted, away, interrupted, away, away, interrupted} {
 			attempt.request.ID = strconv.Itoa(i)
 			r.reportOutcome(attempt, res)
 		}
@@ -263,7 +263,7 @@
 	j.deadline = steady.Now().Add(time.Minute)
 	again, _ := r.retryOrGiveUp(t.Context(), j, attempt, result{
 		outcome:        pool.Failed,
-		brokenOff:      true,
+		interrupted:    true,
 		connectionLost: true,
 	})
 	is.True(!again)
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -20,8 +20,8 @@
 // instance usually knows of other endpoints by then.
 const defaultRetryAfter = 300 * time.Millisecond
 
-// unavailable returns a refusal with status 503 for a request that did not run.
-func unavailable(reason string, after time.Duration) *refusal {
+// serviceUnavailable returns a refusal with status 503 for a request that did not run.
+func serviceUnavailable(reason string, after time.Duration) *refusal {
 	return &refusal{
 		status: http.StatusServiceUnavailable,
 		reason: reason,
@@ -51,7 +51,7 @@
 func (j *job) giveUp(reason string, after time.Duration) *refusal {
 	switch {
 	case !j.mayHaveRun:
-		return unavailable(reason, after)
+		return serviceUnavailable(reason, after)
 	case j.left() <= 0:
 		return &refusal{
 			status: http.StatusGatewayTimeout,
--- a/relay/serve.go
+++ b/relay/serve.go
@@ -72,7 +72,7 @@
 		l.releasePlacement(p)
 		return false, ref
 	}
-	if b := l.findExcluded(&p.grant); b != nil {
+	if b := l.findUnavailable(&p.grant); b != nil {
 		l.releasePlacement(p)
 		l.Metrics.add("places_declined")
 		l.parts.Log.Info("place declined", "request", j.head.ID, "attempt", p.request.ID, "endpoint", b.endpoint,
@@ -179,7 +179,7 @@
 // retryOrGiveUp decides what follows an attempt without a complete answer: it returns true for
 // another attempt, else the refusal to send.
 func (l *Relay) retryOrGiveUp(ctx context.Context, j *job, t *attempt, res result) (bool, *refusal) {
-	j.exclude = append(j.exclude, t.excluded(res)...)
+	j.exclude = append(j.exclude, t.endpointToExclude(res)...)
 	switch {
 	case ctx.Err() != nil:
 		return false, j.giveUp("out of time", 0)
@@ -187,7 +187,7 @@
 		return false, j.giveUp(res.reason, 0)
 	case res.unsent, res.outcome == pool.Unreachable && len(j.exclude) <= maxUnreachable:
 		return true, nil
-	case j.out.headSent && res.brokenOff && len(j.exclude) <= maxResumes:
+	case j.out.headSent && res.interrupted && len(j.exclude) <= maxResumes:
 		// A resumed stream may exceed the route's number of attempts.
 		return true, nil
 	case j.attemptsLeft() > 0:
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -38,10 +38,10 @@
 			return t.streamEnd(x, rest)
 		}
 		if err != nil {
-			return t.handleBroken(err, w)
+			return t.handleInterrupted(err, w)
 		}
 		if out.callerGone() {
-			return t.handleBroken(errCallerGone, w)
+			return t.handleInterrupted(errCallerGone, w)
 		}
 	}
 }
--- a/relay/excluded.go
+++ b/relay/unavailable.go
@@ -9,36 +9,36 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// excludedError reports an endpoint that must not get new requests.
-type excludedError struct {
+// unavailableError reports an endpoint that must not get new requests.
+type unavailableError struct {
 	endpoint string
 	reason   string
 }
 
 // Error returns a message with the endpoint's id and the reason.
-func (e *excludedError) Error() string {
+func (e *unavailableError) Error() string {
 	return fmt.Sprintf("endpoint %s is excluded: %s", e.endpoint, e.reason)
 }
 
-// findExcluded returns an error if an endpoint of the grant must not get new requests, else
+// findUnavailable returns an error if an endpoint of the grant must not get new requests, else
 // nil. The endpoint may have started to leave or its failure domain may have been drained
 // during the wait for the placement, or the instance that placed the request did not know of it
 // yet.
-func (l *Relay) findExcluded(g *pool.Grant) *excludedError {
-	if e := l.checkExcluded(g.Instance, g.StartedAt); e != nil {
+func (l *Relay) findUnavailable(g *pool.Grant) *unavailableError {
+	if e := l.checkAvailable(g.Instance, g.StartedAt); e != nil {
 		return e
 	}
 	for _, r := range g.Shares {
-		if e := l.checkExcluded(r.Instance, time.Time{}); e != nil {
+		if e := l.checkAvailable(r.Instance, time.Time{}); e != nil {
 			return e
 		}
 	}
 	return nil
 }
 
-// checkExcluded returns an error if an endpoint must not get new requests, else nil. StartedAt
+// checkAvailable returns an error if an endpoint must not get new requests, else nil. StartedAt
 // is the start time of the endpoint's incarnation; zero if unknown.
-func (l *Relay) checkExcluded(instance string, startedAt time.Time) *excludedError {
+func (l *Relay) checkAvailable(instance string, startedAt time.Time) *unavailableError {
 	reason := ""
 	switch {
 	case l.parts.Snapshot().Unavailable(instance):
@@ -49,7 +49,7 @@
 	if reason == "" {
 		return nil
 	}
-	return &excludedError{
+	return &unavailableError{
 		endpoint: instance,
 		reason:   reason,
 	}
--- a/relay/excluded_test.go
+++ b/relay/unavailable_test.go
@@ -16,15 +16,15 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// excludingGuard is a notice.Guard with a fixed exclusion reason for each excluded endpoint.
-type excludingGuard map[string]string
+// fixedGuard is a notice.Guard with a fixed exclusion reason for each excluded endpoint.
+type fixedGuard map[string]string
 
-func (excludingGuard) RecordAnswer(notice.Answer, notice.Statements) {}
+func (fixedGuard) RecordAnswer(notice.Answer, notice.Statements) {}
 
-func (d excludingGuard) ExclusionReason(instance string, _ time.Time) string { return d[instance] }
+func (d fixedGuard) ExclusionReason(instance string, _ time.Time) string { return d[instance] }
 
-// newExcludingRelay returns a relay whose notices exclude some endpoints.
-func newExcludingRelay(d excludingGuard) *Relay {
+// newRelayWithGuard returns a relay whose notices exclude some endpoints.
+func newRelayWithGuard(d fixedGuard) *Relay {
 	return New(Settings{}, Parts{
 		Snapshot: func() *catalog.Snapshot { return &catalog.Snapshot{} },
 		Notices:  d,
@@ -34,7 +34,7 @@
 // TestFindExcluded guards against requests to an excluded endpoint, also as a helper of a joint
 // prefill.
 func TestFindExcluded(t *testing.T) {
-	l := newExcludingRelay(excludingGuard{"e1": "it leaves"})
+	l := newRelayWithGuard(fixedGuard{"e1": "it leaves"})
 	for _, c := range []struct {
 		name  string
 		grant pool.Grant
@@ -45,7 +45,7 @@
 		{"helper", pool.Grant{Instance: "e0", Shares: []pool.PrefillShare{{Instance: "e2"}, {Instance: "e1"}}}, "e1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := l.findExcluded(&c.grant)
+			got := l.findUnavailable(&c.grant)
 			is.New(t).Equal(got != nil, c.want != "")
 			if got != nil {
 				is.New(t).Equal(got.endpoint, c.want)
@@ -58,7 +58,7 @@
 // its endpoint was excluded after the placement.
 func TestExcludedBeforeSending(t *testing.T) {
 	is := is.New(t)
-	l := newExcludingRelay(excludingGuard{"e1": "it leaves"})
+	l := newRelayWithGuard(fixedGuard{"e1": "it leaves"})
 	j := &job{
 		route:    &route.Route{Kind: route.Unsafe, MaxAttempts: 1},
 		deadline: time.Now().Add(time.Second),
@@ -71,7 +71,7 @@
 		grant:  pool.Grant{Instance: "e1"},
 		caller: t.Context(),
 	}
-	res := x.handleNoAnswer(&upstream.Error{Err: l.findExcluded(&x.grant)}, nil)
+	res := x.handleNoAnswer(&upstream.Error{Err: l.findUnavailable(&x.grant)}, nil)
 	is.Equal(res.outcome, pool.Abandoned)
 	is.Equal(j.sends, 0)
 	is.True(!j.mayHaveRun)
@@ -82,7 +82,7 @@
 
 // recordingNotices is a notice.Guard that records the answers reported to it.
 type recordingNotices struct {
-	excludingGuard
+	fixedGuard
 	answers []notice.Answer
 }
 
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -20,7 +20,7 @@
 	j := t.job
 	data, err := io.ReadAll(io.LimitReader(x.Response.Body, maxWhole+1))
 	if err != nil {
-		return t.handleBroken(err, w)
+		return t.handleInterrupted(err, w)
 	}
 	if j.out.headSent {
 		// Only another stream can continue a stream.
