--- a/relay/admit.go
+++ b/relay/admit.go
@@ -43,7 +43,8 @@
 	sends int
 	// mayHaveRun states that an endpoint may have run the request.
 	mayHaveRun bool
-	// exclude lists the ids of the endpoints that must not get the request again.
+	// exclude lists the ids of the endpoints that this request must not get again, because an
+	// attempt failed at them or they were unavailable. Other requests may still get them.
 	exclude []string
 	// out writes the answer to the caller.
 	out *answer
@@ -113,8 +114,8 @@
 const firstTryTolerance = 100 * time.Millisecond
 
 // timeSpent returns how far a returning caller's timeout is below the route's timeout, which is
-// the time it has already spent. It returns zero if the caller sends none or about the route's
-// timeout.
+// taken as the time it has already spent. It returns zero if the caller sends no timeout, or
+// one that is less than firstTryTolerance below the route's or above it.
 func timeSpent(wait time.Duration, rt *route.Route) time.Duration {
 	if wait <= 0 || wait >= rt.Timeout-firstTryTolerance {
 		return 0
@@ -147,7 +148,7 @@
 	}
 }
 
-// attemptsLeft returns how many more endpoints the request may be sent to.
+// attemptsLeft returns how many more attempts the route allows for the request.
 func (j *job) attemptsLeft() int {
 	return j.route.MaxAttempts - j.sends
 }
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -18,7 +18,7 @@
 	flush *http.ResponseController
 	// headSent states that the status and header were sent.
 	headSent bool
-	// progress tracks which events of a stream the caller has received.
+	// progress tracks which events of a stream were sent to the caller.
 	progress streamProgress
 	// err is the error of the first failed write to the caller; nil before.
 	err error
@@ -73,7 +73,7 @@
 	a.write(data)
 }
 
-// stream sends complete events, after the head if that was not sent yet.
+// stream sends the next part of a stream, after the head if that was not sent yet.
 func (a *answer) stream(res *http.Response, data []byte) {
 	if !a.headSent {
 		a.sendHead(res, -1)
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -39,18 +39,20 @@
 // result is the outcome of an attempt.
 type result struct {
 	outcome pool.Outcome
-	// culprit is the endpoint at fault; empty if it is the one of the grant.
+	// culprit is the address or id of the endpoint at fault. If it is empty, that is the one of
+	// the grant.
 	culprit string
 	// answered states that the caller has received a complete answer.
 	answered bool
 	// interrupted states that the connection failed before the answer was complete, and neither
-	// the caller, the deadline nor the relay ended it.
+	// the caller, the deadline nor the relay ended it. A stream may then be resumed beyond the
+	// route's number of attempts. It is not set for answers that are too large to buffer.
 	interrupted bool
-	// unsent states that nothing was sent, because an endpoint of the grant was excluded after
-	// the placement.
+	// unsent states that nothing was sent, because an endpoint of the grant became unavailable
+	// after the placement.
 	unsent bool
 	// connectionLost states that the connection to the endpoint ended before the answer was
-	// complete.
+	// complete, so that the endpoint may have crashed.
 	connectionLost bool
 	// status is the status of the endpoint's answer; zero if there was none.
 	status int
@@ -180,7 +182,8 @@
 	return t.handleInterrupted(err, w)
 }
 
-// handleInterrupted returns the result of an attempt that failed after the request was sent.
+// handleInterrupted returns the result of an attempt that ended, after the request may have
+// been sent, without a complete answer.
 func (t *attempt) handleInterrupted(err error, w *watch) result {
 	res := result{
 		outcome: pool.Failed,
@@ -243,8 +246,8 @@
 // maxRejection bounds how much of a rejection's body is read, in bytes.
 const maxRejection = 64 << 10
 
-// recordFirstEvent reports the first sign of an answer to the placer and the metrics. Later
-// calls do nothing.
+// recordFirstEvent reports the first event of a stream, or that another answer was read, to the
+// placer. On streaming routes it also records the time in the metrics. Later calls do nothing.
 func (t *attempt) recordFirstEvent() {
 	if t.firstAfter > 0 {
 		return
@@ -256,8 +259,8 @@
 	}
 }
 
-// endpointToExclude returns the id of the endpoint that must not get the request again: the one at fault
-// if it took part in the attempt, else the one of the grant.
+// endpointToExclude returns, in a list of one, the id of the endpoint that must not get the
+// request again: the one at fault if it took part in the attempt, else the one of the grant.
 func (t *attempt) endpointToExclude(res result) []string {
 	if res.culprit == "" || res.culprit == t.grant.Address {
 		return []string{t.grant.Instance}
--- a/relay/body.go
+++ b/relay/body.go
@@ -15,8 +15,8 @@
 	maxDiscard = 8 << 20
 )
 
-// read reads the body into the job. It returns a refusal if the body exceeds the limit or is
-// cut short.
+// read reads the body into the job. It returns a refusal if the body exceeds the limit or does
+// not arrive completely.
 func (j *job) read(r *http.Request) *refusal {
 	limit := j.table.Limits.BodyBytes
 	if limit <= 0 {
--- a/relay/configuration.go
+++ b/relay/configuration.go
@@ -23,13 +23,12 @@
 	configPollInterval = 10 * time.Millisecond
 )
 
-// awaitConfiguration returns the catalog's snapshot, which is nil while there is no
-// configuration. With StrictKeys a configuration is usable only once its age is known.
-//
-// If there is no usable configuration, a request waits for one for a share of its caller's
-// timeout, as its caller may have no further try. A first try, a request without a timeout and
-// one beyond maxConfigWaiters do not wait. FirstTry states that other requests have named the
-// same timeout.
+// awaitConfiguration returns the catalog's snapshot. If that is not usable yet, it first waits
+// until it is, for at most configWaitShare of the caller's timeout, because the caller may have
+// no further try. It does not wait if firstTry is set, without a timeout, or beyond
+// maxConfigWaiters. If the wait ends without a usable snapshot, it returns the current one,
+// which is nil without a configuration. FirstTry means that an earlier request named the same
+// timeout.
 func (l *Relay) awaitConfiguration(ctx context.Context, wait time.Duration, firstTry bool) *catalog.Snapshot {
 	if known, ok := l.usableSnapshot(); ok {
 		return known
@@ -53,7 +52,9 @@
 	}
 }
 
-// usableSnapshot returns the catalog's snapshot and whether it suffices to decide on requests.
+// usableSnapshot returns the catalog's snapshot, nil if there is none, and whether it suffices
+// to decide on requests. With StrictKeys it does so only once the age of the configuration is
+// known.
 func (l *Relay) usableSnapshot() (*catalog.Snapshot, bool) {
 	known := l.parts.Snapshot()
 	_, aged := l.parts.Age()
@@ -61,8 +62,8 @@
 }
 
 // tooOldForKeys returns a refusal for a request that needs a key if StrictKeys is set and the
-// configuration has reached MaxAge, as the key may have been revoked since. Wait is the
-// caller's timeout.
+// configuration is too old, as the key may have been revoked since. Wait is the caller's
+// timeout, or what is left of it.
 func (l *Relay) tooOldForKeys(wait time.Duration) *refusal {
 	if !l.settings.StrictKeys {
 		return nil
@@ -70,8 +71,8 @@
 	return l.tooOld(wait)
 }
 
-// tooOld returns a refusal if the configuration has reached MaxAge or its age is unknown, as a
-// newer one may contain what this one does not. Wait is the caller's timeout.
+// tooOld returns a refusal if there is a MaxAge and the configuration has reached it or has an
+// unknown age, as a newer one may contain what this one does not. Wait is the caller's timeout.
 func (l *Relay) tooOld(wait time.Duration) *refusal {
 	if l.settings.MaxAge == 0 {
 		return nil
@@ -83,20 +84,19 @@
 	return serviceUnavailable("configuration is too old", l.retryAfterOutage(wait))
 }
 
-// minOutage is the shortest assumed remaining time of an outage. It is longer than the start of
-// an instance, because a caller that returns during the same outage wastes one of its few
-// tries.
+// minOutage is the shortest assumed remaining time of an outage. An instance starts in less
+// than that. A caller that returns during the same outage wastes one of its few tries.
 const minOutage = 1500 * time.Millisecond
 
 // heededRetryShare is the fraction of its remaining time that a caller waits at most before a
-// retry. Callers cut a longer Retry-After to this.
+// retry. Callers shorten a longer Retry-After to this.
 const heededRetryShare = 1.0 / 3
 
 // retryAfterOutage returns when a caller with the given timeout may return to an instance whose
 // configuration is missing or too old. The outage is assumed to last as long again as it has
 // lasted so far. Up to the same time is added at random, so that callers do not all return at
-// once. The result is below heededRetryShare of the timeout, because callers cut longer times
-// to that and would then return together.
+// once. The result is below heededRetryShare of the timeout, because callers shorten longer
+// times to that and would then return together.
 func (l *Relay) retryAfterOutage(wait time.Duration) time.Duration {
 	delay, known := l.parts.Age()
 	if !known {
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -119,10 +119,10 @@
 		crashed string
 		served  int
 	}{
-		{"broke off, endpoint down", interrupted, []string{"e2"}, time.Second, "e1", 0},
-		{"broke off, helper down", interrupted, []string{"e1"}, time.Second, "e2", 0},
-		{"broke off, both down", interrupted, nil, time.Second, "e1", 0},
-		{"broke off, both up", interrupted, all, time.Second, "", 0},
+		{"interrupted, endpoint down", interrupted, []string{"e2"}, time.Second, "e1", 0},
+		{"interrupted, helper down", interrupted, []string{"e1"}, time.Second, "e2", 0},
+		{"interrupted, both down", interrupted, nil, time.Second, "e1", 0},
+		{"interrupted, both up", interrupted, all, time.Second, "", 0},
 		{"silent, endpoint down", result{outcome: pool.Silent}, []string{"e2"}, time.Second, "e1", 0},
 		{"silent, both down", result{outcome: pool.Silent}, nil, time.Second, "e1", 0},
 		{"silent, both up", result{outcome: pool.Silent}, all, time.Second, "", 0},
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -13,8 +13,8 @@
 	// Vars holds all of them by name.
 	Vars *expvar.Map
 
-	// first observes the times to the first event of streams, and whole those to the end of
-	// answers.
+	// first observes the times from the arrival of a request to the first event of its stream,
+	// and whole those to the end of a complete answer.
 	first *histogram
 	whole *histogram
 }
@@ -44,8 +44,8 @@
 // bounds are the upper bounds of a histogram's buckets, in milliseconds.
 var bounds = [...]int64{1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 20000}
 
-// histogram counts durations in buckets. The counts are not cumulative: each covers the
-// durations above the previous bound up to its own.
+// histogram counts durations, rounded down to milliseconds, in buckets. The counts are not
+// cumulative: each covers the durations above the previous bound up to its own.
 type histogram struct {
 	vars *expvar.Map
 }
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -20,7 +20,7 @@
 // instance usually knows of other endpoints by then.
 const defaultRetryAfter = 300 * time.Millisecond
 
-// serviceUnavailable returns a refusal with status 503 for a request that did not run.
+// serviceUnavailable returns a refusal with status 503, for a request that did not run.
 func serviceUnavailable(reason string, after time.Duration) *refusal {
 	return &refusal{
 		status: http.StatusServiceUnavailable,
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -45,8 +45,8 @@
 	Suspicions pool.SilenceMonitor
 	// Quarantine bans requests that crash endpoints. Nil disables it.
 	Quarantine quarantine.Guard
-	// Check opens a connection to an endpoint that broke off an answer, to find out whether it
-	// has ended. It is required with Quarantine.
+	// Check opens a connection to an endpoint whose attempt failed, to find out whether it has
+	// ended. It is required with Quarantine.
 	Check quarantine.Checker
 	// Notices records the notices that endpoints put into their answers and returns which
 	// endpoints take no requests for now. Nil disables it.
@@ -68,7 +68,7 @@
 
 	settings Settings
 	parts    Parts
-	// counter numbers the placement requests.
+	// counter counts the placement requests, for their ids.
 	counter  atomic.Uint64
 	stopping atomic.Bool
 	// inFlight counts the requests that are being served, and configWaiters those that wait for
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -14,8 +14,8 @@
 // Timing of reservations.
 const (
 	// reservationTTL is how long a reservation lasts without a renewal. It bounds how long
-	// memory stays blocked after this instance crashes, or after an engine acts late on a
-	// request to reserve.
+	// memory stays blocked after this instance crashes, or if an engine executes a call to
+	// reserve after the one to free.
 	reservationTTL = 1900 * time.Millisecond
 	// renewInterval allows three renewals in a row to be lost.
 	renewInterval = 450 * time.Millisecond
@@ -23,7 +23,7 @@
 	reserveTimeout = 250 * time.Millisecond
 )
 
-// maxReserveAttempts is the number of tries to make or renew one reservation.
+// maxReserveAttempts is the number of calls to make or renew one reservation.
 const maxReserveAttempts = 2
 
 // reservations holds the memory reservations of an attempt.
@@ -34,15 +34,16 @@
 	done   sync.WaitGroup
 }
 
-// reservation is the memory of one engine, reserved under a name, in tokens.
+// reservation is memory that is reserved on one engine under a name.
 type reservation struct {
 	address string
 	name    string
-	tokens  int
+	// tokens is the number of tokens that the memory holds.
+	tokens int
 }
 
 // reserve reserves the memory that the grant names, all or nothing, and renews it in the
-// background until free is called.
+// background until free is called. It sets the id of the reservation in the grant's shares.
 func (t *attempt) reserve(ctx context.Context) (*reservations, error) {
 	h := &reservations{
 		memory: t.relay.parts.Memory,
--- a/relay/resume_test.go
+++ b/relay/resume_test.go
@@ -27,8 +27,8 @@
 	}{
 		{"no event", "", false, 250 * time.Millisecond, false, 0},
 		{"resumed from another instance", "12", false, 250 * time.Millisecond, true, 50 * time.Millisecond},
-		{"broke off here", "", true, 250 * time.Millisecond, true, 150 * time.Millisecond},
-		{"resumed and broke off here", "12", true, 250 * time.Millisecond, true, 150 * time.Millisecond},
+		{"interrupted here", "", true, 250 * time.Millisecond, true, 150 * time.Millisecond},
+		{"resumed and interrupted here", "12", true, 250 * time.Millisecond, true, 150 * time.Millisecond},
 		{"no gap target", "", true, 0, false, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
--- a/relay/serve.go
+++ b/relay/serve.go
@@ -28,7 +28,8 @@
 }
 
 // finish records how the request ended and sends the final answer if there is one. It panics
-// with http.ErrAbortHandler to close the connection of an incomplete answer.
+// with http.ErrAbortHandler, which closes the connection, if the caller has disconnected or has
+// received only a part of the answer.
 func (l *Relay) finish(ctx context.Context, j *job, w http.ResponseWriter, final *refusal) {
 	took := steady.Since(j.arrived)
 	switch {
@@ -56,9 +57,9 @@
 	}
 }
 
-// attempt finds a placement and sends the request there once. It returns true if another
-// attempt should follow, else the refusal to send, which is nil if the caller has a complete
-// answer.
+// attempt finds a placement and sends the request there once, unless the endpoint has become
+// unavailable. It returns true if another attempt should follow, else the refusal to send,
+// which is nil if the caller has a complete answer.
 func (l *Relay) attempt(ctx context.Context, j *job) (again bool, final *refusal) {
 	j.history.WaitSettled(ctx)
 	if ref := l.checkBan(j); ref != nil {
@@ -123,8 +124,8 @@
 	l.parts.Placer.End(p.request.ID, p.request.Service, pool.Abandoned, "")
 }
 
-// handleResult decides whether another attempt follows. It keeps the placement that was found
-// during this one for the next attempt, or releases it.
+// handleResult decides whether another attempt follows t. It keeps a placement that was found
+// during t for the next attempt, or releases it.
 func (l *Relay) handleResult(ctx context.Context, j *job, t *attempt, res result) (again bool, final *refusal) {
 	if !res.answered {
 		again, final = l.retryOrGiveUp(ctx, j, t, res)
@@ -196,12 +197,11 @@
 	return false, j.giveUp(res.reason, defaultRetryAfter)
 }
 
-// Limits on retries beyond the route's number of attempts, each compared with the number of
-// excluded endpoints.
+// Limits on the length of job.exclude for retries beyond the route's number of attempts.
 const (
 	// maxUnreachable applies after an attempt that could not connect.
 	maxUnreachable = 4
-	// maxResumes applies after a stream broke off.
+	// maxResumes applies after a stream was interrupted.
 	maxResumes = 3
 )
 
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,8 +14,8 @@
 // streamBuffer is the size of a read from a stream, in bytes. It holds several events.
 const streamBuffer = 4 << 10
 
-// relayStream forwards events as they arrive. It forwards only complete events, so that another
-// endpoint can resume the stream after any of them.
+// relayStream forwards events as they arrive. Until the stream ends it forwards only complete
+// events, so that another endpoint can resume the stream after any of them.
 func (t *attempt) relayStream(x *upstream.Exchange, w *watch) result {
 	out := t.job.out
 	buf := make([]byte, streamBuffer)
@@ -80,11 +80,12 @@
 	return end + 2
 }
 
-// streamProgress tracks which events of a stream the caller has received.
+// streamProgress tracks which events of a stream were sent to the caller.
 type streamProgress struct {
 	// last is the id of the last event. It starts as the id that the caller sent to resume a
-	// stream.
-	last  string
+	// stream; empty without one.
+	last string
+	// count is the number of events with an id that this instance has sent.
 	count int
 	// at is when the relay last sent an event with an id; zero before the first.
 	at time.Time
--- a/relay/suspicion.go
+++ b/relay/suspicion.go
@@ -61,13 +61,13 @@
 	w.suspectTimer.Reset(w.suspectAfter())
 }
 
-// suspectAfter returns the length of a silence that is reported.
+// suspectAfter returns the length from which a silence is reported.
 func (w *watch) suspectAfter() time.Duration {
 	return max(pool.MinSuspectSilence, pool.SuspectGapFactor*w.meanPause)
 }
 
 // suspect reports to the pool's owner that the stream is silent, and repeats this while the
-// silence lasts.
+// silence lasts. It skips a report for which the timer has fired too late.
 func (w *watch) suspect() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/relay/timeouts.go
+++ b/relay/timeouts.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// timeoutTracker distinguishes returning callers from first tries by their timeouts. First
-// tries usually name one of a few timeouts, whereas a returning caller names what is left of
-// its own. If the timeouts of first tries all differ, no caller is taken as returning. The zero
-// value is ready for use.
+// timeoutTracker distinguishes returning callers, which have sent the request before, from
+// first tries by their timeouts. First tries usually name one of a few timeouts, whereas a
+// returning caller names what is left of its own. If the timeouts of first tries all differ, no
+// caller is taken as returning. The zero value is ready for use.
 type timeoutTracker struct {
 	mu   sync.Mutex
 	seen map[time.Duration]struct{}
@@ -31,8 +31,9 @@
 	minRepeatShare = 0.3
 )
 
-// observe records the timeout of a request. Repeated states that an earlier request had the
-// same timeout, which marks a first try, and returning that the caller has probably come back.
+// observe records the timeout of a request. It returns repeated if an earlier request had the
+// same timeout, which marks a first try, and returning if the caller is probably a returning
+// one.
 func (w *timeoutTracker) observe(wait time.Duration) (repeated, returning bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/relay/timeouts_test.go
+++ b/relay/timeouts_test.go
@@ -15,7 +15,7 @@
 // firstTry is the timeout of first tries in these tests.
 const firstTry = 10 * time.Second
 
-// TestTimeoutsForgotten guards against returning callers' timeouts that fill the table, so that
+// TestTimeoutsForgotten guards against a table so full of returning callers' timeouts that
 // those of first tries are no longer learned.
 func TestTimeoutsForgotten(t *testing.T) {
 	is := is.New(t)
--- a/relay/unavailable.go
+++ b/relay/unavailable.go
@@ -9,7 +9,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// unavailableError reports an endpoint that must not get new requests.
+// unavailableError reports an endpoint that must not get any new request for now, as opposed to
+// one that a single request excludes (see job.exclude).
 type unavailableError struct {
 	endpoint string
 	reason   string
@@ -20,10 +21,9 @@
 	return fmt.Sprintf("endpoint %s is excluded: %s", e.endpoint, e.reason)
 }
 
-// findUnavailable returns an error if an endpoint of the grant must not get new requests, else
-// nil. The endpoint may have started to leave or its failure domain may have been drained
-// during the wait for the placement, or the instance that placed the request did not know of it
-// yet.
+// findUnavailable returns an error if an endpoint of the grant is unavailable, else nil. The
+// endpoint may have become unavailable during the wait for the placement, or the instance that
+// placed the request did not know of it yet.
 func (l *Relay) findUnavailable(g *pool.Grant) *unavailableError {
 	if e := l.checkAvailable(g.Instance, g.StartedAt); e != nil {
 		return e
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// checkAvailable returns an error if an endpoint must not get new requests, else nil. StartedAt
+// checkAvailable returns an error if an endpoint is leaving, in a drained failure domain, or
+// excluded by its own notices, for example because it asks for a back-off; else nil. StartedAt
 // is the start time of the endpoint's incarnation; zero if unknown.
 func (l *Relay) checkAvailable(instance string, startedAt time.Time) *unavailableError {
 	reason := ""
--- a/relay/unavailable_test.go
+++ b/relay/unavailable_test.go
@@ -16,14 +16,14 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// fixedGuard is a notice.Guard with a fixed exclusion reason for each excluded endpoint.
+// fixedGuard is a notice.Guard with a fixed exclusion reason for each unavailable endpoint.
 type fixedGuard map[string]string
 
 func (fixedGuard) RecordAnswer(notice.Answer, notice.Statements) {}
 
 func (d fixedGuard) ExclusionReason(instance string, _ time.Time) string { return d[instance] }
 
-// newRelayWithGuard returns a relay whose notices exclude some endpoints.
+// newRelayWithGuard returns a relay that gets its notices from d.
 func newRelayWithGuard(d fixedGuard) *Relay {
 	return New(Settings{}, Parts{
 		Snapshot: func() *catalog.Snapshot { return &catalog.Snapshot{} },
@@ -31,8 +31,8 @@
 	})
 }
 
-// TestFindExcluded guards against requests to an excluded endpoint, also as a helper of a joint
-// prefill.
+// TestFindExcluded guards against requests to an unavailable endpoint, also as a helper of a
+// joint prefill.
 func TestFindExcluded(t *testing.T) {
 	l := newRelayWithGuard(fixedGuard{"e1": "it leaves"})
 	for _, c := range []struct {
@@ -55,7 +55,7 @@
 }
 
 // TestExcludedBeforeSending guards against a request that fails, or uses up an attempt, because
-// its endpoint was excluded after the placement.
+// its endpoint became unavailable after the placement.
 func TestExcludedBeforeSending(t *testing.T) {
 	is := is.New(t)
 	l := newRelayWithGuard(fixedGuard{"e1": "it leaves"})
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -21,11 +21,13 @@
 }
 
 // watch monitors an attempt and cancels it if its endpoint is silent and another placement is
-// available. Without another placement the attempt continues.
+// available. Without another placement the attempt continues, unless it is ordered to migrate
+// before its first event.
 type watch struct {
 	attempt *attempt
 	cancel  func()
-	// silenceLimit is the silence after which the watch searches for another placement.
+	// silenceLimit is the silence after an event from which the watch searches for another
+	// placement, and the usual delay between searches.
 	silenceLimit time.Duration
 	// stopped is done when the watch ends. It also cancels a search for a placement.
 	stopped context.Context
@@ -36,12 +38,12 @@
 	// that an event has arrived.
 	lastActivity time.Time
 	hasEvents    bool
-	// timer fires when the silence has reached its limit; nil if the attempt is not watched.
+	// timer fires when the next search is due; nil if the attempt is not watched.
 	timer *time.Timer
 	// next is the placement for which the attempt was cancelled.
 	next *nextPlacement
-	// abandoned states that the attempt was cancelled without another placement, because its
-	// endpoint has stopped.
+	// abandoned states that the attempt was cancelled without another placement, because it was
+	// ordered to migrate before its first event.
 	abandoned bool
 	// meanPause is the moving average of the pauses between events. suspectTimer fires when the
 	// current pause has to be reported; nil without a SilenceMonitor and before the first
@@ -52,8 +54,8 @@
 	stopMigrations func()
 }
 
-// watch starts the watch of an attempt. It watches only streams that another endpoint may
-// resume, because cancelling any other attempt early gains nothing.
+// watch starts the watch of an attempt. It watches only streams that may be sent to another
+// endpoint, because cancelling any other attempt early gains nothing.
 func (t *attempt) watch(ctx context.Context, cancel func()) *watch {
 	w := &watch{
 		attempt: t,
--- a/relay/watch_test.go
+++ b/relay/watch_test.go
@@ -44,8 +44,8 @@
 		name  string
 		err   error
 		begun bool
-		// first is the silence at the first search, left how long the caller still waits then,
-		// and again the time until the second search.
+		// first is the silence at the first search, left how long the caller is expected to wait
+		// after it, and again the time from the first search to the second.
 		first time.Duration
 		left  time.Duration
 		again time.Duration
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -12,7 +12,7 @@
 )
 
 // maxWhole is the size, in bytes, up to which an answer is buffered before it is forwarded, so
-// that a broken one can be retried.
+// that an interrupted one can be retried.
 const maxWhole = 1 << 20
 
 // relayWhole forwards an answer that is not a stream. Success states that its status is 2xx.
@@ -80,7 +80,7 @@
 // retryLeft is the least remaining time for which a retry is worthwhile.
 const retryLeft = 100 * time.Millisecond
 
-// relayLarge forwards an answer that is too large to buffer. If it breaks off, the request
+// relayLarge forwards an answer that is too large to buffer. If it is interrupted, the request
 // can't be retried, because the caller already has a part of it.
 func (t *attempt) relayLarge(x *upstream.Exchange, begin []byte, r result) result {
 	out := t.job.out
