--- a/entry/call.go
+++ b/entry/call.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		var ce *plain.CallError
 		if ctx.Err() == nil && (!errors.As(err, &ce) || ce.Ran != problem.NotRun) {
-			e.reportBroken(j, startedAt, h)
+			e.reportFailedAttempt(j, startedAt, h)
 		}
 		return a, err
 	}
--- a/entry/complete.go
+++ b/entry/complete.go
@@ -131,7 +131,7 @@
 		return false, fail
 	}
 	if !errors.Is(err, errCallerWrite) {
-		e.reportBroken(j, r.startedAt, r.team.all()...)
+		e.reportFailedAttempt(j, r.startedAt, r.team.all()...)
 	}
 	fail := failureProblem(err, r.engineAnswered)
 	return j.mayRetry() && !r.out.started(), fail
@@ -201,7 +201,7 @@
 	stream, err := client.Run(ctx, r.attempt())
 	for {
 		if err == nil {
-			err = r.relay(stream, w)
+			err = r.forward(stream, w)
 		}
 		if err == nil || !r.resumable(ctx, err) {
 			return w.cause(err)
@@ -237,8 +237,8 @@
 	return ctx.Err() == nil && !refused && !errors.Is(err, errCallerWrite) && r.engineAnswered && r.resumes < maxResumes
 }
 
-// relay forwards the chunks of a stream to the sink until the end of the answer.
-func (r *run) relay(stream engine.Stream, w *watchdog) error {
+// forward forwards the chunks of a stream to the sink until the end of the answer.
+func (r *run) forward(stream engine.Stream, w *watchdog) error {
 	// An error of Close does not affect the answer.
 	defer func() { _ = stream.Close() }()
 	for {
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -54,8 +54,8 @@
 	return p
 }
 
-// reportBroken has the crash detector check the endpoints of a failed attempt.
-func (e *Entry) reportBroken(j *job, startedAt time.Time, leases ...*heldLease) {
+// reportFailedAttempt has the crash detector check the endpoints of a failed attempt.
+func (e *Entry) reportFailedAttempt(j *job, startedAt time.Time, leases ...*heldLease) {
 	if e.parts.Quarantine == nil {
 		return
 	}
