--- a/entry/answers.go
+++ b/entry/answers.go
@@ -26,13 +26,14 @@
 // becomes free for another request.
 var errRefusedBeforeRun = errors.New("the request with this key was refused before it ran")
 
-// errNoAnswer is the error of an answer that does not exist or is no longer kept.
+// errNoAnswer is the outcome of a request that failed or whose answer is too large to keep, and
+// the error for an answer that is not kept.
 var errNoAnswer = errors.New("the answer is not there")
 
 // Attacher fetches answers from other instances.
 type Attacher interface {
-	// Attach copies the answer to a request from the instance that runs it or keeps its answer.
-	// It returns when the answer is complete.
+	// Attach copies the answer to a request from the instance that runs it or keeps its answer
+	// to out. It returns nil when the answer is complete.
 	Attach(ctx context.Context, instance, request string, out Writer) error
 }
 
@@ -52,23 +53,25 @@
 type Answers struct {
 	claimpb.UnimplementedAnswersServer
 
+	// keep is how long answers are kept after their end.
 	keep time.Duration
 
 	mu   sync.Mutex
 	kept map[string]*keptAnswer
 }
 
-// keptAnswer is an answer that may still be incomplete. Changed is closed and replaced at each
-// change.
+// keptAnswer is an answer that may still be incomplete.
 type keptAnswer struct {
 	mu          sync.Mutex
 	status      int
 	contentType string
 	data        []byte
 	ended       bool
-	outcome     error
-	endedAt     time.Time
-	changed     chan struct{}
+	// outcome is nil if the answer has ended and is complete.
+	outcome error
+	endedAt time.Time
+	// changed is closed and replaced at each change.
+	changed chan struct{}
 }
 
 func newAnswers(keep time.Duration) *Answers {
@@ -167,7 +170,8 @@
 	k.changed = make(chan struct{})
 }
 
-// copyTo writes the answer from its start to out and follows it until it ends.
+// copyTo writes the answer from its start to out and follows it until it ends. It returns the
+// answer's outcome, or an error of out or ctx.
 func (k *keptAnswer) copyTo(ctx context.Context, out Writer) error {
 	sent := 0
 	headed := false
@@ -199,8 +203,9 @@
 	}
 }
 
-// CopyTo writes the answer to a request of this instance from its start to out and follows it
-// until it ends.
+// CopyTo writes the answer to a request that this instance runs or has run from its start to
+// out, and follows it until it ends. It returns an error if the answer is not kept or not
+// complete.
 func (a *Answers) CopyTo(ctx context.Context, request string, out Writer) error {
 	k, ok := a.get(request)
 	if !ok {
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -23,7 +23,8 @@
 // budget limits retries to a fraction of the requests, so that the loss of many endpoints does
 // not multiply the load.
 type budget struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// tokens is the number of retries left.
 	tokens float64
 }
 
--- a/entry/complete.go
+++ b/entry/complete.go
@@ -187,8 +187,8 @@
 	usage          usage
 }
 
-// do dispatches the attempt and forwards its answer. A broken stream is resumed at the same
-// engine.
+// do dispatches the attempt and forwards its answer. It resumes an interrupted stream at the
+// same engine, at most maxResumes times.
 func (r *run) do(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -28,13 +28,14 @@
 
 // leaseSearch holds the state of the search for leases for one request.
 type leaseSearch struct {
-	job     *job
+	job *job
+	// exclude lists the ids of the endpoints that must not be chosen for this request.
 	exclude []string
 	// leases counts the leases that were requested.
 	leases int
 	// impatient counts the refusals because the wait would exceed the request's patience.
 	impatient int
-	// restarted states that exclude was cleared once to try the endpoints again.
+	// restarted states that restart has cleared exclude.
 	restarted bool
 	// pastDeadline counts the refusals because the deadline can't be met.
 	pastDeadline int
@@ -44,11 +45,12 @@
 	minRetryAfter time.Duration
 }
 
-// maxPastDeadline is the number of endpoints that may refuse because of the deadline before the
-// search ends. The first one has the lowest estimate, so further ones are unlikely to meet it.
+// maxPastDeadline is the number of refusals because of the deadline that ends the search. The
+// first endpoint has the lowest estimate, so further ones are unlikely to meet the deadline.
 const maxPastDeadline = 2
 
-// maxImpatient is the number of refusals for patience after which a request accepts any wait.
+// maxImpatient is the number of refusals because of the patience after which a request accepts
+// any wait.
 const maxImpatient = 2
 
 // patienceSlack is added to the estimates in patience, so that small errors do not send a
@@ -160,8 +162,8 @@
 	return nil, e.handleRefusal(ctx, s, c.endpoint, ownerInstance.ID, attempt, err)
 }
 
-// restart clears the excluded endpoints after a back-off, once per search, when no endpoint is
-// left. It returns false if another try is not worthwhile.
+// restart clears exclude and backs off when no endpoint is left, once per search. It returns
+// false if another try is not worthwhile.
 func (s *leaseSearch) restart(ctx context.Context) bool {
 	if len(s.exclude) == 0 || s.restarted || s.pastDeadline > 0 {
 		return false
@@ -199,7 +201,7 @@
 }
 
 // handleRefusal logs and records the refusal of a lease. It returns whether another try is
-// worthwhile.
+// worthwhile. Other errors are not logged, and permit another try unless ctx has ended.
 func (e *Entry) handleRefusal(ctx context.Context, s *leaseSearch, endpoint, ownerID, attempt string, err error) bool {
 	var r *owner.Refusal
 	if !errors.As(err, &r) {
@@ -268,8 +270,8 @@
 	}
 }
 
-// release removes the attempt from the registry and reports its outcome to the owner of the
-// lease in the background. Step is the mean time between tokens; zero if unknown.
+// release removes the attempt from the registry and reports its outcome to the owner that
+// granted the lease, in the background. Step is the mean time between tokens; zero if unknown.
 func (e *Entry) release(h *heldLease, o owner.Outcome, step time.Duration) {
 	e.Registry.remove(h.attempt)
 	e.runInBackground(func(ctx context.Context) {
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -20,7 +20,7 @@
 	Attempt string `json:"attempt,omitempty"`
 	// Endpoint is the id of the endpoint involved, if any.
 	Endpoint string `json:"endpoint,omitempty"`
-	// Owner is the id of the instance that owns the endpoint, if that was asked for a lease.
+	// Owner is the id of the instance from which a lease is requested, if any.
 	Owner string `json:"owner,omitempty"`
 	// Reason explains the step.
 	Reason string `json:"reason,omitempty"`
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -19,7 +19,7 @@
 // unknown.
 const maxSummaryAge = 3 * time.Second
 
-// fleet holds the candidates for requests, with the latest summaries of their owners.
+// fleet holds the candidates for requests, with the latest summaries from their owners.
 type fleet struct {
 	strategy policy.Strategy
 	region   string
@@ -177,8 +177,9 @@
 // maxEstimates bounds the number of estimates per decision in the log.
 const maxEstimates = 3
 
-// choose picks an endpoint for w from the named group and counts w as pending there. It never
-// picks an endpoint in exclude. Index is -1 if no endpoint is usable.
+// choose picks an endpoint for w from the named group and counts w as pending there. Hit is the
+// fraction of the prompt that is expected to be cached. It never picks an endpoint in exclude.
+// The Index of the result is -1 if no endpoint is usable.
 func (f *fleet) choose(name string, w *policy.Work, hit float64, exclude []string, now time.Time) choice {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/input.go
+++ b/entry/input.go
@@ -220,6 +220,7 @@
 	return out.String(), nil
 }
 
+// textPrompt returns the prompt of a text completion, which is a string or a list of one string.
 func textPrompt(raw json.RawMessage) (string, *problem.Error) {
 	var one string
 	if err := json.Unmarshal(raw, &one); err == nil && one != "" {
@@ -256,7 +257,9 @@
 	return out.String(), nil
 }
 
-// readHeaders sets the deadline, the tier, and whether the request may run only once.
+// readHeaders sets the deadline, the tier, whether the request may be retried after it may have
+// run, and the claim on its idempotency key. OnceByDefault applies if no header decides on
+// retries.
 func (j *job) readHeaders(h http.Header, onceByDefault bool) *problem.Error {
 	limits := &j.view.File.Limits
 	within := time.Duration(limits.DefaultDeadline)
--- a/entry/job.go
+++ b/entry/job.go
@@ -23,6 +23,7 @@
 	// service is the name of a plain service; empty for a completion.
 	service string
 	prompt  string
+	// output is the maximum number of output tokens.
 	output  int
 	arrived time.Time
 	// deadline is when the answer must be complete.
@@ -39,8 +40,8 @@
 	// history holds the request's identity, which is the same for all its tries at any
 	// instance, and its failed attempts.
 	history quarantine.RequestHistory
-	// singleEndpoint states that only one endpoint may run the request, because its ban has just
-	// ended.
+	// singleEndpoint states that only one endpoint may run the request, because its identity was
+	// banned and may still crash endpoints.
 	singleEndpoint bool
 	// dispatches counts the attempts that may have reached an endpoint.
 	dispatches int
--- a/entry/once.go
+++ b/entry/once.go
@@ -61,7 +61,7 @@
 }
 
 // attach sends the caller the answer to the request that holds the key. It returns an error if
-// the answer is not available.
+// the answer is not available or incomplete, with status 0 if a part of it was sent.
 func (e *Entry) attach(ctx context.Context, j *job, winner claim.Claim, caller *callerWriter) *problem.Error {
 	e.traces.add(j.id, Event{
 		What:   "attached",
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -10,8 +10,8 @@
 	"github.com/linkmast/linkmast/owner/ownerpb"
 )
 
-// Registry holds the ids of the attempts that an instance holds. Owners query it to find
-// attempts that no instance holds any more.
+// Registry holds the ids of the attempts for which this instance has requested a lease, until
+// they end. Owners query it to find attempts that no instance holds any more.
 type Registry struct {
 	ownerpb.UnimplementedHolderServer
 
@@ -34,7 +34,7 @@
 	r.attempts[attempt] = struct{}{}
 }
 
-// remove removes an attempt that has ended.
+// remove removes an attempt that has ended or got no lease.
 func (r *Registry) remove(attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -95,7 +95,7 @@
 	return s.out.Write(s.buf)
 }
 
-// event writes the event of one token to the buffer.
+// event replaces the buffer with the event of one token. Reason is the finish reason as JSON.
 func (s *streamSink) event(text, reason string) {
 	s.buf = append(s.buf[:0], s.framePrefix...)
 	s.buf = appendString(s.buf, text)
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -17,7 +17,7 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// recordingLeaser is an owner that grants every lease and records how the leases end.
+// recordingLeaser is an owner.Leaser that grants every lease and records how the leases end.
 type recordingLeaser struct {
 	outcomes []owner.Outcome
 }
@@ -50,7 +50,7 @@
 }
 
 // TestLeaseExpiresDuringSuspension guards against the use of a lease that expired while the
-// host was suspended. It must be released unused and another one requested.
+// host was suspended. It must be released unused, and another attempt allowed.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	m := steadytest.New(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/entry/team.go
+++ b/entry/team.go
@@ -40,7 +40,8 @@
 )
 
 // shareCount returns the least number of shares into which a job must be split to fit the
-// endpoints' memory, or zero if it can't fit.
+// endpoints' memory, or zero if it can't fit. It returns 1 for plain services, and if the model
+// has no endpoint that may be used.
 func (e *Entry) shareCount(j *job) int {
 	if j.model == nil {
 		return 1
@@ -151,7 +152,7 @@
 	e.release(h, owner.NotStarted, 0)
 }
 
-// pickTeam chooses up to n endpoints and returns their ids in order.
+// pickTeam chooses up to n endpoints and returns their ids in ascending order.
 func (e *Entry) pickTeam(s *leaseSearch, n int) []string {
 	w := s.job.work(n)
 	skip := slices.Clone(s.exclude)
@@ -230,7 +231,8 @@
 	return s.refusal()
 }
 
-// disband ends the leases of a team whose attempt did not start.
+// disband ends the leases of a team whose attempt did not start, and the memory reservations of
+// its members.
 func (e *Entry) disband(t *team, o owner.Outcome) {
 	e.release(t.lead, o, 0)
 	for _, m := range t.members {
