--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -79,7 +79,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
-				registry.Holder(Key{})
+				registry.Winner(Key{})
 			}
 			b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "held-bytes")
 			runtime.KeepAlive(registry)
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -124,21 +124,21 @@
 	freed bool
 }
 
-// replayHolder determines the holder of a key by replaying the whole history. A claim has no effect
-// if the key was held or the claim had been freed before.
-func replayHolder(history []historyEntry, k Key) string {
-	holder := ""
+// replayWinner returns the request whose claim holds a key, found by replaying the whole history. A
+// claim has no effect if the key was held or the claim had been freed before.
+func replayWinner(history []historyEntry, k Key) string {
+	winner := ""
 	for i, e := range history {
 		request := e.claim.Request
 		switch {
-		case e.freed && holder == request:
-			holder = ""
-		case e.freed || e.claim.Key != k || holder != "" || wasFreed(history[:i], request):
+		case e.freed && winner == request:
+			winner = ""
+		case e.freed || e.claim.Key != k || winner != "" || wasFreed(history[:i], request):
 		default:
-			holder = request
+			winner = request
 		}
 	}
-	return holder
+	return winner
 }
 
 func wasFreed(history []historyEntry, request string) bool {
@@ -164,8 +164,8 @@
 			}
 			history = append(history, e)
 			registry.applyEntry(encode(e.claim, e.freed))
-			got, _ := registry.Holder(e.claim.Key)
-			if want := replayHolder(history, e.claim.Key); got.Request != want {
+			got, _ := registry.Winner(e.claim.Key)
+			if want := replayWinner(history, e.claim.Key); got.Request != want {
 				t.Fatalf("registry: %q holds the key, replay: %q", got.Request, want)
 			}
 		}
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -69,8 +69,8 @@
 	return len(r.keys)
 }
 
-// Holder returns the claim that holds a key.
-func (r *Registry) Holder(k Key) (Claim, bool) {
+// Winner returns the claim that holds a key.
+func (r *Registry) Winner(k Key) (Claim, bool) {
 	c, ok := r.keys[k]
 	return c, ok
 }
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -226,13 +226,13 @@
 func (w *Writer) answerHeld(p *partition, batch []entryRequest) []entryRequest {
 	rest := batch[:0]
 	for _, a := range batch {
-		holder, held := p.registry.Holder(a.claim.Key)
+		winner, held := p.registry.Winner(a.claim.Key)
 		if a.freed || !held {
 			rest = append(rest, a)
 			continue
 		}
 		a.result <- outcome{
-			winner: holder,
+			winner: winner,
 		}
 	}
 	return rest
@@ -249,11 +249,11 @@
 			err: errors.Wrap(ErrLog, "not freed"),
 		}
 	}
-	holder, held := registry.Holder(request.claim.Key)
+	winner, held := registry.Winner(request.claim.Key)
 	switch {
 	case held && err == nil:
 		return outcome{
-			winner: holder,
+			winner: winner,
 		}
 	case registry.Freed(request.claim.Request):
 		return outcome{
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -121,11 +121,11 @@
 // customer's requests arrive at, or can't be used fully.
 func TestRateHoldsAcrossInstances(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		nodes int
-		cut   bool
-		least int
-		most  int
+		name        string
+		instances   int
+		unreachable bool
+		least       int
+		most        int
 	}{
 		{"one instance", 1, false, 45, 60},
 		{"eight instances", 8, false, 45, 60},
@@ -136,9 +136,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				k := &fakeOwners{
 					lender:    NewLender(0),
-					instances: c.nodes,
+					instances: c.instances,
 				}
-				k.setUnreachable(c.cut)
+				k.setUnreachable(c.unreachable)
 				// The quota allows 5 requests per second for 10 s, and a burst of 5.
 				got := requestContinuously(t, k, Quota{Rate: 5}, 10*time.Second)
 				if got < c.least || got > c.most {
--- a/member/member.go
+++ b/member/member.go
@@ -93,8 +93,8 @@
 	generation    func() int64
 	changed       chan struct{}
 	// viewInputs is what the view was built from, and peers is the number of listed instances.
-	viewInputs viewInputs
-	peers      int
+	viewInputs  viewInputs
+	listedCount int
 }
 
 // New starts a member, which Close stops. The function generation returns the generation of the
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -23,7 +23,7 @@
 	mu           sync.Mutex
 	list         instances.List
 	down         map[string]bool
-	cut          map[string]bool
+	partitioned  map[string]bool
 	members      map[string]*Member
 	platformDown bool
 }
@@ -46,9 +46,9 @@
 func (p *networkPort) Probe(ctx context.Context, address string, in *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
 	p.net.mu.Lock()
 	m := p.net.members[address]
-	broken := p.net.down[address] || p.net.down[p.id] || p.net.cut[p.id+"|"+address] || p.net.cut[address+"|"+p.id]
+	unreachable := p.net.down[address] || p.net.down[p.id] || p.net.partitioned[p.id+"|"+address] || p.net.partitioned[address+"|"+p.id]
 	p.net.mu.Unlock()
-	if broken || m == nil {
+	if unreachable || m == nil {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -58,10 +58,10 @@
 // startNetwork starts n members and waits until they know each other.
 func startNetwork(n int) *network {
 	net := &network{
-		list:    listOf(n),
-		down:    make(map[string]bool),
-		cut:     make(map[string]bool),
-		members: make(map[string]*Member),
+		list:        listOf(n),
+		down:        make(map[string]bool),
+		partitioned: make(map[string]bool),
+		members:     make(map[string]*Member),
 	}
 	for i := range net.list.Instances {
 		net.list.Instances[i].Address = net.list.Instances[i].ID
@@ -144,12 +144,12 @@
 		defer net.close()
 		net.mu.Lock()
 		for i := range 5 {
-			net.cut[fmt.Sprintf("node-5|node-%d", i)] = true
+			net.partitioned[fmt.Sprintf("node-5|node-%d", i)] = true
 		}
 		net.mu.Unlock()
 		time.Sleep(30 * time.Second)
 		net.mu.Lock()
-		clear(net.cut)
+		clear(net.partitioned)
 		net.mu.Unlock()
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
--- a/member/probe.go
+++ b/member/probe.go
@@ -41,20 +41,20 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	peers := make([]instances.Instance, 0, len(v.Listed))
-	var suspects []instances.Instance
+	var doubtful []instances.Instance
 	for id, n := range v.Listed {
 		switch {
 		case id == m.settings.Self.ID:
 		case m.fails[id] > 0 && m.fails[id] < failuresToReport, len(m.reports[id]) > 0 && m.fails[id] < failuresToReport:
-			suspects = append(suspects, n)
+			doubtful = append(doubtful, n)
 		default:
 			peers = append(peers, n)
 		}
 	}
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	rand.Shuffle(len(suspects), func(i, j int) { suspects[i], suspects[j] = suspects[j], suspects[i] })
+	rand.Shuffle(len(doubtful), func(i, j int) { doubtful[i], doubtful[j] = doubtful[j], doubtful[i] })
 	peers = peers[:min(len(peers), m.settings.Fanout)]
-	return append(peers, suspects[:min(len(suspects), maxDoubtfulTargets)]...)
+	return append(peers, doubtful[:min(len(doubtful), maxDoubtfulTargets)]...)
 }
 
 // probe probes one peer and records the result.
--- a/member/rebuild.go
+++ b/member/rebuild.go
@@ -13,32 +13,32 @@
 
 // viewInputs is what a view is built from, in a form that is cheap to compare.
 type viewInputs struct {
-	list         int64
-	complete     bool
-	stopping     bool
-	excludedHash uint64
+	listVersion     int64
+	complete        bool
+	stopping        bool
+	unavailableHash uint64
 }
 
 // currentInputs returns what a view built now would be built from. The caller must hold the lock.
 func (m *Member) currentInputs(now time.Time) viewInputs {
 	b := viewInputs{
-		list:     m.list.Version,
-		complete: m.complete,
-		stopping: m.stopping,
+		listVersion: m.list.Version,
+		complete:    m.complete,
+		stopping:    m.stopping,
 	}
 	for id, stops := range m.stoppingPeers {
 		if stops {
-			b.excludedHash ^= xxhash.Sum64String("stops " + id)
+			b.unavailableHash ^= xxhash.Sum64String("stops " + id)
 		}
 	}
 	for id := range m.fails {
-		if m.isDown(id, m.peers, now) {
-			b.excludedHash ^= xxhash.Sum64String("down " + id)
+		if m.isDown(id, m.listedCount, now) {
+			b.unavailableHash ^= xxhash.Sum64String("down " + id)
 		}
 	}
 	for id := range m.reports {
-		if _, failed := m.fails[id]; !failed && m.isDown(id, m.peers, now) {
-			b.excludedHash ^= xxhash.Sum64String("down " + id)
+		if _, failed := m.fails[id]; !failed && m.isDown(id, m.listedCount, now) {
+			b.unavailableHash ^= xxhash.Sum64String("down " + id)
 		}
 	}
 	return b
@@ -72,15 +72,15 @@
 		listed[self.ID] = self
 	}
 	for id, n := range listed {
-		excluded := n.State == instances.Leaving || m.stoppingPeers[id] || m.isDown(id, len(listed), now)
+		unavailable := n.State == instances.Leaving || m.stoppingPeers[id] || m.isDown(id, len(listed), now)
 		if id == self.ID {
-			excluded = m.stopping
+			unavailable = m.stopping
 		}
-		if !excluded {
+		if !unavailable {
 			usable[id] = n
 		}
 	}
-	m.peers = len(listed)
+	m.listedCount = len(listed)
 	old := m.view.Load()
 	v := newView(listed, usable, endpoints, m.complete)
 	m.view.Store(v)
--- a/member/report.go
+++ b/member/report.go
@@ -79,11 +79,11 @@
 
 // isDown reports whether an instance is considered down, by reports or by failures of this
 // instance's own calls. The caller must hold the lock.
-func (m *Member) isDown(id string, peers int, now time.Time) bool {
+func (m *Member) isDown(id string, listed int, now time.Time) bool {
 	if m.fails[id] >= failuresForDown {
 		return true
 	}
-	quorum := min(m.settings.Quorum, max(peers-1, 1))
+	quorum := min(m.settings.Quorum, max(listed-1, 1))
 	n := 0
 	for _, at := range m.reports[id] {
 		if now.Sub(at) <= m.settings.ReportAge {
