--- a/limit/borrower.go
+++ b/limit/borrower.go
@@ -60,16 +60,19 @@
 type holdings struct {
 	// lock protects all fields. It is held during calls to the quota owner, so that there is only
 	// one at a time.
-	lock         sync.Mutex
-	quota        Quota
-	starts       int
-	startsUntil  time.Time
+	lock  sync.Mutex
+	quota Quota
+	// starts is how many more requests may start until startsUntil.
+	starts      int
+	startsUntil time.Time
+	// running is how many requests may run at once until runningUntil, and inUse how many do.
 	running      int
 	runningUntil time.Time
 	inUse        int
 	// recent is the number of starts after since, from which the next batch is sized.
-	recent     int
-	since      time.Time
+	recent int
+	since  time.Time
+	// localShare limits the starts while the quota owner can't be reached; nil until it is needed.
 	localShare *rate.Limiter
 }
 
@@ -144,8 +147,8 @@
 	return starts && running
 }
 
-// borrow asks the quota owner for what the next requests need, and falls back to the local share if
-// the call fails.
+// borrow asks the quota owner for what the next requests need, and uses the local share if the call
+// fails. It returns a refusal if neither admits another request.
 func (b *Borrower) borrow(ctx context.Context, customer string, h *holdings, now time.Time) *Refusal {
 	want := h.batchSize(now)
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
@@ -233,6 +236,7 @@
 	}
 }
 
+// renew borrows the concurrency in use again. If the call fails, the previous loan remains.
 func (b *Borrower) renew(ctx context.Context, customer string, h *holdings) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -117,8 +117,8 @@
 	return admitted
 }
 
-// TestRateHoldsAcrossInstances guards against a rate that depends on the number of instances that a
-// customer's requests arrive at, or can't be used fully.
+// TestRateHoldsAcrossInstances guards against admitting more requests than the quota's rate allows,
+// or far fewer, when a customer's requests arrive at several instances.
 func TestRateHoldsAcrossInstances(t *testing.T) {
 	for _, c := range []struct {
 		name        string
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -42,7 +42,7 @@
 	StartedAt time.Time
 	// Request is the id of the request.
 	Request string
-	// SentAt is when the request was sent, or some time before that; zero if unknown.
+	// SentAt is when the request was sent, or a moment before that; zero if unknown.
 	SentAt time.Time
 }
 
--- a/notice/registry.go
+++ b/notice/registry.go
@@ -11,8 +11,9 @@
 	"github.com/go-logr/logr"
 )
 
-// minRateHold is the least time between two changes of a rate limit's value, so that an endpoint
-// that states another limit in each answer causes at most one notice in that time.
+// minRateHold is the least time from a change of an endpoint's notice until the value of its rate
+// limit changes, so that an endpoint that states another limit in each answer causes at most one
+// notice in that time.
 const minRateHold = time.Second
 
 // The limits of back-offs.
@@ -277,7 +278,7 @@
 	r.view.Store(r.View().withEndpoint(e, now))
 }
 
-// logMalformed logs the first malformed statement of an incarnation.
+// logMalformed logs the first malformed statement of an incarnation. The caller must hold the lock.
 func (r *Registry) logMalformed(e *endpointState, a Answer, s Statements) {
 	if s.Malformed == "" || e.malformedLogged {
 		return
--- a/notice/registry_test.go
+++ b/notice/registry_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestRateLimitRecorded guards against a rate limit that a late or malformed answer ends, or that
-// remains after an answer without it.
+// TestRateLimitRecorded guards against a rate limit that is ended by the answer to an earlier
+// request or by a malformed statement, or that remains after a later answer without it.
 func TestRateLimitRecorded(t *testing.T) {
 	c := newClock()
 	b := notice.New(c.now, logr.Discard())
--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -34,7 +34,7 @@
 	crashedAt time.Time
 }
 
-// FailedAttempt is an attempt that broke off, or whose endpoint stopped responding.
+// FailedAttempt is an attempt that failed, possibly because one of its endpoints crashed.
 type FailedAttempt struct {
 	// Attempt is the id of the attempt.
 	Attempt string
@@ -49,7 +49,7 @@
 
 // Detector checks whether endpoints have ended under attempts, and reports each such crash to a
 // Guard. An endpoint that still accepts connections has not crashed, even if it reset a connection
-// or broke off an answer.
+// or interrupted an answer.
 type Detector struct {
 	guard   Guard
 	check   Checker
--- a/quarantine/end.go
+++ b/quarantine/end.go
@@ -17,8 +17,8 @@
 	// commonCauseWindow is the most time between the ends of two endpoints that are attributed to a
 	// common cause. It covers the delays with which instances notice an end.
 	commonCauseWindow = 50 * time.Millisecond
-	// SettleDelay is the time from a crash until the registry decides whether it counts. Until then
-	// a suspected request that crashed its endpoint isn't sent again.
+	// SettleDelay is the time from the report of a crash until the registry decides whether it
+	// counts. Until then a suspected request that crashed its endpoint isn't sent again.
 	SettleDelay = 2 * commonCauseWindow
 	// endRetention is the least time for which the end of an endpoint is kept, unless the endpoint
 	// ends again. Older ones are removed when a new one is recorded.
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -17,14 +17,14 @@
 	EraseBan(ctx context.Context, id Identity) error
 }
 
-// The times of writing to the store.
+// The timing of writes to the store.
 const (
 	// writeTimeout bounds one call.
 	writeTimeout = time.Second
 	// writeRetryDelay is the pause after a failed call.
 	writeRetryDelay = 500 * time.Millisecond
-	// standbyDelay is how much later than the pool's owner another instance writes a change: time
-	// for the instances to read what the owner wrote.
+	// standbyDelay is how much later than the pool's owner another instance writes a change. It
+	// gives that instance time to read what the owner wrote.
 	standbyDelay = 2 * time.Second
 )
 
@@ -146,8 +146,8 @@
 }
 
 // NewRecorder returns a recorder. The function owner reports whether this instance owns the pool
-// and therefore writes without delay; other instances write only what the owner has not written by
-// then.
+// and therefore writes without delay. Other instances write after standbyDelay what they have not
+// read from the store by then.
 func NewRecorder(registry *Registry, s Store, owner func() bool, log logr.Logger) *Recorder {
 	return &Recorder{
 		registry: registry,
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -24,7 +24,7 @@
 	// minBanRetention is the least time for which an expired ban is kept, so that a request that
 	// returns within it is banned again after one crash.
 	minBanRetention = time.Hour
-	// suspectRetention is the time after the last crash of a suspect from which its next crash
+	// suspectRetention is the time after the last report of a suspect from which its next crash
 	// starts a new count: much longer than callers take to retry.
 	suspectRetention = 10 * time.Minute
 )
