--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestOneWinner guards against two claims that hold the same key when several writers write to a
-// partition, also if answers of the log are lost.
+// TestOneWinner guards against different results of claims on one key through several writers, also
+// if answers of the log are lost.
 func TestOneWinner(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -151,7 +151,7 @@
 }
 
 // TestRegistryMatchesReplay guards against a Registry that differs from a replay of the history
-// when requests claim several times and are freed before or after.
+// when requests claim a key several times, and are freed before or after that.
 func TestRegistryMatchesReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry := NewRegistry()
@@ -172,7 +172,7 @@
 	})
 }
 
-// TestReadAfterTrim guards against a reader that waits for records that were trimmed from the log.
+// TestReadAfterTrim guards against a registry that waits for records that were trimmed from the log.
 func TestReadAfterTrim(t *testing.T) {
 	is := is.New(t)
 	b := NewRegistry()
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -13,7 +13,7 @@
 	"github.com/linkmast/linkmast/claim/claimpb"
 )
 
-// Service writes claims: a Writer of this instance, or a Client of another instance's writer.
+// Service writes claims. It is this instance's Writer, or a Client of another instance's.
 type Service interface {
 	// Claim writes a claim and returns the claim that holds its key.
 	Claim(ctx context.Context, c Claim) (Claim, error)
@@ -27,7 +27,7 @@
 // freeRetryInterval is the interval of attempts to free abandoned claims.
 const freeRetryInterval = time.Second
 
-// writerTimeout bounds a call to one writer, which leaves time for another one.
+// writerTimeout bounds a call to claim a key at one writer, so that time remains for another one.
 const writerTimeout = 1200 * time.Millisecond
 
 // freeTimeout bounds one attempt to free a claim, including all writers that it tries.
@@ -88,8 +88,8 @@
 	return Claim{}, last
 }
 
-// FreeLater frees a claim in the background, as soon as the log permits. The claim's request must
-// not have been dispatched, and must never be.
+// FreeLater frees a claim in the background. It retries until that succeeds or the key expires. The
+// claim's request must not have been dispatched, and must never be.
 func (c *Claimer) FreeLater(claim Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -1,13 +1,12 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package claim ensures that a request for which the caller provides a once-only key runs at most
-// once.
+// Package claim ensures that a request with an idempotency key runs at most once.
 //
 // Before such a request is dispatched, a claim on its key is appended to the platform's log. Keys
 // are distributed over partitions, each a stream of the log. The first claim on a key by offset
-// holds it (Registry), and only the instance that made this claim dispatches the request, once. If
-// it abandons the claim before dispatch, it frees the claim, and the next claim on the key can hold
-// it.
+// holds it (Registry), and only the entry instance that made this claim dispatches the request,
+// once. If it abandons the claim before dispatch, it frees the claim, and a later claim on the key
+// can hold it.
 //
 // The claims of a partition usually go through one instance, its writer, which batches them to save
 // appends. Correctness depends only on the order in the log, so that several writers at a time do
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -12,10 +12,10 @@
 	"github.com/linkmast/linkmast/logsvc"
 )
 
-// Key is the hash of a customer and the customer's once-only key.
+// Key is the hash of a customer's id and an idempotency key that the customer chose.
 type Key [sha256.Size]byte
 
-// KeyOf returns the hash of a customer and the customer's once-only key.
+// KeyOf returns the hash of a customer's id and an idempotency key.
 func KeyOf(customer, key string) Key {
 	h := sha256.New()
 	// Write never returns an error for a hash.
@@ -36,7 +36,8 @@
 	Key Key
 	// Request is the id of the request that claims the key.
 	Request string
-	// Instance is the id of the instance that will dispatch the request.
+	// Instance is the id of the request's entry instance, which dispatches it if the claim holds
+	// the key.
 	Instance string
 	// ValidUntil is when the key expires.
 	ValidUntil time.Time
@@ -45,8 +46,10 @@
 // Registry tracks which claim holds each key of one partition, from the records of its stream. The
 // zero value is not usable; use NewRegistry.
 type Registry struct {
-	next  int64
-	keys  map[Key]Claim
+	next int64
+	// keys maps each key that is held to the claim that holds it.
+	keys map[Key]Claim
+	// freed maps the requests whose claims were freed to when their keys expire.
 	freed map[string]time.Time
 }
 
@@ -69,7 +72,7 @@
 	return len(r.keys)
 }
 
-// Winner returns the claim that holds a key.
+// Winner returns the claim that holds a key, and false if none does.
 func (r *Registry) Winner(k Key) (Claim, bool) {
 	c, ok := r.keys[k]
 	return c, ok
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -47,7 +47,7 @@
 // maxBatch bounds the entries of one append.
 const maxBatch = 512
 
-// ErrLog means that the log did not decide a claim. Whether the claim was written is unknown.
+// ErrLog means that a claim was not decided, or not freed. Its entry may have been written.
 var ErrLog = errors.New("the log does not answer")
 
 // Writer writes claims in batches. Close must be called to stop it.
@@ -79,7 +79,7 @@
 	result chan outcome
 }
 
-// outcome is the holder of the key according to the log, or an error.
+// outcome is the claim that holds the key according to the log, or an error.
 type outcome struct {
 	winner Claim
 	err    error
@@ -126,8 +126,8 @@
 	<-w.Done
 }
 
-// Claim writes a claim and returns the claim that holds its key, which may be c itself. It returns
-// ErrLog if the log doesn't decide in time.
+// Claim writes a claim and returns the claim that holds its key, which may be c itself. Its errors
+// wrap ErrLog, for example if the log doesn't answer in time.
 func (w *Writer) Claim(ctx context.Context, c Claim) (Claim, error) {
 	return w.submit(ctx, c, false)
 }
@@ -175,7 +175,8 @@
 	}
 }
 
-// gather adds requests to a batch until the rate limit permits the next append.
+// gather adds requests to a batch until the rate limit permits the next append, or the batch is
+// full.
 func (w *Writer) gather(p *partition, batch []entryRequest) []entryRequest {
 	due := time.NewTimer(p.limit.Reserve().Delay())
 	defer due.Stop()
@@ -238,8 +239,9 @@
 	return rest
 }
 
-// outcomeOf returns the outcome of one request. After an error of the append or the read, freeing a
-// claim still succeeds if the registry shows it as freed; a claim fails with ErrLog.
+// outcomeOf returns the outcome of one request. Err is the error of the append or the read. In
+// spite of it, freeing a claim succeeds if the registry shows it as freed; a claim fails with
+// ErrLog.
 func outcomeOf(registry *Registry, request entryRequest, err error) outcome {
 	if request.freed {
 		if registry.Freed(request.claim.Request) {
@@ -257,7 +259,7 @@
 		}
 	case registry.Freed(request.claim.Request):
 		return outcome{
-			err: errors.Wrap(ErrLog, "the claim was given up"),
+			err: errors.Wrap(ErrLog, "the claim was freed"),
 		}
 	case err == nil:
 		return outcome{
@@ -270,7 +272,7 @@
 }
 
 // append appends a batch as one record. If it is unknown whether the append took effect, it returns
-// no error, as reading the stream shows that.
+// no error, because reading the stream will show it.
 func (w *Writer) append(p *partition, batch []entryRequest) error {
 	rec := &claimpb.Record{}
 	for _, a := range batch {
--- a/member/member.go
+++ b/member/member.go
@@ -80,18 +80,23 @@
 	cancel   context.CancelFunc
 	view     atomic.Pointer[View]
 
-	mu       sync.Mutex
-	list     instances.List
+	mu   sync.Mutex
+	list instances.List
+	// complete states that a list has been read, from the platform or a seed.
 	complete bool
 	// lowerVersions counts complete lists in a row with a lower version.
 	lowerVersions int
-	fails         map[string]int
-	reports       map[string]map[string]time.Time
+	// fails counts the failed calls to each peer in a row.
+	fails map[string]int
+	// reports holds the times of the reports, by the instance that they are about and by reporter.
+	reports map[string]map[string]time.Time
+	// lastHeard is when each peer last sent a probe or answered one.
 	lastHeard     map[string]time.Time
 	stoppingPeers map[string]bool
 	stopping      bool
 	generation    func() int64
-	changed       chan struct{}
+	// changed is closed and replaced at each change that Changed announces.
+	changed chan struct{}
 	// viewInputs is what the view was built from, and peers is the number of listed instances.
 	viewInputs  viewInputs
 	listedCount int
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -20,9 +20,10 @@
 
 // network connects members in one process.
 type network struct {
-	mu           sync.Mutex
-	list         instances.List
-	down         map[string]bool
+	mu   sync.Mutex
+	list instances.List
+	down map[string]bool
+	// partitioned holds the pairs "a|b" of members that can't reach each other.
 	partitioned  map[string]bool
 	members      map[string]*Member
 	platformDown bool
@@ -135,8 +136,8 @@
 	}
 }
 
-// TestPartitionedInstanceMarksNoneDown guards against a partitioned member that makes others
-// consider reachable instances as down.
+// TestPartitionedInstanceMarksNoneDown guards against a partitioned member whose reports make other
+// members consider reachable instances as down when the partition ends.
 func TestPartitionedInstanceMarksNoneDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/member/probe.go
+++ b/member/probe.go
@@ -33,8 +33,8 @@
 const maxDoubtfulTargets = 4
 
 // targets picks the peers to probe: a few of the doubtful ones, and random ones of the other
-// listed peers. A peer with fewer than failuresToReport failures in a row is doubtful if its
-// last probe failed or another instance reported it. Probing doubtful peers resolves the doubt
+// listed peers. A peer with fewer than failuresToReport failures in a row is doubtful if the last
+// call to it failed or another instance reported it. Probing doubtful peers resolves the doubt
 // soon in a fleet of any size.
 func (m *Member) targets() []instances.Instance {
 	v := m.View()
--- a/member/rebuild.go
+++ b/member/rebuild.go
@@ -13,9 +13,10 @@
 
 // viewInputs is what a view is built from, in a form that is cheap to compare.
 type viewInputs struct {
-	listVersion     int64
-	complete        bool
-	stopping        bool
+	listVersion int64
+	complete    bool
+	stopping    bool
+	// unavailableHash covers the ids of the peers that are stopping or down.
 	unavailableHash uint64
 }
 
@@ -45,7 +46,7 @@
 }
 
 // rebuild builds a new view if its inputs have changed, and closes the channel of Changed if the
-// view differs.
+// available instances, the endpoints or Complete differ.
 func (m *Member) rebuild() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/member/report.go
+++ b/member/report.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// outgoingReports returns the valid reports with their ages, and removes the others.
+// outgoingReports returns up to maxReports of the valid reports, with their ages, and removes the
+// reports that are no longer valid.
 func (m *Member) outgoingReports() []*memberpb.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,7 +79,8 @@
 }
 
 // isDown reports whether an instance is considered down, by reports or by failures of this
-// instance's own calls. The caller must hold the lock.
+// instance's own calls. Listed is the number of listed instances, including this one. The caller
+// must hold the lock.
 func (m *Member) isDown(id string, listed int, now time.Time) bool {
 	if m.fails[id] >= failuresForDown {
 		return true
--- a/member/view.go
+++ b/member/view.go
@@ -72,8 +72,8 @@
 }
 
 // WatchTargets returns up to n available instances of a region that the instance self should watch,
-// without itself. If there are more, rendezvous hashing selects them, so that each instance is
-// watched by about the same number.
+// without itself. If the region has more, rendezvous hashing selects n of them, so that each is
+// watched by about the same number of instances.
 func (v *View) WatchTargets(self, region string, n int) []instances.Instance {
 	h := xxhash.Sum64String(self)
 	order := slices.Clone(v.byRegion[region])
--- a/owner/doc.go
+++ b/owner/doc.go
@@ -15,7 +15,7 @@
 // confirmed for ConfirmAfter. It cancels at once an attempt that its holder no
 // longer has, and after OrphanAfter one whose holder doesn't answer. Cancels
 // are repeated until the endpoint no longer lists the attempt, so that the
-// memory of an attempt whose holder died is free within
+// memory of an attempt whose holder has died is free within
 //
 //	ConfirmAfter + OrphanAfter + 2·SweepInterval
 //
--- a/owner/messages.go
+++ b/owner/messages.go
@@ -11,9 +11,9 @@
 
 // Request asks an owner for a lease on an endpoint.
 type Request struct {
-	// Attempt is the id of the attempt, chosen by the holder.
+	// Attempt is the id of the attempt, chosen by the entry instance.
 	Attempt string
-	// Holder is the id of the instance that will dispatch the attempt.
+	// Holder is the id of the entry instance, which holds the lease if it is granted.
 	Holder string
 	// Endpoint is the id of the endpoint.
 	Endpoint string
@@ -81,21 +81,21 @@
 const (
 	// FirstToken keeps the lease and reports that the prefill is finished.
 	FirstToken Outcome = "first_token"
-	// Done ends the lease after a complete answer or a delivered cancel.
+	// Done ends the lease after a complete answer.
 	Done Outcome = "done"
-	// Failed ends the lease after a failure of the endpoint.
+	// Failed ends the lease of an attempt that failed or was cancelled.
 	Failed Outcome = "failed"
 	// NotStarted ends a lease that was not used.
 	NotStarted Outcome = "not_started"
 )
 
-// Release reports the outcome of a lease.
+// Release is a holder's report about a lease.
 type Release struct {
 	// Attempt is the id of the attempt.
 	Attempt string
 	// Endpoint is the id of the endpoint.
 	Endpoint string
-	// Outcome is the outcome of the attempt.
+	// Outcome is the outcome to report.
 	Outcome Outcome
 	// Step is the mean time between tokens; zero if unknown.
 	Step time.Duration
@@ -103,16 +103,16 @@
 
 // Leaser grants leases. It is an Owner in this process, or a Client of another.
 type Leaser interface {
-	// Acquire waits for a lease. If the request is queued, it calls queued, unless nil, with the
-	// estimated wait, possibly more than once. The error of a refused request is a *Refusal.
+	// Acquire waits for a lease. If the request is queued, it calls queued, unless that is nil, with
+	// the estimated wait, possibly more than once. The error of a refused request is a *Refusal.
 	Acquire(ctx context.Context, r Request, queued func(time.Duration)) (Grant, error)
 	// Release reports the outcome of a lease.
 	Release(ctx context.Context, r Release) error
 }
 
-// Holders gives access to the instances that hold attempts.
+// Holders gives access to the instances that hold leases.
 type Holders interface {
-	// Held returns those of the attempts that the holder still has. It returns an error if the
+	// Held returns those of the given attempts that a holder still has. It returns an error if the
 	// holder can't be reached.
 	Held(ctx context.Context, holder string, attempts []string) ([]string, error)
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -24,7 +24,7 @@
 	// SweepInterval is the interval at which the status of each endpoint is compared with its
 	// leases; the default is 1s.
 	SweepInterval time.Duration
-	// ConfirmAfter is how long after its last confirmation the holder of a lease is asked about it;
+	// ConfirmAfter is how long after the last confirmation of a lease its holder is asked about it;
 	// the default is 3s.
 	ConfirmAfter time.Duration
 	// OrphanAfter is how long a holder may be unreachable before its attempts are cancelled; the
@@ -114,13 +114,15 @@
 	leases map[string]*lease
 	// unleased holds the attempts that run without a lease, with the time when each was first seen.
 	unleased map[string]time.Time
-	// instance is the endpoint instance in the last status.
+	// instance is the name of the endpoint instance in the last status.
 	instance string
 	// reported is true once the endpoint has returned a status.
 	reported bool
 	ejected  bool
-	fails    int
-	pumping  bool
+	// fails counts the failed status calls in a row.
+	fails int
+	// pumping is true while a call of pump is scheduled.
+	pumping bool
 }
 
 // lease is the permission of a holder to run one attempt.
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -83,8 +83,8 @@
 	return wait, nil
 }
 
-// admit refuses a request that can't meet its deadline, or whose wait exceeds its patience.
-// RetryAfter is the time by which the wait is too long, but at least minRetry.
+// admit returns a refusal if a request can't meet its deadline, or its wait exceeds its patience,
+// else nil. RetryAfter is the time by which the wait is too long, but at least minRetry.
 func admit(e *endpoint, r *Request, wait time.Duration, now time.Time) *Refusal {
 	finish := now.Add(wait + e.ledger.MinTime(&r.Work))
 	if late := finish.Sub(r.Work.Deadline); late > 0 {
@@ -160,7 +160,8 @@
 	}
 }
 
-// refuseLate refuses the waiting requests that can no longer meet their deadlines.
+// refuseLate refuses the waiting requests that can no longer meet their deadlines. The naive
+// strategy refuses none.
 func (o *Owner) refuseLate(e *endpoint, now time.Time) {
 	if _, naive := o.settings.Strategy.(policy.Naive); naive {
 		return
@@ -210,8 +211,8 @@
 		"free_bytes", e.ledger.Free(), "queue", len(e.queue), "reason", string(why))
 }
 
-// abandon removes a request from the queue after its caller has gone, or ends its lease if it got
-// one meanwhile.
+// abandon removes a request whose wait was cancelled from the queue, or ends its lease if it got one
+// meanwhile.
 func (o *Owner) abandon(w *waiter) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -228,7 +229,7 @@
 	o.endLease(e, w.request.Attempt)
 }
 
-// endLease ends a lease and returns its memory. The caller must hold the lock.
+// endLease ends a lease, which frees its memory for waiting requests. The caller must hold the lock.
 func (o *Owner) endLease(e *endpoint, attempt string) {
 	now := steady.Now()
 	delete(e.leases, attempt)
--- a/owner/suspended_test.go
+++ b/owner/suspended_test.go
@@ -17,7 +17,7 @@
 	"github.com/linkmast/linkmast/policy"
 )
 
-// delayedGrants is an owner that grants all requests after a wait.
+// delayedGrants is a client of an owner that grants each request after a wait.
 type delayedGrants struct {
 	ownerpb.OwnerClient
 	grpc.ServerStreamingClient[ownerpb.AcquireUpdate]
--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -216,9 +216,10 @@
 	}
 }
 
-// findOrphans evaluates the answer of a holder about attempts. Attempts that the holder doesn't
-// have are orphans, as are all of a holder that hasn't answered for OrphanAfter. It ends their
-// leases, and returns the ones that run at the endpoint and must be cancelled.
+// findOrphans evaluates the answer of a holder about attempts, or the error of the call to it.
+// Attempts that the holder doesn't have are orphans, as are all attempts of a holder that hasn't
+// answered for OrphanAfter. It ends the leases of orphans, and returns those orphans that run at the
+// endpoint and must be cancelled.
 func (o *Owner) findOrphans(e *endpoint, holder string, ids, held []string, err error, running map[string]engine.Held) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
