--- a/entry/answers.go
+++ b/entry/answers.go
@@ -32,8 +32,8 @@
 
 // Attacher fetches answers from other instances.
 type Attacher interface {
-	// Attach copies the answer to a request from the instance that runs it or keeps its answer
-	// to out. It returns nil when the answer is complete.
+	// Attach fetches the answer to a request from the instance that runs it or keeps its answer,
+	// and writes it to out. It returns nil when the answer is complete.
 	Attach(ctx context.Context, instance, request string, out Writer) error
 }
 
@@ -203,9 +203,8 @@
 	}
 }
 
-// CopyTo writes the answer to a request that this instance runs or has run from its start to
-// out, and follows it until it ends. It returns an error if the answer is not kept or not
-// complete.
+// CopyTo writes the answer to a request of this instance from its start to out and follows it
+// until it ends. It returns an error if the answer is not kept, or incomplete when it ends.
 func (a *Answers) CopyTo(ctx context.Context, request string, out Writer) error {
 	k, ok := a.get(request)
 	if !ok {
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -15,8 +15,7 @@
 	retryBurst = 20.0
 	// maxDispatches bounds the attempts of one request that may have reached an endpoint.
 	maxDispatches = 3
-	// maxLeases bounds the leases that are requested for a request that is not split into
-	// shares.
+	// maxLeases bounds the tries to get a lease for a request that is not split into shares.
 	maxLeases = 12
 )
 
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -31,7 +31,7 @@
 	job *job
 	// exclude lists the ids of the endpoints that must not be chosen for this request.
 	exclude []string
-	// leases counts the leases that were requested.
+	// leases counts the tries to get a lease. It numbers the attempts.
 	leases int
 	// impatient counts the refusals because the wait would exceed the request's patience.
 	impatient int
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -43,8 +43,8 @@
 	sends int
 	// mayHaveRun states that an endpoint may have run the request.
 	mayHaveRun bool
-	// exclude lists the ids of the endpoints that this request must not get again, because an
-	// attempt failed at them or they were unavailable. Other requests may still get them.
+	// exclude lists the ids of the endpoints that must not get this request, because an attempt
+	// failed at them or they were unavailable. They may get other requests.
 	exclude []string
 	// out writes the answer to the caller.
 	out *answer
@@ -115,7 +115,7 @@
 
 // timeSpent returns how far a returning caller's timeout is below the route's timeout, which is
 // taken as the time it has already spent. It returns zero if the caller sends no timeout, or
-// one that is less than firstTryTolerance below the route's or above it.
+// one that is above the route's timeout or at most firstTryTolerance below it.
 func timeSpent(wait time.Duration, rt *route.Route) time.Duration {
 	if wait <= 0 || wait >= rt.Timeout-firstTryTolerance {
 		return 0
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -13,8 +13,8 @@
 	// Vars holds all of them by name.
 	Vars *expvar.Map
 
-	// first observes the times from the arrival of a request to the first event of its stream,
-	// and whole those to the end of a complete answer.
+	// first observes the times from the arrival of requests to the first events of their
+	// streams, and whole those to the ends of complete answers.
 	first *histogram
 	whole *histogram
 }
--- a/relay/timeouts.go
+++ b/relay/timeouts.go
@@ -31,9 +31,9 @@
 	minRepeatShare = 0.3
 )
 
-// observe records the timeout of a request. It returns repeated if an earlier request had the
-// same timeout, which marks a first try, and returning if the caller is probably a returning
-// one.
+// observe records the timeout of a request. Repeated is true if an earlier request had the same
+// timeout, which marks a first try. Returning is true if the request is probably from a
+// returning caller.
 func (w *timeoutTracker) observe(wait time.Duration) (repeated, returning bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/relay/unavailable.go
+++ b/relay/unavailable.go
@@ -9,8 +9,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// unavailableError reports an endpoint that must not get any new request for now, as opposed to
-// one that a single request excludes (see job.exclude).
+// unavailableError reports an endpoint that must get no new requests for now, as opposed to one
+// that only a single request must not get (see job.exclude).
 type unavailableError struct {
 	endpoint string
 	reason   string
@@ -36,9 +36,9 @@
 	return nil
 }
 
-// checkAvailable returns an error if an endpoint is leaving, in a drained failure domain, or
-// excluded by its own notices, for example because it asks for a back-off; else nil. StartedAt
-// is the start time of the endpoint's incarnation; zero if unknown.
+// checkAvailable returns an error if an endpoint has departed, is in a drained failure domain,
+// or has stated in its answers that it is leaving or needs a back-off; else nil. StartedAt is
+// the start time of the endpoint's incarnation; zero if unknown.
 func (l *Relay) checkAvailable(instance string, startedAt time.Time) *unavailableError {
 	reason := ""
 	switch {
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -38,7 +38,8 @@
 	// that an event has arrived.
 	lastActivity time.Time
 	hasEvents    bool
-	// timer fires when the next search is due; nil if the attempt is not watched.
+	// timer fires when the next search for a placement is due; nil if the attempt is not
+	// watched.
 	timer *time.Timer
 	// next is the placement for which the attempt was cancelled.
 	next *nextPlacement
