--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -180,8 +180,8 @@
 				defer release()
 				for range 11 { // enough for several starts to be borrowed at once
 					time.Sleep(5 * time.Millisecond)
-					back, lacks := acquire()
-					is.True(lacks == nil)
+					back, denied := acquire()
+					is.True(denied == nil)
 					back()
 				}
 				owners.setUnreachable(true)
@@ -228,9 +228,9 @@
 		is.Equal(n, 0)
 		a.Close() // a dies while it holds all six
 		time.Sleep(DefaultValid + time.Second)
-		n, backs := acquireAll(b)
+		n, releases := acquireAll(b)
 		is.Equal(n, 6)
-		for _, f := range backs {
+		for _, f := range releases {
 			f()
 		}
 		owners.setUnreachable(true)
--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -20,7 +20,8 @@
 // Checker opens a connection to an endpoint and closes it again.
 type Checker func(ctx context.Context, address string) error
 
-// RequestHistory tracks the failed attempts of one request from a caller.
+// RequestHistory tracks the failed attempts that an entry instance makes for one request of a
+// caller.
 type RequestHistory struct {
 	// Identity is the identity of the request.
 	Identity Identity
--- a/quarantine/types.go
+++ b/quarantine/types.go
@@ -8,8 +8,8 @@
 type Crash struct {
 	// Attempt is the id of the attempt, unique among all instances.
 	Attempt string
-	// PreviousAttempt is the id of the last failed attempt before this one for the same caller
-	// request; empty if there is none.
+	// PreviousAttempt is the id of the last failed attempt before this one that the same instance
+	// made for the same request of a caller; empty if there is none.
 	PreviousAttempt string
 	// Identity is the identity of the request.
 	Identity Identity
