--- a/relay/resume.go
+++ b/relay/resume.go
@@ -8,10 +8,10 @@
 	"github.com/linkmast/linkmast/internal/steady"
 )
 
-// resumes reports whether the caller already has events of its stream, and the time until the
-// next event is late, which may be negative. If the caller received its events from another
-// instance, the time counts from the arrival of the request. Without a gap target resumes
-// returns false.
+// resumes reports whether events of the stream were already sent to the caller, and returns the
+// time until the next event is late, which may be negative. If another instance sent the
+// events, the time counts from the arrival of the request. Without a gap target resumes returns
+// false.
 func (j *job) resumes() (bool, time.Duration) {
 	gap := j.route.GapTarget
 	e := &j.out.progress
