--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestOneWinner guards against two claims that hold the same key when several writers write to a
-// partition, also if answers of the log are lost.
+// TestOneWinner guards against different results of claims on one key through several writers, also
+// if answers of the log are lost.
 func TestOneWinner(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -124,21 +124,21 @@
 	freed bool
 }
 
-// replayHolder determines the holder of a key by replaying the whole history. A claim has no effect
-// if the key was held or the claim had been freed before.
-func replayHolder(history []historyEntry, k Key) string {
-	holder := ""
+// replayWinner returns the request whose claim holds a key, found by replaying the whole history. A
+// claim has no effect if the key was held or the claim had been freed before.
+func replayWinner(history []historyEntry, k Key) string {
+	winner := ""
 	for i, e := range history {
 		request := e.claim.Request
 		switch {
-		case e.freed && holder == request:
-			holder = ""
-		case e.freed || e.claim.Key != k || holder != "" || wasFreed(history[:i], request):
+		case e.freed && winner == request:
+			winner = ""
+		case e.freed || e.claim.Key != k || winner != "" || wasFreed(history[:i], request):
 		default:
-			holder = request
+			winner = request
 		}
 	}
-	return holder
+	return winner
 }
 
 func wasFreed(history []historyEntry, request string) bool {
@@ -151,7 +151,7 @@
 }
 
 // TestRegistryMatchesReplay guards against a Registry that differs from a replay of the history
-// when requests claim several times and are freed before or after.
+// when requests claim a key several times, and are freed before or after that.
 func TestRegistryMatchesReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry := NewRegistry()
@@ -164,15 +164,15 @@
 			}
 			history = append(history, e)
 			registry.applyEntry(encode(e.claim, e.freed))
-			got, _ := registry.Holder(e.claim.Key)
-			if want := replayHolder(history, e.claim.Key); got.Request != want {
+			got, _ := registry.Winner(e.claim.Key)
+			if want := replayWinner(history, e.claim.Key); got.Request != want {
 				t.Fatalf("registry: %q holds the key, replay: %q", got.Request, want)
 			}
 		}
 	})
 }
 
-// TestReadAfterTrim guards against a reader that waits for records that were trimmed from the log.
+// TestReadAfterTrim guards against a registry that waits for records that were trimmed from the log.
 func TestReadAfterTrim(t *testing.T) {
 	is := is.New(t)
 	b := NewRegistry()
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -15,15 +15,15 @@
 	retryBurst = 20.0
 	// maxDispatches bounds the attempts of one request that may have reached an endpoint.
 	maxDispatches = 3
-	// maxLeases bounds the leases that are requested for a request that is not split into
-	// shares.
+	// maxLeases bounds the tries to get a lease for a request that is not split into shares.
 	maxLeases = 12
 )
 
 // budget limits retries to a fraction of the requests, so that the loss of many endpoints does
 // not multiply the load.
 type budget struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// tokens is the number of retries left.
 	tokens float64
 }
 
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -117,15 +117,15 @@
 	return admitted
 }
 
-// TestRateHoldsAcrossInstances guards against a rate that depends on the number of instances that a
-// customer's requests arrive at, or can't be used fully.
+// TestRateHoldsAcrossInstances guards against admitting more requests than the quota's rate allows,
+// or far fewer, when a customer's requests arrive at several instances.
 func TestRateHoldsAcrossInstances(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		nodes int
-		cut   bool
-		least int
-		most  int
+		name        string
+		instances   int
+		unreachable bool
+		least       int
+		most        int
 	}{
 		{"one instance", 1, false, 45, 60},
 		{"eight instances", 8, false, 45, 60},
@@ -136,9 +136,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				k := &fakeOwners{
 					lender:    NewLender(0),
-					instances: c.nodes,
+					instances: c.instances,
 				}
-				k.setUnreachable(c.cut)
+				k.setUnreachable(c.unreachable)
 				// The quota allows 5 requests per second for 10 s, and a burst of 5.
 				got := requestContinuously(t, k, Quota{Rate: 5}, 10*time.Second)
 				if got < c.least || got > c.most {
@@ -180,8 +180,8 @@
 				defer release()
 				for range 11 { // enough for several starts to be borrowed at once
 					time.Sleep(5 * time.Millisecond)
-					back, lacks := acquire()
-					is.True(lacks == nil)
+					back, denied := acquire()
+					is.True(denied == nil)
 					back()
 				}
 				owners.setUnreachable(true)
@@ -228,9 +228,9 @@
 		is.Equal(n, 0)
 		a.Close() // a dies while it holds all six
 		time.Sleep(DefaultValid + time.Second)
-		n, backs := acquireAll(b)
+		n, releases := acquireAll(b)
 		is.Equal(n, 6)
-		for _, f := range backs {
+		for _, f := range releases {
 			f()
 		}
 		owners.setUnreachable(true)
--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -20,7 +20,8 @@
 // Checker opens a connection to an endpoint and closes it again.
 type Checker func(ctx context.Context, address string) error
 
-// RequestHistory tracks the failed attempts of one request from a caller.
+// RequestHistory tracks the failed attempts that an entry instance makes for one request of a
+// caller.
 type RequestHistory struct {
 	// Identity is the identity of the request.
 	Identity Identity
@@ -34,7 +35,7 @@
 	crashedAt time.Time
 }
 
-// FailedAttempt is an attempt that broke off, or whose endpoint stopped responding.
+// FailedAttempt is an attempt that failed, possibly because one of its endpoints crashed.
 type FailedAttempt struct {
 	// Attempt is the id of the attempt.
 	Attempt string
@@ -49,7 +50,7 @@
 
 // Detector checks whether endpoints have ended under attempts, and reports each such crash to a
 // Guard. An endpoint that still accepts connections has not crashed, even if it reset a connection
-// or broke off an answer.
+// or interrupted an answer.
 type Detector struct {
 	guard   Guard
 	check   Checker
--- a/quarantine/types.go
+++ b/quarantine/types.go
@@ -8,8 +8,8 @@
 type Crash struct {
 	// Attempt is the id of the attempt, unique among all instances.
 	Attempt string
-	// PreviousAttempt is the id of the last failed attempt before this one for the same caller
-	// request; empty if there is none.
+	// PreviousAttempt is the id of the last failed attempt before this one that the same instance
+	// made for the same request of a caller; empty if there is none.
 	PreviousAttempt string
 	// Identity is the identity of the request.
 	Identity Identity
@@ -18,8 +18,7 @@
 	// OtherEndpoints are the addresses of the other endpoints of the attempt's joint prefill. They
 	// may end at the same moment, which may be known only from crashes of other requests.
 	OtherEndpoints []string
-	// StartedAt is when the request was sent to the endpoint, and EndedAt when the attempt broke
-	// off.
+	// StartedAt is when the request was sent to the endpoint, and EndedAt when the attempt failed.
 	StartedAt time.Time
 	EndedAt   time.Time
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -39,18 +39,20 @@
 // result is the outcome of an attempt.
 type result struct {
 	outcome pool.Outcome
-	// culprit is the endpoint at fault; empty if it is the one of the grant.
+	// culprit is the address or id of the endpoint at fault. If it is empty, that is the one of
+	// the grant.
 	culprit string
 	// answered states that the caller has received a complete answer.
 	answered bool
-	// brokenOff states that the connection failed before the answer was complete, and neither
-	// the caller, the deadline nor the relay ended it.
-	brokenOff bool
-	// unsent states that nothing was sent, because an endpoint of the grant was excluded after
-	// the placement.
+	// interrupted states that the connection failed before the answer was complete, and neither
+	// the caller, the deadline nor the relay ended it. A stream may then be resumed beyond the
+	// route's number of attempts. It is not set for answers that are too large to buffer.
+	interrupted bool
+	// unsent states that nothing was sent, because an endpoint of the grant became unavailable
+	// after the placement.
 	unsent bool
 	// connectionLost states that the connection to the endpoint ended before the answer was
-	// complete.
+	// complete, so that the endpoint may have crashed.
 	connectionLost bool
 	// status is the status of the endpoint's answer; zero if there was none.
 	status int
@@ -122,7 +124,7 @@
 		Body:    j.body,
 		MaxIdle: fresh,
 		Check: func() error {
-			if b := t.relay.findExcluded(&t.grant); b != nil {
+			if b := t.relay.findUnavailable(&t.grant); b != nil {
 				return b
 			}
 			return nil
@@ -158,15 +160,15 @@
 // arrived.
 func (t *attempt) handleNoAnswer(err error, w *watch) result {
 	var e *upstream.Error
-	var excluded *excludedError
-	if errors.As(err, &excluded) {
+	var unavailable *unavailableError
+	if errors.As(err, &unavailable) {
 		t.job.sends--
 		t.relay.Metrics.add("places_declined")
 		return result{
 			outcome: pool.Abandoned,
 			unsent:  true,
-			culprit: excluded.endpoint,
-			reason:  excluded.Error(),
+			culprit: unavailable.endpoint,
+			reason:  unavailable.Error(),
 		}
 	}
 	if errors.As(err, &e) && !e.Sent {
@@ -177,11 +179,12 @@
 		}
 	}
 	t.job.mayHaveRun = true
-	return t.handleBroken(err, w)
+	return t.handleInterrupted(err, w)
 }
 
-// handleBroken returns the result of an attempt that failed after the request was sent.
-func (t *attempt) handleBroken(err error, w *watch) result {
+// handleInterrupted returns the result of an attempt that ended, after the request may have
+// been sent, without a complete answer.
+func (t *attempt) handleInterrupted(err error, w *watch) result {
 	res := result{
 		outcome: pool.Failed,
 		reason:  "answer broke off: " + err.Error(),
@@ -200,7 +203,7 @@
 		res.outcome = pool.Abandoned
 		res.reason = "caller gone"
 	default:
-		res.brokenOff, res.connectionLost = true, true
+		res.interrupted, res.connectionLost = true, true
 	}
 	return res
 }
@@ -243,8 +246,8 @@
 // maxRejection bounds how much of a rejection's body is read, in bytes.
 const maxRejection = 64 << 10
 
-// recordFirstEvent reports the first sign of an answer to the placer and the metrics. Later
-// calls do nothing.
+// recordFirstEvent reports the first event of a stream, or that another answer was read, to the
+// placer. On streaming routes it also records the time in the metrics. Later calls do nothing.
 func (t *attempt) recordFirstEvent() {
 	if t.firstAfter > 0 {
 		return
@@ -256,9 +259,9 @@
 	}
 }
 
-// excluded returns the id of the endpoint that must not get the request again: the one at fault
-// if it took part in the attempt, else the one of the grant.
-func (t *attempt) excluded(res result) []string {
+// endpointToExclude returns, in a list of one, the id of the endpoint that must not get the
+// request again: the one at fault if it took part in the attempt, else the one of the grant.
+func (t *attempt) endpointToExclude(res result) []string {
 	if res.culprit == "" || res.culprit == t.grant.Address {
 		return []string{t.grant.Instance}
 	}
