--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -173,8 +173,8 @@
 }
 
 // Observe updates the moving average of the time between tokens.
-func (l *Ledger) Observe(step time.Duration) {
-	l.tokenInterval += time.Duration(smoothing * float64(step-l.tokenInterval))
+func (l *Ledger) Observe(interval time.Duration) {
+	l.tokenInterval += time.Duration(smoothing * float64(interval-l.tokenInterval))
 }
 
 // FirstToken records that the prompt of a lease is complete.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -151,10 +151,10 @@
 	running := make(map[string]time.Time)
 	now := start
 	const tick = 10 * time.Millisecond
-	for step := 0; now.Before(start.Add(2 * time.Minute)); step++ {
+	for i := 0; now.Before(start.Add(2 * time.Minute)); i++ {
 		now = now.Add(tick)
 		queue = append(queue, &Work{
-			ID:       fmt.Sprintf("s%d", step),
+			ID:       fmt.Sprintf("s%d", i),
 			MaxWait:  20 * time.Second,
 			Prompt:   2_000, // 50 ms of prefill every 10 ms
 			Output:   100,
--- a/worth/scale.go
+++ b/worth/scale.go
@@ -43,9 +43,9 @@
 
 // nonIncreasing reports whether all values are positive and none exceeds the one before, so
 // that a less urgent request never has a greater value.
-func nonIncreasing(values []float64) bool {
-	for i, v := range values {
-		if v <= 0 || i > 0 && v > values[i-1] {
+func nonIncreasing(factors []float64) bool {
+	for i, v := range factors {
+		if v <= 0 || i > 0 && v > factors[i-1] {
 			return false
 		}
 	}
@@ -64,8 +64,8 @@
 	maxCustomerRanks = 5
 )
 
-// baseValue scales all values. With it a short prompt is worth about 1.3.
-const baseValue = 1.25
+// baseWorth scales all values. With it a short prompt is worth about 1.3.
+const baseWorth = 1.25
 
 // defaultTypicalSize is the size of a typical request of a service whose configuration does not
 // specify it.
@@ -86,8 +86,8 @@
 	Output int
 }
 
-// Value is the value of an answer.
-type Value struct {
+// Worth is the value of an answer.
+type Worth struct {
 	// InTime is the value of an answer on time, and Late that of a late one.
 	InTime float64
 	Late   float64
@@ -161,24 +161,24 @@
 	sizes.output.add(float64(r.Output), sizeWindow)
 }
 
-// Value returns the value of an answer to the request.
-func (s *Scale) Value(r Request) Value {
-	inTime := s.routeValue(r) * s.sizeFactor(r) * s.settings.tier(r) / s.meanTier.valueOr(1)
-	return Value{
+// Worth returns the value of an answer to the request.
+func (s *Scale) Worth(r Request) Worth {
+	inTime := s.routeWorth(r) * s.sizeFactor(r) * s.settings.tier(r) / s.meanTier.valueOr(1)
+	return Worth{
 		InTime: inTime,
 		Late:   orDefault(s.settings.Late, defaultLate) * inTime,
 	}
 }
 
-// routeValue returns the value of a typical request of the route, without its tier.
-func (s *Scale) routeValue(r Request) float64 {
+// routeWorth returns the value of a typical request of the route, without its tier.
+func (s *Scale) routeWorth(r Request) float64 {
 	prompt, output := s.meanLengths(r)
 	typical := s.model.Work(s.typical.Prompt, s.typical.Answer)
 	work := 1.0
 	if typical > 0 {
 		work = s.model.Work(int(math.Round(prompt)), int(math.Round(output))).Seconds() / typical.Seconds()
 	}
-	return baseValue * (s.settings.fixed() + work)
+	return baseWorth * (s.settings.fixed() + work)
 }
 
 // sizeFactor returns the value of a request relative to a typical one of its route: a fixed
@@ -229,7 +229,7 @@
 		out[name] = TypicalRequest{
 			Prompt: r.Prompt,
 			Output: r.Output,
-			Worth:  s.Value(r).InTime,
+			Worth:  s.Worth(r).InTime,
 		}
 	}
 	return out
@@ -258,11 +258,11 @@
 	if len(s.Customers) > 0 {
 		return s.Customers[clampIndex(rank, len(s.Customers))]
 	}
-	value := 1.0
+	factor := 1.0
 	for range clampIndex(rank, maxCustomerRanks) {
-		value /= customerRankRatio
+		factor /= customerRankRatio
 	}
-	return value
+	return factor
 }
 
 // clampIndex limits a rank to the indices of a list.
--- a/worth/scale_test.go
+++ b/worth/scale_test.go
@@ -67,7 +67,7 @@
 				Customer:  rank,
 				RouteRank: rank,
 			})
-			assertNear(t, scale(worth.Settings{}, r).Value(r).InTime, 1.25*1.3)
+			assertNear(t, scale(worth.Settings{}, r).Worth(r).InTime, 1.25*1.3)
 		})
 	}
 }
@@ -88,8 +88,8 @@
 	for i := range order[1:] {
 		t.Run(fmt.Sprint(order[i+1]), func(t *testing.T) {
 			is := is.New(t)
-			is.True(s.Value(order[i]).InTime > s.Value(order[i+1]).InTime)
-			is.True(s.Value(order[i]).Late > s.Value(order[i+1]).Late)
+			is.True(s.Worth(order[i]).InTime > s.Worth(order[i+1]).InTime)
+			is.True(s.Worth(order[i]).Late > s.Worth(order[i+1]).Late)
 		})
 	}
 }
@@ -106,15 +106,15 @@
 	for _, r := range []worth.Request{short, long} {
 		t.Run(r.Route, func(t *testing.T) {
 			is := is.New(t)
-			v := s.Value(r)
+			v := s.Worth(r)
 			assertNear(t, v.InTime, 1.25*(0.3+work(r)))
 			assertNear(t, v.Late, v.InTime/4)
 			twice := r
 			twice.Prompt, twice.Output = 2*r.Prompt, 2*r.Output
-			assertNear(t, s.Value(twice).InTime, 1.7*v.InTime)
+			assertNear(t, s.Worth(twice).InTime, 1.7*v.InTime)
 			none := r
 			none.Prompt, none.Output = 0, 0
-			is.True(s.Value(none).InTime > 0)
+			is.True(s.Worth(none).InTime > 0)
 		})
 	}
 }
@@ -127,7 +127,7 @@
 	is.Equal(len(got), 1)
 	is.Equal(got["long"].Prompt, 200_000)
 	is.Equal(got["long"].Output, 500)
-	assertNear(t, got["long"].Worth, scale(worth.Settings{}, r).Value(r).InTime)
+	assertNear(t, got["long"].Worth, scale(worth.Settings{}, r).Worth(r).InTime)
 }
 
 // TestEngineSpeed checks that values don't depend on the speed of engines.
@@ -140,7 +140,7 @@
 	m.PerMillionPairs *= 3
 	slow.SetModel(m, typical)
 	slow.Observe(r)
-	if got, want := slow.Value(r).InTime, quick.Value(r).InTime; math.Abs(got-want) > 1e-6*want {
+	if got, want := slow.Worth(r).InTime, quick.Worth(r).InTime; math.Abs(got-want) > 1e-6*want {
 		t.Errorf("got %g, want %g", got, want)
 	}
 }
@@ -157,12 +157,12 @@
 			s := scale(worth.Settings{}, requests...)
 			sum := 0.0
 			for _, r := range requests {
-				sum += s.Value(r).InTime
+				sum += s.Worth(r).InTime
 			}
 			if mean := sum / float64(len(requests)); math.Abs(mean-1.25*1.3) > 0.02 {
 				t.Errorf("mean value %g", mean)
 			}
-			assertNear(t, s.Value(urgent).InTime/s.Value(other).InTime, 3)
+			assertNear(t, s.Worth(urgent).InTime/s.Worth(other).InTime, 3)
 		})
 	}
 }
@@ -173,7 +173,7 @@
 	for i := range 1000 {
 		s.Observe(sized(worth.Request{Route: fmt.Sprint(i)}))
 	}
-	assertNear(t, s.Value(sized(worth.Request{Route: "999"})).InTime, 1.25*1.3)
+	assertNear(t, s.Worth(sized(worth.Request{Route: "999"})).InTime, 1.25*1.3)
 }
 
 // TestSettings checks that settings take precedence over the defaults.
@@ -184,7 +184,7 @@
 		Routes:    []float64{1, 0.8},
 		Customers: []float64{1, 0.9},
 	})
-	first := s.Value(sized(worth.Request{}))
+	first := s.Worth(sized(worth.Request{}))
 	assertNear(t, first.InTime, 1.25*1.5)
 	assertNear(t, first.Late/first.InTime, 0.4)
 	for _, row := range []struct {
@@ -198,7 +198,7 @@
 		{worth.Request{Customer: -1, RouteRank: -1}, 1},
 	} {
 		t.Run(fmt.Sprint(row.request), func(t *testing.T) {
-			assertNear(t, s.Value(sized(row.request)).InTime/first.InTime, row.want)
+			assertNear(t, s.Worth(sized(row.request)).InTime/first.InTime, row.want)
 		})
 	}
 }
@@ -233,7 +233,7 @@
 
 // TestNoModel checks that requests of a service without engines have a value.
 func TestNoModel(t *testing.T) {
-	assertNear(t, worth.New(worth.Settings{}).Value(sized(worth.Request{})).InTime, 1.25*1.3)
+	assertNear(t, worth.New(worth.Settings{}).Worth(sized(worth.Request{})).InTime, 1.25*1.3)
 }
 
 func ExampleScale() {
@@ -245,16 +245,16 @@
 		s.Observe(question)
 	}
 	s.Observe(report)
-	fmt.Printf("%.1f %.1f\n", s.Value(question).InTime, s.Value(report).InTime)
+	fmt.Printf("%.1f %.1f\n", s.Worth(question).InTime, s.Worth(report).InTime)
 	// Output: 1.4 3.5
 }
 
-func BenchmarkValue(b *testing.B) {
+func BenchmarkWorth(b *testing.B) {
 	s := worth.New(worth.Settings{})
 	s.SetModel(model(), typical)
 	r := sized(worth.Request{Customer: 1})
 	for b.Loop() {
 		s.Observe(r)
-		s.Value(r)
+		s.Worth(r)
 	}
 }
