--- a/placement/apply.go
+++ b/placement/apply.go
@@ -13,8 +13,8 @@
 const memoryReserve = 0.04
 
 // allocateMemory distributes need tokens of memory over the plan's engines: Engine takes all of
-// it if it can, else as much as it has, and the engines with the most free memory take the
-// rest. It returns false when the engines together have too little.
+// it if it can, else as much as it has, and the helpers with the most free memory take the rest.
+// It returns false when the engines together have too little.
 func (p *Plan) allocateMemory(need int) bool {
 	usable := p.Engine.usableMemory()
 	if usable >= need {
@@ -87,8 +87,8 @@
 	e.Add(&j, now)
 }
 
-// delayPrefills postpones the expected first event of every request, except helpers' shares,
-// whose prompt the current pass does not complete.
+// delayPrefills postpones the expected first events of the requests whose prompt the current pass
+// does not complete. Helpers' shares are unchanged.
 func (e *Engine) delayPrefills(delay time.Duration) {
 	for _, j := range e.Jobs {
 		if j.PromptLeft > j.inPass && !j.Helper {
--- a/placement/blocking.go
+++ b/placement/blocking.go
@@ -17,7 +17,7 @@
 
 // Weights of the cost that a stream causes for future long prefills.
 const (
-	// blockingPrice is the cost, in units of value per second, of a stream that keeps all long
+	// blockingPrice is the cost, in units of worth per second, of a stream that keeps all long
 	// prefills off its engine while every engine is busy with one.
 	blockingPrice = 2
 	// maxBlockingShare bounds the blocking cost to a fraction of the request's stake, so that
--- a/placement/candidate.go
+++ b/placement/candidate.go
@@ -9,7 +9,7 @@
 // candidate is an engine with the estimated effects of prefilling a share on it.
 type candidate struct {
 	engine *Engine
-	// othersLoss is the value that other requests lose.
+	// othersLoss is the worth that other requests lose.
 	othersLoss float64
 	// cost is the weighted loss of other requests plus that of the request itself. For a whole
 	// prompt it includes decodeCost.
@@ -17,7 +17,7 @@
 	// firstEvent is the time to the first event if this engine is the slowest to prefill its
 	// share.
 	firstEvent time.Duration
-	// delay is how much longer waiting prefills on the engine take.
+	// delay is how long the share postpones waiting prefills on the engine.
 	delay time.Duration
 	// freeMemory is the memory that a plan may use, in tokens.
 	freeMemory int
@@ -33,7 +33,8 @@
 	crowded int
 	// pause is the longest predicted pause in the request's stream on this engine.
 	pause time.Duration
-	// needsSimulation states that the share affects more than the next pass.
+	// needsSimulation states that the share affects more than the next pass, so that the estimate
+	// does not suffice.
 	needsSimulation bool
 	// decodeCost is the additional cost of decoding the request on this engine.
 	decodeCost float64
@@ -45,7 +46,8 @@
 // joint prefill.
 type promptShare struct {
 	tokens int
-	time   time.Duration
+	// time is the prefill time of the tokens.
+	time time.Duration
 	// joint states that several engines prefill the prompt.
 	joint bool
 	// transitTime is how long the request takes to reach the engine.
@@ -118,8 +120,8 @@
 	return l
 }
 
-// estimate predicts the effects of prefilling share p on an engine with load l. It covers only
-// the next pass.
+// estimate predicts the effects of prefilling share p on an engine with load l. The loss of other
+// requests covers only the next pass, and is left out if a simulation is needed.
 func (e *Engine) estimate(l *load, p promptShare) candidate {
 	p.time = e.scaled(p.time)
 	pass := time.Duration(0)
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -26,7 +26,7 @@
 
 // Differences up to which two candidates count as equal.
 const (
-	// costTolerance applies to costs, in units of value.
+	// costTolerance applies to costs, in units of worth.
 	costTolerance = 0.02
 	// firstEventTolerance applies to times to the first event.
 	firstEventTolerance = 2 * time.Millisecond
@@ -57,10 +57,10 @@
 	return out
 }
 
-// selectEngines picks n of the sorted candidates and returns the index of the one that receives
-// the request, or -1 when there are fewer than n or none has a free slot and enough memory. The
-// receiving engine is the first that qualifies or, in a joint prefill, the one with the lowest
-// sum of cost and decode cost. The other engines are the cheapest.
+// selectEngines returns n of the sorted candidates and the index among them of the one that
+// receives the request; -1 when there are fewer than n or none has a free slot and enough memory.
+// The receiving engine is the first that qualifies or, in a joint prefill, the one with the
+// lowest sum of cost and decode cost. The other engines are the cheapest.
 func selectEngines(cands []candidate, need, n int) (int, []candidate) {
 	if len(cands) < n {
 		return -1, nil
@@ -85,8 +85,8 @@
 
 // compare orders candidates by cost. Among candidates of equal cost, short prompts go to the
 // first engines of the list until these are crowded, and long prompts go to the engine with the
-// earliest first event, at equal times to the last of the list. Long prompts thus find engines
-// whose streams they don't interrupt.
+// earliest first event, at equal times to the last of the list. This keeps streams off the last
+// engines, so that long prompts don't interrupt them.
 func (r *Request) compare(a, b candidate) int {
 	if d := a.cost - b.cost; d < -costTolerance || d > costTolerance {
 		return cmp.Compare(a.cost, b.cost)
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Cost returns the plan's cost in units of value, without the cost of its helpers.
+// Cost returns the plan's cost in units of worth, without the cost of its helpers.
 func (p *Plan) Cost() float64 {
 	return othersLossWeight*p.OthersLoss + p.OwnLoss + p.DecodeCost
 }
@@ -23,7 +23,8 @@
 	lateTo   = 1.05
 )
 
-// lateness returns how likely an event that is predicted after d exceeds bound, from 0 to 1.
+// lateness estimates the probability, from 0 to 1, that an event predicted to take d takes longer
+// than bound.
 func lateness(d, bound time.Duration) float64 {
 	if bound <= 0 {
 		return 1
@@ -41,8 +42,8 @@
 	return helperCost * float64(len(p.Others))
 }
 
-// ownLoss returns the value that the request loses when its first event comes after the given
-// time.
+// ownLoss returns the worth that the request loses if its first event is predicted to come the
+// given time after now.
 func (r *Request) ownLoss(first time.Duration, now time.Time) float64 {
 	if !r.GiveUpAt.IsZero() && now.Add(first).After(r.GiveUpAt) {
 		return r.Worth
@@ -50,8 +51,8 @@
 	return r.stake() * lateness(first, r.TargetAt.Sub(now))
 }
 
-// pauseLoss returns the value that the request loses when the longest pause in its stream is
-// the given time.
+// pauseLoss returns the worth that the request loses if the longest pause in its stream is
+// predicted to take the given time.
 func (r *Request) pauseLoss(longest time.Duration) float64 {
 	if r.Gap == 0 {
 		return 0
@@ -59,7 +60,7 @@
 	return r.stake() * lateness(longest, r.Gap)
 }
 
-// addedLoss returns the additional value that a job loses when the next pass takes after
+// addedLoss returns the additional worth that a job loses when the next pass takes after
 // instead of before and waiting prefills are postponed by delay.
 func (j *Job) addedLoss(before, after, delay time.Duration) float64 {
 	if j.Helper || j.Stake == 0 {
@@ -79,8 +80,8 @@
 	return j.pauseLoss(after) - j.pauseLoss(before)
 }
 
-// pauseLoss returns the value that a stream loses by a pause: its stake when the pause is too
-// long, and all its value when the caller gives up.
+// pauseLoss returns the worth that a stream loses by a pause: its stake when the pause is too
+// long, and all its worth when the caller gives up.
 func (j *Job) pauseLoss(pause time.Duration) float64 {
 	if pause >= Patience(0, j.Gap) {
 		return j.Stake + j.LateWorth
--- a/placement/cost_test.go
+++ b/placement/cost_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestPauseLoss checks that a stream is late from 250 ms on and loses all its value after two
-// seconds.
+// TestPauseLoss checks that a pause of more than 250 ms costs a stream its stake, and one of more
+// than two seconds all its worth.
 func TestPauseLoss(t *testing.T) {
 	j := Job{
 		Gap:       250 * time.Millisecond,
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -10,9 +10,10 @@
 //	pass = PassTime(decoding requests) + waiting prefills + R
 //
 // A stream is late when a pause between its events exceeds its limit, or its first event comes
-// after its target time. It then loses most of its value. The cost of a plan is the value that
-// other requests lose plus the value that the request itself loses. MakePlan returns the
-// cheapest plan.
+// after its target time. It then loses most of its worth. The cost of a plan is the worth that
+// other requests lose, with a greater weight, plus the worth that the request itself loses, a
+// small cost for each helper, and the cost of keeping future long prefills off an engine.
+// MakePlan returns the cheapest plan.
 //
 // Decisions depend only on the state of the engines, the request and the time.
 package placement
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -16,7 +16,7 @@
 	ID string
 	// PromptLeft is the number of prompt tokens still to prefill on this engine.
 	PromptLeft int
-	// PrefillPerToken is the prefill time of one token.
+	// PrefillPerToken is the prefill time of one token, without the engine's slowdown.
 	PrefillPerToken time.Duration
 	// Joint states that several engines prefill the prompt together. Such shares go before
 	// other prompts, the latest first.
@@ -29,7 +29,7 @@
 	Context int
 	// Gap is the longest allowed pause between events; zero means no limit.
 	Gap time.Duration
-	// Stake is the value lost when the request is late. LateWorth is lost in addition when its
+	// Stake is the worth lost when the request is late. LateWorth is lost in addition when its
 	// caller gives up.
 	Stake     float64
 	LateWorth float64
--- a/placement/observe.go
+++ b/placement/observe.go
@@ -12,8 +12,8 @@
 const maxShift = 100 * time.Millisecond
 
 // Observe corrects the model when the first event of a job arrives, which shows that a pass of
-// the engine has just ended. It returns how much later than predicted the event came; the value
-// is negative for an early event and zero for an unknown job.
+// the engine has just ended. It returns how much later than predicted the event came: a negative
+// time for an early event, and zero for an unknown job.
 func (e *Engine) Observe(id string, now time.Time) time.Duration {
 	e.Advance(now)
 	for _, j := range e.Jobs {
--- a/placement/patience.go
+++ b/placement/patience.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// A caller abandons a silent stream after the longest of these: a fixed time, a multiple of its
-// target for the first event before that has come, or a multiple of its longest allowed pause.
+// A caller abandons a silent stream after the longest of three times: a fixed one, a multiple of
+// its longest allowed pause and, until the first event has come, a multiple of the target for it.
 const (
 	minPatience     = 2 * time.Second
 	patienceTargets = 4
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -13,7 +13,7 @@
 	"github.com/linkmast/linkmast/placement"
 )
 
-// model returns an engine with 16 slots and 232,000 tokens of memory.
+// model returns the model of an engine with 16 slots and 232,000 tokens of memory.
 func model() *batch.Model {
 	return &batch.Model{
 		Slots:              16,
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -23,7 +23,7 @@
 	TargetAt time.Time
 	// GiveUpAt is when the caller gives up if no event has come; zero when unknown.
 	GiveUpAt time.Time
-	// Worth is the value of an answer on time, and LateWorth that of a late one.
+	// Worth is the worth of an answer on time, and LateWorth that of a late one.
 	Worth     float64
 	LateWorth float64
 	// TransitTime is how long the request takes to reach an engine.
@@ -34,7 +34,7 @@
 	LongPrefills LongPrefills
 }
 
-// stake returns the value lost when the request is late.
+// stake returns the worth lost when the request is late.
 func (r *Request) stake() float64 {
 	return r.Worth - r.LateWorth
 }
@@ -58,15 +58,15 @@
 	Engine *Engine
 	// Others help with the prefill.
 	Others []Share
-	// PrefillTime is the modelled prefill time on each engine.
+	// PrefillTime is the prefill time on each engine, without its slowdown.
 	PrefillTime time.Duration
 	// Memory is the memory that the request takes on Engine, in tokens.
 	Memory int
 	// TimeToFirstEvent is a prediction, counted from the time of the plan.
 	TimeToFirstEvent time.Duration
-	// OthersLoss is the value that other requests lose.
+	// OthersLoss is the worth that other requests lose.
 	OthersLoss float64
-	// OwnLoss is the value that the request itself loses by a late first event.
+	// OwnLoss is the worth that the request itself loses by a late first event.
 	OwnLoss float64
 	// DecodeCost is the cost of decoding on Engine: long pauses in the request's own stream,
 	// and an engine that future long prefills can't use.
--- a/placement/simulate.go
+++ b/placement/simulate.go
@@ -20,7 +20,7 @@
 	pause time.Duration
 }
 
-// loss returns the value that the job loses according to the forecast.
+// loss returns the worth that the job loses according to the forecast.
 func (f *forecast) loss(now time.Time) float64 {
 	j := f.job
 	if j.Helper || j.Stake == 0 {
@@ -49,7 +49,8 @@
 	// decoding those of decoding requests.
 	prefilling []int
 	decoding   []int
-	context    int
+	// context is the number of context tokens of one decode step.
+	context int
 }
 
 // run simulates an engine, with an additional share if p is not nil. It returns a forecast for
--- a/placement/simulate_test.go
+++ b/placement/simulate_test.go
@@ -17,8 +17,8 @@
 // origin is the start time of the simulated engines.
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// testModel is an engine that prefills 100,000 tokens a second, with passes of 10,000 tokens
-// and 100 ms of decode steps.
+// testModel returns the model of an engine that prefills 100,000 tokens a second. A pass of
+// decoding requests has 100 ms of decode steps and prefills up to 10,000 tokens.
 func testModel() *batch.Model {
 	return &batch.Model{
 		Slots:            8,
--- a/route/route.go
+++ b/route/route.go
@@ -63,8 +63,8 @@
 	// GapTarget is the longest pause between events of a stream that is on time; zero means no
 	// target.
 	GapTarget time.Duration
-	// Rank is the priority of the route's requests; rank 0 goes first. The value of a request
-	// depends on this rank and on its customer's. Elsewhere a customer's rank replaces it.
+	// Rank is the priority of the route's requests; rank 0 goes first. The worth of a request
+	// depends on this rank and on its customer's. Elsewhere the customer's rank replaces it.
 	Rank int
 	// Shares lists the services of the route; there is at least one.
 	Shares []Share
@@ -171,7 +171,7 @@
 }
 
 // New returns the table of a configuration version. It takes ownership of its arguments.
-// KeysRequired states whether routes that are not public require a key.
+// If keysRequired is set, routes that are not public require a key.
 func New(version int64, routes []Route, services []Service, customers []Customer, keysRequired bool, l Limits) *Table {
 	t := &Table{
 		Version:      version,
--- a/worth/mean.go
+++ b/worth/mean.go
@@ -2,13 +2,13 @@
 
 package worth
 
-// mean is a weighted mean in which older values count less. The zero value is empty.
+// mean is a weighted mean in which older samples count less. The zero value is empty.
 type mean struct {
 	sum    float64
 	weight float64
 }
 
-// add adds a value. The weight of each earlier value shrinks by the fraction 1/window.
+// add adds a sample. The weight of each earlier sample shrinks by the fraction 1/window.
 func (m *mean) add(v, window float64) {
 	kept := 1 - 1/window
 	m.sum = kept*m.sum + v
--- a/worth/scale.go
+++ b/worth/scale.go
@@ -13,16 +13,16 @@
 
 // Settings are the operator's settings. The zero value stands for the defaults.
 type Settings struct {
-	// Fixed is the part of a typical request's value that does not depend on its size; the
-	// default is 0.3.
+	// Fixed is the fraction of a typical request's worth that does not depend on its size, and
+	// also the constant term in the worth of a route; the default is 0.3.
 	Fixed float64 `toml:"fixed"`
-	// Late is the fraction of its value that a late answer keeps; the default is 0.25.
+	// Late is the fraction of a request's worth that a late answer keeps; the default is 0.25.
 	Late float64 `toml:"late"`
-	// Routes are the relative values of requests on routes of rank 0, 1, ... Ranks beyond the
-	// last count as the last. The default is 1, 1/2, 1/3, ...
+	// Routes are the factors for routes of rank 0, 1, ... Ranks beyond the last count as the
+	// last. The default is 1, 1/2, 1/3, ...
 	Routes []float64 `toml:"routes"`
-	// Customers are the relative values for customers of rank 0, 1, ... Ranks beyond the last
-	// count as the last. By default each is a quarter of the one before.
+	// Customers are the factors for customers of rank 0, 1, ... Ranks beyond the last count as
+	// the last. The default is five factors, each a quarter of the one before.
 	Customers []float64 `toml:"customers"`
 }
 
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// nonIncreasing reports whether all values are positive and none exceeds the one before, so
-// that a less urgent request never has a greater value.
+// nonIncreasing reports whether all factors are positive and none exceeds the one before, so
+// that a lower priority never increases the worth of a request.
 func nonIncreasing(factors []float64) bool {
 	for i, v := range factors {
 		if v <= 0 || i > 0 && v > factors[i-1] {
@@ -56,7 +56,7 @@
 const (
 	defaultFixed = 0.3
 	defaultLate  = 0.25
-	// customerRankRatio is the ratio of the values of two successive customer ranks. It exceeds
+	// customerRankRatio is the ratio of the factors of two successive customer ranks. It exceeds
 	// the ratio of route ranks 0 and 2, so that a customer's rank takes precedence over those
 	// of its routes.
 	customerRankRatio = 4
@@ -64,7 +64,7 @@
 	maxCustomerRanks = 5
 )
 
-// baseWorth scales all values. With it a short prompt is worth about 1.3.
+// baseWorth scales the worth of all requests. With it a short prompt is worth about 1.3.
 const baseWorth = 1.25
 
 // defaultTypicalSize is the size of a typical request of a service whose configuration does not
@@ -74,7 +74,7 @@
 	Answer: 1_300,
 }
 
-// Request holds the properties of a request that determine its value.
+// Request holds the properties of a request that determine its worth.
 type Request struct {
 	// Customer is the rank that the customer bought; 0 goes first.
 	Customer int
@@ -86,14 +86,14 @@
 	Output int
 }
 
-// Worth is the value of an answer.
+// Worth is what answering a request brings.
 type Worth struct {
-	// InTime is the value of an answer on time, and Late that of a late one.
+	// InTime is the worth of an answer on time, and Late that of a late one.
 	InTime float64
 	Late   float64
 }
 
-// Scale computes the values of the requests of one service. It learns the typical size of each
+// Scale computes the worth of the requests of one service. It learns the typical size of each
 // route's requests. Until a route has had requests, each one counts as typical for it.
 type Scale struct {
 	settings Settings
@@ -106,7 +106,7 @@
 	routes map[string]*routeSizes
 }
 
-// routeSizes holds the mean lengths of a route's requests, in tokens, and the latest of them.
+// routeSizes holds the mean lengths of a route's requests, in tokens, and the latest request.
 type routeSizes struct {
 	prompt mean
 	output mean
@@ -141,7 +141,7 @@
 	// sizeWindow is the number of requests of a route that its mean size covers.
 	sizeWindow = 100
 	// maxRoutes bounds the number of routes with learned sizes, and so the memory. Requests of
-	// further routes are valued by their own size.
+	// further routes each count as typical for their route.
 	maxRoutes = 256
 )
 
@@ -161,7 +161,7 @@
 	sizes.output.add(float64(r.Output), sizeWindow)
 }
 
-// Worth returns the value of an answer to the request.
+// Worth returns the worth of a request.
 func (s *Scale) Worth(r Request) Worth {
 	inTime := s.routeWorth(r) * s.sizeFactor(r) * s.settings.tier(r) / s.meanTier.valueOr(1)
 	return Worth{
@@ -170,7 +170,7 @@
 	}
 }
 
-// routeWorth returns the value of a typical request of the route, without its tier.
+// routeWorth returns the worth of a typical request of r's route, without its tier.
 func (s *Scale) routeWorth(r Request) float64 {
 	prompt, output := s.meanLengths(r)
 	typical := s.model.Work(s.typical.Prompt, s.typical.Answer)
@@ -181,7 +181,7 @@
 	return baseWorth * (s.settings.fixed() + work)
 }
 
-// sizeFactor returns the value of a request relative to a typical one of its route: a fixed
+// sizeFactor returns the worth of a request relative to a typical one of its route: a fixed
 // part and one proportional to the size.
 func (s *Scale) sizeFactor(r Request) float64 {
 	typical := s.size(s.meanLengths(r))
@@ -215,7 +215,7 @@
 	// Prompt and Output are the mean lengths of recent requests, in tokens.
 	Prompt int `json:"prompt"`
 	Output int `json:"output"`
-	// Worth is the value of an answer on time to a request of that size.
+	// Worth is the worth of an answer on time to a request of that size.
 	Worth float64 `json:"worth"`
 }
 
@@ -240,7 +240,7 @@
 	return s.customer(r.Customer) * s.route(r.RouteRank)
 }
 
-// fixed returns the part of the value that does not depend on the size.
+// fixed returns the setting Fixed, or its default when it is zero.
 func (s *Settings) fixed() float64 {
 	return orDefault(s.Fixed, defaultFixed)
 }
--- a/worth/scale_test.go
+++ b/worth/scale_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestOrder checks that a better rank has a greater value at equal size, and that a customer's
+// TestOrder checks that a better rank has a greater worth at equal size, and that a customer's
 // rank takes precedence over the ranks of routes.
 func TestOrder(t *testing.T) {
 	order := []worth.Request{
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestRoutes checks that a route's value follows the engine time of its typical requests, and
+// TestRoutes checks that a route's worth follows the engine time of its typical requests, and
 // that within a route it grows with the number of tokens.
 func TestRoutes(t *testing.T) {
 	short := worth.Request{Route: "short", Prompt: 5_000, Output: 1_000}
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestTypicalRequests checks the typical sizes and values that are reported per route.
+// TestTypicalRequests checks the typical sizes and worths that are reported per route.
 func TestTypicalRequests(t *testing.T) {
 	is := is.New(t)
 	r := worth.Request{Route: "long", RouteRank: 1, Prompt: 200_000, Output: 500}
@@ -130,7 +130,7 @@
 	assertNear(t, got["long"].Worth, scale(worth.Settings{}, r).Worth(r).InTime)
 }
 
-// TestEngineSpeed checks that values don't depend on the speed of engines.
+// TestEngineSpeed checks that the worth of a request does not depend on the speed of engines.
 func TestEngineSpeed(t *testing.T) {
 	r := worth.Request{Route: "long", Prompt: 200_000, Output: 500}
 	quick, slow := scale(worth.Settings{}, r), worth.New(worth.Settings{})
@@ -145,7 +145,7 @@
 	}
 }
 
-// TestRankMix checks that the mean value of requests stays the same when the mix of ranks
+// TestRankMix checks that the mean worth of requests stays the same when the mix of ranks
 // changes.
 func TestRankMix(t *testing.T) {
 	urgent, other := sized(worth.Request{}), sized(worth.Request{RouteRank: 2})
@@ -160,14 +160,14 @@
 				sum += s.Worth(r).InTime
 			}
 			if mean := sum / float64(len(requests)); math.Abs(mean-1.25*1.3) > 0.02 {
-				t.Errorf("mean value %g", mean)
+				t.Errorf("mean worth %g", mean)
 			}
 			assertNear(t, s.Worth(urgent).InTime/s.Worth(other).InTime, 3)
 		})
 	}
 }
 
-// TestManyRoutes checks that routes beyond the limit are valued by the size of each request.
+// TestManyRoutes checks that on routes beyond the limit each request counts as typical.
 func TestManyRoutes(t *testing.T) {
 	s := scale(worth.Settings{})
 	for i := range 1000 {
@@ -231,7 +231,7 @@
 	}
 }
 
-// TestNoModel checks that requests of a service without engines have a value.
+// TestNoModel checks that requests of a service without engines have a worth.
 func TestNoModel(t *testing.T) {
 	assertNear(t, worth.New(worth.Settings{}).Worth(sized(worth.Request{})).InTime, 1.25*1.3)
 }
