--- a/order/doc.go
+++ b/order/doc.go
@@ -8,7 +8,7 @@
 // only when an order is due. An endpoint that checks fences refuses an order with a lower fence
 // than the highest it has seen, so a former owner that resumes after a pause can't change it.
 // An endpoint that does not check fences gets an order only after the new owner has held it for
-// HolderLease, so that orders of the former owner have arrived by then. Later reconciliations
+// TakeoverDelay, so that orders of the former owner have arrived by then. Later reconciliations
 // correct whatever a stale owner still changes.
 //
 // Before an order that makes an endpoint fetch weights, the owner obtains a permit from the
--- a/order/order.go
+++ b/order/order.go
@@ -77,9 +77,9 @@
 
 // Settings are the timing parameters of a Reconciler. Zero values mean the defaults.
 type Settings struct {
-	// HolderLease is how long the owner must have held an endpoint that does not check fences
+	// TakeoverDelay is how long the owner must have held an endpoint that does not check fences
 	// before it gives an order; the default is 10s.
-	HolderLease time.Duration
+	TakeoverDelay time.Duration
 	// LoadTime is how long to wait for an order to take effect before it is repeated; the
 	// default is 30s.
 	LoadTime time.Duration
@@ -89,9 +89,9 @@
 }
 
 const (
-	defaultHolderLease = 10 * time.Second
-	defaultLoadTime    = 30 * time.Second
-	defaultRetry       = 2 * time.Second
+	defaultTakeoverDelay = 10 * time.Second
+	defaultLoadTime      = 30 * time.Second
+	defaultRetry         = 2 * time.Second
 )
 
 // Reconciler brings endpoints to their desired states. It is safe for concurrent use.
@@ -118,8 +118,8 @@
 
 // New returns a reconciler that uses the given log and weight store.
 func New(s Settings, log logsvc.Log, store weights.Store, logger logr.Logger) *Reconciler {
-	if s.HolderLease == 0 {
-		s.HolderLease = defaultHolderLease
+	if s.TakeoverDelay == 0 {
+		s.TakeoverDelay = defaultTakeoverDelay
 	}
 	if s.LoadTime == 0 {
 		s.LoadTime = defaultLoadTime
@@ -179,7 +179,7 @@
 		p.next = time.Time{}
 		return false
 	}
-	if !t.Checks && now.Sub(p.ownedSince) < r.settings.HolderLease {
+	if !t.Checks && now.Sub(p.ownedSince) < r.settings.TakeoverDelay {
 		return false
 	}
 	return !now.Before(p.next) || !p.want.equal(t.Want)
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -83,7 +83,7 @@
 		{"new version", true, func(t *testing.T, s *scene) {
 			is.New(t).Equal(s.reconcile(t, 0, 3*time.Second), []Outcome{Ordered, Settled, Settled})
 		}, "2"},
-		{"endpoint without fence checks waits for HolderLease", false, func(t *testing.T, s *scene) {
+		{"endpoint without fence checks waits for TakeoverDelay", false, func(t *testing.T, s *scene) {
 			is.New(t).Equal(s.reconcile(t, 0, 9*time.Second)[8], Waiting)
 			s.reconcile(t, 0, 4*time.Second)
 		}, "2"},
