--- a/order/order.go
+++ b/order/order.go
@@ -50,7 +50,7 @@
 	Endpoint string
 	// Want is the desired state.
 	Want State
-	// Checks states whether the endpoint checks fences.
+	// Checks is set if the endpoint checks fences.
 	Checks bool
 	// Demand is the number of requests that wait for the endpoint.
 	Demand int
@@ -77,8 +77,8 @@
 
 // Settings are the timing parameters of a Reconciler. Zero values mean the defaults.
 type Settings struct {
-	// TakeoverDelay is how long the owner must have held an endpoint that does not check fences
-	// before it gives an order; the default is 10s.
+	// TakeoverDelay is how long the owner of an endpoint that does not check fences must have
+	// owned it before it gives an order; the default is 10s.
 	TakeoverDelay time.Duration
 	// LoadTime is how long to wait for an order to take effect before it is repeated; the
 	// default is 30s.
