--- a/catalog/server.go
+++ b/catalog/server.go
@@ -215,9 +215,9 @@
 		return &catalogpb.JoinReply{}, nil
 	}
 	r := c.topology.Load()
-	collects := slices.Contains(c.settings.Seeds, started[0].Address)
+	seed := slices.Contains(c.settings.Seeds, started[0].Address)
 	return &catalogpb.JoinReply{
-		Known: introductions(r.bootstrapPeers(started[0], collects)),
+		Known: introductions(r.bootstrapPeers(started[0], seed)),
 		Total: int64(r.total),
 	}, nil
 }
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -302,11 +302,10 @@
 	maxBootstrapPeers = 64
 )
 
-// bootstrapPeers returns the known instances to send to the joining instance p. If p collects,
-// because it is a seed, it receives the start of the order like a possible relay, so that it
-// can serve other joining instances.
-func (t *topology) bootstrapPeers(p Peer, collects bool) []Peer {
-	if collects || t.isCapable(p) {
+// bootstrapPeers returns the known instances to send to the joining instance p. A seed receives
+// the start of the order like a possible relay, so that it can serve other joining instances.
+func (t *topology) bootstrapPeers(p Peer, seed bool) []Peer {
+	if seed || t.isCapable(p) {
 		return t.all[:min(maxBootstrapPeers, len(t.all))]
 	}
 	upstreams, _ := t.upstreamsOf(t.all[:t.relays], p)
