--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -88,7 +88,7 @@
 	// peerAnswered is when another instance last answered, even if its data was stale.
 	peerAnswered timestamp
 	// upstreamLost is when this instance found that no upstream provides fresh data; unset
-	// while one does.
+	// while one does and on readers.
 	upstreamLost timestamp
 	// failing has one bit per feed, which is set if the last read of that feed failed.
 	failing atomic.Int64
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -39,8 +39,9 @@
 	appendingUntil time.Time
 	// loseReplies makes Announce write the entries but never answer.
 	loseReplies bool
-	// pageSize is the maximum number of records in a page; zero means no limit. All reads share
-	// readRate, in bytes per second; readingUntil is when the last read ends.
+	// pageSize is the maximum number of records in a page; zero means no limit. All pages share
+	// readRate, in bytes per second; zero means no limit. readingUntil is when the last page has
+	// been sent.
 	pageSize     int
 	readRate     float64
 	readingUntil time.Time
@@ -113,8 +114,8 @@
 	return r
 }
 
-// Decode implements catalog.Store. It returns EndpointRemoved for every other record without a
-// value.
+// Decode implements catalog.Store. A record without a value undrains a failure domain or releases
+// a ban if its key has the prefix of these; otherwise it removes an endpoint.
 func (s *fakeStore) Decode(_ catalog.Feed, r catalog.Record) catalog.Change {
 	if domain, ok := strings.CutPrefix(r.Key, drainedPrefix); ok && len(r.Value) == 0 {
 		return &catalog.DomainUndrained{
@@ -356,8 +357,8 @@
 	})
 }
 
-// TestAge checks that the age is never less than the time since the store became unreadable,
-// and that it is small while the store is readable.
+// TestAge checks that the age is at least the time since the store became unreadable, and that
+// it is small while the store is readable.
 func TestAge(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		for range 30 {
@@ -379,12 +380,12 @@
 }
 
 // TestLapsedEntries checks that the removal of an entry takes effect at once in normal
-// operation, but is held back after an outage of the store.
+// operation, but is held back if it happened during an outage of the store.
 func TestLapsedEntries(t *testing.T) {
 	gone := &catalog.EndpointRemoved{
 		Instance: "e1",
 	}
-	t.Run("removed in calm", func(t *testing.T) {
+	t.Run("removed in normal operation", func(t *testing.T) {
 		run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 			s.put(catalog.Endpoints, gone)
 			time.Sleep(10 * time.Millisecond)
@@ -392,7 +393,7 @@
 			is.True(c.Snapshot().HasDeparted("e1"))
 		})
 	})
-	t.Run("kept after an outage and back", func(t *testing.T) {
+	t.Run("renewed after an outage", func(t *testing.T) {
 		run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 			s.outage(3*time.Second, func() {
 				s.put(catalog.Endpoints, gone)
@@ -405,7 +406,7 @@
 			is.True(!c.Snapshot().HasDeparted("e1"))
 		})
 	})
-	t.Run("kept after an outage and gone", func(t *testing.T) {
+	t.Run("not renewed after an outage", func(t *testing.T) {
 		run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 			s.outage(3*time.Second, func() {
 				s.put(catalog.Endpoints, gone)
@@ -415,7 +416,7 @@
 			is.True(c.Snapshot().HasDeparted("e1"))
 		})
 	})
-	t.Run("gone with the history", func(t *testing.T) {
+	t.Run("removed and compacted during an outage", func(t *testing.T) {
 		run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 			s.outage(time.Second, func() {
 				s.put(catalog.Endpoints, gone)
@@ -452,7 +453,8 @@
 	})
 }
 
-// TestLeavingStays checks that a late record does not make a leaving endpoint available again.
+// TestLeavingStays checks that a later entry without a new start time does not make a leaving
+// endpoint available again.
 func TestLeavingStays(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.put(catalog.Endpoints, endpoint("e1", true))
--- a/catalog/cow_map_test.go
+++ b/catalog/cow_map_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkPublish measures the publication of a change with 1,000 endpoints and 1,000
+// BenchmarkPublish measures the publication of a snapshot with 1,000 endpoints and 1,000
 // instances.
 func BenchmarkPublish(b *testing.B) {
 	c := New(Settings{}, operatorStore{}, nil, logr.Discard())
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -8,14 +8,15 @@
 // follows it by long polls. All other instances are followers. Over gRPC they follow either a
 // reader or a relay, which is an instance that follows a reader and has followers itself. With
 // n instances there are about n/32 relays, so two readers and two levels serve 2,000 instances.
-// A follower sends checksums of the records it has, and receives the records of the parts that
-// differ, unchanged and with their offsets. A record with a higher offset replaces one with a
-// lower offset, whichever instance sent it.
+// The keys of a feed are hashed into parts. A follower sends a checksum of the records that it
+// has of each part, and receives the records of the parts that differ, unchanged and with their
+// offsets. A record with a higher offset replaces one with a lower offset, whichever instance
+// sent it.
 //
 // An instance whose data is stale accepts only followers that have no configuration yet. It may
 // hold the requests of others briefly before it rejects them. An instance that finds no
 // upstream reads the store itself, after a delay that grows with its position in the order. A
-// reader that the store rejects follows other instances. A starting instance asks one of a few
+// reader that can't read the store follows other instances. A starting instance asks one of a few
 // seeds, which its settings name, for instances to follow; the first seed reads the list of
 // instances for all of them. If no seed answers, the instance reads the store itself, unless a
 // relay introduces itself first. Entries of starting instances are forwarded upstream, and the
--- a/catalog/drained_test.go
+++ b/catalog/drained_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestUndrainCompacted checks that an undrained failure domain becomes available even if the
-// store has compacted the record, and that another one stays drained.
+// store has compacted the record that undrains it, and that another one stays drained.
 func TestUndrainCompacted(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.put(catalog.Configurations, drains("d1"))
--- a/catalog/missing_test.go
+++ b/catalog/missing_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// TestNewerStays checks that a follower keeps records that its upstream lacks.
+// TestNewerStays checks that a follower keeps records that are newer than all of its upstream's.
 func TestNewerStays(t *testing.T) {
 	is := is.New(t)
 	from, to := newPlain(10), newPlain(20)
--- a/catalog/readers_test.go
+++ b/catalog/readers_test.go
@@ -230,7 +230,7 @@
 		fail   func(x *instance)
 	}{
 		{"rejected by the store", 500 * time.Millisecond, func(x *instance) { x.store.refused.Store(true) }},
-		{"killed", 800 * time.Millisecond, func(x *instance) { x.rpc.Stop() }},
+		{"server stopped", 800 * time.Millisecond, func(x *instance) { x.rpc.Stop() }},
 		{"not answered by the store", 1200 * time.Millisecond, func(x *instance) { x.store.silent.Store(true) }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -286,8 +286,8 @@
 	}
 }
 
-// TestOutageCostsFewCalls checks that connected instances call an unreachable store rarely, and
-// soon notice that it is back.
+// TestOutageCostsFewCalls checks that instances beside the readers rarely call a store that
+// rejects all instances, and that all of them soon receive a change once it accepts them again.
 func TestOutageCostsFewCalls(t *testing.T) {
 	is := is.New(t)
 	fake, all := group(t, 6)
@@ -321,7 +321,7 @@
 }
 
 // TestAgeOfFollowers checks that no instance reports an age that is less than the time since
-// the store last answered any instance.
+// the store became unreadable.
 func TestAgeOfFollowers(t *testing.T) {
 	is := is.New(t)
 	fake, all := group(t, 4)
@@ -337,8 +337,8 @@
 	}
 }
 
-// TestOlderRecord checks that an instance does not revert to older records when its role
-// changes between reader and follower.
+// TestOlderRecord checks that no instance reverts to an older configuration while all of them
+// repeatedly lose and regain access to the store.
 func TestOlderRecord(t *testing.T) {
 	is := is.New(t)
 	fake, all := group(t, 4)
@@ -346,7 +346,6 @@
 	fake.put(catalog.Configurations, version(5))
 	assertInForce(t, all, 5)
 	for range 10 {
-		// Readers and followers swap roles.
 		for _, x := range all {
 			x.store.refused.Store(!x.store.refused.Load())
 		}
--- a/catalog/start_test.go
+++ b/catalog/start_test.go
@@ -27,7 +27,7 @@
 // Limits of a start.
 const (
 	// firstStartWithin is the time within which all instances must be ready at the first start,
-	// and startWithin if their entries are in the store.
+	// and startWithin at later starts.
 	firstStartWithin = 2 * time.Second
 	startWithin      = 300 * time.Millisecond
 	// The store may receive leastStartCalls calls, plus one for every startCallsShare
@@ -73,7 +73,7 @@
 	return fmt.Sprint("n", i, ":1")
 }
 
-// start starts the instances numbered from to to-1, spread over 0.3 s.
+// start starts the instances whose numbers are at least from and below to, spread over 0.3 s.
 func (c *testFleet) start(from, to int, first bool) []*instance {
 	c.t.Helper()
 	const within = 300 * time.Millisecond
@@ -276,7 +276,7 @@
 }
 
 // TestStartBeforeStore checks that an unreachable store receives no more calls at a start than
-// its seeds alone may make, and that all instances are ready soon after it is back.
+// the seeds alone may make, and that all instances are ready soon after it is back.
 func TestStartBeforeStore(t *testing.T) {
 	atTwoSizes(t, func(t *testing.T, n int) {
 		withFleet(t, func(c *testFleet) {
