--- a/account/account.go
+++ b/account/account.go
@@ -55,7 +55,7 @@
 	return names[c]
 }
 
-// Kind is the kind of a request.
+// Kind groups requests by the targets of their routes.
 type Kind struct {
 	// Target is the time within which the first event is in time; zero if no line of the request
 	// states it.
@@ -175,8 +175,8 @@
 	}
 }
 
-// waitedDivisor is the fraction of its target, as a divisor, that a late request must have
-// waited for its cause to be Waited.
+// waitedDivisor divides the target of a late request into the time of waiting for a placement
+// above which its cause is Waited.
 const waitedDivisor = 4
 
 // causeOfLine returns the cause that the line shows.
--- a/config/config.go
+++ b/config/config.go
@@ -76,7 +76,7 @@
 	ID string `toml:"id"`
 }
 
-// FailureDomain is a set of instances that fail together.
+// FailureDomain is a set of endpoints and instances that can fail together.
 type FailureDomain struct {
 	// ID identifies the failure domain.
 	ID string `toml:"id"`
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -8,17 +8,18 @@
 
 // Parameters of Ledger.
 const (
-	// prefillWindow bounds the outstanding prefill of at least the same priority on an engine,
-	// so that requests wait in the owner's queue, where it can still reorder them.
+	// prefillWindow is the outstanding prefill of the same and higher priorities on an engine
+	// above which Short and Medium prompts don't start, so that requests wait in the owner's
+	// queue, where it can still reorder them.
 	prefillWindow = 150 * time.Millisecond
 	// longShare is the fraction of an engine's memory that several long prompts may hold
 	// together. A single one may hold more.
 	longShare = 0.8
 	// maxLong is the number of long prompts that one engine may prefill at once.
 	maxLong = 1
-	// minLongRemainder is the fraction of a long prompt that counts as left until its first
-	// token is reported. Shorter prompts that overtake a long one delay it by more than the
-	// estimate accounts for.
+	// minLongRemainder is the fraction of a long prompt that counts as left at least until its
+	// first token is reported, because shorter prompts that overtake a long one delay it by more
+	// than the estimate accounts for.
 	minLongRemainder = 0.05
 	// initialTokenInterval is the time between tokens that is assumed before any observation.
 	initialTokenInterval = 20 * time.Millisecond
@@ -60,13 +61,18 @@
 	// bytes.
 	HeldByOthers int64
 
+	// held is the memory reserved by all leases, and long the part of it reserved for prompts of
+	// class Long or longer, in bytes.
 	held    int64
 	long    int64
 	entries map[string]*Entry
 	// customers counts the leases of each customer.
-	customers     map[string]int
-	order         [Priorities][]*Entry
-	advancedAt    time.Time
+	customers map[string]int
+	// order holds, by priority, the leases whose prompt was unfinished at advancedAt, in the
+	// order of their grants.
+	order      [Priorities][]*Entry
+	advancedAt time.Time
+	// tokenInterval is the moving average of the time between tokens.
 	tokenInterval time.Duration
 	// turnover is the rate at which memory becomes free, in bytes per second.
 	turnover float64
@@ -172,7 +178,7 @@
 	return float64(l.customers[customer]) / float64(len(l.entries))
 }
 
-// Observe updates the moving average of the time between tokens.
+// Observe updates the moving average of the time between tokens with an observed one.
 func (l *Ledger) Observe(interval time.Duration) {
 	l.tokenInterval += time.Duration(smoothing * float64(interval-l.tokenInterval))
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -51,7 +51,7 @@
 	Retries Retries `toml:"retries"`
 	// Cold limits the requests that are sent to endpoints that have just started.
 	Cold Cold `toml:"cold"`
-	// Worth determines the values of answers.
+	// Worth determines the worth of requests.
 	Worth worth.Settings `toml:"worth"`
 	// Peers are the peer addresses of instances that a starting instance contacts. On a platform
 	// with a log it asks them for the list of instances while the platform doesn't provide it,
