--- a/order/order.go
+++ b/order/order.go
@@ -83,8 +83,8 @@
 	// LoadTime is how long to wait for an order to take effect before it is repeated; the
 	// default is 30s.
 	LoadTime time.Duration
-	// Retry is the wait after a failure or a refusal, and how much longer than the weight store
-	// demands an endpoint without waiting requests waits for a permit; the default is 2s.
+	// Retry is the wait after a failure or a refusal. It is also added to the wait that the weight
+	// store demands, unless requests wait for the endpoint. The default is 2s.
 	Retry time.Duration
 }
 
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -33,7 +33,8 @@
 )
 
 // candidates estimates the effect of prefilling share p on each engine and returns the results,
-// best first. It reuses the memory of out.
+// best first. It omits engines that can't take another joint share yet. It reuses the memory of
+// out.
 func (r *Request) candidates(engines []*Engine, p promptShare, ev *evaluation, out []candidate) []candidate {
 	for i, e := range engines {
 		c := e.estimate(&ev.loads[i], p)
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -60,8 +60,8 @@
 	return r.stake() * lateness(longest, r.Gap)
 }
 
-// addedLoss returns the additional worth that a job loses when the next pass takes after
-// instead of before and waiting prefills are postponed by delay.
+// addedLoss returns the additional worth that a job loses when the duration of the next pass
+// grows from before to after and waiting prefills are postponed by delay.
 func (j *Job) addedLoss(before, after, delay time.Duration) float64 {
 	if j.Helper || j.Stake == 0 {
 		return 0
--- a/route/route.go
+++ b/route/route.go
@@ -54,7 +54,7 @@
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Kind determines whether a request may run more than once.
+	// Kind determines, together with Resumable, whether a request may run more than once.
 	Kind Kind
 	// Timeout is the maximum time for a request; zero means no limit.
 	Timeout time.Duration
