--- a/account/account.go
+++ b/account/account.go
@@ -129,7 +129,7 @@
 		addLine(requests, &l)
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, errors.Wrap(err, "log")
+		return nil, errors.Wrap(err, "read log")
 	}
 	return countByKind(requests, began), nil
 }
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -29,8 +29,8 @@
 // the time within which revoked keys must be refused.
 //
 // Operator requests to drain a failure domain are in the same feed as the configuration, so
-// they arrive as fast and have the same age. A request that a full read no longer contains has
-// ended.
+// they arrive as fast and have the same age. A drain request that a full read no longer contains
+// has ended.
 //
 // Endpoints that vanish from the store while it is unreachable, or shortly afterwards, are kept
 // until it has been readable for Settings.Hold, because their entries expire when they can't
--- a/catalog/server.go
+++ b/catalog/server.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Follow implements catalogpb.CatalogServer. It rejects a follower if the limit is reached or
-// the data is stale.
+// Follow implements catalogpb.CatalogServer. It rejects a follower if the limit of followers is
+// reached or admits returns false.
 func (s *Server) Follow(stream grpc.BidiStreamingServer[catalogpb.Ping, catalogpb.Update]) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -41,10 +41,10 @@
 	c := s.catalog
 	defer c.followers.leave(first.GetId())
 	if !c.followers.enter(first.GetId(), c.topology.Load().followerLimit) {
-		return status.Error(codes.ResourceExhausted, "has enough followers")
+		return status.Error(codes.ResourceExhausted, "limit of followers reached")
 	}
 	if !c.admits(stream.Context(), first, s.closing) {
-		return status.Error(codes.FailedPrecondition, "knows too little")
+		return status.Error(codes.FailedPrecondition, "configuration is missing or data is stale")
 	}
 	f := &followerStream{
 		catalog: c,
@@ -205,7 +205,7 @@
 	started := peersOf(in.GetStarted())
 	if slices.ContainsFunc(started, func(p Peer) bool { return p.ID == "" || p.Address == "" }) {
 		// The entries are written in one call, which one invalid entry would fail.
-		return nil, status.Error(codes.InvalidArgument, "an instance without a name or an address")
+		return nil, status.Error(codes.InvalidArgument, "instance entry without an ID or an address")
 	}
 	c.pending.add(slices.DeleteFunc(slices.Clone(started), c.entryStored)...)
 	if in.GetWait() {
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -66,8 +66,8 @@
 	followerLimit int
 }
 
-// newTopology computes the topology for self, which peers may or may not contain. Instances
-// that peers lacks, as total shows, are assumed to come last in the order.
+// newTopology computes the topology for self, which peers may or may not contain. If total
+// exceeds the number of known instances, the unknown ones are assumed to come last in the order.
 func newTopology(self Peer, peers map[string]Peer, minReaders, total int) *topology {
 	all := make([]Peer, 0, len(peers)+1)
 	for id, p := range peers {
--- a/catalog/types.go
+++ b/catalog/types.go
@@ -23,7 +23,7 @@
 	Address string
 	// FailureDomain is the failure domain in which the endpoint runs.
 	FailureDomain string
-	// Slots is how many requests the endpoint processes concurrently.
+	// Slots is the maximum number of requests that the endpoint processes concurrently.
 	Slots int
 	// Leaving is set when the endpoint is shutting down and must receive no new requests.
 	Leaving bool
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -183,7 +183,7 @@
 func Read(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "read settings")
 	}
 	f, err := Parse(data)
 	if err != nil {
