--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -344,6 +344,8 @@
 	})
 }
 
+// TestNewestWins checks that a configuration is replaced only by one with a higher version, also
+// after the store has compacted the feed.
 func TestNewestWins(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		is.Equal(c.Snapshot().Table.Version, int64(1))
--- a/catalog/readers_test.go
+++ b/catalog/readers_test.go
@@ -156,6 +156,7 @@
 	return x
 }
 
+// await fails the test unless ok returns true within five seconds.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -193,8 +194,8 @@
 	return got
 }
 
-// assertInForce checks that a version comes into force on all instances and that its age is
-// below one second.
+// assertInForce checks that a version of the configuration comes into force on all instances, and
+// that the age of the configuration is then below one second.
 func assertInForce(t *testing.T, all []*instance, n int64) {
 	t.Helper()
 	for _, x := range all {
--- a/catalog/topology_test.go
+++ b/catalog/topology_test.go
@@ -27,8 +27,8 @@
 	return out
 }
 
-// TestTopology checks the numbers of readers and relays at several fleet sizes, and that no
-// relay exceeds its limit if all instances follow their first choice.
+// TestTopology checks the numbers of readers and relays at several fleet sizes and, up to 2,000
+// instances, that no relay exceeds its limit if all instances follow their first choice.
 func TestTopology(t *testing.T) {
 	for _, row := range []struct {
 		capable, weak int
--- a/worth/scale_test.go
+++ b/worth/scale_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestTypicalRequests checks the typical sizes and worths that are reported per route.
+// TestTypicalRequests checks the size and the worth of the typical request of a route.
 func TestTypicalRequests(t *testing.T) {
 	is := is.New(t)
 	r := worth.Request{Route: "long", RouteRank: 1, Prompt: 200_000, Output: 500}
