--- a/catalog/start_test.go
+++ b/catalog/start_test.go
@@ -240,7 +240,7 @@
 }
 
 // TestFirstSeedDies checks that a start succeeds if the first seed, for which all others wait,
-// dies in the middle.
+// stops during it.
 func TestFirstSeedDies(t *testing.T) {
 	withFleet(t, func(c *testFleet) {
 		all := c.start(0, fewStart, true)
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -48,13 +48,11 @@
 	readers int
 	relays  int
 	// upstreams are the other instances in the order in which this one tries to follow them.
-	// The first ones, as many as preferred says, are the relays, or the readers if this
-	// instance is a relay.
+	// upstreams[:preferred] are the relays, or the readers if this instance is a relay.
 	upstreams []Peer
 	preferred int
-	// all are the known instances in order. The first ones, as many as capable says, have
-	// enough capacity for a relay. total is the number of all instances, including the unknown
-	// ones.
+	// all are the known instances in order, of which all[:capable] have enough capacity for a
+	// relay. total is the number of all instances, including the unknown ones.
 	all     []Peer
 	capable int
 	total   int
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -329,7 +329,7 @@
 }
 
 // TestFairShare checks that a customer whose requests fill an endpoint does not delay another
-// one of the same tier.
+// customer of the same tier.
 func TestFairShare(t *testing.T) {
 	for _, tokens := range []int{1_000, 20_000} {
 		t.Run(fmt.Sprint(tokens), func(t *testing.T) {
