--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -48,13 +48,11 @@
 	readers int
 	relays  int
 	// upstreams are the other instances in the order in which this one tries to follow them.
-	// The first ones, as many as preferred says, are the relays, or the readers if this
-	// instance is a relay.
+	// upstreams[:preferred] are the relays, or the readers if this instance is a relay.
 	upstreams []Peer
 	preferred int
-	// all are the known instances in order. The first ones, as many as capable says, have
-	// enough capacity for a relay. total is the number of all instances, including the unknown
-	// ones.
+	// all are the known instances in order, of which all[:capable] have enough capacity for a
+	// relay. total is the number of all instances, including the unknown ones.
 	all     []Peer
 	capable int
 	total   int
@@ -66,8 +64,8 @@
 	followerLimit int
 }
 
-// newTopology computes the topology for self, which peers may or may not contain. Instances
-// that peers lacks, as total shows, are assumed to come last in the order.
+// newTopology computes the topology for self, which peers may or may not contain. If total
+// exceeds the number of known instances, the unknown ones are assumed to come last in the order.
 func newTopology(self Peer, peers map[string]Peer, minReaders, total int) *topology {
 	all := make([]Peer, 0, len(peers)+1)
 	for id, p := range peers {
@@ -302,11 +300,10 @@
 	maxBootstrapPeers = 64
 )
 
-// bootstrapPeers returns the known instances to send to the joining instance p. If p collects,
-// because it is a seed, it receives the start of the order like a possible relay, so that it
-// can serve other joining instances.
-func (t *topology) bootstrapPeers(p Peer, collects bool) []Peer {
-	if collects || t.isCapable(p) {
+// bootstrapPeers returns the known instances to send to the joining instance p. A seed receives
+// the start of the order like a possible relay, so that it can serve other joining instances.
+func (t *topology) bootstrapPeers(p Peer, seed bool) []Peer {
+	if seed || t.isCapable(p) {
 		return t.all[:min(maxBootstrapPeers, len(t.all))]
 	}
 	upstreams, _ := t.upstreamsOf(t.all[:t.relays], p)
--- a/order/order.go
+++ b/order/order.go
@@ -50,7 +50,7 @@
 	Endpoint string
 	// Want is the desired state.
 	Want State
-	// Checks states whether the endpoint checks fences.
+	// Checks is set if the endpoint checks fences.
 	Checks bool
 	// Demand is the number of requests that wait for the endpoint.
 	Demand int
@@ -77,21 +77,21 @@
 
 // Settings are the timing parameters of a Reconciler. Zero values mean the defaults.
 type Settings struct {
-	// HolderLease is how long the owner must have held an endpoint that does not check fences
-	// before it gives an order; the default is 10s.
-	HolderLease time.Duration
+	// TakeoverDelay is how long the owner of an endpoint that does not check fences must have
+	// owned it before it gives an order; the default is 10s.
+	TakeoverDelay time.Duration
 	// LoadTime is how long to wait for an order to take effect before it is repeated; the
 	// default is 30s.
 	LoadTime time.Duration
-	// Retry is the wait after a failure or a refusal, and how much longer than the weight store
-	// demands an endpoint without waiting requests waits for a permit; the default is 2s.
+	// Retry is the wait after a failure or a refusal. It is also added to the wait that the weight
+	// store demands, unless requests wait for the endpoint. The default is 2s.
 	Retry time.Duration
 }
 
 const (
-	defaultHolderLease = 10 * time.Second
-	defaultLoadTime    = 30 * time.Second
-	defaultRetry       = 2 * time.Second
+	defaultTakeoverDelay = 10 * time.Second
+	defaultLoadTime      = 30 * time.Second
+	defaultRetry         = 2 * time.Second
 )
 
 // Reconciler brings endpoints to their desired states. It is safe for concurrent use.
@@ -118,8 +118,8 @@
 
 // New returns a reconciler that uses the given log and weight store.
 func New(s Settings, log logsvc.Log, store weights.Store, logger logr.Logger) *Reconciler {
-	if s.HolderLease == 0 {
-		s.HolderLease = defaultHolderLease
+	if s.TakeoverDelay == 0 {
+		s.TakeoverDelay = defaultTakeoverDelay
 	}
 	if s.LoadTime == 0 {
 		s.LoadTime = defaultLoadTime
@@ -179,7 +179,7 @@
 		p.next = time.Time{}
 		return false
 	}
-	if !t.Checks && now.Sub(p.ownedSince) < r.settings.HolderLease {
+	if !t.Checks && now.Sub(p.ownedSince) < r.settings.TakeoverDelay {
 		return false
 	}
 	return !now.Before(p.next) || !p.want.equal(t.Want)
--- a/worth/scale_test.go
+++ b/worth/scale_test.go
@@ -67,12 +67,12 @@
 				Customer:  rank,
 				RouteRank: rank,
 			})
-			assertNear(t, scale(worth.Settings{}, r).Value(r).InTime, 1.25*1.3)
+			assertNear(t, scale(worth.Settings{}, r).Worth(r).InTime, 1.25*1.3)
 		})
 	}
 }
 
-// TestOrder checks that a better rank has a greater value at equal size, and that a customer's
+// TestOrder checks that a better rank has a greater worth at equal size, and that a customer's
 // rank takes precedence over the ranks of routes.
 func TestOrder(t *testing.T) {
 	order := []worth.Request{
@@ -88,13 +88,13 @@
 	for i := range order[1:] {
 		t.Run(fmt.Sprint(order[i+1]), func(t *testing.T) {
 			is := is.New(t)
-			is.True(s.Value(order[i]).InTime > s.Value(order[i+1]).InTime)
-			is.True(s.Value(order[i]).Late > s.Value(order[i+1]).Late)
+			is.True(s.Worth(order[i]).InTime > s.Worth(order[i+1]).InTime)
+			is.True(s.Worth(order[i]).Late > s.Worth(order[i+1]).Late)
 		})
 	}
 }
 
-// TestRoutes checks that a route's value follows the engine time of its typical requests, and
+// TestRoutes checks that a route's worth follows the engine time of its typical requests, and
 // that within a route it grows with the number of tokens.
 func TestRoutes(t *testing.T) {
 	short := worth.Request{Route: "short", Prompt: 5_000, Output: 1_000}
@@ -106,20 +106,20 @@
 	for _, r := range []worth.Request{short, long} {
 		t.Run(r.Route, func(t *testing.T) {
 			is := is.New(t)
-			v := s.Value(r)
+			v := s.Worth(r)
 			assertNear(t, v.InTime, 1.25*(0.3+work(r)))
 			assertNear(t, v.Late, v.InTime/4)
 			twice := r
 			twice.Prompt, twice.Output = 2*r.Prompt, 2*r.Output
-			assertNear(t, s.Value(twice).InTime, 1.7*v.InTime)
+			assertNear(t, s.Worth(twice).InTime, 1.7*v.InTime)
 			none := r
 			none.Prompt, none.Output = 0, 0
-			is.True(s.Value(none).InTime > 0)
+			is.True(s.Worth(none).InTime > 0)
 		})
 	}
 }
 
-// TestTypicalRequests checks the typical sizes and values that are reported per route.
+// TestTypicalRequests checks the size and the worth of the typical request of a route.
 func TestTypicalRequests(t *testing.T) {
 	is := is.New(t)
 	r := worth.Request{Route: "long", RouteRank: 1, Prompt: 200_000, Output: 500}
@@ -127,10 +127,10 @@
 	is.Equal(len(got), 1)
 	is.Equal(got["long"].Prompt, 200_000)
 	is.Equal(got["long"].Output, 500)
-	assertNear(t, got["long"].Worth, scale(worth.Settings{}, r).Value(r).InTime)
+	assertNear(t, got["long"].Worth, scale(worth.Settings{}, r).Worth(r).InTime)
 }
 
-// TestEngineSpeed checks that values don't depend on the speed of engines.
+// TestEngineSpeed checks that the worth of a request does not depend on the speed of engines.
 func TestEngineSpeed(t *testing.T) {
 	r := worth.Request{Route: "long", Prompt: 200_000, Output: 500}
 	quick, slow := scale(worth.Settings{}, r), worth.New(worth.Settings{})
@@ -140,12 +140,12 @@
 	m.PerMillionPairs *= 3
 	slow.SetModel(m, typical)
 	slow.Observe(r)
-	if got, want := slow.Value(r).InTime, quick.Value(r).InTime; math.Abs(got-want) > 1e-6*want {
+	if got, want := slow.Worth(r).InTime, quick.Worth(r).InTime; math.Abs(got-want) > 1e-6*want {
 		t.Errorf("got %g, want %g", got, want)
 	}
 }
 
-// TestRankMix checks that the mean value of requests stays the same when the mix of ranks
+// TestRankMix checks that the mean worth of requests stays the same when the mix of ranks
 // changes.
 func TestRankMix(t *testing.T) {
 	urgent, other := sized(worth.Request{}), sized(worth.Request{RouteRank: 2})
@@ -157,23 +157,23 @@
 			s := scale(worth.Settings{}, requests...)
 			sum := 0.0
 			for _, r := range requests {
-				sum += s.Value(r).InTime
+				sum += s.Worth(r).InTime
 			}
 			if mean := sum / float64(len(requests)); math.Abs(mean-1.25*1.3) > 0.02 {
-				t.Errorf("mean value %g", mean)
+				t.Errorf("mean worth %g", mean)
 			}
-			assertNear(t, s.Value(urgent).InTime/s.Value(other).InTime, 3)
+			assertNear(t, s.Worth(urgent).InTime/s.Worth(other).InTime, 3)
 		})
 	}
 }
 
-// TestManyRoutes checks that routes beyond the limit are valued by the size of each request.
+// TestManyRoutes checks that on routes beyond the limit each request counts as typical.
 func TestManyRoutes(t *testing.T) {
 	s := scale(worth.Settings{})
 	for i := range 1000 {
 		s.Observe(sized(worth.Request{Route: fmt.Sprint(i)}))
 	}
-	assertNear(t, s.Value(sized(worth.Request{Route: "999"})).InTime, 1.25*1.3)
+	assertNear(t, s.Worth(sized(worth.Request{Route: "999"})).InTime, 1.25*1.3)
 }
 
 // TestSettings checks that settings take precedence over the defaults.
@@ -184,7 +184,7 @@
 		Routes:    []float64{1, 0.8},
 		Customers: []float64{1, 0.9},
 	})
-	first := s.Value(sized(worth.Request{}))
+	first := s.Worth(sized(worth.Request{}))
 	assertNear(t, first.InTime, 1.25*1.5)
 	assertNear(t, first.Late/first.InTime, 0.4)
 	for _, row := range []struct {
@@ -198,7 +198,7 @@
 		{worth.Request{Customer: -1, RouteRank: -1}, 1},
 	} {
 		t.Run(fmt.Sprint(row.request), func(t *testing.T) {
-			assertNear(t, s.Value(sized(row.request)).InTime/first.InTime, row.want)
+			assertNear(t, s.Worth(sized(row.request)).InTime/first.InTime, row.want)
 		})
 	}
 }
@@ -231,9 +231,9 @@
 	}
 }
 
-// TestNoModel checks that requests of a service without engines have a value.
+// TestNoModel checks that requests of a service without engines have a worth.
 func TestNoModel(t *testing.T) {
-	assertNear(t, worth.New(worth.Settings{}).Value(sized(worth.Request{})).InTime, 1.25*1.3)
+	assertNear(t, worth.New(worth.Settings{}).Worth(sized(worth.Request{})).InTime, 1.25*1.3)
 }
 
 func ExampleScale() {
@@ -245,16 +245,16 @@
 		s.Observe(question)
 	}
 	s.Observe(report)
-	fmt.Printf("%.1f %.1f\n", s.Value(question).InTime, s.Value(report).InTime)
+	fmt.Printf("%.1f %.1f\n", s.Worth(question).InTime, s.Worth(report).InTime)
 	// Output: 1.4 3.5
 }
 
-func BenchmarkValue(b *testing.B) {
+func BenchmarkWorth(b *testing.B) {
 	s := worth.New(worth.Settings{})
 	s.SetModel(model(), typical)
 	r := sized(worth.Request{Customer: 1})
 	for b.Loop() {
 		s.Observe(r)
-		s.Value(r)
+		s.Worth(r)
 	}
 }
