--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -145,7 +145,7 @@
 		if e.fails >= failuresToEject && !e.ejected {
 			e.ejected = true
 			e.refuseAll(RefusedEjected, "the endpoint does not answer")
-			o.log.Info("endpoint set aside", "endpoint", id, "cause", err.Error())
+			o.log.Info("endpoint ejected", "endpoint", id, "cause", err.Error())
 		}
 		return
 	}
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -296,7 +296,7 @@
 		return
 	}
 	if h.record(o, reporter, reporter == s.settings.Self, now) {
-		s.log.Info("endpoint set aside", "service", service, "endpoint", instance, "outcome", o.String(),
+		s.log.Info("endpoint ejected", "service", service, "endpoint", instance, "outcome", o.String(),
 			"failures", h.shared.failures, "for_ms", h.shared.until.Sub(now).Milliseconds(), "attempt", id,
 			"reporter", reporter)
 		if o == Unreachable {
