--- a/pool/check.go
+++ b/pool/check.go
@@ -98,7 +98,7 @@
 // acceptsRequests reports whether an endpoint may get requests at all: it is not leaving, and its
 // failure domain is not drained as far as this instance knows. Other endpoints are not checked.
 func (p *poolState) acceptsRequests(e *placement.Engine) bool {
-	return !p.isLeaving(e, p.notices.View()) && !p.drained.excludes(&PlacementRequest{}, e)
+	return !p.isLeaving(e, p.notices.View()) && !p.drained.covers(&PlacementRequest{}, e)
 }
 
 // check connects to endpoints, given as addresses by name, and excludes those that fail. If more
@@ -106,13 +106,13 @@
 // refuse it.
 func (s *Scheduler) check(service string, addresses map[string]string) {
 	failed := s.runChecks(addresses)
-	timedOut := 0
+	unanswered := 0
 	for _, err := range failed {
 		if !errors.Is(err, syscall.ECONNREFUSED) {
-			timedOut++
+			unanswered++
 		}
 	}
-	trusted := float64(timedOut) <= maxUnansweredShare*float64(len(addresses))
+	trusted := float64(unanswered) <= maxUnansweredShare*float64(len(addresses))
 	if !trusted {
 		s.log.Info("check of endpoints not trusted", "service", service, "checked", len(addresses), "failed", len(failed))
 	}
@@ -213,10 +213,10 @@
 	return h.shared.usable(now)
 }
 
-// excluded reports whether an endpoint gets no requests because of its health. Such endpoints do
+// unhealthy reports whether an endpoint gets no requests because of its health. Such endpoints do
 // not count as capacity of the pool: as idle ones they would lower the price of the other engines'
 // time.
-func (p *poolState) excluded(e *placement.Engine, now time.Time) bool {
+func (p *poolState) unhealthy(e *placement.Engine, now time.Time) bool {
 	h := p.health[e.Instance]
 	return h != nil && !h.usable(now)
 }
--- a/pool/client.go
+++ b/pool/client.go
@@ -123,7 +123,7 @@
 // scheduler if this instance is the owner or no owner answers.
 func (c *Client) Place(ctx context.Context, a PlacementRequest) (Grant, error) {
 	a.Avoid = c.local.UnusableEndpoints(a.Service)
-	leaving, drained := c.excludedTargets()
+	leaving, drained := c.leavingAndDrained()
 	a.Exclude = append(slices.Clone(a.Exclude), leaving...)
 	a.DrainedDomains = drained
 	a.Backoffs = c.backoffs(a.Service)
@@ -189,10 +189,10 @@
 	return Grant{}, fallback, errDecideLocally
 }
 
-// excludedTargets returns the endpoints that are leaving or were removed recently, and the drained
+// leavingAndDrained returns the endpoints that are leaving or were removed recently, and the drained
 // failure domains, as far as this instance knows. The owner may know less, if it is cut off from
 // the store.
-func (c *Client) excludedTargets() (leaving, drained []string) {
+func (c *Client) leavingAndDrained() (leaving, drained []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.snapshot == nil {
--- a/pool/drained.go
+++ b/pool/drained.go
@@ -19,16 +19,16 @@
 // memory are renewed.
 type drainedDomains map[string]time.Time
 
-// excludes reports whether an endpoint must not get a request, as its failure domain is drained
+// covers reports whether an endpoint must not get a request, as its failure domain is drained
 // according to this instance or to the entry instance. Either may be cut off from the store.
-func (d drainedDomains) excludes(a *PlacementRequest, e *placement.Engine) bool {
+func (d drainedDomains) covers(a *PlacementRequest, e *placement.Engine) bool {
 	_, known := d[e.FailureDomain]
 	return known || slices.Contains(a.DrainedDomains, e.FailureDomain)
 }
 
-// excludesAny reports whether excludes is true for any of the endpoints.
-func (d drainedDomains) excludesAny(a *PlacementRequest, list []*placement.Engine) bool {
+// coversAny reports whether covers is true for any of the endpoints.
+func (d drainedDomains) coversAny(a *PlacementRequest, list []*placement.Engine) bool {
 	return slices.ContainsFunc(list, func(e *placement.Engine) bool {
-		return d.excludes(a, e)
+		return d.covers(a, e)
 	})
 }
--- a/pool/link_session.go
+++ b/pool/link_session.go
@@ -14,8 +14,8 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// fromOwner is the entry instance's end of a session.
-type fromOwner = grpc.BidiStreamingClient[poolpb.FromEntry, poolpb.FromOwner]
+// entryStream is the entry instance's end of a session.
+type entryStream = grpc.BidiStreamingClient[poolpb.FromEntry, poolpb.FromOwner]
 
 // run opens the session, and opens it again when it ends, until ctx ends.
 func (l *link) run(ctx context.Context) {
@@ -63,7 +63,7 @@
 }
 
 // sendGreeting sends the name of this instance, its running attempts and the rest of the greeting.
-func (l *link) sendGreeting(stream fromOwner) error {
+func (l *link) sendGreeting(stream entryStream) error {
 	first := []*poolpb.FromEntry{{
 		Kind: &poolpb.FromEntry_Hello{
 			Hello: &poolpb.Hello{
@@ -137,7 +137,7 @@
 }
 
 // send sends the queued messages to the owner until ctx ends or sending fails.
-func (l *link) send(ctx context.Context, cancel func(), stream fromOwner, out <-chan *poolpb.FromEntry) {
+func (l *link) send(ctx context.Context, cancel func(), stream entryStream, out <-chan *poolpb.FromEntry) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -159,7 +159,7 @@
 }
 
 // receive handles the owner's messages until the session ends.
-func (l *link) receive(stream fromOwner) error {
+func (l *link) receive(stream entryStream) error {
 	for {
 		m, err := stream.Recv()
 		if err != nil {
--- a/pool/prefill_load.go
+++ b/pool/prefill_load.go
@@ -18,7 +18,7 @@
 	p.longestGap = max(p.longestGap, w.placementRequest.Gap)
 	busy, all := 0, 0
 	for _, e := range p.list {
-		if p.excluded(e, now) {
+		if p.unhealthy(e, now) {
 			continue
 		}
 		all++
--- a/pool/price.go
+++ b/pool/price.go
@@ -85,7 +85,7 @@
 func (p *poolState) utilization(now time.Time) float64 {
 	used, all := 0.0, 0
 	for _, e := range p.list {
-		if p.excluded(e, now) {
+		if p.unhealthy(e, now) {
 			continue
 		}
 		all++
--- a/pool/probe_test.go
+++ b/pool/probe_test.go
@@ -17,7 +17,7 @@
 		t.Run(o.String(), func(t *testing.T) {
 			w := newRateLimitHarness(t, 1, 2, idleModel())
 			s := w.instances[0]
-			end := func(entry string, fails bool) (probed bool) {
+			send := func(entry string, fails bool) (probed bool) {
 				w.count++
 				id := fmt.Sprint("r", w.count)
 				x := s.submitFor(PlacementRequest{
@@ -36,13 +36,13 @@
 				return g.Instance == "e0"
 			}
 			for i := range 8 {
-				end(fmt.Sprint("n", 1+i%2), true)
+				send(fmt.Sprint("n", 1+i%2), true)
 			}
-			is.New(t).True(!end("n1", true)) // ejected
+			is.New(t).True(!send("n1", true)) // ejected
 			probes := 0
 			for range 30 {
 				w.run(time.Second, func(int) {})
-				if end("n1", probes < 2) {
+				if send("n1", probes < 2) {
 					probes++
 				}
 			}
--- a/pool/refused_callers.go
+++ b/pool/refused_callers.go
@@ -74,22 +74,22 @@
 	if !ok {
 		return
 	}
-	first, ok := r.callers[key]
+	caller, ok := r.callers[key]
 	if !ok {
 		return
 	}
 	delete(r.callers, key)
-	if now.After(first.waitsUntil) {
+	if now.After(caller.waitsUntil) {
 		return
 	}
 	a.Returning = true
-	a.Elapsed = max(a.Elapsed, now.Sub(first.firstTryAt))
+	a.Elapsed = max(a.Elapsed, now.Sub(caller.firstTryAt))
 }
 
 // expire removes the callers that don't wait any more.
 func (r *refusedCallers) expire(now time.Time) {
-	for key, first := range r.callers {
-		if now.After(first.waitsUntil) {
+	for key, caller := range r.callers {
+		if now.After(caller.waitsUntil) {
 			delete(r.callers, key)
 		}
 	}
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -181,7 +181,7 @@
 	p := s.pool(a.Service)
 	p.refusedCallers.recognize(&a, now)
 	if !a.Returning && !a.Retry {
-		p.worth.Observe(a.kind())
+		p.worth.Observe(a.worthRequest())
 	}
 	s.evaluateIfDue(p, a.Service, now)
 	w := s.newWaiter(p, a, now)
--- a/pool/session_test.go
+++ b/pool/session_test.go
@@ -67,7 +67,7 @@
 
 // openSession opens a session and sends Hello for an entry instance. If wait is set, it returns
 // once the owner has handled that.
-func openSession(t *testing.T, c poolpb.PoolClient, entry string, wait bool) fromOwner {
+func openSession(t *testing.T, c poolpb.PoolClient, entry string, wait bool) entryStream {
 	t.Helper()
 	is := is.New(t)
 	stream, err := c.Session(t.Context())
@@ -125,7 +125,7 @@
 
 // assertAnswered sends a placement request over a session. It must be answered, or the session must
 // end, so that the entry instance opens another one and is answered there.
-func assertAnswered(t *testing.T, c poolpb.PoolClient, session fromOwner) {
+func assertAnswered(t *testing.T, c poolpb.PoolClient, session entryStream) {
 	t.Helper()
 	is := is.New(t)
 	a := PlacementRequest{
@@ -155,7 +155,7 @@
 }
 
 // receiveWithin returns the next message of the owner, which must come within a second.
-func receiveWithin(t *testing.T, session fromOwner) (*poolpb.FromOwner, error) {
+func receiveWithin(t *testing.T, session entryStream) (*poolpb.FromOwner, error) {
 	t.Helper()
 	type message struct {
 		m   *poolpb.FromOwner
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -34,7 +34,7 @@
 // it gives up. Ahead is the work that goes before the request.
 func (s *Scheduler) refuse(p *poolState, w *Waiter, ahead backlog, now time.Time) *Refusal {
 	list := p.usable(w, now)
-	if len(list) == 0 && p.drained.excludesAny(&w.placementRequest, p.list) {
+	if len(list) == 0 && p.drained.coversAny(&w.placementRequest, p.list) {
 		return s.refusal("failure domains of the service are emptied", drainedRetryAfter)
 	}
 	if r := s.refuseUnavailable(p, w, list, ahead.requests, now); r != nil {
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -69,7 +69,7 @@
 // its engines. It returns false if no model explains the silence, or if one of the engines is
 // unknown.
 func (p *poolState) expectedWait(id string, at *attempt, silence time.Duration, now time.Time) (time.Duration, bool) {
-	left, known := time.Duration(0), false
+	left, anyExplained := time.Duration(0), false
 	for _, name := range at.endpoints() {
 		e := p.engines[name]
 		if e == nil {
@@ -77,9 +77,9 @@
 		}
 		wait, explained := e.NextEvent(id, silence-silenceSlack, now)
 		left = max(left, wait)
-		known = known || explained
+		anyExplained = anyExplained || explained
 	}
-	return left, known
+	return left, anyExplained
 }
 
 // silenceExpected reports whether the model explains the silence of an attempt that its entry
--- a/pool/state.go
+++ b/pool/state.go
@@ -217,18 +217,18 @@
 func (p *poolState) usable(w *Waiter, now time.Time) []*placement.Engine {
 	out := make([]*placement.Engine, 0, len(p.list))
 	v := p.notices.View()
-	var failed []*placement.Engine
+	var avoided []*placement.Engine
 	for _, e := range p.list {
 		switch {
 		case p.ineligible(w, e, v) || p.availableAt(w, e, v).After(now):
 		case slices.Contains(w.placementRequest.Avoid, e.Instance) || !p.health[e.Instance].usable(now) || p.suspicion.doubted[e.Instance]:
-			failed = append(failed, e)
+			avoided = append(avoided, e)
 		default:
 			out = append(out, e)
 		}
 	}
 	if len(out) == 0 {
-		return failed
+		return avoided
 	}
 	return out
 }
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -27,7 +27,7 @@
 // ineligible reports whether a request must not be placed on an endpoint at all: it is leaving,
 // drained or excluded by the request.
 func (p *poolState) ineligible(w *Waiter, e *placement.Engine, v *notice.View) bool {
-	return p.isLeaving(e, v) || slices.Contains(w.placementRequest.Exclude, e.Instance) || p.drained.excludes(&w.placementRequest, e)
+	return p.isLeaving(e, v) || slices.Contains(w.placementRequest.Exclude, e.Instance) || p.drained.covers(&w.placementRequest, e)
 }
 
 // availableAt returns when an endpoint accepts a request, by its back-off and its rate limit;
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -60,7 +60,7 @@
 
 // newWaiter returns the Waiter of a placement request that arrives now.
 func (s *Scheduler) newWaiter(p *poolState, a PlacementRequest, now time.Time) *Waiter {
-	v := p.worth.Value(a.kind())
+	v := p.worth.Value(a.worthRequest())
 	return &Waiter{
 		placementRequest: a,
 		backoffs:         a.backoffsUntil(now),
--- a/pool/worth.go
+++ b/pool/worth.go
@@ -4,8 +4,8 @@
 
 import "github.com/linkmast/linkmast/worth"
 
-// kind returns the properties of a request on which its value depends.
-func (a *PlacementRequest) kind() worth.Request {
+// worthRequest returns the properties of a request on which its value depends.
+func (a *PlacementRequest) worthRequest() worth.Request {
 	k := worth.Request{
 		Customer:  a.Rank,
 		Route:     a.Route,
