--- a/pool/check.go
+++ b/pool/check.go
@@ -18,7 +18,7 @@
 // Parameters of the checks of endpoints.
 const (
 	// If minCorrelatedStops endpoints stop within correlationWindow, there is probably a common
-	// cause, and all other endpoints of the pool are checked. Some of them may have stopped without
+	// cause, and all usable endpoints of the pool are checked. Some of them may have stopped without
 	// a sign, because no attempt there waits for an event.
 	minCorrelatedStops = 2
 	correlationWindow  = 300 * time.Millisecond
@@ -29,9 +29,8 @@
 	// verifyInterval is the least time between two verifications of an endpoint. An endpoint that
 	// passed one counts as busy, not as stopped, for the same time.
 	verifyInterval = time.Second
-	// recheckInterval is the time between two checks of an endpoint that did not answer. maxAbsence
-	// is how long it is excluded at most without an answer, in case the fault lies in this
-	// instance's network.
+	// recheckInterval is the time between two checks of an excluded endpoint. maxAbsence is how long
+	// it is excluded at most without an answer, in case the fault lies in this instance's network.
 	recheckInterval = 300 * time.Millisecond
 	maxAbsence      = 5 * time.Second
 	// maxConcurrentChecks bounds the connections that one call of runChecks opens at the same time,
@@ -47,12 +46,12 @@
 type checkState struct {
 	// stoppedAt has the time at which each endpoint was last found to have stopped.
 	stoppedAt map[string]time.Time
-	// lastFullCheck is the time of the last check of the whole pool. rechecking is set while absent
-	// endpoints are rechecked.
+	// lastFullCheck is the time of the last check of the whole pool. rechecking is set while
+	// excluded endpoints are rechecked.
 	lastFullCheck time.Time
 	rechecking    bool
-	// checked counts the checks of single endpoints, and failed the endpoints excluded by a check
-	// of the whole pool.
+	// checked counts the endpoints in all checks, and failed those that a check of the whole pool
+	// excluded.
 	checked int
 	failed  int
 }
@@ -96,7 +95,8 @@
 }
 
 // acceptsRequests reports whether an endpoint may get requests at all: it is not leaving, and its
-// failure domain is not drained as far as this instance knows. Other endpoints are not checked.
+// failure domain is not drained as far as this instance knows. Other endpoints are neither checked
+// nor queried.
 func (p *poolState) acceptsRequests(e *placement.Engine) bool {
 	return !p.isLeaving(e, p.notices.View()) && !p.drained.covers(&PlacementRequest{}, e)
 }
@@ -187,8 +187,8 @@
 	return failed
 }
 
-// handleFailedCheck excludes an endpoint that failed a check and migrates its attempts, unless one
-// of its streams is alive.
+// handleFailedCheck excludes an endpoint that failed a check of the whole pool and migrates its
+// attempts, unless one of its streams is alive.
 func (s *Scheduler) handleFailedCheck(service, instance string, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,8 +204,8 @@
 	s.log.Info("endpoint does not answer", "service", service, "endpoint", instance, "cause", cause.Error(), "moved", n)
 }
 
-// usable reports whether the endpoint may get a request: it is neither excluded nor ejected for all
-// instances.
+// usable reports whether the endpoint may get a request: it is neither excluded, nor ejected for
+// all instances, nor running a probe request.
 func (h *endpointHealth) usable(now time.Time) bool {
 	if !h.absentSince.IsZero() && now.Sub(h.absentSince) < maxAbsence {
 		return false
@@ -213,17 +213,17 @@
 	return h.shared.usable(now)
 }
 
-// unhealthy reports whether an endpoint gets no requests because of its health. Such endpoints do
-// not count as capacity of the pool: as idle ones they would lower the price of the other engines'
-// time.
+// unhealthy reports whether the health of an endpoint makes it unusable. Such endpoints do not count
+// as capacity of the pool: as idle ones they would lower the price of the other engines' time.
 func (p *poolState) unhealthy(e *placement.Engine, now time.Time) bool {
 	h := p.health[e.Instance]
 	return h != nil && !h.usable(now)
 }
 
-// exclude takes an endpoint that has stopped out of use until it answers a check, for at most
-// maxAbsence. Where endpoints are not checked, it is ejected as unreachable. The caller must hold
-// s.mu.
+// exclude takes an endpoint that has stopped out of use for all requests, until it answers a check
+// or a request, for at most maxAbsence. Where endpoints are not checked, it is ejected as
+// unreachable instead. PlacementRequest.Exclude, in contrast, concerns a single request. The caller
+// must hold s.mu.
 func (s *Scheduler) exclude(p *poolState, service, instance string, now time.Time) {
 	h := p.health[instance]
 	if s.settings.Check == nil {
--- a/pool/client_limited.go
+++ b/pool/client_limited.go
@@ -41,8 +41,8 @@
 
 // dropOwners removes the owner of a pool, so that each instance places its own requests there. It
 // reports the attempts of this instance as ended to the owners, which won't receive their real
-// ends. If a session ends before that report is sent, its owner drops the attempts because of that.
-// The caller must hold c.mu.
+// ends. If a session ends for good before that report is sent, its owner ends the attempts as
+// orphans. The caller must hold c.mu.
 func (c *Client) dropOwners(name string) {
 	owners := c.linksOf(name)
 	for id, r := range c.attempts {
--- a/pool/client_links.go
+++ b/pool/client_links.go
@@ -18,7 +18,8 @@
 	// relinkInterval is how often Run checks the links.
 	relinkInterval = 200 * time.Millisecond
 	// extraDials is how many links beyond followedOwners may be opening or open for a pool, so that
-	// an instance that starts in a large fleet does not dial all others.
+	// an instance that starts in a large fleet does not dial all others. Links that have been
+	// opening for longer than dialGrace don't count.
 	extraDials = 1
 	// dialGrace is how long a link may take to open before the next instance in the order is
 	// dialled as well. It covers many round trips and is shorter than busyTimeout.
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -43,7 +43,7 @@
 const (
 	// byOwner is the owner of a pool.
 	byOwner decider = iota
-	// byFallback is an instance that reaches no owner of the pool.
+	// byFallback is an instance that reaches no owner of the pool (see Waiter.fallback).
 	byFallback
 	// byInstance is any instance, in a plain pool.
 	byInstance
@@ -143,7 +143,7 @@
 }
 
 // assumeCold treats an endpoint as just started, although the catalog doesn't say so: it failed
-// recently, or its failure domain was drained.
+// repeatedly, or its failure domain was drained.
 func (c *coldLedger) assumeCold(instance string, now time.Time) {
 	if c.enabled() {
 		c.endpoint(instance).assumedUntil = now.Add(c.duration)
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -13,7 +13,8 @@
 // Parameters of placement decisions.
 const (
 	// toleratedHarm is the largest loss of other requests, in units of worth, that doesn't count
-	// against a plan: it neither defers the request nor is weighed against the worth that it keeps.
+	// against a plan: it neither defers the request nor is weighed against the worth that the
+	// request keeps.
 	toleratedHarm = 0.25
 	// harmFactor is how much worth a request must keep by its plan for each unit of worth that
 	// other requests lose by it.
@@ -27,10 +28,10 @@
 	deferPrefillShare = 0.7
 )
 
-// tryPlace places a request by its best plan. It returns false if there is no plan, if the caller
-// would give up before the first event, if too few slots are free, if the request should wait for a
-// better moment or a reconnect burst, or if it is not worth what the plan costs. The caller must
-// hold s.mu.
+// tryPlace places a request by its best plan. It returns false if there is no usable endpoint or no
+// plan, if the caller would give up before the first event, if too few slots are free, if the
+// request should wait for a better moment or a reconnect burst, or if it is not worth what the plan
+// costs. The caller must hold s.mu.
 func (s *Scheduler) tryPlace(p *poolState, w *Waiter, now time.Time) (Grant, bool) {
 	list := p.usable(w, now)
 	if len(list) == 0 {
--- a/pool/ejection.go
+++ b/pool/ejection.go
@@ -11,7 +11,7 @@
 	// minEjection is how long an endpoint is ejected after the first failure beyond
 	// toleratedFailures. The time doubles with each further failure.
 	minEjection = 700 * time.Millisecond
-	// maxEjection is the longest ejection. Restarted engines are back after some seconds.
+	// maxEjection bounds that time. Restarted engines are back after some seconds.
 	maxEjection = 3 * time.Second
 	// maxDoublings prevents an overflow; maxEjection is reached before.
 	maxDoublings = 4
@@ -33,7 +33,8 @@
 	// failures counts the failures in a row, and until is when the ejection ends.
 	failures int
 	until    time.Time
-	// probing is set while a probe request is running on an endpoint that was ejected.
+	// probing is set while a probe request is running on an endpoint that was ejected. It is used
+	// only in the shared record.
 	probing bool
 }
 
@@ -51,7 +52,8 @@
 	// reporter is the instance that reported the last failure, and reportedAt when it did.
 	reporter   string
 	reportedAt time.Time
-	// absentSince is when the endpoint was excluded because it had stopped; zero once it answers.
+	// absentSince is when the endpoint was excluded (see Scheduler.exclude); zero if it was not, or
+	// has answered since.
 	absentSince time.Time
 	// verifiedAt is when the endpoint was last checked because several instances had silent
 	// attempts on it, and answeredAt when it last answered such a check.
@@ -104,8 +106,8 @@
 	return other
 }
 
-// markAlive clears the failures and ends the ejection after a sign of life. Own is set if it came
-// from a request of this instance; only then the instance's own record is cleared too.
+// markAlive clears the failures and ends the ejection and the exclusion after a first event. Own is
+// set if this instance received the event; only then its own record is cleared too.
 func (h *endpointHealth) markAlive(own bool) {
 	h.shared = ejectionRecord{}
 	h.absentSince = time.Time{}
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -65,7 +65,7 @@
 }
 
 // markProbes makes the attempt the probe request of those of its endpoints that have failed
-// repeatedly: they get no other request until it has an outcome. Such an endpoint may have
+// repeatedly: they get no other request until its first event or its end. Such an endpoint may have
 // restarted, so it counts as cold.
 func (p *poolState) markProbes(at *attempt, now time.Time) {
 	for _, name := range at.endpoints() {
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -141,8 +141,8 @@
 	return s.place(ctx, a, false)
 }
 
-// place places a request of this instance. Fallback is set if no owner of the pool is reachable, so
-// that the instance may use only its share of the retry budget and of the endpoints' limits.
+// place places a request of this instance. Fallback, as described at Waiter.fallback, means that
+// the instance may use only its share of the retry budget and of the endpoints' limits.
 func (s *Scheduler) place(ctx context.Context, a PlacementRequest, fallback bool) (Grant, error) {
 	return s.placeFor(ctx, a, s.settings.Self, fallback)
 }
--- a/pool/server.go
+++ b/pool/server.go
@@ -76,7 +76,8 @@
 	// attempts has the service of each running attempt of the entry instance, by attempt ID; nil
 	// once the session has ended.
 	attempts map[string]string
-	wait     sync.WaitGroup
+	// wait waits for the placements that have been started.
+	wait sync.WaitGroup
 }
 
 // Session implements poolpb.PoolServer.
@@ -265,6 +266,6 @@
 		return
 	}
 	if err != nil {
-		x.server.scheduler.log.V(1).Info("answer to an entry lost", "entry", x.entry, "attempt", a.ID, "cause", err.Error())
+		x.server.scheduler.log.V(1).Info("answer to an entry instance lost", "entry", x.entry, "attempt", a.ID, "cause", err.Error())
 	}
 }
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -18,7 +18,8 @@
 	// shortTarget is the longest target of a short request, which waits for a slot rather than
 	// for prefill: its prompt is prefilled within a pass.
 	shortTarget = time.Second
-	// minRetryAfter is the least RetryAfter of a refusal: slots become free within a second.
+	// minRetryAfter is the least RetryAfter that Scheduler.refusal sets: slots become free within a
+	// second.
 	// retryAfterSpread is the least range of the random time added to it, so that callers don't
 	// all return at once.
 	minRetryAfter    = 600 * time.Millisecond
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -121,15 +121,15 @@
 
 // slowdownRecord is what is known about the slowdown of one engine.
 type slowdownRecord struct {
-	// unsure is set if the slowdown may have changed since the last query: an event deviated from
-	// its prediction, or another engine reported a change.
+	// unsure is set if the slowdown may have changed since the last query: a first event deviated
+	// from its prediction or is overdue, or another engine reported a change.
 	unsure bool
 	// queriedAt is when the engine was last queried, and unanswered the number of queries since
 	// its last answer.
 	queriedAt  time.Time
 	unanswered int
-	// late is how much later than predicted the last first event came whose prefill this engine
-	// did alone, and lateAt when it came.
+	// late and lateAt describe the last first event of an attempt whose prompt this engine
+	// prefilled alone: how much later than predicted it came, and when.
 	late   time.Duration
 	lateAt time.Time
 	// samples holds the latest samples, the oldest first.
@@ -170,8 +170,9 @@
 	return true
 }
 
-// recordFirstEvent updates the slowdowns after the first event of an attempt. Late is how much
-// later than predicted the event came. The caller must hold s.mu.
+// recordFirstEvent updates the slowdowns after the first event of an attempt, unless slowdowns are
+// ignored or this instance has not placed requests recently. Late is how much later than predicted
+// the event came. The caller must hold s.mu.
 func (s *Scheduler) recordFirstEvent(p *poolState, at *attempt, late time.Duration, now time.Time) {
 	if s.settings.SlowdownMode == SlowdownIgnored || !p.slowdowns.isDeciding(now) {
 		return
@@ -304,8 +305,8 @@
 	return s.settings.SlowdownQuerier != nil && s.settings.SlowdownMode != SlowdownEstimated && !p.slowdowns.fallback && p.slowdowns.isDeciding(now)
 }
 
-// acceptsQueries reports whether an engine may be queried: it has not asked this instance for a
-// back-off and announces no rate limit.
+// acceptsQueries reports whether an engine may be queried: it announces no rate limit, and this
+// instance has to observe no back-off for it.
 func (p *poolState) acceptsQueries(e *placement.Engine, v *notice.View, now time.Time) bool {
 	_, limited := p.rateLimit(e, v)
 	return !limited && !v.BackoffUntil(e.Instance, p.health[e.Instance].startedAt).After(now)
--- a/pool/state.go
+++ b/pool/state.go
@@ -32,7 +32,7 @@
 	// queue holds the requests that wait for a decision.
 	queue []*Waiter
 	// ownerRetries is the retry budget for decisions as the pool's owner, and fallbackRetries
-	// the one for decisions while no owner is reachable.
+	// the one for decisions as a fallback (see Waiter.fallback).
 	ownerRetries    retryCounter
 	fallbackRetries retryCounter
 	// predictions counts the predictions of first events, and those that were accurate.
@@ -95,7 +95,7 @@
 	suspectedAt time.Time
 	silentSince time.Time
 	migrating   bool
-	// watched is set if the entry instance reports the attempt when it falls silent.
+	// watched is set if the entry instance is expected to report the attempt when it falls silent.
 	watched bool
 	// orphanMark identifies the ended session through which the attempt came; zero while the
 	// entry instance is connected. cutAt is when that session ended.
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -31,12 +31,13 @@
 	// which other streams of the engine may be silent.
 	longPrefillThreshold = 250 * time.Millisecond
 	// confirmQuorum is how many instances must have silent attempts on an endpoint for it to be
-	// excluded. An endpoint that only one instance doubts gets no new requests if doubtQuorum
-	// instances have doubts about any endpoint. Both guard against a fault in the network of a
-	// single instance.
+	// verified, and excluded if it does not answer. An endpoint that only one instance doubts gets
+	// no new requests if doubtQuorum instances have doubts about any endpoint. Both guard against a
+	// fault in the network of a single instance.
 	confirmQuorum = 2
 	doubtQuorum   = 3
-	// evaluateInterval is the least time between evaluations when they are triggered by placements.
+	// evaluateInterval is the least time between an evaluation and the next one that a new request
+	// triggers.
 	evaluateInterval = 10 * time.Millisecond
 	// lateMigrationSpread is the time over which the migrations of attempts that are late already
 	// are spread. Their callers wait for at least two seconds, of which about half a second has
@@ -49,8 +50,8 @@
 type SilenceMonitor interface {
 	// ReportSilence reports that an attempt has been silent for longer than usual.
 	ReportSilence(id, service string, silence time.Duration)
-	// OnMigrate registers a function that is called when the attempt has to migrate. It may be
-	// called at any time until stop is called, from another goroutine.
+	// OnMigrate registers a function that is called, in another goroutine, when the attempt has to
+	// migrate. A call may still come shortly after stop has returned.
 	OnMigrate(id string, migrate func()) (stop func())
 }
 
@@ -89,7 +90,8 @@
 	signalNone signal = iota
 	// signalAlive comes from a watched stream that is not reported as silent.
 	signalAlive
-	// signalLate comes from an attempt whose first event is late, but not yet silent.
+	// signalLate comes from an attempt whose first event is late, but not late enough for
+	// signalSilent.
 	signalLate
 	// signalSilent comes from an attempt whose next event is long overdue.
 	signalSilent
@@ -105,7 +107,7 @@
 
 // watched reports whether the entry instance is expected to report the attempt when it is silent:
 // it is the first send of a stream with a Gap. The entry instance reports only streams that another
-// endpoint may resume, which the request does not say.
+// endpoint may resume, which a placement request doesn't tell.
 func (a *PlacementRequest) watched() bool {
 	return a.Gap > 0 && !a.Retry
 }
@@ -366,8 +368,8 @@
 
 // sendMigrations sends migrations to the entry instances. Those of attempts that are not late yet,
 // or are in a joint prefill, are sent at once. The others are spread over lateMigrationSpread, so
-// that their prompts are not all prefilled at the expense of the other engines' streams. The caller
-// must hold s.mu.
+// that their prompts are not all prefilled at the expense of the other engines' streams. Migrations
+// to an entry instance that is not connected are dropped. The caller must hold s.mu.
 func (s *Scheduler) sendMigrations(migrations []migration) {
 	atOnce := make(map[*func(migration)][]migration)
 	late := 0
--- a/pool/types.go
+++ b/pool/types.go
@@ -15,8 +15,8 @@
 	Service string
 	// Customer is the customer that the request is accounted to.
 	Customer string
-	// Rank is the priority of the customer, or of the route if the request has no customer;
-	// requests of rank 0 go first.
+	// Rank is the priority of the customer, or of the route if the request has no customer; 0 is
+	// the highest.
 	Rank int
 	// Route is the route's name, and RouteRank its priority.
 	Route     string
@@ -36,11 +36,11 @@
 	Gap time.Duration
 	// Deadline is the time left for the whole request.
 	Deadline time.Duration
-	// Exclude lists endpoints that must not be used, such as those that failed this request and
+	// Exclude lists endpoints that this request must not get, such as those that failed it and
 	// those that the entry instance knows to be leaving.
 	Exclude []string
-	// Avoid lists endpoints that recently failed other requests of the entry instance. They are
-	// used only if no other endpoint is usable.
+	// Avoid lists endpoints that the entry instance has ejected for its own requests. They are used
+	// only if no other endpoint is usable.
 	Avoid []string
 	// DrainedDomains lists the failure domains that the entry instance knows to be drained.
 	DrainedDomains []string
@@ -133,7 +133,7 @@
 	Rejected
 	// Unreachable means that the endpoint accepted no connection.
 	Unreachable
-	// Silent means that the endpoint stopped sending events.
+	// Silent means that the endpoint sent no event for too long.
 	Silent
 	// Abandoned means that the attempt was ended for no fault of the endpoint, such as by its
 	// caller.
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -30,8 +30,8 @@
 	return p.isLeaving(e, v) || slices.Contains(w.placementRequest.Exclude, e.Instance) || p.drained.covers(&w.placementRequest, e)
 }
 
-// availableAt returns when an endpoint accepts a request, by its back-off and its rate limit;
-// zero means at once.
+// availableAt returns when an endpoint accepts a request, by its back-off and its rate limit. A time
+// in the past or zero means at once.
 func (p *poolState) availableAt(w *Waiter, e *placement.Engine, v *notice.View) time.Time {
 	at := w.backoffs[e.Instance]
 	if l, limited := p.rateLimit(e, v); limited {
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -27,8 +27,8 @@
 	late bool
 	// entry names the entry instance.
 	entry string
-	// fallback is set if no owner of the pool is reachable, so that this instance decides by
-	// itself.
+	// fallback is set if this instance decides because it reaches none of the instances that come
+	// before it in the pool's order of owners. Others may decide at the same time.
 	fallback bool
 }
 
