--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -17,7 +17,7 @@
 // crashingRequest is the identity of the request that crashes endpoints in these tests.
 const crashingRequest quarantine.Identity = 7
 
-// reportCrash reports at this instance that an attempt of the request crashed endpoint i.
+// reportCrash reports to this instance that an attempt of the request crashed endpoint i.
 func (n *node) reportCrash(i int) {
 	began := time.Now()
 	time.Sleep(20 * time.Millisecond)
@@ -47,7 +47,8 @@
 	return out
 }
 
-// settle waits until a reported crash is counted and the verdict has reached all instances.
+// settle waits until reported crashes are counted, and verdicts and notices have reached all
+// instances.
 func settle() {
 	time.Sleep(2 * quarantine.SettleDelay)
 }
--- a/pool/drained_test.go
+++ b/pool/drained_test.go
@@ -121,7 +121,7 @@
 }
 
 // TestDrainedWhileWaiting checks that a waiting request is placed elsewhere if the failure
-// domain with the endpoints that it waits for is drained.
+// domain with the endpoints that it waits for is drained and another one is undrained.
 func TestDrainedWhileWaiting(t *testing.T) {
 	withScheduler(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
 		s.Update(drainedSnapshot("d0"))
--- a/pool/fallback_test.go
+++ b/pool/fallback_test.go
@@ -15,8 +15,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// TestFallbackInstancesSpread guards against many instances without an owner that place their
-// first requests on the same engine.
+// TestFallbackInstancesSpread guards against many instances without an owner that together place
+// more of their first requests on an engine than it has slots.
 func TestFallbackInstancesSpread(t *testing.T) {
 	is := is.New(t)
 	const instances, engines, slots = 300, 150, 10
@@ -64,9 +64,8 @@
 	}
 }
 
-// TestOwnersHaveCapacity checks that the owners of pools, and the next in line, are instances
-// with much capacity, and that these share the pools. A weak owner would decide late under a
-// burst.
+// TestOwnersHaveCapacity checks that the owners of pools and their standbys are instances with much
+// capacity, and that these share the pools. A weak owner would decide late under a burst.
 func TestOwnersHaveCapacity(t *testing.T) {
 	is := is.New(t)
 	const pools, strong, weak = 60, 15, 280
--- a/pool/incarnation_test.go
+++ b/pool/incarnation_test.go
@@ -181,7 +181,7 @@
 	before := w.running(helper, "engines")
 	w.restart(helper, "engines", firstIncarnation.Add(time.Minute))
 	is.Equal(w.running(helper, "engines"), before-1)
-	is.True(w.s.pools["engines"].attempts["long"] != nil) // its own engine notices the failure
+	is.True(w.s.pools["engines"].attempts["long"] != nil) // the engine that answers it notices the failure
 	w.s.End("long", "engines", Failed, "")
 	is.Equal(w.running(g.Instance, "engines"), 0)
 }
--- a/pool/messages_test.go
+++ b/pool/messages_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestMessages guards against fields that are lost in the messages for placement requests, notices
-// and grants. Each field must be set here, so that the test fails for a new field until it is
-// added.
+// and grants. It fails for a new field that is not set here, except in PrefillShare, whose
+// Reservation is not sent.
 func TestMessages(t *testing.T) {
 	t.Run("placement request", func(t *testing.T) {
 		is := is.New(t)
--- a/pool/placement_log_test.go
+++ b/pool/placement_log_test.go
@@ -15,8 +15,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// TestPlacementLogLine guards against a log line of a placement that lacks the engines of a joint
-// prefill or the price of the engines' time.
+// TestPlacementLogLine guards against a log line of a placement that lacks the helpers of a joint
+// prefill, the engine time that the request takes, or the price of that time.
 func TestPlacementLogLine(t *testing.T) {
 	is := is.New(t)
 	var lines []string
--- a/pool/plain_test.go
+++ b/pool/plain_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestPlainInstanceKeepsEndpoint checks that an idle instance returns to the endpoint to which
-// it has a connection, and uses others while it has requests there.
+// TestPlainInstanceKeepsEndpoint checks that an idle instance always uses the same endpoint, so
+// that it can reuse its connection, and uses others while it has requests there.
 func TestPlainInstanceKeepsEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := newPlainSchedulers(1, 12)[0]
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -43,6 +43,8 @@
 	snap  *catalog.Snapshot
 }
 
+// newFleet returns a fleet of n instances that know the endpoints e0 to e3 of the service "engines"
+// and p0 and p1 of "plain".
 func newFleet(t *testing.T, n int) *fleet {
 	t.Helper()
 	f := &fleet{
@@ -97,6 +99,7 @@
 	}
 }
 
+// add starts instance i, which doesn't know the endpoints until learn is called.
 func (f *fleet) add(i int) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/pool/probe_test.go
+++ b/pool/probe_test.go
@@ -17,6 +17,8 @@
 		t.Run(o.String(), func(t *testing.T) {
 			w := newRateLimitHarness(t, 1, 2, idleModel())
 			s := w.instances[0]
+			// send places a request and ends it: with outcome o if fails is set and e0 got it, as
+			// served otherwise. It reports whether e0 got it.
 			send := func(entry string, fails bool) (probed bool) {
 				w.count++
 				id := fmt.Sprint("r", w.count)
--- a/pool/rate_limit_test.go
+++ b/pool/rate_limit_test.go
@@ -343,6 +343,8 @@
 	}
 }
 
+// BenchmarkUsableWithRateLimits measures the search for usable endpoints among 1000, of which some
+// announce a rate limit.
 func BenchmarkUsableWithRateLimits(b *testing.B) {
 	for _, limited := range []int{0, 10, 1000} {
 		b.Run(fmt.Sprint(limited, " of 1000"), func(b *testing.B) {
--- a/pool/reconnect_test.go
+++ b/pool/reconnect_test.go
@@ -99,9 +99,9 @@
 	return a
 }
 
-// TestDeadlineOfReconnect guards against a wrong deadline for the next event of a reconnecting
-// caller. It follows from the attempt that was cut, if the owner still remembers that.
-func TestDeadlineOfReconnect(t *testing.T) {
+// TestDueTimeOfReconnect guards against a wrong time at which the next event of a reconnecting
+// caller is due. It follows from the attempt that was cut, if the owner still remembers that.
+func TestDueTimeOfReconnect(t *testing.T) {
 	const later = 60 * time.Millisecond
 	for _, row := range []struct {
 		name   string
--- a/pool/refused_callers_test.go
+++ b/pool/refused_callers_test.go
@@ -120,7 +120,7 @@
 		{"late, engine time is free", target, 0, 5 * time.Second, 4 * time.Second, false, false},
 		{"late, covers the price", target, 0.4, 5 * time.Second, 4 * time.Second, false, false},
 		{"late, doesn't cover the price", target, 0.6, 5 * time.Second, 4 * time.Second, false, true},
-		{"late, its time has passed", target, 0, 3500 * time.Millisecond, 4 * time.Second, false, true},
+		{"late, placeBy has passed", target, 0, 3500 * time.Millisecond, 4 * time.Second, false, true},
 		{"short", 300 * time.Millisecond, 9, time.Second, 4 * time.Second, false, false},
 		{"its endpoint failed", target, 9, 5 * time.Second, 4 * time.Second, true, false},
 	} {
--- a/pool/slowdown_test.go
+++ b/pool/slowdown_test.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// TestOverdueEventTriggersQuery checks that an engine is queried while its first event is
-// overdue.
+// TestOverdueEventTriggersQuery checks that an engine is queried while the first event of an
+// attempt there is overdue.
 func TestOverdueEventTriggersQuery(t *testing.T) {
 	is := is.New(t)
 	f := newSlowdownHarness(t, 2, pool.SlowdownQueriedOrEstimated)
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -238,7 +238,7 @@
 }
 
 // TestChecksOtherEngines guards against a pool whose other engines are not checked when two have
-// stopped, and against excluding engines when the owner's own network is at fault.
+// stopped, and against excluding those that don't answer when the owner's own network is at fault.
 func TestChecksOtherEngines(t *testing.T) {
 	lost := errors.New("no answer")
 	for _, row := range []struct {
@@ -286,9 +286,9 @@
 		return errors.New("no answer")
 	})
 	p := c.pools["engines"]
-	p.engines["e03"].FailureDomain = "emptied"
+	p.engines["e03"].FailureDomain = "drained"
 	p.drained = drainedDomains{
-		"emptied": c.now,
+		"drained": c.now,
 	}
 	p.engines["e04"].Closed = true
 	c.markStopped("e03")
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -19,8 +19,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// slowEngine returns the model of an engine that prefills 100 000 tokens in a second, in passes
-// of some tens of milliseconds.
+// slowEngine returns the model of an engine that prefills 100 000 tokens a second, at most 1000 in a
+// pass, or 10 000 while it also decodes.
 func slowEngine() *batch.Model {
 	return &batch.Model{
 		Slots:            4,
