--- a/pool/budget.go
+++ b/pool/budget.go
@@ -61,12 +61,12 @@
 // allowRetry reports whether the budget allows another retry, and counts it if so.
 func (s *retryCounter) allowRetry(now time.Time) bool {
 	i := s.roll(now)
-	first, retries := 0, 0
+	first, retried := 0, 0
 	for _, bucket := range s.buckets {
 		first += bucket.first
-		retries += bucket.retries
+		retried += bucket.retries
 	}
-	if float64(retries+1) > s.budget.Ratio*float64(first)+s.budget.Extra {
+	if float64(retried+1) > s.budget.Ratio*float64(first)+s.budget.Extra {
 		return false
 	}
 	s.buckets[i].retries++
