--- a/pool/reconnect_burst_test.go
+++ b/pool/reconnect_burst_test.go
@@ -1,151 +1,231 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-package pool_test
+package pool
 
 import (
 	"fmt"
-	"net"
-	"sync"
 	"testing"
 	"time"
 
+	"github.com/go-logr/logr"
 	"github.com/matryer/is"
 
-	"github.com/linkmast/linkmast/pool"
+	"github.com/linkmast/linkmast/batch"
+	"github.com/linkmast/linkmast/catalog"
+	"github.com/linkmast/linkmast/route"
 )
 
-// resettable is a listener whose accepted connections can be reset.
-type resettable struct {
-	net.Listener
+// clockPool is a scheduler for one pool of engines whose clock the test advances.
+type clockPool struct {
+	*Scheduler
 
-	mu    sync.Mutex
-	conns []net.Conn
+	now time.Time
 }
 
-// Accept implements net.Listener.
-func (r *resettable) Accept() (net.Conn, error) {
-	c, err := r.Listener.Accept()
-	if err != nil {
-		return nil, err
+// newClockPool returns a pool of engines that prefill 154 tokens per millisecond.
+func newClockPool(engines int) *clockPool {
+	c := &clockPool{
+		now: moment,
+	}
+	c.Scheduler = NewScheduler(Settings{
+		Self: "n0",
+		Now:  func() time.Time { return c.now },
+		Draw: func(time.Duration) time.Duration { return 0 },
+	}, logr.Discard())
+	snap := &catalog.Snapshot{
+		Table: route.New(1, nil, []route.Service{
+			{
+				Name: "engines",
+				Engine: &batch.Model{
+					Slots:            12,
+					Capacity:         400_000,
+					StepsPerPass:     34,
+					Chunk:            2048,
+					Step:             1310 * time.Microsecond,
+					PrefillPerSecond: 154_000,
+				},
+			},
+		}, nil, false, route.Limits{}),
+		Endpoints: make(map[string]catalog.Endpoint),
+	}
+	for i := range engines {
+		name := fmt.Sprintf("e%02d", i)
+		snap.Endpoints[name] = catalog.Endpoint{
+			Instance: name,
+			Service:  "engines",
+			Address:  name + ":1",
+			Slots:    12,
+		}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.conns = append(r.conns, c)
-	return c, nil
+	c.Update(snap)
+	return c
 }
 
-// reset resets all accepted connections.
-func (r *resettable) reset() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, c := range r.conns {
-		// Errors are ignored, as the connection may have ended already.
-		_ = c.(*net.TCPConn).SetLinger(0)
-		_ = c.Close()
+// stream returns a request for a short stream. Each has a prompt of a different length, by which
+// the scheduler recognizes it when its caller reconnects.
+func stream(i int) PlacementRequest {
+	return PlacementRequest{
+		ID:       fmt.Sprint("s", i),
+		Service:  "engines",
+		Customer: "c",
+		Prompt:   4000 + i,
+		Output:   500,
+		Target:   250 * time.Millisecond,
+		Gap:      250 * time.Millisecond,
+		Deadline: 10 * time.Second,
 	}
-	r.conns = nil
 }
 
-// reset resets all connections between the instances.
-func (f *fleet) reset() {
-	for _, n := range f.nodes {
-		n.listener.reset()
+// cutStreams places n streams, lets them start, and ends them all as abandoned.
+func (c *clockPool) cutStreams(is *is.I, n int) {
+	for i := range n {
+		g, _, ok := c.Submit(stream(i)).Decision()
+		is.True(ok)
+		c.now = c.now.Add(g.FirstEventIn)
+		c.FirstEvent(stream(i).ID, "engines")
+	}
+	c.now = c.now.Add(500 * time.Millisecond)
+	for i := range n {
+		c.End(stream(i).ID, "engines", Abandoned, "")
 	}
 }
 
-// longOpen is how long sessions are open before a reset: longer than the pause between two
-// attempts to connect.
-const longOpen = 400 * time.Millisecond
+// reconnecting returns the request with which the caller of a cut stream reconnects.
+func reconnecting(i int) PlacementRequest {
+	a := stream(i)
+	a.ID += "-back"
+	a.Resumed = true
+	a.DueIn = a.Gap
+	return a
+}
 
-// TestOwnerStaysAfterReset checks that after a reset of all connections between the instances
-// the same owner decides, since no instance has ended.
-func TestOwnerStaysAfterReset(t *testing.T) {
-	is := is.New(t)
-	f := newFleet(t, 5)
-	owner := f.owner("")
-	time.Sleep(longOpen)
-	f.reset()
-	by := make(map[string]int)
-	for round := range 40 {
-		time.Sleep(10 * time.Millisecond)
-		for i, n := range f.nodes {
-			id := fmt.Sprintf("after-%d-%d", round, i)
-			by[n.place(t, request(id)).DecidedBy]++
-			n.client.End(id, "engines", pool.Served, "")
-		}
-	}
-	is.Equal(by[owner.self.ID], 40*len(f.nodes))
+// TestDueTimeOfReconnect guards against a wrong time at which the next event of a reconnecting
+// caller is due. It follows from the attempt that was cut, if the owner still remembers that.
+func TestDueTimeOfReconnect(t *testing.T) {
+	const later = 60 * time.Millisecond
+	for _, row := range []struct {
+		name   string
+		begun  bool
+		change func(a *PlacementRequest)
+		after  time.Duration
+		want   time.Duration
+	}{
+		{"stream", true, func(*PlacementRequest) {}, later, 190 * time.Millisecond},
+		{"stream of another customer", true, func(a *PlacementRequest) { a.Customer = "d" }, later, 250 * time.Millisecond},
+		{"stream that comes back after a second", true, func(*PlacementRequest) {}, time.Second, 250 * time.Millisecond},
+		{"resumed by the same entry instance", true, func(a *PlacementRequest) { a.Retry, a.DueIn = true, 40*time.Millisecond }, later, 40 * time.Millisecond},
+		{"no event yet", false, func(a *PlacementRequest) { a.Resumed = false }, later, 90 * time.Millisecond},
+		{"no event before the cut, but resumed", false, func(*PlacementRequest) {}, later, 250 * time.Millisecond},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			is := is.New(t)
+			c := newClockPool(1)
+			_, _, ok := c.Submit(stream(0)).Decision()
+			is.True(ok)
+			c.now = c.now.Add(100 * time.Millisecond)
+			if row.begun {
+				c.FirstEvent("s0", "engines")
+			}
+			c.End("s0", "engines", Abandoned, "")
+			c.now = c.now.Add(row.after)
+			a := reconnecting(0)
+			row.change(&a)
+			w := c.Submit(a)
+			is.Equal(w.request.TargetAt.Sub(c.now), row.want)
+		})
+	}
+	t.Run("each stream once", func(t *testing.T) {
+		is := is.New(t)
+		c := newClockPool(1)
+		c.cutStreams(is, 1)
+		c.now = c.now.Add(later)
+		is.Equal(c.Submit(reconnecting(0)).request.TargetAt.Sub(c.now), 190*time.Millisecond)
+		second := reconnecting(0)
+		second.ID = "other"
+		is.Equal(c.Submit(second).request.TargetAt.Sub(c.now), 250*time.Millisecond)
+	})
 }
 
-// TestAttemptsEndedDuringReset checks that the owner learns which attempts ended while its link
-// to the entry instance was reset, as soon as that instance is connected again.
-func TestAttemptsEndedDuringReset(t *testing.T) {
+// TestReconnectBurstSpreads guards against a reconnect burst that is crowded onto few engines, so
+// that some of its streams are predicted to be late.
+func TestReconnectBurstSpreads(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 2)
-	owner := f.owner("")
-	entry := f.nodes[0]
-	if entry == owner {
-		entry = f.nodes[1]
-	}
-	for owner.scheduler.Stats()["engines"].Placed > 0 {
-		time.Sleep(time.Millisecond)
-	}
-	const attempts, ended = 10, 7
-	for i := range attempts {
-		entry.place(t, request(fmt.Sprint("cut-", i)))
-	}
-	time.Sleep(longOpen)
-	owner.listener.reset()
-	// The link is down for at least a round trip after the reset.
-	for i := range ended {
-		entry.client.End(fmt.Sprint("cut-", i), "engines", pool.Abandoned, "")
-	}
-	began := time.Now()
-	for owner.scheduler.Stats()["engines"].Placed != attempts-ended && time.Since(began) < time.Second {
-		time.Sleep(time.Millisecond)
+	const engines, streams = 8, 24
+	c := newClockPool(engines)
+	c.cutStreams(is, streams)
+	const late = 110 * time.Millisecond
+	c.now = c.now.Add(late)
+	for i := range streams {
+		g, _, ok := c.Submit(reconnecting(i)).Decision()
+		is.True(ok)
+		is.True(g.FirstEventIn <= 250*time.Millisecond-late)
 	}
-	is.Equal(owner.scheduler.Stats()["engines"].Placed, attempts-ended)
-	time.Sleep(2500 * time.Millisecond)
-	is.Equal(owner.scheduler.Stats()["engines"].Placed, attempts-ended)
 }
 
-// TestOwnerMigratesSilentStreams checks that the owner orders the entry instances, including
-// itself, to migrate their streams when several of them report streams of the same engine as
-// silent.
-func TestOwnerMigratesSilentStreams(t *testing.T) {
-	f := newFleet(t, 0)
-	for _, name := range []string{"e1", "e2", "e3"} {
-		delete(f.snap.Endpoints, name)
+// TestPrefillWaitsForReconnectBurst guards against a long prefill that starts in the middle of a
+// reconnect burst although it could wait, and against one that waits needlessly.
+func TestPrefillWaitsForReconnectBurst(t *testing.T) {
+	for _, row := range []struct {
+		name string
+		// cut is the number of streams that were cut, in a pool of eight engines.
+		cut    int
+		prompt int
+		target time.Duration
+		waits  bool
+	}{
+		{"nothing was cut", 0, 60_000, 1500 * time.Millisecond, false},
+		{"few were cut", 3, 60_000, 1500 * time.Millisecond, false},
+		{"has time left", 24, 60_000, 1500 * time.Millisecond, true},
+		{"is late anyway", 24, 150_000, 100 * time.Millisecond, true},
+		{"has no time left and more value than its engines' share of the burst", 24, 60_000, 520 * time.Millisecond, false},
+		{"has a short prompt", 24, 3000, 150 * time.Millisecond, false},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			is := is.New(t)
+			c := newClockPool(8)
+			c.cutStreams(is, row.cut)
+			c.now = c.now.Add(20 * time.Millisecond)
+			a := stream(1000)
+			a.Prompt = row.prompt
+			a.Target = row.target
+			a.Returning = true
+			a.Gap = time.Second
+			w := c.Submit(a)
+			_, r, ok := w.Decision()
+			is.True(r == nil)
+			is.Equal(ok, !row.waits)
+			if !row.waits {
+				return
+			}
+			// The burst is due 250 ms after the cut.
+			c.now = c.now.Add(220 * time.Millisecond)
+			c.Review()
+			_, _, ok = w.Decision()
+			is.True(!ok)
+			c.now = c.now.Add(20 * time.Millisecond)
+			c.Review()
+			_, _, ok = w.Decision()
+			is.True(ok)
+		})
 	}
-	for i := range 3 {
-		f.add(i)
-	}
-	for _, n := range f.nodes {
-		n.learn(f.snap)
-	}
-	owner := f.owner("")
-	for owner.scheduler.Stats()["engines"].Placed > 0 {
-		time.Sleep(time.Millisecond)
-	}
-	migrated := make(chan string, 10)
-	for i, n := range f.nodes {
-		a := request(fmt.Sprint("move-", i))
-		a.Gap = 5 * time.Second
-		n.place(t, a)
-		n.client.FirstEvent(a.ID, "engines")
-		n.client.OnMigrate(a.ID, func() { migrated <- a.ID })
-	}
-	time.Sleep(400 * time.Millisecond)
-	for i, n := range f.nodes {
-		n.client.ReportSilence(fmt.Sprint("move-", i), "engines", 300*time.Millisecond)
-	}
-	got := make(map[string]bool)
-	for len(got) < len(f.nodes) {
-		select {
-		case id := <-migrated:
-			got[id] = true
-		case <-time.After(time.Second):
-			t.Fatalf("ordered to migrate only %v", got)
-		}
+}
+
+// TestIsShort guards against a wrong distinction between requests that wait for slots and those
+// that wait for prefill. The time left of a resumed stream says nothing about its prompt.
+func TestIsShort(t *testing.T) {
+	for _, row := range []struct {
+		name    string
+		request PlacementRequest
+		want    bool
+	}{
+		{"short target", PlacementRequest{Target: 250 * time.Millisecond}, true},
+		{"long target", PlacementRequest{Target: 1500 * time.Millisecond}, false},
+		{"resumed with short pauses", PlacementRequest{Target: 8 * time.Second, Gap: 250 * time.Millisecond, Resumed: true}, true},
+		{"resumed with long pauses", PlacementRequest{Target: -2 * time.Second, Gap: time.Second, Resumed: true}, false},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			is := is.New(t)
+			is.Equal(row.request.isShort(), row.want)
+		})
 	}
 }
