--- a/pool/messages.go
+++ b/pool/messages.go
@@ -151,7 +151,7 @@
 	return g
 }
 
-// runningMessage reports a running attempt to an owner that may not know it.
+// runningMessage returns the report of a running attempt, for an owner that may not know it.
 func runningMessage(r *running) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Running{
@@ -164,7 +164,7 @@
 	}
 }
 
-// firstEventMessage reports the first event of an attempt to an owner.
+// firstEventMessage returns the report of an attempt's first event, for an owner.
 func firstEventMessage(id, service string) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_First{
@@ -176,7 +176,7 @@
 	}
 }
 
-// endMessage reports the end of an attempt to an owner.
+// endMessage returns the report of an attempt's end, for an owner.
 func endMessage(id, service string, o Outcome, culprit string) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_End{
@@ -190,7 +190,7 @@
 	}
 }
 
-// suspicionMessage reports a silent attempt to an owner.
+// suspicionMessage returns the report of a silent attempt, for an owner.
 func suspicionMessage(id, service string, silence time.Duration) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Suspicion{
@@ -203,7 +203,7 @@
 	}
 }
 
-// migrationMessage orders an entry instance to migrate an attempt.
+// migrationMessage returns the order to migrate an attempt, for its entry instance.
 func migrationMessage(m *migration) *poolpb.FromOwner {
 	return &poolpb.FromOwner{
 		Kind: &poolpb.FromOwner_Move{
@@ -239,7 +239,7 @@
 	}
 }
 
-// ownerNoticeMessage sends the notice of an endpoint to an owner.
+// ownerNoticeMessage returns the message with the notice of an endpoint, for an owner.
 func ownerNoticeMessage(n notice.Notice) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Notice{
@@ -248,7 +248,7 @@
 	}
 }
 
-// entryNoticeMessage sends the notice of an endpoint to an entry instance.
+// entryNoticeMessage returns the message with the notice of an endpoint, for an entry instance.
 func entryNoticeMessage(n notice.Notice) *poolpb.FromOwner {
 	return &poolpb.FromOwner{
 		Kind: &poolpb.FromOwner_Notice{
@@ -257,7 +257,7 @@
 	}
 }
 
-// crashMessage reports a crash to an owner.
+// crashMessage returns the report of a crash, for an owner.
 func crashMessage(c quarantine.Crash, now time.Time) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Crashed{
@@ -266,8 +266,7 @@
 	}
 }
 
-// ownerVerdictMessage sends a verdict on a request to an owner, and entryVerdictMessage to an entry
-// instance.
+// ownerVerdictMessage returns the message with a verdict on a request, for an owner.
 func ownerVerdictMessage(v quarantine.Verdict) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Verdict{
@@ -276,6 +275,7 @@
 	}
 }
 
+// entryVerdictMessage returns the message with a verdict on a request, for an entry instance.
 func entryVerdictMessage(v quarantine.Verdict) *poolpb.FromOwner {
 	return &poolpb.FromOwner{
 		Kind: &poolpb.FromOwner_Verdict{
@@ -288,7 +288,7 @@
 // attempts have been reported by then.
 const greetingEnd = 0
 
-// pingMessage requests a pong from an owner.
+// pingMessage returns a ping with the given number, which the owner answers with a pong.
 func pingMessage(seq int64) *poolpb.FromEntry {
 	return &poolpb.FromEntry{
 		Kind: &poolpb.FromEntry_Ping{
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -176,8 +176,8 @@
 	})
 }
 
-// TestPriorityInQueue checks that of two requests that wait for a slot, the one of the customer
-// with the higher priority goes first though it arrived later.
+// TestPriorityInQueue checks that of two requests that wait for a slot, the one with the higher
+// priority goes first though it arrived later.
 func TestPriorityInQueue(t *testing.T) {
 	withSlowEngine(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
 		for i := range 4 {
