--- a/pool/plain_latency.go
+++ b/pool/plain_latency.go
@@ -44,7 +44,7 @@
 }
 
 // plainSlowdowns returns the ratio of the latency to the median for each plain endpoint that is
-// slow, by instance.
+// slow, by the endpoint's name.
 func (p *poolState) plainSlowdowns(now time.Time) map[string]float64 {
 	var all []time.Duration
 	for _, r := range p.slowdowns.records {
--- a/pool/rate_limit.go
+++ b/pool/rate_limit.go
@@ -92,7 +92,7 @@
 }
 
 // nextWithinLimit returns when an endpoint with a rate limit may get a request. A time in the past
-// or zero means at once. Fallback is set if no owner is reachable, so that the instance has only
+// or zero means at once. Fallback is set if this instance reaches no owner, so that it has only
 // its share of the limit.
 func (p *poolState) nextWithinLimit(e *placement.Engine, l notice.Limit, fallback bool) time.Time {
 	h, rate := p.health[e.Instance], p.rateLimits.share(l, fallback)
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -102,7 +102,7 @@
 
 // slowdowns tracks the slowdown of the engines of a pool. The zero value is ready for use.
 type slowdowns struct {
-	// records holds the records by instance.
+	// records holds the records by name of the engine.
 	records map[string]*slowdownRecord
 	// decidedAt is when this instance last placed a request, and fallback is set if it reached no
 	// owner then and decided by itself.
--- a/pool/state.go
+++ b/pool/state.go
@@ -21,11 +21,11 @@
 type poolState struct {
 	// self names this instance.
 	self string
-	// engines holds the endpoints by instance.
+	// engines holds the endpoints by name.
 	engines map[string]*placement.Engine
-	// list holds the same engines, sorted by instance.
+	// list holds the same endpoints, sorted by name.
 	list []*placement.Engine
-	// health holds the health of each endpoint, by instance.
+	// health holds the health of each endpoint, by name.
 	health map[string]*endpointHealth
 	// attempts holds the placed attempts that have not ended, by id.
 	attempts map[string]*attempt
@@ -74,6 +74,7 @@
 
 // attempt is an attempt of a request that has been placed on an endpoint.
 type attempt struct {
+	// instance names the endpoint that answers the request.
 	instance string
 	// startedAt is the start time of the endpoint's incarnation that received the attempt; zero
 	// if unknown.
@@ -103,8 +104,7 @@
 	cutAt      time.Time
 }
 
-// endpoints returns the instances of all endpoints of the attempt. The last one answers the
-// request.
+// endpoints returns the names of all endpoints of the attempt. The last one answers the request.
 func (at *attempt) endpoints() []string {
 	return append(slices.Clone(at.helpers), at.instance)
 }
@@ -183,8 +183,8 @@
 // sends and retries that are counted twice, or not at all, while the owner changes.
 const retryBudgetShare = 0.75
 
-// resolve returns the instance of the endpoint with the given instance or address, or "" if
-// there is none. Closed endpoints are not found by their address.
+// resolve returns the name of the endpoint with the given name or address, or "" if there is
+// none. Closed endpoints are not found by their address.
 func (p *poolState) resolve(name string) string {
 	if _, ok := p.engines[name]; ok {
 		return name
