--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -33,7 +33,7 @@
 		return
 	}
 	at := &attempt{
-		instance:       g.Instance,
+		endpoint:       g.Instance,
 		startedAt:      g.StartedAt,
 		placedAt:       now,
 		predictedFirst: g.FirstEventIn,
--- a/pool/check.go
+++ b/pool/check.go
@@ -58,11 +58,11 @@
 
 // recordStopped records that an endpoint has stopped, and reports whether the others should be
 // checked now.
-func (c *checkState) recordStopped(instance string, now time.Time) bool {
+func (c *checkState) recordStopped(endpoint string, now time.Time) bool {
 	if c.stoppedAt == nil {
 		c.stoppedAt = make(map[string]time.Time)
 	}
-	c.stoppedAt[instance] = now
+	c.stoppedAt[endpoint] = now
 	maps.DeleteFunc(c.stoppedAt, func(_ string, at time.Time) bool { return now.Sub(at) > correlationWindow })
 	if len(c.stoppedAt) < minCorrelatedStops || !c.lastFullCheck.IsZero() && now.Sub(c.lastFullCheck) < checkInterval {
 		return false
@@ -116,9 +116,9 @@
 	if !trusted {
 		s.log.Info("check of endpoints not trusted", "service", service, "checked", len(addresses), "failed", len(failed))
 	}
-	for instance, err := range failed {
+	for endpoint, err := range failed {
 		if trusted || errors.Is(err, syscall.ECONNREFUSED) {
-			s.handleFailedCheck(service, instance, err)
+			s.handleFailedCheck(service, endpoint, err)
 		}
 	}
 }
@@ -140,17 +140,17 @@
 	}
 	h.verifiedAt = now
 	p.checks.checked++
-	instance := e.Instance
+	endpoint := e.Instance
 	addresses := map[string]string{
-		instance: e.Address,
+		endpoint: e.Address,
 	}
 	go func() {
 		failed := s.runChecks(addresses)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		now := s.settings.Now()
-		if failed[instance] != nil {
-			s.handleStopped(p, service, instance, silent, now)
+		if failed[endpoint] != nil {
+			s.handleStopped(p, service, endpoint, silent, now)
 			return
 		}
 		h.answeredAt = now
@@ -170,14 +170,14 @@
 		wait   errgroup.Group
 	)
 	wait.SetLimit(maxConcurrentChecks)
-	for instance, address := range addresses {
+	for endpoint, address := range addresses {
 		wait.Go(func() error {
 			ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 			defer cancel()
 			if err := s.settings.Check(ctx, address); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				failed[instance] = err
+				failed[endpoint] = err
 			}
 			return nil
 		})
@@ -189,19 +189,19 @@
 
 // handleFailedCheck excludes an endpoint that failed a check of the whole pool and migrates its
 // attempts, unless one of its streams is alive.
-func (s *Scheduler) handleFailedCheck(service, instance string, cause error) {
+func (s *Scheduler) handleFailedCheck(service, endpoint string, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
 	now := s.settings.Now()
-	h := p.health[instance]
-	if h == nil || !h.usable(now) || p.hasLiveStream(instance, now) {
+	h := p.health[endpoint]
+	if h == nil || !h.usable(now) || p.hasLiveStream(endpoint, now) {
 		return
 	}
 	p.checks.failed++
-	s.exclude(p, service, instance, now)
-	n := s.migrateAll(p, service, instance, now)
-	s.log.Info("endpoint does not answer", "service", service, "endpoint", instance, "cause", cause.Error(), "moved", n)
+	s.exclude(p, service, endpoint, now)
+	n := s.migrateAll(p, service, endpoint, now)
+	s.log.Info("endpoint does not answer", "service", service, "endpoint", endpoint, "cause", cause.Error(), "moved", n)
 }
 
 // usable reports whether the endpoint may get a request: it is neither excluded, nor ejected for
@@ -224,8 +224,8 @@
 // or a request, for at most maxAbsence. Where endpoints are not checked, it is ejected as
 // unreachable instead. PlacementRequest.Exclude, in contrast, concerns a single request. The caller
 // must hold s.mu.
-func (s *Scheduler) exclude(p *poolState, service, instance string, now time.Time) {
-	h := p.health[instance]
+func (s *Scheduler) exclude(p *poolState, service, endpoint string, now time.Time) {
+	h := p.health[endpoint]
 	if s.settings.Check == nil {
 		h.shared.record(Unreachable, now)
 		return
@@ -249,25 +249,25 @@
 		return
 	}
 	failed := s.runChecks(addresses)
-	for instance := range addresses {
-		if failed[instance] == nil {
-			s.readmit(service, instance)
+	for endpoint := range addresses {
+		if failed[endpoint] == nil {
+			s.readmit(service, endpoint)
 		}
 	}
 	time.AfterFunc(recheckInterval, func() { s.recheck(service) })
 }
 
 // readmit puts an endpoint that answered a check back into use.
-func (s *Scheduler) readmit(service, instance string) {
+func (s *Scheduler) readmit(service, endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
-	h := p.health[instance]
+	h := p.health[endpoint]
 	if h == nil || h.absentSince.IsZero() {
 		return
 	}
 	now := s.settings.Now()
-	s.log.Info("endpoint answers again", "service", service, "endpoint", instance,
+	s.log.Info("endpoint answers again", "service", service, "endpoint", endpoint,
 		"after_ms", now.Sub(h.absentSince).Milliseconds())
 	h.absentSince = time.Time{}
 	h.shared = ejectionRecord{}
@@ -275,9 +275,9 @@
 }
 
 // hasLiveStream reports whether a stream served by the endpoint indicates that it is alive.
-func (p *poolState) hasLiveStream(instance string, now time.Time) bool {
+func (p *poolState) hasLiveStream(endpoint string, now time.Time) bool {
 	for id, at := range p.attempts {
-		if at.instance == instance && p.signalOf(id, at, now) == signalAlive {
+		if at.endpoint == endpoint && p.signalOf(id, at, now) == signalAlive {
 			return true
 		}
 	}
--- a/pool/client.go
+++ b/pool/client.go
@@ -200,9 +200,9 @@
 	}
 	leaving = c.snapshot.DepartedEndpoints()
 	v := c.local.settings.Notices.View()
-	for _, instance := range v.Leaving() {
-		if v.IsLeaving(instance, c.snapshot.Endpoints[instance].StartedAt) {
-			leaving = append(leaving, instance)
+	for _, endpoint := range v.Leaving() {
+		if v.IsLeaving(endpoint, c.snapshot.Endpoints[endpoint].StartedAt) {
+			leaving = append(leaving, endpoint)
 		}
 	}
 	return leaving, slices.Sorted(maps.Keys(c.snapshot.Drained))
--- a/pool/client_limited.go
+++ b/pool/client_limited.go
@@ -30,8 +30,8 @@
 // limitedServices returns the services in which an endpoint announces a rate limit.
 func (c *Client) limitedServices(v *notice.View) map[string]bool {
 	out := make(map[string]bool)
-	for _, instance := range v.Limited() {
-		e, known := c.snapshot.Endpoints[instance]
+	for _, endpoint := range v.Limited() {
+		e, known := c.snapshot.Endpoints[endpoint]
 		if known && c.snapshot.Table.Services[e.Service] != nil {
 			out[e.Service] = true
 		}
--- a/pool/client_notices.go
+++ b/pool/client_notices.go
@@ -28,12 +28,12 @@
 		return nil
 	}
 	var out []Backoff
-	for _, instance := range endpoints {
-		e := c.snapshot.Endpoints[instance]
-		until := v.BackoffUntil(instance, e.StartedAt)
+	for _, endpoint := range endpoints {
+		e := c.snapshot.Endpoints[endpoint]
+		until := v.BackoffUntil(endpoint, e.StartedAt)
 		if e.Service == service && until.After(now) {
 			out = append(out, Backoff{
-				Instance: instance,
+				Instance: endpoint,
 				Duration: until.Sub(now),
 			})
 		}
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -120,9 +120,9 @@
 	return c.perSecond > 0 && c.limit.Overage > 0
 }
 
-// endpoint returns the record of an endpoint and creates it if necessary.
-func (c *coldLedger) endpoint(instance string) *coldEndpoint {
-	e := c.endpoints[instance]
+// record returns the record of an record and creates it if necessary.
+func (c *coldLedger) record(endpoint string) *coldEndpoint {
+	e := c.endpoints[endpoint]
 	if e == nil {
 		if c.endpoints == nil {
 			c.endpoints = make(map[string]*coldEndpoint)
@@ -130,23 +130,23 @@
 		e = &coldEndpoint{
 			rank: -1,
 		}
-		c.endpoints[instance] = e
+		c.endpoints[endpoint] = e
 	}
 	return e
 }
 
 // setColdUntil sets when an endpoint becomes warm according to the catalog.
-func (c *coldLedger) setColdUntil(instance string, until time.Time) {
-	if e := c.endpoints[instance]; e != nil || !until.IsZero() {
-		c.endpoint(instance).reportedUntil = until
+func (c *coldLedger) setColdUntil(endpoint string, until time.Time) {
+	if e := c.endpoints[endpoint]; e != nil || !until.IsZero() {
+		c.record(endpoint).reportedUntil = until
 	}
 }
 
 // assumeCold treats an endpoint as just started, although the catalog doesn't say so: it failed
 // repeatedly, or its failure domain was drained.
-func (c *coldLedger) assumeCold(instance string, now time.Time) {
+func (c *coldLedger) assumeCold(endpoint string, now time.Time) {
 	if c.enabled() {
-		c.endpoint(instance).assumedUntil = now.Add(c.duration)
+		c.record(endpoint).assumedUntil = now.Add(c.duration)
 	}
 }
 
@@ -162,16 +162,16 @@
 }
 
 // remove deletes the record of an endpoint.
-func (c *coldLedger) remove(instance string) {
-	delete(c.endpoints, instance)
+func (c *coldLedger) remove(endpoint string) {
+	delete(c.endpoints, endpoint)
 }
 
 // recordPlacement records the placement of a request on the endpoint with the given name.
-func (c *coldLedger) recordPlacement(instance string, now time.Time) {
+func (c *coldLedger) recordPlacement(endpoint string, now time.Time) {
 	if !c.enabled() {
 		return
 	}
-	e := c.endpoint(instance)
+	e := c.record(endpoint)
 	e.placedAt = append(e.recent(now), now)
 }
 
@@ -185,12 +185,12 @@
 
 // availableAt returns when a decider may place a request on an endpoint: now, if the endpoint
 // is warm or the decider has not used up its quota.
-func (c *coldLedger) availableAt(instance string, by decider, now time.Time) time.Time {
-	e := c.endpoints[instance]
+func (c *coldLedger) availableAt(endpoint string, by decider, now time.Time) time.Time {
+	e := c.endpoints[endpoint]
 	if !c.enabled() || e == nil || !now.Before(e.coldUntil()) {
 		return now
 	}
-	quota := c.quota(instance, e, by)
+	quota := c.quota(endpoint, e, by)
 	if quota == 0 {
 		return e.coldUntil()
 	}
@@ -206,8 +206,8 @@
 }
 
 // full reports whether a decider must not place a request on an endpoint now.
-func (c *coldLedger) full(instance string, by decider, now time.Time) bool {
-	return c.availableAt(instance, by, now).After(now)
+func (c *coldLedger) full(endpoint string, by decider, now time.Time) bool {
+	return c.availableAt(endpoint, by, now).After(now)
 }
 
 // soonest returns the earliest time at which a decider may place a request on one of the endpoints;
@@ -227,23 +227,23 @@
 // may place at least one, as only an answer shows that the endpoint works. A part of the limit that
 // instances share is divided into whole numbers. Which instances may place one request more than
 // others differs between endpoints.
-func (c *coldLedger) quota(instance string, e *coldEndpoint, by decider) int {
+func (c *coldLedger) quota(endpoint string, e *coldEndpoint, by decider) int {
 	bound := c.perSecond*c.limit.Overage + c.limit.Slack
 	switch by {
 	case byFallback:
-		return c.share(int(coldFallbackShare*bound), instance, e)
+		return c.share(int(coldFallbackShare*bound), endpoint, e)
 	case byInstance:
-		return c.share(int(bound), instance, e)
+		return c.share(int(bound), endpoint, e)
 	case byOwner:
 	}
 	return max(int(min(c.perSecond, coldOwnerShare*bound)), 1)
 }
 
 // share returns this instance's share of the given number of requests to an endpoint.
-func (c *coldLedger) share(requests int, instance string, e *coldEndpoint) int {
+func (c *coldLedger) share(requests int, endpoint string, e *coldEndpoint) int {
 	n := max(len(c.instances), 1)
 	if e.rank < 0 {
-		e.rank = c.rank(instance)
+		e.rank = c.rank(endpoint)
 	}
 	if e.rank < requests%n {
 		return requests/n + 1
@@ -253,11 +253,11 @@
 
 // rank returns the position of this instance in the rendezvous order of all instances for an
 // endpoint.
-func (c *coldLedger) rank(instance string) int {
-	own := rendezvous.Score(instance, c.self, 1)
+func (c *coldLedger) rank(endpoint string) int {
+	own := rendezvous.Score(endpoint, c.self, 1)
 	n := 0
 	for _, id := range c.instances {
-		if id != c.self && rendezvous.Score(instance, id, 1) > own {
+		if id != c.self && rendezvous.Score(endpoint, id, 1) > own {
 			n++
 		}
 	}
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -13,7 +13,7 @@
 func (s *Scheduler) grant(p *poolState, w *Waiter, plan *placement.Plan, now time.Time) Grant {
 	startedAt := p.health[plan.Engine.Instance].startedAt
 	at := &attempt{
-		instance:       plan.Engine.Instance,
+		endpoint:       plan.Engine.Instance,
 		startedAt:      startedAt,
 		placedAt:       now,
 		predictedFirst: plan.TimeToFirstEvent,
@@ -42,7 +42,7 @@
 	limit, _ := p.rateLimit(plan.Engine, p.notices.View())
 	p.countPlacement(at, now)
 	p.markProbes(at, now)
-	p.cold.recordPlacement(at.instance, now)
+	p.cold.recordPlacement(at.endpoint, now)
 	p.slowdowns.decidedAt, p.slowdowns.fallback = now, w.fallback
 	p.attempts[w.placementRequest.ID] = at
 	s.log.Info("place", "attempt", w.placementRequest.ID, "service", w.placementRequest.Service, "prompt", w.placementRequest.Prompt,
--- a/pool/incarnation.go
+++ b/pool/incarnation.go
@@ -41,15 +41,15 @@
 // incarnation before the one that started at the given time. It also removes the endpoint's
 // shares of joint prefills; the endpoints that answer those requests notice the failure
 // themselves. It returns how many attempts ended.
-func (p *poolState) endEarlierIncarnations(instance string, startedAt time.Time) int {
+func (p *poolState) endEarlierIncarnations(endpoint string, startedAt time.Time) int {
 	n := 0
 	for id, at := range p.attempts {
 		switch {
-		case at.instance == instance && at.startedAt.Before(startedAt):
+		case at.endpoint == endpoint && at.startedAt.Before(startedAt):
 			p.endAttempt(id)
 			n++
-		case slices.Contains(at.helpers, instance):
-			p.engines[instance].Remove(id)
+		case slices.Contains(at.helpers, endpoint):
+			p.engines[endpoint].Remove(id)
 		}
 	}
 	return n
--- a/pool/plain_latency.go
+++ b/pool/plain_latency.go
@@ -34,7 +34,7 @@
 
 // recordPlainLatency updates the latency of a plain endpoint by the first event of an attempt.
 func (p *poolState) recordPlainLatency(at *attempt, now time.Time) {
-	r := &p.slowdowns.record(at.instance).plain
+	r := &p.slowdowns.record(at.endpoint).plain
 	took := now.Sub(at.placedAt)
 	if r.mean == 0 || now.Sub(r.at) > plainLatencyLifetime {
 		r.mean = took
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -287,20 +287,20 @@
 		p.reconnects.recordCut(at, now)
 	}
 	p.endAttempt(id)
-	instance := at.instance
+	endpoint := at.endpoint
 	if culprit != "" {
-		instance = p.resolve(culprit)
+		endpoint = p.resolve(culprit)
 	}
-	h := p.health[instance]
+	h := p.health[endpoint]
 	if h == nil {
 		return
 	}
 	if h.record(o, reporter, reporter == s.settings.Self, now) {
-		s.log.Info("endpoint ejected", "service", service, "endpoint", instance, "outcome", o.String(),
+		s.log.Info("endpoint ejected", "service", service, "endpoint", endpoint, "outcome", o.String(),
 			"failures", h.shared.failures, "for_ms", h.shared.until.Sub(now).Milliseconds(), "attempt", id,
 			"reporter", reporter)
 		if o == Unreachable {
-			s.handleUnreachable(p, service, instance, now)
+			s.handleUnreachable(p, service, endpoint, now)
 		}
 	}
 	s.wakeUp()
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -147,14 +147,14 @@
 }
 
 // record returns the record of an engine and creates it if necessary.
-func (k *slowdowns) record(instance string) *slowdownRecord {
-	r := k.records[instance]
+func (k *slowdowns) record(endpoint string) *slowdownRecord {
+	r := k.records[endpoint]
 	if r == nil {
 		if k.records == nil {
 			k.records = make(map[string]*slowdownRecord)
 		}
 		r = &slowdownRecord{}
-		k.records[instance] = r
+		k.records[endpoint] = r
 	}
 	return r
 }
@@ -194,7 +194,7 @@
 	took := now.Sub(at.placedAt) - p.transit.time
 	predicted := took - late
 	if len(at.helpers) == 0 {
-		r := p.slowdowns.record(at.instance)
+		r := p.slowdowns.record(at.endpoint)
 		r.late, r.lateAt = late, now
 	}
 	delay := p.slowdowns.commonDelay(now)
@@ -205,7 +205,7 @@
 			p.slowdowns.record(name).unsure = true
 		}
 	}
-	if e := p.engines[at.instance]; e != nil && len(at.helpers) == 0 && predicted > minPrediction {
+	if e := p.engines[at.endpoint]; e != nil && len(at.helpers) == 0 && predicted > minPrediction {
 		p.addSample(e, float64(took)/float64(predicted)/e.Speed(), at.placedAt, now)
 	}
 }
@@ -342,12 +342,12 @@
 	r.unanswered++
 	r.unsure = false
 	p.slowdowns.queries++
-	instance, address := e.Instance, e.Address
+	endpoint, address := e.Instance, e.Address
 	s.settings.SlowdownQuerier.QuerySlowdown(address, func(slowdown float64) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		// An endpoint that restarted under the same name has another record.
-		if e := p.engines[instance]; e != nil && e.Address == address && p.slowdowns.records[instance] == r {
+		if e := p.engines[endpoint]; e != nil && e.Address == address && p.slowdowns.records[endpoint] == r {
 			s.slowdownReported(p, e, slowdown)
 		}
 	})
--- a/pool/state.go
+++ b/pool/state.go
@@ -74,8 +74,8 @@
 
 // attempt is an attempt of a request that has been placed on an endpoint.
 type attempt struct {
-	// instance names the endpoint that answers the request.
-	instance string
+	// endpoint names the endpoint that answers the request.
+	endpoint string
 	// startedAt is the start time of the endpoint's incarnation that received the attempt; zero
 	// if unknown.
 	startedAt time.Time
@@ -106,7 +106,7 @@
 
 // endpoints returns the names of all endpoints of the attempt. The last one answers the request.
 func (at *attempt) endpoints() []string {
-	return append(slices.Clone(at.helpers), at.instance)
+	return append(slices.Clone(at.helpers), at.endpoint)
 }
 
 // upsert adds an endpoint, or updates it, from its catalog entry. An endpoint of a service
@@ -264,7 +264,7 @@
 		return 0
 	}
 	late := time.Duration(0)
-	if e := p.engines[at.instance]; e != nil {
+	if e := p.engines[at.endpoint]; e != nil {
 		late = e.Observe(id, now)
 	}
 	for _, name := range at.helpers {
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -170,14 +170,14 @@
 		if s == signalNone || at.entry == "" {
 			continue
 		}
-		t := seen[at.instance]
+		t := seen[at.endpoint]
 		if t == nil {
 			t = &endpointSignals{
 				silent: make(map[string]bool),
 				late:   make(map[string]bool),
 				alive:  make(map[string]bool),
 			}
-			seen[at.instance] = t
+			seen[at.endpoint] = t
 		}
 		t.add(s, at.entry)
 		if s != signalAlive {
@@ -282,50 +282,50 @@
 }
 
 // doubt marks an endpoint as in doubt until the next evaluation.
-func (x *suspicion) doubt(instance string) {
+func (x *suspicion) doubt(endpoint string) {
 	if x.doubted == nil {
 		x.doubted = make(map[string]bool)
 	}
-	x.doubted[instance] = true
+	x.doubted[endpoint] = true
 }
 
 // handleStopped excludes an endpoint that has stopped and migrates its attempts, unless one of its
 // streams is alive. Silent is the number of instances with silent attempts there. The caller must
 // hold s.mu.
-func (s *Scheduler) handleStopped(p *poolState, service, instance string, silent int, now time.Time) {
-	h := p.health[instance]
-	if h == nil || !h.usable(now) || p.hasLiveStream(instance, now) {
+func (s *Scheduler) handleStopped(p *poolState, service, endpoint string, silent int, now time.Time) {
+	h := p.health[endpoint]
+	if h == nil || !h.usable(now) || p.hasLiveStream(endpoint, now) {
 		return
 	}
-	s.exclude(p, service, instance, now)
+	s.exclude(p, service, endpoint, now)
 	p.suspicion.excluded++
-	s.checkAll(p, service, instance, now)
-	n := s.migrateAll(p, service, instance, now)
-	s.log.Info("endpoint suspected", "service", service, "endpoint", instance, "silent_for", silent, "moved", n)
+	s.checkAll(p, service, endpoint, now)
+	n := s.migrateAll(p, service, endpoint, now)
+	s.log.Info("endpoint suspected", "service", service, "endpoint", endpoint, "silent_for", silent, "moved", n)
 }
 
 // handleUnreachable excludes an endpoint that an instance could not connect to, shortly after
 // another instance reported a failure of it, and migrates its attempts. It does nothing if a stream
 // from there is alive, since an overloaded endpoint refuses connections, too. The caller must hold
 // s.mu.
-func (s *Scheduler) handleUnreachable(p *poolState, service, instance string, now time.Time) {
-	if p.plain || p.hasLiveStream(instance, now) {
+func (s *Scheduler) handleUnreachable(p *poolState, service, endpoint string, now time.Time) {
+	if p.plain || p.hasLiveStream(endpoint, now) {
 		return
 	}
-	s.exclude(p, service, instance, now)
-	s.checkAll(p, service, instance, now)
-	if n := s.migrateAll(p, service, instance, now); n > 0 {
-		s.log.Info("endpoint unreachable", "service", service, "endpoint", instance, "moved", n)
+	s.exclude(p, service, endpoint, now)
+	s.checkAll(p, service, endpoint, now)
+	if n := s.migrateAll(p, service, endpoint, now); n > 0 {
+		s.log.Info("endpoint unreachable", "service", service, "endpoint", endpoint, "moved", n)
 	}
 }
 
 // migrateAll orders the migration of all attempts that an endpoint serves or prefills for, and
 // returns their number. Attempts that can still be in time go first, the most urgent ones before
 // the others. The caller must hold s.mu.
-func (s *Scheduler) migrateAll(p *poolState, service, instance string, now time.Time) int {
+func (s *Scheduler) migrateAll(p *poolState, service, stopped string, now time.Time) int {
 	var out []migration
 	for id, at := range p.attempts {
-		if at.migrating || at.entry == "" || !slices.Contains(at.endpoints(), instance) {
+		if at.migrating || at.entry == "" || !slices.Contains(at.endpoints(), stopped) {
 			continue
 		}
 		at.migrating = true
@@ -333,7 +333,7 @@
 			entry:    at.entry,
 			id:       id,
 			service:  service,
-			endpoint: instance,
+			endpoint: stopped,
 			dueIn:    at.dueIn(now),
 			joint:    len(at.helpers) > 0 && !at.begun,
 		})
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -231,10 +231,10 @@
 }
 
 // markStopped marks an engine as stopped, as if two instances had reported it.
-func (c *clockPool) markStopped(instance string) {
+func (c *clockPool) markStopped(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handleStopped(c.pools["engines"], "engines", instance, 2, c.now)
+	c.handleStopped(c.pools["engines"], "engines", endpoint, 2, c.now)
 }
 
 // TestChecksOtherEngines guards against a pool whose other engines are not checked when two have
@@ -378,14 +378,14 @@
 			for i, entry := range []string{"b", "c"} {
 				c.mu.Lock()
 				c.pools["engines"].attempts[fmt.Sprint("x", i)] = &attempt{
-					instance: helper,
+					endpoint: helper,
 					entry:    entry,
 				}
 				c.mu.Unlock()
 				if row.alive && i == 1 {
 					c.mu.Lock()
 					c.pools["engines"].attempts["y"] = &attempt{
-						instance: helper,
+						endpoint: helper,
 						entry:    "d",
 						begun:    true,
 						watched:  true,
