--- a/pool/client.go
+++ b/pool/client.go
@@ -148,7 +148,7 @@
 }
 
 // errDecideLocally means that this instance has to place the request itself.
-var errDecideLocally = errors.New("no other owner of the pool")
+var errDecideLocally = errors.New("request has to be placed by this instance")
 
 // maxPlacementRounds bounds how often one request is sent to the owners. Links to standbys are
 // closed when the owner is back, and requests that were waiting there are then sent to the owner.
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -74,8 +74,7 @@
 	assumedUntil  time.Time
 	// placedAt holds the times of the placements within the last window, the oldest first.
 	placedAt []time.Time
-	// rank is the position of this instance among all instances for the endpoint; negative if
-	// it is not known.
+	// rank is the result of coldLedger.rank for the endpoint; negative if it has to be computed.
 	rank int
 }
 
--- a/pool/link.go
+++ b/pool/link.go
@@ -60,7 +60,7 @@
 	// onMigrate is called when the owner orders the migration of an attempt. endpoint is the
 	// stopped endpoint, and by names the owner.
 	onMigrate func(id, endpoint, by string)
-	// onVerdict is called with each verdict on a request that is suspected of crashing endpoints.
+	// onVerdict is called with each verdict that the owner sends.
 	onVerdict func(quarantine.Verdict)
 	// onNotice is called with each notice of an endpoint that the owner forwards.
 	onNotice func(notice.Notice)
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -67,7 +67,7 @@
 
 // Penalties of the urgency, in seconds.
 const (
-	// latePenalty exceeds all targets, so that late requests go last.
+	// latePenalty is far above usual targets, so that late requests go last.
 	latePenalty = 100
 	// rankPenalty is added once for each rank.
 	rankPenalty = 0.3
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -9,8 +9,8 @@
 	// minStreamSilence is the least limit. Passes that prefill a long prompt rarely take as long,
 	// and a stream can still be migrated before its caller gives up, after two seconds or more.
 	minStreamSilence = 1300 * time.Millisecond
-	// silenceGapFactor times the longest pause that is still in time is the limit for streams that
-	// allow long pauses. Callers give up after eight such pauses.
+	// silenceGapFactor times the longest allowed pause is the limit for streams that allow long
+	// pauses. Callers give up after eight such pauses.
 	silenceGapFactor = 4
 	// The first event may take firstEventFactor times its predicted time, plus firstEventSlack.
 	firstEventFactor = 2
@@ -21,8 +21,8 @@
 const ReplacementTimeout = 300 * time.Millisecond
 
 // SilenceLimits returns how long a stream may be silent before another endpoint is sought for it:
-// between two events, and until the first event. Gap is the longest pause that is still in time, and
-// predicted the predicted time to the first event.
+// between two events, and until the first event. Gap is the longest allowed pause between two
+// events, and predicted the predicted time to the first event.
 func SilenceLimits(gap, predicted time.Duration) (silence, first time.Duration) {
 	silence = max(minStreamSilence, silenceGapFactor*gap)
 	return silence, max(silence, firstEventFactor*predicted+firstEventSlack)
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -354,8 +354,8 @@
 }
 
 // slowdownReported applies the slowdown that an engine reports. If it has changed, other
-// engines become unsure: a cause often affects several engines, and the first request on each
-// of them would be late. The caller must hold s.mu.
+// engines become unsure: a cause often affects several engines, and otherwise the first request
+// on each of them would be late. The caller must hold s.mu.
 func (s *Scheduler) slowdownReported(p *poolState, e *placement.Engine, slowdown float64) {
 	now := s.settings.Now()
 	r := p.slowdowns.record(e.Instance)
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestSilentEngineIsVerified guards against excluding an engine that is silent but still accepts
-// connections, because it is busy.
+// TestSilentEngineIsVerified guards against excluding an engine that is silent only because it is
+// busy: such an engine still accepts connections.
 func TestSilentEngineIsVerified(t *testing.T) {
 	for _, row := range []struct {
 		name  string
--- a/pool/types.go
+++ b/pool/types.go
@@ -31,8 +31,8 @@
 	// Target is the time left until the first event of this try is late; negative if it is late
 	// already. Elapsed is not yet subtracted.
 	Target time.Duration
-	// Gap is the longest pause between two events of a stream that is still in time; zero means
-	// that pauses don't count.
+	// Gap is the longest allowed pause between two events of a stream; zero means that pauses don't
+	// count.
 	Gap time.Duration
 	// Deadline is the time left for the whole request.
 	Deadline time.Duration
