--- a/pool/check.go
+++ b/pool/check.go
@@ -18,7 +18,7 @@
 // Parameters of the checks of endpoints.
 const (
 	// If minCorrelatedStops endpoints stop within correlationWindow, there is probably a common
-	// cause, and all other endpoints of the pool are checked. Some of them may have stopped without
+	// cause, and all usable endpoints of the pool are checked. Some of them may have stopped without
 	// a sign, because no attempt there waits for an event.
 	minCorrelatedStops = 2
 	correlationWindow  = 300 * time.Millisecond
@@ -29,9 +29,8 @@
 	// verifyInterval is the least time between two verifications of an endpoint. An endpoint that
 	// passed one counts as busy, not as stopped, for the same time.
 	verifyInterval = time.Second
-	// recheckInterval is the time between two checks of an endpoint that did not answer. maxAbsence
-	// is how long it is excluded at most without an answer, in case the fault lies in this
-	// instance's network.
+	// recheckInterval is the time between two checks of an excluded endpoint. maxAbsence is how long
+	// it is excluded at most without an answer, in case the fault lies in this instance's network.
 	recheckInterval = 300 * time.Millisecond
 	maxAbsence      = 5 * time.Second
 	// maxConcurrentChecks bounds the connections that one call of runChecks opens at the same time,
@@ -47,23 +46,23 @@
 type checkState struct {
 	// stoppedAt has the time at which each endpoint was last found to have stopped.
 	stoppedAt map[string]time.Time
-	// lastFullCheck is the time of the last check of the whole pool. rechecking is set while absent
-	// endpoints are rechecked.
+	// lastFullCheck is the time of the last check of the whole pool. rechecking is set while
+	// excluded endpoints are rechecked.
 	lastFullCheck time.Time
 	rechecking    bool
-	// checked counts the checks of single endpoints, and failed the endpoints excluded by a check
-	// of the whole pool.
+	// checked counts the endpoints in all checks, and failed those that a check of the whole pool
+	// excluded.
 	checked int
 	failed  int
 }
 
 // recordStopped records that an endpoint has stopped, and reports whether the others should be
 // checked now.
-func (c *checkState) recordStopped(instance string, now time.Time) bool {
+func (c *checkState) recordStopped(endpoint string, now time.Time) bool {
 	if c.stoppedAt == nil {
 		c.stoppedAt = make(map[string]time.Time)
 	}
-	c.stoppedAt[instance] = now
+	c.stoppedAt[endpoint] = now
 	maps.DeleteFunc(c.stoppedAt, func(_ string, at time.Time) bool { return now.Sub(at) > correlationWindow })
 	if len(c.stoppedAt) < minCorrelatedStops || !c.lastFullCheck.IsZero() && now.Sub(c.lastFullCheck) < checkInterval {
 		return false
@@ -96,9 +95,10 @@
 }
 
 // acceptsRequests reports whether an endpoint may get requests at all: it is not leaving, and its
-// failure domain is not drained as far as this instance knows. Other endpoints are not checked.
+// failure domain is not drained as far as this instance knows. Other endpoints are neither checked
+// nor queried.
 func (p *poolState) acceptsRequests(e *placement.Engine) bool {
-	return !p.isLeaving(e, p.notices.View()) && !p.drained.excludes(&PlacementRequest{}, e)
+	return !p.isLeaving(e, p.notices.View()) && !p.drained.covers(&PlacementRequest{}, e)
 }
 
 // check connects to endpoints, given as addresses by name, and excludes those that fail. If more
@@ -106,19 +106,19 @@
 // refuse it.
 func (s *Scheduler) check(service string, addresses map[string]string) {
 	failed := s.runChecks(addresses)
-	timedOut := 0
+	unanswered := 0
 	for _, err := range failed {
 		if !errors.Is(err, syscall.ECONNREFUSED) {
-			timedOut++
+			unanswered++
 		}
 	}
-	trusted := float64(timedOut) <= maxUnansweredShare*float64(len(addresses))
+	trusted := float64(unanswered) <= maxUnansweredShare*float64(len(addresses))
 	if !trusted {
 		s.log.Info("check of endpoints not trusted", "service", service, "checked", len(addresses), "failed", len(failed))
 	}
-	for instance, err := range failed {
+	for endpoint, err := range failed {
 		if trusted || errors.Is(err, syscall.ECONNREFUSED) {
-			s.handleFailedCheck(service, instance, err)
+			s.handleFailedCheck(service, endpoint, err)
 		}
 	}
 }
@@ -140,17 +140,17 @@
 	}
 	h.verifiedAt = now
 	p.checks.checked++
-	instance := e.Instance
+	endpoint := e.Instance
 	addresses := map[string]string{
-		instance: e.Address,
+		endpoint: e.Address,
 	}
 	go func() {
 		failed := s.runChecks(addresses)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		now := s.settings.Now()
-		if failed[instance] != nil {
-			s.handleStopped(p, service, instance, silent, now)
+		if failed[endpoint] != nil {
+			s.handleStopped(p, service, endpoint, silent, now)
 			return
 		}
 		h.answeredAt = now
@@ -170,14 +170,14 @@
 		wait   errgroup.Group
 	)
 	wait.SetLimit(maxConcurrentChecks)
-	for instance, address := range addresses {
+	for endpoint, address := range addresses {
 		wait.Go(func() error {
 			ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 			defer cancel()
 			if err := s.settings.Check(ctx, address); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				failed[instance] = err
+				failed[endpoint] = err
 			}
 			return nil
 		})
@@ -187,25 +187,25 @@
 	return failed
 }
 
-// handleFailedCheck excludes an endpoint that failed a check and migrates its attempts, unless one
-// of its streams is alive.
-func (s *Scheduler) handleFailedCheck(service, instance string, cause error) {
+// handleFailedCheck excludes an endpoint that failed a check of the whole pool and migrates its
+// attempts, unless one of its streams is alive.
+func (s *Scheduler) handleFailedCheck(service, endpoint string, cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
 	now := s.settings.Now()
-	h := p.health[instance]
-	if h == nil || !h.usable(now) || p.hasLiveStream(instance, now) {
+	h := p.health[endpoint]
+	if h == nil || !h.usable(now) || p.hasLiveStream(endpoint, now) {
 		return
 	}
 	p.checks.failed++
-	s.exclude(p, service, instance, now)
-	n := s.migrateAll(p, service, instance, now)
-	s.log.Info("endpoint does not answer", "service", service, "endpoint", instance, "cause", cause.Error(), "moved", n)
+	s.exclude(p, service, endpoint, now)
+	n := s.migrateAll(p, service, endpoint, now)
+	s.log.Info("endpoint does not answer", "service", service, "endpoint", endpoint, "cause", cause.Error(), "moved", n)
 }
 
-// usable reports whether the endpoint may get a request: it is neither excluded nor ejected for all
-// instances.
+// usable reports whether the endpoint may get a request: it is neither excluded, nor ejected for
+// all instances, nor running a probe request.
 func (h *endpointHealth) usable(now time.Time) bool {
 	if !h.absentSince.IsZero() && now.Sub(h.absentSince) < maxAbsence {
 		return false
@@ -213,19 +213,19 @@
 	return h.shared.usable(now)
 }
 
-// excluded reports whether an endpoint gets no requests because of its health. Such endpoints do
-// not count as capacity of the pool: as idle ones they would lower the price of the other engines'
-// time.
-func (p *poolState) excluded(e *placement.Engine, now time.Time) bool {
+// unhealthy reports whether the health of an endpoint makes it unusable. Such endpoints do not count
+// as capacity of the pool: as idle ones they would lower the price of the other engines' time.
+func (p *poolState) unhealthy(e *placement.Engine, now time.Time) bool {
 	h := p.health[e.Instance]
 	return h != nil && !h.usable(now)
 }
 
-// exclude takes an endpoint that has stopped out of use until it answers a check, for at most
-// maxAbsence. Where endpoints are not checked, it is ejected as unreachable. The caller must hold
-// s.mu.
-func (s *Scheduler) exclude(p *poolState, service, instance string, now time.Time) {
-	h := p.health[instance]
+// exclude takes an endpoint that has stopped out of use for all requests, until it answers a check
+// or a request, for at most maxAbsence. Where endpoints are not checked, it is ejected as
+// unreachable instead. PlacementRequest.Exclude, in contrast, concerns a single request. The caller
+// must hold s.mu.
+func (s *Scheduler) exclude(p *poolState, service, endpoint string, now time.Time) {
+	h := p.health[endpoint]
 	if s.settings.Check == nil {
 		h.shared.record(Unreachable, now)
 		return
@@ -249,25 +249,25 @@
 		return
 	}
 	failed := s.runChecks(addresses)
-	for instance := range addresses {
-		if failed[instance] == nil {
-			s.readmit(service, instance)
+	for endpoint := range addresses {
+		if failed[endpoint] == nil {
+			s.readmit(service, endpoint)
 		}
 	}
 	time.AfterFunc(recheckInterval, func() { s.recheck(service) })
 }
 
 // readmit puts an endpoint that answered a check back into use.
-func (s *Scheduler) readmit(service, instance string) {
+func (s *Scheduler) readmit(service, endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pool(service)
-	h := p.health[instance]
+	h := p.health[endpoint]
 	if h == nil || h.absentSince.IsZero() {
 		return
 	}
 	now := s.settings.Now()
-	s.log.Info("endpoint answers again", "service", service, "endpoint", instance,
+	s.log.Info("endpoint answers again", "service", service, "endpoint", endpoint,
 		"after_ms", now.Sub(h.absentSince).Milliseconds())
 	h.absentSince = time.Time{}
 	h.shared = ejectionRecord{}
@@ -275,9 +275,9 @@
 }
 
 // hasLiveStream reports whether a stream served by the endpoint indicates that it is alive.
-func (p *poolState) hasLiveStream(instance string, now time.Time) bool {
+func (p *poolState) hasLiveStream(endpoint string, now time.Time) bool {
 	for id, at := range p.attempts {
-		if at.instance == instance && p.signalOf(id, at, now) == signalAlive {
+		if at.endpoint == endpoint && p.signalOf(id, at, now) == signalAlive {
 			return true
 		}
 	}
--- a/pool/client.go
+++ b/pool/client.go
@@ -123,7 +123,7 @@
 // scheduler if this instance is the owner or no owner answers.
 func (c *Client) Place(ctx context.Context, a PlacementRequest) (Grant, error) {
 	a.Avoid = c.local.UnusableEndpoints(a.Service)
-	leaving, drained := c.excludedTargets()
+	leaving, drained := c.leavingAndDrained()
 	a.Exclude = append(slices.Clone(a.Exclude), leaving...)
 	a.DrainedDomains = drained
 	a.Backoffs = c.backoffs(a.Service)
@@ -148,7 +148,7 @@
 }
 
 // errDecideLocally means that this instance has to place the request itself.
-var errDecideLocally = errors.New("no other owner of the pool")
+var errDecideLocally = errors.New("request has to be placed by this instance")
 
 // maxPlacementRounds bounds how often one request is sent to the owners. Links to standbys are
 // closed when the owner is back, and requests that were waiting there are then sent to the owner.
@@ -189,10 +189,10 @@
 	return Grant{}, fallback, errDecideLocally
 }
 
-// excludedTargets returns the endpoints that are leaving or were removed recently, and the drained
+// leavingAndDrained returns the endpoints that are leaving or were removed recently, and the drained
 // failure domains, as far as this instance knows. The owner may know less, if it is cut off from
 // the store.
-func (c *Client) excludedTargets() (leaving, drained []string) {
+func (c *Client) leavingAndDrained() (leaving, drained []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.snapshot == nil {
@@ -200,9 +200,9 @@
 	}
 	leaving = c.snapshot.DepartedEndpoints()
 	v := c.local.settings.Notices.View()
-	for _, instance := range v.Leaving() {
-		if v.IsLeaving(instance, c.snapshot.Endpoints[instance].StartedAt) {
-			leaving = append(leaving, instance)
+	for _, endpoint := range v.Leaving() {
+		if v.IsLeaving(endpoint, c.snapshot.Endpoints[endpoint].StartedAt) {
+			leaving = append(leaving, endpoint)
 		}
 	}
 	return leaving, slices.Sorted(maps.Keys(c.snapshot.Drained))
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -141,8 +141,8 @@
 	return s.place(ctx, a, false)
 }
 
-// place places a request of this instance. Fallback is set if no owner of the pool is reachable, so
-// that the instance may use only its share of the retry budget and of the endpoints' limits.
+// place places a request of this instance. Fallback, as described at Waiter.fallback, means that
+// the instance may use only its share of the retry budget and of the endpoints' limits.
 func (s *Scheduler) place(ctx context.Context, a PlacementRequest, fallback bool) (Grant, error) {
 	return s.placeFor(ctx, a, s.settings.Self, fallback)
 }
@@ -181,7 +181,7 @@
 	p := s.pool(a.Service)
 	p.refusedCallers.recognize(&a, now)
 	if !a.Returning && !a.Retry {
-		p.worth.Observe(a.kind())
+		p.worth.Observe(a.worthRequest())
 	}
 	s.evaluateIfDue(p, a.Service, now)
 	w := s.newWaiter(p, a, now)
@@ -287,20 +287,20 @@
 		p.reconnects.recordCut(at, now)
 	}
 	p.endAttempt(id)
-	instance := at.instance
+	endpoint := at.endpoint
 	if culprit != "" {
-		instance = p.resolve(culprit)
+		endpoint = p.resolve(culprit)
 	}
-	h := p.health[instance]
+	h := p.health[endpoint]
 	if h == nil {
 		return
 	}
 	if h.record(o, reporter, reporter == s.settings.Self, now) {
-		s.log.Info("endpoint set aside", "service", service, "endpoint", instance, "outcome", o.String(),
+		s.log.Info("endpoint ejected", "service", service, "endpoint", endpoint, "outcome", o.String(),
 			"failures", h.shared.failures, "for_ms", h.shared.until.Sub(now).Milliseconds(), "attempt", id,
 			"reporter", reporter)
 		if o == Unreachable {
-			s.handleUnreachable(p, service, instance, now)
+			s.handleUnreachable(p, service, endpoint, now)
 		}
 	}
 	s.wakeUp()
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -18,7 +18,8 @@
 	// shortTarget is the longest target of a short request, which waits for a slot rather than
 	// for prefill: its prompt is prefilled within a pass.
 	shortTarget = time.Second
-	// minRetryAfter is the least RetryAfter of a refusal: slots become free within a second.
+	// minRetryAfter is the least RetryAfter that Scheduler.refusal sets: slots become free within a
+	// second.
 	// retryAfterSpread is the least range of the random time added to it, so that callers don't
 	// all return at once.
 	minRetryAfter    = 600 * time.Millisecond
@@ -34,7 +35,7 @@
 // it gives up. Ahead is the work that goes before the request.
 func (s *Scheduler) refuse(p *poolState, w *Waiter, ahead backlog, now time.Time) *Refusal {
 	list := p.usable(w, now)
-	if len(list) == 0 && p.drained.excludesAny(&w.placementRequest, p.list) {
+	if len(list) == 0 && p.drained.coversAny(&w.placementRequest, p.list) {
 		return s.refusal("failure domains of the service are emptied", drainedRetryAfter)
 	}
 	if r := s.refuseUnavailable(p, w, list, ahead.requests, now); r != nil {
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -102,7 +102,7 @@
 
 // slowdowns tracks the slowdown of the engines of a pool. The zero value is ready for use.
 type slowdowns struct {
-	// records holds the records by instance.
+	// records holds the records by name of the engine.
 	records map[string]*slowdownRecord
 	// decidedAt is when this instance last placed a request, and fallback is set if it reached no
 	// owner then and decided by itself.
@@ -121,15 +121,15 @@
 
 // slowdownRecord is what is known about the slowdown of one engine.
 type slowdownRecord struct {
-	// unsure is set if the slowdown may have changed since the last query: an event deviated from
-	// its prediction, or another engine reported a change.
+	// unsure is set if the slowdown may have changed since the last query: a first event deviated
+	// from its prediction or is overdue, or another engine reported a change.
 	unsure bool
 	// queriedAt is when the engine was last queried, and unanswered the number of queries since
 	// its last answer.
 	queriedAt  time.Time
 	unanswered int
-	// late is how much later than predicted the last first event came whose prefill this engine
-	// did alone, and lateAt when it came.
+	// late and lateAt describe the last first event of an attempt whose prompt this engine
+	// prefilled alone: how much later than predicted it came, and when.
 	late   time.Duration
 	lateAt time.Time
 	// samples holds the latest samples, the oldest first.
@@ -147,14 +147,14 @@
 }
 
 // record returns the record of an engine and creates it if necessary.
-func (k *slowdowns) record(instance string) *slowdownRecord {
-	r := k.records[instance]
+func (k *slowdowns) record(endpoint string) *slowdownRecord {
+	r := k.records[endpoint]
 	if r == nil {
 		if k.records == nil {
 			k.records = make(map[string]*slowdownRecord)
 		}
 		r = &slowdownRecord{}
-		k.records[instance] = r
+		k.records[endpoint] = r
 	}
 	return r
 }
@@ -170,8 +170,9 @@
 	return true
 }
 
-// recordFirstEvent updates the slowdowns after the first event of an attempt. Late is how much
-// later than predicted the event came. The caller must hold s.mu.
+// recordFirstEvent updates the slowdowns after the first event of an attempt, unless slowdowns are
+// ignored or this instance has not placed requests recently. Late is how much later than predicted
+// the event came. The caller must hold s.mu.
 func (s *Scheduler) recordFirstEvent(p *poolState, at *attempt, late time.Duration, now time.Time) {
 	if s.settings.SlowdownMode == SlowdownIgnored || !p.slowdowns.isDeciding(now) {
 		return
@@ -193,7 +194,7 @@
 	took := now.Sub(at.placedAt) - p.transit.time
 	predicted := took - late
 	if len(at.helpers) == 0 {
-		r := p.slowdowns.record(at.instance)
+		r := p.slowdowns.record(at.endpoint)
 		r.late, r.lateAt = late, now
 	}
 	delay := p.slowdowns.commonDelay(now)
@@ -204,7 +205,7 @@
 			p.slowdowns.record(name).unsure = true
 		}
 	}
-	if e := p.engines[at.instance]; e != nil && len(at.helpers) == 0 && predicted > minPrediction {
+	if e := p.engines[at.endpoint]; e != nil && len(at.helpers) == 0 && predicted > minPrediction {
 		p.addSample(e, float64(took)/float64(predicted)/e.Speed(), at.placedAt, now)
 	}
 }
@@ -304,8 +305,8 @@
 	return s.settings.SlowdownQuerier != nil && s.settings.SlowdownMode != SlowdownEstimated && !p.slowdowns.fallback && p.slowdowns.isDeciding(now)
 }
 
-// acceptsQueries reports whether an engine may be queried: it has not asked this instance for a
-// back-off and announces no rate limit.
+// acceptsQueries reports whether an engine may be queried: it announces no rate limit, and this
+// instance has to observe no back-off for it.
 func (p *poolState) acceptsQueries(e *placement.Engine, v *notice.View, now time.Time) bool {
 	_, limited := p.rateLimit(e, v)
 	return !limited && !v.BackoffUntil(e.Instance, p.health[e.Instance].startedAt).After(now)
@@ -341,20 +342,20 @@
 	r.unanswered++
 	r.unsure = false
 	p.slowdowns.queries++
-	instance, address := e.Instance, e.Address
+	endpoint, address := e.Instance, e.Address
 	s.settings.SlowdownQuerier.QuerySlowdown(address, func(slowdown float64) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		// An endpoint that restarted under the same name has another record.
-		if e := p.engines[instance]; e != nil && e.Address == address && p.slowdowns.records[instance] == r {
+		if e := p.engines[endpoint]; e != nil && e.Address == address && p.slowdowns.records[endpoint] == r {
 			s.slowdownReported(p, e, slowdown)
 		}
 	})
 }
 
 // slowdownReported applies the slowdown that an engine reports. If it has changed, other
-// engines become unsure: a cause often affects several engines, and the first request on each
-// of them would be late. The caller must hold s.mu.
+// engines become unsure: a cause often affects several engines, and otherwise the first request
+// on each of them would be late. The caller must hold s.mu.
 func (s *Scheduler) slowdownReported(p *poolState, e *placement.Engine, slowdown float64) {
 	now := s.settings.Now()
 	r := p.slowdowns.record(e.Instance)
--- a/pool/state.go
+++ b/pool/state.go
@@ -21,18 +21,18 @@
 type poolState struct {
 	// self names this instance.
 	self string
-	// engines holds the endpoints by instance.
+	// engines holds the endpoints by name.
 	engines map[string]*placement.Engine
-	// list holds the same engines, sorted by instance.
+	// list holds the same endpoints, sorted by name.
 	list []*placement.Engine
-	// health holds the health of each endpoint, by instance.
+	// health holds the health of each endpoint, by name.
 	health map[string]*endpointHealth
 	// attempts holds the placed attempts that have not ended, by id.
 	attempts map[string]*attempt
 	// queue holds the requests that wait for a decision.
 	queue []*Waiter
 	// ownerRetries is the retry budget for decisions as the pool's owner, and fallbackRetries
-	// the one for decisions while no owner is reachable.
+	// the one for decisions as a fallback (see Waiter.fallback).
 	ownerRetries    retryCounter
 	fallbackRetries retryCounter
 	// predictions counts the predictions of first events, and those that were accurate.
@@ -74,7 +74,8 @@
 
 // attempt is an attempt of a request that has been placed on an endpoint.
 type attempt struct {
-	instance string
+	// endpoint names the endpoint that answers the request.
+	endpoint string
 	// startedAt is the start time of the endpoint's incarnation that received the attempt; zero
 	// if unknown.
 	startedAt time.Time
@@ -95,7 +96,7 @@
 	suspectedAt time.Time
 	silentSince time.Time
 	migrating   bool
-	// watched is set if the entry instance reports the attempt when it falls silent.
+	// watched is set if the entry instance is expected to report the attempt when it falls silent.
 	watched bool
 	// orphanMark identifies the ended session through which the attempt came; zero while the
 	// entry instance is connected. cutAt is when that session ended.
@@ -103,10 +104,9 @@
 	cutAt      time.Time
 }
 
-// endpoints returns the instances of all endpoints of the attempt. The last one answers the
-// request.
+// endpoints returns the names of all endpoints of the attempt. The last one answers the request.
 func (at *attempt) endpoints() []string {
-	return append(slices.Clone(at.helpers), at.instance)
+	return append(slices.Clone(at.helpers), at.endpoint)
 }
 
 // upsert adds an endpoint, or updates it, from its catalog entry. An endpoint of a service
@@ -183,8 +183,8 @@
 // sends and retries that are counted twice, or not at all, while the owner changes.
 const retryBudgetShare = 0.75
 
-// resolve returns the instance of the endpoint with the given instance or address, or "" if
-// there is none. Closed endpoints are not found by their address.
+// resolve returns the name of the endpoint with the given name or address, or "" if there is
+// none. Closed endpoints are not found by their address.
 func (p *poolState) resolve(name string) string {
 	if _, ok := p.engines[name]; ok {
 		return name
@@ -217,18 +217,18 @@
 func (p *poolState) usable(w *Waiter, now time.Time) []*placement.Engine {
 	out := make([]*placement.Engine, 0, len(p.list))
 	v := p.notices.View()
-	var failed []*placement.Engine
+	var avoided []*placement.Engine
 	for _, e := range p.list {
 		switch {
 		case p.ineligible(w, e, v) || p.availableAt(w, e, v).After(now):
 		case slices.Contains(w.placementRequest.Avoid, e.Instance) || !p.health[e.Instance].usable(now) || p.suspicion.doubted[e.Instance]:
-			failed = append(failed, e)
+			avoided = append(avoided, e)
 		default:
 			out = append(out, e)
 		}
 	}
 	if len(out) == 0 {
-		return failed
+		return avoided
 	}
 	return out
 }
@@ -264,7 +264,7 @@
 		return 0
 	}
 	late := time.Duration(0)
-	if e := p.engines[at.instance]; e != nil {
+	if e := p.engines[at.endpoint]; e != nil {
 		late = e.Observe(id, now)
 	}
 	for _, name := range at.helpers {
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -31,12 +31,13 @@
 	// which other streams of the engine may be silent.
 	longPrefillThreshold = 250 * time.Millisecond
 	// confirmQuorum is how many instances must have silent attempts on an endpoint for it to be
-	// excluded. An endpoint that only one instance doubts gets no new requests if doubtQuorum
-	// instances have doubts about any endpoint. Both guard against a fault in the network of a
-	// single instance.
+	// verified, and excluded if it does not answer. An endpoint that only one instance doubts gets
+	// no new requests if doubtQuorum instances have doubts about any endpoint. Both guard against a
+	// fault in the network of a single instance.
 	confirmQuorum = 2
 	doubtQuorum   = 3
-	// evaluateInterval is the least time between evaluations when they are triggered by placements.
+	// evaluateInterval is the least time between an evaluation and the next one that a new request
+	// triggers.
 	evaluateInterval = 10 * time.Millisecond
 	// lateMigrationSpread is the time over which the migrations of attempts that are late already
 	// are spread. Their callers wait for at least two seconds, of which about half a second has
@@ -49,8 +50,8 @@
 type SilenceMonitor interface {
 	// ReportSilence reports that an attempt has been silent for longer than usual.
 	ReportSilence(id, service string, silence time.Duration)
-	// OnMigrate registers a function that is called when the attempt has to migrate. It may be
-	// called at any time until stop is called, from another goroutine.
+	// OnMigrate registers a function that is called, in another goroutine, when the attempt has to
+	// migrate. A call may still come shortly after stop has returned.
 	OnMigrate(id string, migrate func()) (stop func())
 }
 
@@ -89,7 +90,8 @@
 	signalNone signal = iota
 	// signalAlive comes from a watched stream that is not reported as silent.
 	signalAlive
-	// signalLate comes from an attempt whose first event is late, but not yet silent.
+	// signalLate comes from an attempt whose first event is late, but not late enough for
+	// signalSilent.
 	signalLate
 	// signalSilent comes from an attempt whose next event is long overdue.
 	signalSilent
@@ -105,7 +107,7 @@
 
 // watched reports whether the entry instance is expected to report the attempt when it is silent:
 // it is the first send of a stream with a Gap. The entry instance reports only streams that another
-// endpoint may resume, which the request does not say.
+// endpoint may resume, which a placement request doesn't tell.
 func (a *PlacementRequest) watched() bool {
 	return a.Gap > 0 && !a.Retry
 }
@@ -168,14 +170,14 @@
 		if s == signalNone || at.entry == "" {
 			continue
 		}
-		t := seen[at.instance]
+		t := seen[at.endpoint]
 		if t == nil {
 			t = &endpointSignals{
 				silent: make(map[string]bool),
 				late:   make(map[string]bool),
 				alive:  make(map[string]bool),
 			}
-			seen[at.instance] = t
+			seen[at.endpoint] = t
 		}
 		t.add(s, at.entry)
 		if s != signalAlive {
@@ -280,50 +282,50 @@
 }
 
 // doubt marks an endpoint as in doubt until the next evaluation.
-func (x *suspicion) doubt(instance string) {
+func (x *suspicion) doubt(endpoint string) {
 	if x.doubted == nil {
 		x.doubted = make(map[string]bool)
 	}
-	x.doubted[instance] = true
+	x.doubted[endpoint] = true
 }
 
 // handleStopped excludes an endpoint that has stopped and migrates its attempts, unless one of its
 // streams is alive. Silent is the number of instances with silent attempts there. The caller must
 // hold s.mu.
-func (s *Scheduler) handleStopped(p *poolState, service, instance string, silent int, now time.Time) {
-	h := p.health[instance]
-	if h == nil || !h.usable(now) || p.hasLiveStream(instance, now) {
+func (s *Scheduler) handleStopped(p *poolState, service, endpoint string, silent int, now time.Time) {
+	h := p.health[endpoint]
+	if h == nil || !h.usable(now) || p.hasLiveStream(endpoint, now) {
 		return
 	}
-	s.exclude(p, service, instance, now)
+	s.exclude(p, service, endpoint, now)
 	p.suspicion.excluded++
-	s.checkAll(p, service, instance, now)
-	n := s.migrateAll(p, service, instance, now)
-	s.log.Info("endpoint suspected", "service", service, "endpoint", instance, "silent_for", silent, "moved", n)
+	s.checkAll(p, service, endpoint, now)
+	n := s.migrateAll(p, service, endpoint, now)
+	s.log.Info("endpoint suspected", "service", service, "endpoint", endpoint, "silent_for", silent, "moved", n)
 }
 
 // handleUnreachable excludes an endpoint that an instance could not connect to, shortly after
 // another instance reported a failure of it, and migrates its attempts. It does nothing if a stream
 // from there is alive, since an overloaded endpoint refuses connections, too. The caller must hold
 // s.mu.
-func (s *Scheduler) handleUnreachable(p *poolState, service, instance string, now time.Time) {
-	if p.plain || p.hasLiveStream(instance, now) {
+func (s *Scheduler) handleUnreachable(p *poolState, service, endpoint string, now time.Time) {
+	if p.plain || p.hasLiveStream(endpoint, now) {
 		return
 	}
-	s.exclude(p, service, instance, now)
-	s.checkAll(p, service, instance, now)
-	if n := s.migrateAll(p, service, instance, now); n > 0 {
-		s.log.Info("endpoint unreachable", "service", service, "endpoint", instance, "moved", n)
+	s.exclude(p, service, endpoint, now)
+	s.checkAll(p, service, endpoint, now)
+	if n := s.migrateAll(p, service, endpoint, now); n > 0 {
+		s.log.Info("endpoint unreachable", "service", service, "endpoint", endpoint, "moved", n)
 	}
 }
 
 // migrateAll orders the migration of all attempts that an endpoint serves or prefills for, and
 // returns their number. Attempts that can still be in time go first, the most urgent ones before
 // the others. The caller must hold s.mu.
-func (s *Scheduler) migrateAll(p *poolState, service, instance string, now time.Time) int {
+func (s *Scheduler) migrateAll(p *poolState, service, stopped string, now time.Time) int {
 	var out []migration
 	for id, at := range p.attempts {
-		if at.migrating || at.entry == "" || !slices.Contains(at.endpoints(), instance) {
+		if at.migrating || at.entry == "" || !slices.Contains(at.endpoints(), stopped) {
 			continue
 		}
 		at.migrating = true
@@ -331,7 +333,7 @@
 			entry:    at.entry,
 			id:       id,
 			service:  service,
-			endpoint: instance,
+			endpoint: stopped,
 			dueIn:    at.dueIn(now),
 			joint:    len(at.helpers) > 0 && !at.begun,
 		})
@@ -366,8 +368,8 @@
 
 // sendMigrations sends migrations to the entry instances. Those of attempts that are not late yet,
 // or are in a joint prefill, are sent at once. The others are spread over lateMigrationSpread, so
-// that their prompts are not all prefilled at the expense of the other engines' streams. The caller
-// must hold s.mu.
+// that their prompts are not all prefilled at the expense of the other engines' streams. Migrations
+// to an entry instance that is not connected are dropped. The caller must hold s.mu.
 func (s *Scheduler) sendMigrations(migrations []migration) {
 	atOnce := make(map[*func(migration)][]migration)
 	late := 0
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestSilentEngineIsVerified guards against excluding an engine that is silent but still accepts
-// connections, because it is busy.
+// TestSilentEngineIsVerified guards against excluding an engine that is silent only because it is
+// busy: such an engine still accepts connections.
 func TestSilentEngineIsVerified(t *testing.T) {
 	for _, row := range []struct {
 		name  string
@@ -231,14 +231,14 @@
 }
 
 // markStopped marks an engine as stopped, as if two instances had reported it.
-func (c *clockPool) markStopped(instance string) {
+func (c *clockPool) markStopped(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handleStopped(c.pools["engines"], "engines", instance, 2, c.now)
+	c.handleStopped(c.pools["engines"], "engines", endpoint, 2, c.now)
 }
 
 // TestChecksOtherEngines guards against a pool whose other engines are not checked when two have
-// stopped, and against excluding engines when the owner's own network is at fault.
+// stopped, and against excluding those that don't answer when the owner's own network is at fault.
 func TestChecksOtherEngines(t *testing.T) {
 	lost := errors.New("no answer")
 	for _, row := range []struct {
@@ -286,9 +286,9 @@
 		return errors.New("no answer")
 	})
 	p := c.pools["engines"]
-	p.engines["e03"].FailureDomain = "emptied"
+	p.engines["e03"].FailureDomain = "drained"
 	p.drained = drainedDomains{
-		"emptied": c.now,
+		"drained": c.now,
 	}
 	p.engines["e04"].Closed = true
 	c.markStopped("e03")
@@ -378,14 +378,14 @@
 			for i, entry := range []string{"b", "c"} {
 				c.mu.Lock()
 				c.pools["engines"].attempts[fmt.Sprint("x", i)] = &attempt{
-					instance: helper,
+					endpoint: helper,
 					entry:    entry,
 				}
 				c.mu.Unlock()
 				if row.alive && i == 1 {
 					c.mu.Lock()
 					c.pools["engines"].attempts["y"] = &attempt{
-						instance: helper,
+						endpoint: helper,
 						entry:    "d",
 						begun:    true,
 						watched:  true,
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -27,11 +27,11 @@
 // ineligible reports whether a request must not be placed on an endpoint at all: it is leaving,
 // drained or excluded by the request.
 func (p *poolState) ineligible(w *Waiter, e *placement.Engine, v *notice.View) bool {
-	return p.isLeaving(e, v) || slices.Contains(w.placementRequest.Exclude, e.Instance) || p.drained.excludes(&w.placementRequest, e)
+	return p.isLeaving(e, v) || slices.Contains(w.placementRequest.Exclude, e.Instance) || p.drained.covers(&w.placementRequest, e)
 }
 
-// availableAt returns when an endpoint accepts a request, by its back-off and its rate limit;
-// zero means at once.
+// availableAt returns when an endpoint accepts a request, by its back-off and its rate limit. A time
+// in the past or zero means at once.
 func (p *poolState) availableAt(w *Waiter, e *placement.Engine, v *notice.View) time.Time {
 	at := w.backoffs[e.Instance]
 	if l, limited := p.rateLimit(e, v); limited {
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -19,8 +19,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// slowEngine returns the model of an engine that prefills 100 000 tokens in a second, in passes
-// of some tens of milliseconds.
+// slowEngine returns the model of an engine that prefills 100 000 tokens a second, at most 1000 in a
+// pass, or 10 000 while it also decodes.
 func slowEngine() *batch.Model {
 	return &batch.Model{
 		Slots:            4,
@@ -176,8 +176,8 @@
 	})
 }
 
-// TestPriorityInQueue checks that of two requests that wait for a slot, the one of the customer
-// with the higher priority goes first though it arrived later.
+// TestPriorityInQueue checks that of two requests that wait for a slot, the one with the higher
+// priority goes first though it arrived later.
 func TestPriorityInQueue(t *testing.T) {
 	withSlowEngine(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
 		for i := range 4 {
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -27,8 +27,8 @@
 	late bool
 	// entry names the entry instance.
 	entry string
-	// fallback is set if no owner of the pool is reachable, so that this instance decides by
-	// itself.
+	// fallback is set if this instance decides because it reaches none of the instances that come
+	// before it in the pool's order of owners. Others may decide at the same time.
 	fallback bool
 }
 
@@ -60,7 +60,7 @@
 
 // newWaiter returns the Waiter of a placement request that arrives now.
 func (s *Scheduler) newWaiter(p *poolState, a PlacementRequest, now time.Time) *Waiter {
-	v := p.worth.Worth(a.kind())
+	v := p.worth.Worth(a.worthRequest())
 	return &Waiter{
 		placementRequest: a,
 		backoffs:         a.backoffsUntil(now),
