--- a/fleet/schedule_test.go
+++ b/fleet/schedule_test.go
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	defer flag.Set("rapid.checks", "100")
-	step := rapid.Custom(func(t *rapid.T) plannedFault {
+	fault := rapid.Custom(func(t *rapid.T) plannedFault {
 		return plannedFault{
 			At:     rapid.IntRange(0, 3_000).Draw(t, "at"),
 			For:    rapid.IntRange(1, 8_000).Draw(t, "for"),
@@ -157,7 +157,7 @@
 		}
 	})
 	rapid.Check(t, func(rt *rapid.T) {
-		plan := rapid.SliceOfN(step, 1, 4).Draw(rt, "plan")
+		plan := rapid.SliceOfN(fault, 1, 4).Draw(rt, "plan")
 		c := &errorCollector{T: t}
 		synctest.Test(t, func(t *testing.T) { checkSchedule(t, c, plan) })
 		for _, w := range c.failures {
--- a/fleet/vendpoint_test.go
+++ b/fleet/vendpoint_test.go
@@ -21,13 +21,13 @@
 
 // unreachableError returns a RunError for an engine that could not be reached. ran is
 // true if the attempt may have run.
-func unreachableError(err error, ran bool) error {
+func unreachableError(err error, mayHaveRun bool) error {
 	e := &engine.RunError{
 		Ran:  "not_run",
 		Code: engine.Unreachable,
 		Err:  err,
 	}
-	if ran {
+	if mayHaveRun {
 		e.Ran = "may_have_run"
 	}
 	return e
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -118,10 +118,10 @@
 
 // SetSource replaces the source of the clock readings until restore is called, for tests.
 func SetSource(s Source) (restore func()) {
-	old, oldGain := clockSource.Load(), suspended.Load()
+	old, oldSuspended := clockSource.Load(), suspended.Load()
 	clockSource.Store(&s)
 	return func() {
 		clockSource.Store(old)
-		suspended.Store(oldGain)
+		suspended.Store(oldSuspended)
 	}
 }
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -47,15 +47,15 @@
 // against small growth of the offset being counted as suspension.
 func TestNeverBack(t *testing.T) {
 	is := is.New(t)
-	gain := steady.StartOffset()
-	defer steady.SetSource(func() (boot, running time.Duration) { return gain, 0 })()
+	offset := steady.StartOffset()
+	defer steady.SetSource(func() (boot, running time.Duration) { return offset, 0 })()
 	before := steady.Now()
-	gain += time.Minute
+	offset += time.Minute
 	after := steady.Now()
 	assertClose(t, after.Sub(before), time.Minute)
-	gain -= 30 * time.Second
+	offset -= 30 * time.Second
 	is.True(!steady.Now().Before(after))
-	gain += 500 * time.Microsecond // too little for a suspension
+	offset += 500 * time.Microsecond // too little for a suspension
 	is.True(steady.Since(after) < time.Second)
 }
 
--- a/internal/tcp/tcptest/proxy.go
+++ b/internal/tcp/tcptest/proxy.go
@@ -190,7 +190,7 @@
 
 // copy forwards one direction of a connection. It forwards an end of file as a half-close and
 // an error as a reset.
-func (p *Proxy) copy(to, from net.Conn, silenced func(Link) bool) {
+func (p *Proxy) copy(to, from net.Conn, blocked func(Link) bool) {
 	buf := make([]byte, copyBytes)
 	for {
 		n, err := from.Read(buf)
@@ -200,7 +200,7 @@
 			}
 			continue
 		}
-		p.hold(silenced)
+		p.hold(blocked)
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
 				reset(from)
@@ -229,7 +229,7 @@
 }
 
 // hold delays data by the delay of the link and blocks while the link blocks the direction.
-func (p *Proxy) hold(silenced func(Link) bool) {
+func (p *Proxy) hold(blocked func(Link) bool) {
 	for {
 		p.mu.Lock()
 		l, changed := p.link, p.linkChanged
@@ -237,7 +237,7 @@
 		if l.Delay > 0 {
 			time.Sleep(l.Delay)
 		}
-		if !silenced(l) || l.Reset {
+		if !blocked(l) || l.Reset {
 			return
 		}
 		<-changed
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -103,11 +103,11 @@
 
 func TestConnections(t *testing.T) {
 	for _, row := range []struct {
-		name   string
-		answer func(c net.Conn, r *http.Request, n int) bool
-		fresh  time.Duration
-		pause  time.Duration
-		conns  int64
+		name    string
+		answer  func(c net.Conn, r *http.Request, n int) bool
+		maxIdle time.Duration
+		pause   time.Duration
+		conns   int64
 	}{
 		{"kept", func(c net.Conn, r *http.Request, _ int) bool {
 			io.WriteString(c, ok(r.Header.Get("Id"), "hi"))
@@ -140,7 +140,7 @@
 			p := upstream.New(upstream.Settings{})
 			for i := range 3 {
 				r := e.request(fmt.Sprint(i))
-				r.MaxIdle = row.fresh
+				r.MaxIdle = row.maxIdle
 				body, err := do(t, p, r)
 				is.NoErr(err)
 				is.Equal(body, "hi")
