--- a/soak/callers.go
+++ b/soak/callers.go
@@ -39,8 +39,8 @@
 	Whole bool
 	// Signed states whether the response carried an endpoint's proof of origin.
 	Signed bool
-	// GaveUp states whether the caller was set to cancel the request early.
-	GaveUp bool
+	// CancelsEarly states whether the caller was set to cancel the request early.
+	CancelsEarly bool
 }
 
 // callers sends requests to all instances and records the exchanges.
@@ -58,15 +58,15 @@
 	// maxCallers bounds the callers of all instances together, so that the engines do not run
 	// out of slots with many instances. Each instance has at least one caller nevertheless.
 	maxCallers = 40
-	// giveUpShare is the share of requests that the caller cancels early.
-	giveUpShare = 0.05
+	// cancelShare is the share of requests that the caller cancels early.
+	cancelShare = 0.05
 	// pauseMean is the mean pause between two requests of a caller.
 	pauseMean = 60 * time.Millisecond
 	// maxBodyLength is the exclusive upper bound of the length of bodies, in bytes.
 	maxBodyLength = 3000
-	// maxLeaveDelay is the longest delay after which a caller cancels a request early. The
+	// maxCancelDelay is the longest delay after which a caller cancels a request early. The
 	// delay is random, so that cancellations hit requests in all stages.
-	maxLeaveDelay = time.Second
+	maxCancelDelay = time.Second
 	// callerSlack is how much longer than the time limit of the request a caller waits for the
 	// answer or refusal.
 	callerSlack = time.Second
@@ -124,11 +124,11 @@
 		case 1:
 			x.Key = c.world.anyKey(r)
 		}
-		leave := time.Duration(0)
-		if r.Float64() < giveUpShare {
-			leave = time.Duration(1 + r.Int64N(int64(maxLeaveDelay)))
+		cancelAfter := time.Duration(0)
+		if r.Float64() < cancelShare {
+			cancelAfter = time.Duration(1 + r.Int64N(int64(maxCancelDelay)))
 		}
-		c.send(client, &x, leave, promptOf(r))
+		c.send(client, &x, cancelAfter, promptOf(r))
 		c.mu.Lock()
 		c.history = append(c.history, x)
 		c.mu.Unlock()
@@ -146,11 +146,11 @@
 
 // send sends the request of x and records the outcome in it. If leave is positive, the caller
 // cancels the request after that time.
-func (c *callers) send(client *http.Client, x *Exchange, leave time.Duration, prompt int) {
+func (c *callers) send(client *http.Client, x *Exchange, cancelAfter time.Duration, prompt int) {
 	timeout := requestTimeout + callerSlack
-	if leave > 0 {
-		timeout = leave
-		x.GaveUp = true
+	if cancelAfter > 0 {
+		timeout = cancelAfter
+		x.CancelsEarly = true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/soak/check.go
+++ b/soak/check.go
@@ -14,15 +14,15 @@
 
 // Violation describes a broken promise.
 type Violation struct {
-	// Promise is the text of the promise.
-	Promise string
+	// Guarantee is the text of the promise.
+	Guarantee string
 	// Detail states the observation that contradicts the promise.
 	Detail string
 }
 
 // String formats the violation as one line.
 func (v Violation) String() string {
-	return v.Promise + ": " + v.Detail
+	return v.Guarantee + ": " + v.Detail
 }
 
 // runSlack is how long after a time limit a run may begin, because the request was in transit.
@@ -54,8 +54,8 @@
 	for id := range runs {
 		if sent[id] == nil {
 			out = append(out, Violation{
-				Promise: "endpoints run only requests of callers",
-				Detail:  "request " + id + " ran but no caller sent it",
+				Guarantee: "endpoints run only requests of callers",
+				Detail:    "request " + id + " ran but no caller sent it",
 			})
 		}
 	}
@@ -65,9 +65,9 @@
 // checkExchange checks one exchange and the runs of its request.
 func (w *World) checkExchange(x *Exchange, runs []platformtest.Run) []Violation {
 	var out []Violation
-	wrong := func(promise, detail string) {
+	wrong := func(guarantee, detail string) {
 		out = append(out, Violation{
-			Promise: promise,
+			Guarantee: guarantee,
 			Detail: fmt.Sprintf("request %s %s at instance %d, sent %s, status %d, %d runs: %s",
 				x.ID, x.Path, x.Instance, x.Sent.Format("15:04:05.000"), x.Status, len(runs), detail),
 		})
@@ -95,7 +95,7 @@
 }
 
 // checkAnswer checks the body and the origin of a successful answer.
-func checkAnswer(x *Exchange, runs []platformtest.Run, wrong func(promise, detail string)) {
+func checkAnswer(x *Exchange, runs []platformtest.Run, wrong func(guarantee, detail string)) {
 	want := x.expectedAnswer()
 	switch {
 	case x.Whole && x.Answer != want:
@@ -121,7 +121,7 @@
 
 // checkRun checks one run: the forwarded request, the customer, the validity of the key and
 // the time of the run.
-func (w *World) checkRun(x *Exchange, r *platformtest.Run, wrong func(promise, detail string)) {
+func (w *World) checkRun(x *Exchange, r *platformtest.Run, wrong func(guarantee, detail string)) {
 	switch {
 	case r.Method != http.MethodPost || r.Target != x.Path || r.Body != x.Body:
 		wrong("requests are forwarded unchanged", fmt.Sprintf("%s %s with %d bytes", r.Method, r.Target, len(r.Body)))
--- a/soak/check_abandoned.go
+++ b/soak/check_abandoned.go
@@ -14,8 +14,8 @@
 const abandonSlack = 500 * time.Millisecond
 
 // checkAbandoned checks that a run ends soon after its caller canceled the request.
-func (w *World) checkAbandoned(x *Exchange, r *platformtest.Run, wrong func(promise, detail string)) {
-	if !x.GaveUp || x.Whole || !r.At.Before(x.Ended) {
+func (w *World) checkAbandoned(x *Exchange, r *platformtest.Run, wrong func(guarantee, detail string)) {
+	if !x.CancelsEarly || x.Whole || !r.At.Before(x.Ended) {
 		return
 	}
 	ended := r.Ended
--- a/soak/check_final.go
+++ b/soak/check_final.go
@@ -15,14 +15,14 @@
 	for _, e := range w.endpoints {
 		if n := e.Running(); n > 0 {
 			out = append(out, Violation{
-				Promise: "no request runs after the load has ended",
-				Detail:  fmt.Sprintf("endpoint %s still runs %d requests", e.Name(), n),
+				Guarantee: "no request runs after the load has ended",
+				Detail:    fmt.Sprintf("endpoint %s still runs %d requests", e.Name(), n),
 			})
 		}
 		if n := e.ReservedTokens(); n > 0 {
 			out = append(out, Violation{
-				Promise: "reserved tokens are released",
-				Detail:  fmt.Sprintf("endpoint %s still holds %d tokens", e.Name(), n),
+				Guarantee: "reserved tokens are released",
+				Detail:    fmt.Sprintf("endpoint %s still holds %d tokens", e.Name(), n),
 			})
 		}
 	}
@@ -30,8 +30,8 @@
 		p.mu.Lock()
 		if p.unexpectedExits > 0 {
 			out = append(out, Violation{
-				Promise: "instances do not exit unexpectedly",
-				Detail:  fmt.Sprintf("%s exited unexpectedly %d times", p.name, p.unexpectedExits),
+				Guarantee: "instances do not exit unexpectedly",
+				Detail:    fmt.Sprintf("%s exited unexpectedly %d times", p.name, p.unexpectedExits),
 			})
 		}
 		p.mu.Unlock()
@@ -44,7 +44,7 @@
 func checkRecovery(history []Exchange, from time.Time) []Violation {
 	served, all := 0, 0
 	for _, x := range history {
-		if x.Sent.Before(from) || x.GaveUp || x.Key != steadyKey {
+		if x.Sent.Before(from) || x.CancelsEarly || x.Key != steadyKey {
 			continue
 		}
 		all++
@@ -56,8 +56,8 @@
 		return nil
 	}
 	return []Violation{{
-		Promise: "system recovers after the last fault",
-		Detail:  fmt.Sprintf("%d of %d requests were served after the time for recovery", served, all),
+		Guarantee: "system recovers after the last fault",
+		Detail:    fmt.Sprintf("%d of %d requests were served after the time for recovery", served, all),
 	}}
 }
 
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -105,8 +105,8 @@
 	for body, at := range runs {
 		if n := w.lateRuns(at); n > maxLateRuns {
 			out = append(out, Violation{
-				Promise: "requests that crash endpoints reach few endpoints",
-				Detail:  fmt.Sprintf("%q ran %d times, %d of them %s after its third", body, len(at), n, detectWithin),
+				Guarantee: "requests that crash endpoints reach few endpoints",
+				Detail:    fmt.Sprintf("%q ran %d times, %d of them %s after its third", body, len(at), n, detectWithin),
 			})
 		}
 	}
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		return Violation{
-			Promise: "drained failure domains get no new requests",
+			Guarantee: "drained failure domains get no new requests",
 			Detail: fmt.Sprintf("request %s %s at instance %d ran at %s, %s after the bound", x.ID, x.Path,
 				x.Instance, e.Name(), late.Round(time.Millisecond)),
 		}, true
--- a/soak/play.go
+++ b/soak/play.go
@@ -177,7 +177,7 @@
 // entry with a new start time.
 func (w *World) restartEndpoint(e *endpoint, away time.Duration) {
 	e.proxy.Set(tcptest.Link{Reset: true})
-	time.Sleep(away / restartPart)
+	time.Sleep(away / restartDivisor)
 	w.mu.Lock()
 	e.startedAt = time.Now()
 	w.mu.Unlock()
@@ -201,9 +201,9 @@
 	all.Wait()
 }
 
-// restartPart is the divisor of a step's duration that yields how long an instance or endpoint
+// restartDivisor is the divisor of a step's duration that yields how long an instance or endpoint
 // stays down.
-const restartPart = 4
+const restartDivisor = 4
 
 // graceSlack is how much longer than grace an instance may take to stop before it is killed.
 const graceSlack = time.Second
@@ -220,7 +220,7 @@
 		p.signal(syscall.SIGKILL, true)
 		<-exited
 	}
-	time.Sleep(after / restartPart)
+	time.Sleep(after / restartDivisor)
 	if !p.claimStart(exited) {
 		return
 	}
--- a/soak/process.go
+++ b/soak/process.go
@@ -115,11 +115,11 @@
 			return err
 		}
 	}
-	if i < len(w.contactAddresses) {
-		own = w.contactAddresses[i]
+	if i < len(w.seedAddresses) {
+		own = w.seedAddresses[i]
 	}
 	p.settings = filepath.Join(w.dir, p.name+".toml")
-	text := fmt.Sprintf(settingsText, p.name, domainOf(i), p.listen, p.ready, own, quoted(w.contactAddresses), p.store.Address, revoke, w.strict, grace)
+	text := fmt.Sprintf(settingsText, p.name, domainOf(i), p.listen, p.ready, own, quoted(w.seedAddresses), p.store.Address, revoke, w.strict, grace)
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
 		return errors.Wrap(err, "write settings of an instance")
 	}
@@ -184,10 +184,10 @@
 
 // signal sends a signal to the current process. The argument ends states that the signal ends
 // the process.
-func (p *process) signal(s syscall.Signal, ends bool) {
+func (p *process) signal(s syscall.Signal, endsProcess bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.exitExpected = p.exitExpected || ends
+	p.exitExpected = p.exitExpected || endsProcess
 	// An error means that the process has exited already.
 	_ = p.cmd.Process.Signal(s)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -54,11 +54,11 @@
 	}
 }
 
-// leaveEarly changes an exchange to one whose caller canceled it, and its run to end the given
+// cancelEarly changes an exchange to one whose caller canceled it, and its run to end the given
 // time after that.
-func leaveEarly(x *Exchange, runs *[]platformtest.Run, after time.Duration) {
-	x.GaveUp, x.Whole, x.Status, x.Answer = true, false, 0, ""
-	x.Ended = x.Sent.Add(maxLeaveDelay / 2)
+func cancelEarly(x *Exchange, runs *[]platformtest.Run, after time.Duration) {
+	x.CancelsEarly, x.Whole, x.Status, x.Answer = true, false, 0, ""
+	x.Ended = x.Sent.Add(maxCancelDelay / 2)
 	(*runs)[0].Ended = x.Ended.Add(after)
 }
 
@@ -100,9 +100,9 @@
 func TestCheckExchange(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
-		name    string
-		promise string
-		change  func(x *Exchange, runs *[]platformtest.Run)
+		name      string
+		guarantee string
+		change    func(x *Exchange, runs *[]platformtest.Run)
 	}{
 		{"served", "", func(*Exchange, *[]platformtest.Run) {}},
 		{"ran twice", "at most once", func(_ *Exchange, runs *[]platformtest.Run) {
@@ -125,10 +125,10 @@
 			(*runs)[0].At = now.Add(time.Minute)
 		}},
 		{"caller canceled, run ended", "", func(x *Exchange, runs *[]platformtest.Run) {
-			leaveEarly(x, runs, 100*time.Millisecond)
+			cancelEarly(x, runs, 100*time.Millisecond)
 		}},
 		{"caller canceled, run continued", "runs end when their callers cancel", func(x *Exchange, runs *[]platformtest.Run) {
-			leaveEarly(x, runs, time.Second)
+			cancelEarly(x, runs, time.Second)
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -139,12 +139,12 @@
 			x, runs := servedAt(now), []platformtest.Run{runOf("r", "/unsafe/", now)}
 			row.change(&x, &runs)
 			got := w.checkExchange(&x, runs)
-			if row.promise == "" {
+			if row.guarantee == "" {
 				is.Equal(len(got), 0)
 				return
 			}
 			is.True(len(got) > 0)
-			is.Equal(got[0].Promise, row.promise)
+			is.Equal(got[0].Guarantee, row.guarantee)
 		})
 	}
 }
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -122,7 +122,7 @@
 		late := a.At.Sub(first.Add(answerWithin + leavingWithin + runSlack))
 		if late > 0 && !w.excused(a.instance, e, first, a.At) {
 			out = append(out, Violation{
-				Promise: "leaving endpoints get no new requests",
+				Guarantee: "leaving endpoints get no new requests",
 				Detail: fmt.Sprintf("request %s of instance %d reached %s %s after the bound", a.ID, a.instance,
 					e.Name(), late.Round(time.Millisecond)),
 			})
@@ -157,8 +157,8 @@
 		}
 		if in > maxBackoffRequests && !w.excused(asked.instance, e, asked.At, end) {
 			out = append(out, Violation{
-				Promise: "back-offs of endpoints are respected",
-				Detail:  fmt.Sprintf("%d requests of instance %d reached %s within its back-off that began at %s", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
+				Guarantee: "back-offs of endpoints are respected",
+				Detail:    fmt.Sprintf("%d requests of instance %d reached %s within its back-off that began at %s", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
 			})
 		}
 	}
@@ -190,8 +190,8 @@
 		}
 		if allowed := limitFactor*statedRate*limitWindow.Seconds() + limitSlack; float64(in) > allowed {
 			out = append(out, Violation{
-				Promise: "rate limits of endpoints are respected",
-				Detail:  fmt.Sprintf("%d requests reached %s in %s up to %s, %.0f allowed", in, e.Name(), limitWindow, last.At.Format("15:04:05.000"), allowed),
+				Guarantee: "rate limits of endpoints are respected",
+				Detail:    fmt.Sprintf("%d requests reached %s in %s up to %s, %.0f allowed", in, e.Name(), limitWindow, last.At.Format("15:04:05.000"), allowed),
 			})
 		}
 	}
--- a/soak/world.go
+++ b/soak/world.go
@@ -61,11 +61,11 @@
 	store     *platformtest.Store
 	storeAddr string
 	processes []*process
-	// contactAddresses lists the peer addresses of the first instances, from which all
+	// seedAddresses lists the peer addresses of the first instances, from which all
 	// instances learn of the others when they start.
-	contactAddresses []string
-	endpoints        []*endpoint
-	servers          []*http.Server
+	seedAddresses []string
+	endpoints     []*endpoint
+	servers       []*http.Server
 
 	// recovered is when the system must have recovered from the last fault.
 	recovered time.Time
@@ -110,12 +110,12 @@
 			return nil, err
 		}
 	}
-	for range min(instances, maxContacts) {
+	for range min(instances, maxSeeds) {
 		address, err := freeAddress()
 		if err != nil {
 			return nil, err
 		}
-		w.contactAddresses = append(w.contactAddresses, address)
+		w.seedAddresses = append(w.seedAddresses, address)
 	}
 	for i := range instances {
 		if err := w.addProcess(i); err != nil {
@@ -125,8 +125,8 @@
 	return w, nil
 }
 
-// maxContacts bounds the number of instances that serve as contacts of the others.
-const maxContacts = 3
+// maxSeeds bounds the number of instances that serve as contacts of the others.
+const maxSeeds = 3
 
 // serve serves a stand-in on a free port and returns its address.
 func (w *World) serve(h http.Handler) (string, error) {
@@ -201,7 +201,7 @@
 // the endpoint takes no new requests.
 func (w *World) writeEntry(e *endpoint, leaving bool) {
 	w.mu.Lock()
-	born := e.startedAt
+	startedAt := e.startedAt
 	w.mu.Unlock()
 	w.store.PutEndpoint(platformtest.EndpointEntry{
 		Instance:  e.Name(),
@@ -210,7 +210,7 @@
 		Domain:    e.domain,
 		Slots:     endpointSlots,
 		Leaving:   leaving,
-		StartedAt: born,
+		StartedAt: startedAt,
 	})
 }
 
