--- a/emulator/attempt.go
+++ b/emulator/attempt.go
@@ -10,12 +10,12 @@
 
 // attempt is one attempt of a request: its placement and its jobs on the engines.
 type attempt struct {
-	caller       *caller
-	id           string
-	grant        pool.Grant
-	engine       *engine
-	shareEngines []*engine
-	mainJob      *job
+	caller  *caller
+	id      string
+	grant   pool.Grant
+	engine  *engine
+	helpers []*engine
+	mainJob *job
 	// pendingPrefills is the number of engines that still prefill their share of the
 	// prompt.
 	pendingPrefills int
@@ -37,8 +37,8 @@
 		engine:          c.play.engines[g.Instance],
 		pendingPrefills: len(g.Shares) + 1,
 	}
-	for _, r := range g.Shares {
-		a.shareEngines = append(a.shareEngines, c.play.engines[r.Instance])
+	for _, share := range g.Shares {
+		a.helpers = append(a.helpers, c.play.engines[share.Instance])
 	}
 	return a
 }
@@ -51,19 +51,19 @@
 	c := a.caller
 	tokens := max(c.request.Prompt/a.pendingPrefills, 1)
 	perToken := a.engine.model.PrefillTime(c.request.Prompt, a.pendingPrefills) / time.Duration(tokens)
-	memory := c.request.Prompt + c.request.Events*c.play.sheet.Engines.Stride
-	joint := len(a.shareEngines) > 0
-	for i, e := range a.shareEngines {
-		hold := a.grant.Shares[i].Reserved
-		memory -= hold
+	memory := c.request.Prompt + c.request.Events*c.play.sheet.Engines.StepsPerPass
+	joint := len(a.helpers) > 0
+	for i, e := range a.helpers {
+		reserved := a.grant.Shares[i].Reserved
+		memory -= reserved
 		e.add(&job{
 			attempt:    a,
 			isShare:    true,
 			joint:      true,
 			tokensLeft: tokens,
 			perToken:   perToken,
-			memory:     hold,
-			context:    hold,
+			memory:     reserved,
+			context:    reserved,
 		})
 	}
 	a.mainJob = &job{
@@ -112,7 +112,7 @@
 // removeFromEngines removes the attempt's jobs from all its engines.
 func (a *attempt) removeFromEngines() {
 	a.engine.remove(a)
-	for _, e := range a.shareEngines {
+	for _, e := range a.helpers {
 		e.remove(a)
 	}
 }
--- a/emulator/bound.go
+++ b/emulator/bound.go
@@ -75,24 +75,24 @@
 // already, so the result of Bound may be too low.
 func (s *Sheet) workOf(i int, r *Request, m *batch.Model) []work {
 	k := &s.Kinds[r.Kind]
-	read := m.PrefillTime(r.Prompt, 1)
-	write := time.Duration(r.Events-1) * m.PassTime(m.Slots, 0) / time.Duration(m.Slots)
+	prefill := m.PrefillTime(r.Prompt, 1)
+	decode := time.Duration(r.Events-1) * m.PassTime(m.Slots, 0) / time.Duration(m.Slots)
 	due := r.At + time.Duration(k.Target)
 	last := min(due+time.Duration(r.Events-1)*time.Duration(k.Gap), r.At+time.Duration(k.Deadline))
-	perSecond := (r.Worth - r.LateWorth) / (read + write).Seconds()
+	perSecond := (r.Worth - r.LateWorth) / (prefill + decode).Seconds()
 	return []work{
 		{
 			request:        i,
 			from:           int(r.At / boundInterval),
 			to:             int(due / boundInterval),
-			amount:         read.Seconds(),
+			amount:         prefill.Seconds(),
 			valuePerSecond: perSecond,
 		},
 		{
 			request:        i,
 			from:           int(r.At / boundInterval),
 			to:             int(last / boundInterval),
-			amount:         write.Seconds(),
+			amount:         decode.Seconds(),
 			valuePerSecond: perSecond,
 		},
 	}
@@ -108,7 +108,7 @@
 
 // newCapacityTable returns a table that covers the windows of all works, with room seconds
 // of engine time in each interval.
-func newCapacityTable(works []work, room float64) *capacityTable {
+func newCapacityTable(works []work, capacity float64) *capacityTable {
 	t := &capacityTable{}
 	for _, w := range works {
 		t.intervals = max(t.intervals, w.to+1)
@@ -116,7 +116,7 @@
 	t.free = make([]float64, t.intervals*t.intervals)
 	for from := range t.intervals {
 		for to := from; to < t.intervals; to++ {
-			t.free[from*t.intervals+to] = room * float64(to-from+1)
+			t.free[from*t.intervals+to] = capacity * float64(to-from+1)
 		}
 	}
 	return t
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -72,7 +72,7 @@
 // expects.
 func newCaller(p *play, i int, r *Request) *caller {
 	k := &p.sheet.Kinds[r.Kind]
-	tokens := float64(r.Events * p.sheet.Engines.Stride)
+	tokens := float64(r.Events * p.sheet.Engines.StepsPerPass)
 	return &caller{
 		play:           p,
 		index:          i,
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -39,14 +39,14 @@
 		Length: config.Duration(length),
 		Delay:  config.Duration(time.Millisecond),
 		Engines: emulator.Engines{
-			Count:           6,
-			Slots:           16,
-			Capacity:        400_000,
-			Stride:          34,
-			Chunk:           2048,
-			Step:            config.Duration(1310 * time.Microsecond),
-			ReadPerSecond:   154_000,
-			PerMillionPairs: config.Duration(162 * time.Microsecond),
+			Count:            6,
+			Slots:            16,
+			Capacity:         400_000,
+			StepsPerPass:     34,
+			Chunk:            2048,
+			Step:             config.Duration(1310 * time.Microsecond),
+			PrefillPerSecond: 154_000,
+			PerMillionPairs:  config.Duration(162 * time.Microsecond),
 		},
 		Kinds: []emulator.Kind{
 			{
@@ -136,9 +136,9 @@
 	s := lightSheet()
 	requests := emulator.Draw(s, 1)[:1]
 	o := emulator.Play(s, requests, pool.Settings{}, 1).Outcomes[0]
-	read := 20_000.0/154_000 + 200*162e-6
+	prefill := 20_000.0/154_000 + 200*162e-6
 	is.Equal(o.Cause, emulator.CauseNone)
-	is.True(o.FirstEvent.Seconds() > read+0.002 && o.FirstEvent.Seconds() < read+0.015)
+	is.True(o.FirstEvent.Seconds() > prefill+0.002 && o.FirstEvent.Seconds() < prefill+0.015)
 	is.Equal(o.LongestPause.Round(time.Millisecond), 45*time.Millisecond)
 }
 
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -95,21 +95,21 @@
 	if e.inPass || e.slowdown == 0 {
 		return
 	}
-	writers, context := 0, 0
+	decoding, context := 0, 0
 	for _, j := range e.jobs {
 		j.decodesInPass = !j.isShare && j.decoding
 		if j.decodesInPass {
-			writers++
+			decoding++
 		}
 		if j.tokensLeft == 0 {
 			context += j.context
 		}
 	}
 	length := time.Duration(0)
-	if writers > 0 {
-		length = e.model.PassTime(writers, context)
+	if decoding > 0 {
+		length = e.model.PassTime(decoding, context)
 	}
-	budget := e.model.PrefillBudget(writers)
+	budget := e.model.PrefillBudget(decoding)
 	for _, j := range e.prefillOrder() {
 		j.passTokens = min(j.tokensLeft, budget)
 		budget -= j.passTokens
@@ -171,11 +171,11 @@
 
 // setSlowdown sets the slowdown from the next pass on. It restarts an engine that was
 // stopped.
-func (e *engine) setSlowdown(slow float64) {
-	e.slowdown = slow
+func (e *engine) setSlowdown(slowdown float64) {
+	e.slowdown = slowdown
 	e.slowdownChanges = append(e.slowdownChanges, slowdownChange{
 		at:       e.clock.now,
-		slowdown: slow,
+		slowdown: slowdown,
 	})
 	e.startPass()
 }
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -46,8 +46,8 @@
 	Slots int `toml:"slots"`
 	// Capacity is the memory of one engine in tokens.
 	Capacity int `toml:"capacity"`
-	// Stride is the number of steps in a pass with decoding requests.
-	Stride int `toml:"stride"`
+	// StepsPerPass is the number of steps in a pass with decoding requests.
+	StepsPerPass int `toml:"stride"`
 	// Chunk bounds the tokens that an engine prefills per step; zero means no limit.
 	Chunk int `toml:"chunk"`
 	// Step is the fixed time of a step. PerSequence is added for each decoding request, and
@@ -55,10 +55,10 @@
 	Step               config.Duration `toml:"step"`
 	PerSequence        config.Duration `toml:"per_sequence"`
 	PerThousandContext config.Duration `toml:"per_thousand_context"`
-	// ReadPerSecond is the prefill rate in tokens per second. PerMillionPairs is added for
+	// PrefillPerSecond is the prefill rate in tokens per second. PerMillionPairs is added for
 	// each million pairs of a token and an earlier one.
-	ReadPerSecond   float64         `toml:"read_per_second"`
-	PerMillionPairs config.Duration `toml:"per_million_pairs"`
+	PrefillPerSecond float64         `toml:"read_per_second"`
+	PerMillionPairs  config.Duration `toml:"per_million_pairs"`
 }
 
 // Model returns the cost model of the engines.
@@ -66,12 +66,12 @@
 	return &batch.Model{
 		Slots:              e.Slots,
 		Capacity:           e.Capacity,
-		StepsPerPass:       e.Stride,
+		StepsPerPass:       e.StepsPerPass,
 		Chunk:              e.Chunk,
 		Step:               time.Duration(e.Step),
 		PerSequence:        time.Duration(e.PerSequence),
 		PerThousandContext: time.Duration(e.PerThousandContext),
-		PrefillPerSecond:   e.ReadPerSecond,
+		PrefillPerSecond:   e.PrefillPerSecond,
 		PerMillionPairs:    time.Duration(e.PerMillionPairs),
 	}
 }
@@ -190,9 +190,9 @@
 		{"engines.count", e.Count > 0},
 		{"engines.slots", e.Slots > 0},
 		{"engines.capacity", e.Capacity > 0},
-		{"engines.stride", e.Stride > 0},
+		{"engines.stride", e.StepsPerPass > 0},
 		{"engines.step", e.Step > 0},
-		{"engines.read_per_second", e.ReadPerSecond > 0},
+		{"engines.read_per_second", e.PrefillPerSecond > 0},
 		{"wave", s.Wave.Swing >= 0 && s.Wave.Swing <= 1 && (s.Wave.Swing == 0 || s.Wave.Period > 0)},
 		{"weights", s.Weights.Day+s.Weights.Windows+s.Weights.Kind > 0},
 	} {
@@ -269,7 +269,7 @@
 	for _, k := range s.Kinds {
 		all += k.PerSecond
 		prompts += k.PerSecond * k.Prompt.Mean
-		answers += k.PerSecond * k.Events.Mean * float64(s.Engines.Stride)
+		answers += k.PerSecond * k.Events.Mean * float64(s.Engines.StepsPerPass)
 	}
 	if all == 0 {
 		return route.Size{}
--- a/emulator/slowdown.go
+++ b/emulator/slowdown.go
@@ -15,13 +15,13 @@
 
 // slowdownAt returns the slowdown that the engine had at a time.
 func (e *engine) slowdownAt(at time.Time) float64 {
-	slow := 1.0
-	for _, p := range e.slowdownChanges {
-		if !p.at.After(at) {
-			slow = p.slowdown
+	slowdown := 1.0
+	for _, change := range e.slowdownChanges {
+		if !change.at.After(at) {
+			slowdown = change.slowdown
 		}
 	}
-	return slow
+	return slowdown
 }
 
 // slowdownQuerier implements pool.SlowdownQuerier for the emulated engines.
