--- a/experiment/run.go
+++ b/experiment/run.go
@@ -111,12 +111,12 @@
 		Variant: name,
 		Kinds:   make([]float64, len(s.Kinds)),
 	}
-	figures := make([]float64, len(days))
+	scores := make([]float64, len(days))
 	gains := make([]float64, len(days))
 	n := float64(len(days))
 	for k, d := range days {
-		figures[k] = d.Score()
-		gains[k] = figures[k] - first[k].Score()
+		scores[k] = d.Score()
+		gains[k] = scores[k] - first[k].Score()
 		row.Day += d.DayShare() / n
 		row.Silent += float64(d.SilentAttempts) / float64(max(len(d.Outcomes), 1)) / n
 		for i := range row.Kinds {
@@ -130,7 +130,7 @@
 			row.Lost[i] = addMean(row.Lost[i], lost, n)
 		}
 	}
-	row.Score, row.Spread = meanAndDeviation(figures)
+	row.Score, row.Spread = meanAndDeviation(scores)
 	gain, spread := meanAndDeviation(gains)
 	row.Gain = gain
 	row.Error = normalQuantile95 * spread / math.Sqrt(n)
@@ -150,13 +150,13 @@
 
 // meanAndDeviation returns the mean and the standard deviation of a sample. The deviation
 // of a single value is 0.
-func meanAndDeviation(figures []float64) (float64, float64) {
-	n := float64(len(figures))
+func meanAndDeviation(values []float64) (float64, float64) {
+	n := float64(len(values))
 	m, squares := 0.0, 0.0
-	for _, v := range figures {
+	for _, v := range values {
 		m += v / n
 	}
-	for _, v := range figures {
+	for _, v := range values {
 		squares += (v - m) * (v - m)
 	}
 	if n < 2 {
--- a/standin/client.go
+++ b/standin/client.go
@@ -14,9 +14,9 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// heartbeatInterval is the interval at which a stream without new tokens returns a chunk
+// keepAliveInterval is the interval at which a stream without new tokens returns a chunk
 // without text, which shows that the engine is alive.
-const heartbeatInterval = 500 * time.Millisecond
+const keepAliveInterval = 500 * time.Millisecond
 
 // errConnectionLost simulates a connection that broke.
 var errConnectionLost = errors.New("connection broke")
@@ -256,8 +256,8 @@
 
 // Next implements engine.Stream.
 func (d *reader) Next() (engine.Chunk, error) {
-	life := time.NewTimer(heartbeatInterval)
-	defer life.Stop()
+	keepAlive := time.NewTimer(keepAliveInterval)
+	defer keepAlive.Stop()
 	for {
 		if len(d.queue) > 0 {
 			k := d.queue[0]
@@ -273,7 +273,7 @@
 		}
 		select {
 		case <-changed:
-		case <-life.C:
+		case <-keepAlive.C:
 			if err := d.engine.awaitAvailable(d.ctx); err != nil {
 				return engine.Chunk{}, err
 			}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -228,15 +228,15 @@
 	}
 }
 
-// prefillShare is the number of tokens of a run that a step prefills.
-type prefillShare struct {
+// prefillWork is the number of tokens of a run that a step prefills.
+type prefillWork struct {
 	run    *run
 	tokens int
 }
 
 // plan returns the duration of the next step and its prefill. The duration is zero if there is
 // no work.
-func (e *Engine) plan() (time.Duration, []prefillShare) {
+func (e *Engine) plan() (time.Duration, []prefillWork) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Frozen || e.faults.Dead {
@@ -269,7 +269,7 @@
 
 // prefill distributes the prefill tokens of a step over the waiting runs and returns the
 // shares and their duration. It sorts waiting.
-func (e *Engine) prefill(waiting []*run) ([]prefillShare, time.Duration) {
+func (e *Engine) prefill(waiting []*run) ([]prefillWork, time.Duration) {
 	slices.SortFunc(waiting, func(a, b *run) int {
 		return cmp.Or(cmp.Compare(a.attempt.Priority, b.attempt.Priority), cmp.Compare(a.arrival, b.arrival))
 	})
@@ -279,7 +279,7 @@
 	}
 	budget := e.settings.ChunkTokens
 	seconds := 0.0
-	var work []prefillShare
+	var work []prefillWork
 	for _, r := range waiting {
 		if budget == 0 {
 			break
@@ -288,7 +288,7 @@
 		budget -= n
 		group := float64(1 + len(r.attempt.Members))
 		seconds += float64(n) / (rate * group)
-		work = append(work, prefillShare{
+		work = append(work, prefillWork{
 			run:    r,
 			tokens: n,
 		})
@@ -298,7 +298,7 @@
 
 // apply completes a step: it advances the prefill by the given shares and appends a token to
 // each run whose prefill is complete.
-func (e *Engine) apply(work []prefillShare) {
+func (e *Engine) apply(work []prefillWork) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Frozen || e.faults.Dead {
