--- a/engine/check_test.go
+++ b/engine/check_test.go
@@ -22,11 +22,11 @@
 // chunks. Each step is a chunk "id:seq", with "!" after the last chunk.
 func TestAnswerChecker(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		steps string
-		fresh int
-		bad   bool
-		ended bool
+		name   string
+		chunks string
+		fresh  int
+		bad    bool
+		ended  bool
 	}{
 		{"complete", "a:1 a:2 a:3!", 3, false, true},
 		{"keep-alive chunks", "a:0 a:1 a:0 a:2!", 2, false, true},
@@ -46,8 +46,8 @@
 				Attempt: "a",
 			}
 			fresh, bad := 0, false
-			for _, step := range strings.Fields(c.steps) {
-				id, rest, _ := strings.Cut(step, ":")
+			for _, chunk := range strings.Fields(c.chunks) {
+				id, rest, _ := strings.Cut(chunk, ":")
 				k := engine.Chunk{
 					Attempt: id,
 					Seq:     int(rest[0] - '0'),
