--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -22,10 +22,10 @@
 	crashPrompt = "crash"
 	// restartDelay is how long an endpoint is down after a crash.
 	restartDelay = 2 * time.Second
-	// sendCount is how often callers send the request.
+	// sendCount is how often the request is sent.
 	sendCount = 90
-	// maxCrashes bounds the crashes. The request is banned after three; three more are
-	// allowed.
+	// maxCrashes bounds the crashes. The request is banned after three; the test tolerates
+	// three more.
 	maxCrashes = 6
 )
 
@@ -97,10 +97,10 @@
 		{"whole answer", "/v1/completions", completionBody(crashPrompt, 50, false), nil},
 		{"prompt for a group of engines", "/v1/completions", completionBody(prompt(crashPrompt, 700_000), 20, false), nil},
 		{"call of a plain service", "/services/lots/bids", crashPrompt, nil},
-		{"platform away", "/v1/completions", completionBody(crashPrompt, 50, true), func(v *virtualFleet, try int) {
+		{"platform unreachable", "/v1/completions", completionBody(crashPrompt, 50, true), func(v *virtualFleet, try int) {
 			v.setCut("platform", try < sendCount-1)
 		}},
-		{"an instance ends", "/v1/completions", completionBody(crashPrompt, 50, true), func(v *virtualFleet, try int) {
+		{"a node dies", "/v1/completions", completionBody(crashPrompt, 50, true), func(v *virtualFleet, try int) {
 			if try == 2 {
 				v.kill("n3")
 			}
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// RepeatedCalls returns the number of calls of plain services that took effect
+// RepeatedCalls returns the number of calls of the plain service that took effect
 // more than once. Calls with equal bodies count as the same call.
 func (f *Fleet) RepeatedCalls() int {
 	n := 0
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -41,8 +41,8 @@
 	Engine standin.EngineSettings
 	// Log configures the platform's log.
 	Log standin.LogSettings
-	// Strategy is the scheduling strategy of the nodes; the default is
-	// settings.Weighed.
+	// Strategy is the scheduling strategy of the nodes, settings.Weighed or
+	// settings.Naive; the default is settings.Weighed.
 	Strategy string
 	// Node modifies the settings of each node before the node starts. It may
 	// be nil.
@@ -403,7 +403,7 @@
 	return out
 }
 
-// HeldBytes returns the memory that attempts and reservations hold on all
+// HeldBytes returns the bytes of memory that attempts and reservations hold on all
 // engines together.
 func (f *Fleet) HeldBytes() int64 {
 	total := int64(0)
@@ -425,7 +425,7 @@
 }
 
 // Kill closes the server of an endpoint with all its connections, as if the
-// instance had died. An engine also stops serving attempts.
+// instance had died. An engine also drops its attempts and reservations.
 func (h *Endpoint) Kill() {
 	// An error while closing a connection doesn't matter here.
 	_ = h.server.Close()
--- a/fleet/identity_test.go
+++ b/fleet/identity_test.go
@@ -230,7 +230,7 @@
 func clientCredentials(t *testing.T, files settings.TLS, present bool) credentials.TransportCredentials {
 	t.Helper()
 	conf := &tls.Config{
-		InsecureSkipVerify: true, // the client under test doesn't verify the server
+		InsecureSkipVerify: true, // only the server's check of the client is under test
 	}
 	if present {
 		pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
--- a/fleet/memory_test.go
+++ b/fleet/memory_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestMemoryReleasedAfterHolderLoss guards against long streams that keep the memory of
-// their engines after the node that holds them was lost.
+// their engines after their holder, the node that dispatched them, was lost.
 func TestMemoryReleasedAfterHolderLoss(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -88,21 +88,22 @@
 	}
 }
 
-// TestJointPrefill checks that prompts larger than one engine get all the engines that they
-// need or none, also when two of them compete for the same engines or a member fails.
+// TestJointPrefill guards against wrong or missing answers to prompts too large for one
+// engine, and against memory that stays reserved for them, when two of them compete for the
+// same engines or an engine or a node fails.
 func TestJointPrefill(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		inject func(v *virtualFleet)
 		// minAnswered is how many of the two requests must be answered.
 		minAnswered int
-		// first is the number of the node that gets the first of the two requests; the next
-		// node gets the second.
+		// first is the number, from 1, of the node that gets the first of the two requests; the
+		// next node gets the second.
 		first int
 	}{
 		{"two at once", func(*virtualFleet) {}, 2, 1},
 		{"an owner has just died", func(v *virtualFleet) { v.kill("n1") }, 2, 2},
-		{"a member refuses", func(v *virtualFleet) {
+		{"each engine refuses once", func(v *virtualFleet) {
 			for _, e := range v.engines {
 				e.SetFaults(standin.Faults{RefuseBefore: 1})
 			}
@@ -116,7 +117,7 @@
 				v.kill("n1")
 			}()
 		}, 1, 1},
-		{"a member dies", func(v *virtualFleet) {
+		{"an engine dies during the prefill", func(v *virtualFleet) {
 			go func() {
 				time.Sleep(4 * time.Second)
 				v.engines["e2:1"].SetFaults(standin.Faults{Dead: true})
--- a/fleet/once_test.go
+++ b/fleet/once_test.go
@@ -18,8 +18,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// sendKeyed sends a call of the plain service with an idempotency key and a deadline
-// of 10 s.
+// sendKeyed sends a call of the plain service with an idempotency key, the given further
+// headers and, unless they set another one, a deadline of 10 s.
 func (v *virtualFleet) sendKeyed(node, key, body string, header map[string]string) response {
 	h := map[string]string{
 		entry.HeaderKey:      key,
--- a/fleet/proofs_test.go
+++ b/fleet/proofs_test.go
@@ -17,8 +17,8 @@
 
 // The time bounds that the tests check.
 const (
-	// memoryReleaseBound bounds the time until the engines have released all
-	// memory after the last request or the loss of the holder.
+	// memoryReleaseBound bounds the time from the end of the last request, or from the
+	// loss of its holder, until the engines have released all memory.
 	memoryReleaseBound = 15 * time.Second
 	// answerSlack is how long after its deadline a response may still arrive.
 	answerSlack = 100 * time.Millisecond
@@ -85,9 +85,9 @@
 	return out
 }
 
-// checkAnswers fails the test unless each request ended in time with its complete,
-// correct answer, an error or an aborted connection, and no prompt that was reported
-// as not run was started. It returns the number of complete, correct answers.
+// checkAnswers fails the test unless each request ended in time, with its complete and
+// correct answer, a valid error or an aborted connection, and no prompt that was reported
+// as not run was started. It returns the number of complete and correct answers.
 func checkAnswers(t testing.TB, v *virtualFleet, answers []*exchange, deadline time.Duration) (answered int) {
 	t.Helper()
 	for _, a := range answers {
--- a/fleet/schedule_test.go
+++ b/fleet/schedule_test.go
@@ -34,8 +34,8 @@
 type plannedFault struct {
 	// At is the start of the fault and For its duration, in milliseconds.
 	At, For int
-	// Kind is a key of faultKinds. Target selects the component that the fault
-	// affects.
+	// Kind is a key of faultKinds. Target selects the component that the fault affects,
+	// modulo the number of components.
 	Kind   string
 	Target int
 }
@@ -237,8 +237,8 @@
 	}
 }
 
-// checkInvariants checks all answers, that each call took effect at most once and each
-// answered call took effect, that memory is released, and the keys of the calls.
+// checkInvariants checks all answers, that each call took effect at most once, and once if
+// it was answered, that memory is released, and the keys of the calls.
 func checkInvariants(c *errorCollector, v *virtualFleet, answers []*exchange, bids []response, deadline time.Duration) {
 	checkAnswers(c, v, answers, deadline)
 	for i := range 2 {
@@ -259,9 +259,9 @@
 	checkKeys(c, v, bids)
 }
 
-// checkKeys sends each call again after the faults have ended. The call must not take
-// effect a second time. If all its callers were told that it did not run, its key must
-// be free, unless a node has died.
+// checkKeys sends each call again 10 s after the faults have ended, unless no node is
+// alive. The call must not take effect a second time. If all its callers were told that it
+// did not run, its key must be free, unless a node has died.
 func checkKeys(c *errorCollector, v *virtualFleet, bids []response) {
 	live := ""
 	for id := range v.nodes {
--- a/fleet/suspended_test.go
+++ b/fleet/suspended_test.go
@@ -39,8 +39,8 @@
 				time.Sleep(2 * time.Second)
 				is.True(v.heldBytes() > 0)
 				v.kill("n1")
-				// By then the owner has found the holder unreachable, but not for long enough to
-				// release its lease.
+				// After this time the owner has found the holder unreachable, but not for long
+				// enough to release its lease.
 				time.Sleep(2500 * time.Millisecond)
 				m.Suspend(row.suspended)
 				time.Sleep(1200 * time.Millisecond) // time for one sweep
--- a/fleet/vendpoint_test.go
+++ b/fleet/vendpoint_test.go
@@ -19,8 +19,8 @@
 	*standin.Engine
 }
 
-// unreachableError returns a RunError for an engine that could not be reached. ran is
-// true if the attempt may have run.
+// unreachableError returns the RunError of a call that did not reach an engine or got no
+// response. Its Ran is may_have_run if mayHaveRun is true, and not_run otherwise.
 func unreachableError(err error, mayHaveRun bool) error {
 	e := &engine.RunError{
 		Ran:  "not_run",
--- a/fleet/virtual_test.go
+++ b/fleet/virtual_test.go
@@ -34,7 +34,8 @@
 	text string
 
 	mu sync.Mutex
-	// cut holds the components and the pairs "a|b" that are disconnected.
+	// cut is true for the components that are disconnected from everything and for
+	// the pairs "a|b" that are disconnected from each other.
 	cut map[string]bool
 	// frozen holds a channel for each frozen component, which thaw closes.
 	frozen map[string]chan struct{}
@@ -46,9 +47,9 @@
 // frozenTimeout bounds how long a call waits for a frozen component.
 const frozenTimeout = 5 * time.Second
 
-// gate returns nil if a call from a to b may pass. It waits while a or b is
-// frozen, for at most frozenTimeout, and fails if a or b is dead, if they are
-// disconnected, or if ctx ends.
+// gate returns nil if a call from a to b may pass. It waits while a or b is frozen.
+// It fails if a or b is dead, if either is disconnected from the other or from
+// everything, if ctx ends, or if one of them stays frozen for frozenTimeout.
 func (v *virtualFleet) gate(ctx context.Context, a, b string) error {
 	for {
 		v.mu.Lock()
@@ -101,8 +102,8 @@
 	}
 }
 
-// setCut disconnects or reconnects a component, or the two components of a pair
-// "a|b".
+// setCut disconnects a component from everything, or the two components of a pair
+// "a|b" from each other. If cut is false, it reconnects them.
 func (v *virtualFleet) setCut(what string, cut bool) {
 	v.mu.Lock()
 	v.cut[what] = cut
@@ -239,7 +240,7 @@
 	// id is the request id.
 	id   string
 	took time.Duration
-	// broken is true if the handler aborted the connection.
+	// broken is true if the node aborted the connection.
 	broken bool
 }
 
--- a/fleet/vnode_test.go
+++ b/fleet/vnode_test.go
@@ -25,7 +25,7 @@
 )
 
 // virtualNode is a node of a virtual fleet. It reaches the other nodes, the endpoints
-// and the platform by direct calls that pass through gate.
+// and the platform by function calls that pass through gate.
 type virtualNode struct {
 	id        string
 	fleet     *virtualFleet
@@ -191,8 +191,8 @@
 	return a.to.writer.Free(ctx, c)
 }
 
-// claimServices returns the claim writers of a partition on the first two nodes in the
-// ranking of its stream.
+// claimServices returns the claim writers of the two nodes that rank first for the stream
+// of a partition.
 func (n *virtualNode) claimServices(partition int) []claim.Service {
 	var out []claim.Service
 	for _, i := range n.member.View().Ranked(claim.StreamName(partition), 2) {
