--- a/engine/check_test.go
+++ b/engine/check_test.go
@@ -18,8 +18,8 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// TestAnswerChecker guards against accepting an answer with missing, repeated or foreign
-// chunks. Each step is a chunk "id:seq", with "!" after the last chunk.
+// TestAnswerChecker guards against accepting missing or repeated chunks and those of other
+// attempts. The chunks are written as "id:seq", with "!" after the last one.
 func TestAnswerChecker(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -139,7 +139,8 @@
 
 // Stream reads the answer to an attempt.
 type Stream interface {
-	// Next returns the next chunk, or io.EOF after the last one.
+	// Next returns the next chunk, or io.EOF at the end of the stream. The stream may
+	// end before the last chunk of the answer.
 	Next() (Chunk, error)
 	// Close closes the stream. It does not cancel the attempt.
 	Close() error
@@ -154,14 +155,16 @@
 	// Cancel cancels the attempt or reservation with the id. It returns no error
 	// if there is none.
 	Cancel(ctx context.Context, id string) error
-	// Reserve reserves memory for an attempt of a group. An error is a *RunError.
+	// Reserve reserves memory for an attempt that a group of engines runs jointly. An
+	// error is a *RunError.
 	Reserve(ctx context.Context, r Reservation) error
 	// Status returns the status of the engine. The status lists what holds memory
 	// if list is true.
 	Status(ctx context.Context, list bool) (Status, error)
 	// Order tells the engine which model, version and adapters to load.
 	Order(ctx context.Context, o Order) error
-	// Events returns the events of the prefix cache after number after.
+	// Events returns the events of the prefix cache whose numbers are above after. The
+	// engine may have discarded old events.
 	Events(ctx context.Context, after int64) ([]CacheEvent, error)
 }
 
@@ -186,8 +189,8 @@
 	return e.Err
 }
 
-// The codes of refusals in the protocol, and Unreachable, which stands for a
-// missing response.
+// The codes of refusals in the protocol, and Unreachable, which means that there was
+// no response.
 const (
 	RefusedMemory    = "memory"
 	RefusedInstance  = "instance"
--- a/engine/http.go
+++ b/engine/http.go
@@ -149,7 +149,7 @@
 	return nil, refusalError(res)
 }
 
-// notRunError returns a RunError for a request that did not reach the engine.
+// notRunError returns a RunError with Ran set to NotRun and the code Unreachable.
 func notRunError(err error) *RunError {
 	return &RunError{
 		Ran:  problem.NotRun,
@@ -158,8 +158,8 @@
 	}
 }
 
-// refusalError reads a refusal and returns it as a *RunError. If the body is not a
-// refusal, the attempt may have run.
+// refusalError returns the refusal in the body of a response as a *RunError. Its Ran is
+// MayHaveRun if the body is not a refusal.
 func refusalError(res *http.Response) *RunError {
 	r := Refusal{
 		Code:    RefusedFault,
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -16,13 +16,12 @@
 const hashBytes = 8
 
 // BlockHashes returns a hash for each of the first limit complete blocks of a
-// prompt. Each hash covers the prompt from its start to the end of the block, where
-// | is concatenation:
+// prompt. The hash h_i of block i covers the scope and the prompt from its start to
+// the end of the block, where | is concatenation:
 //
 //	h_0 = H(scope), h_i = H(h_{i-1} | block_i)
 //
-// The hashes depend on the scope, so that equal prompts of different scopes don't
-// match.
+// Equal prompts of different scopes have different hashes.
 func BlockHashes(scope, prompt string, limit int) []uint64 {
 	n := min(len(prompt)/blockBytes, limit)
 	out := make([]uint64, 0, n)
--- a/instances/instances.go
+++ b/instances/instances.go
@@ -84,7 +84,8 @@
 }
 
 // Apply returns the complete list that results from applying the changes in next
-// to l. If next is a complete list, Apply returns next.
+// to l, whose version must be next.Since. If next is a complete list, Apply returns
+// next.
 func (l List) Apply(next List) List {
 	if next.Since == 0 {
 		return next
--- a/logsvc/logsvc.go
+++ b/logsvc/logsvc.go
@@ -55,7 +55,8 @@
 	Err error
 }
 
-// Error returns the underlying error and whether the effect is unknown.
+// Error returns the underlying error with a prefix that says whether the effect is
+// unknown.
 func (e *Error) Error() string {
 	if e.Unknown {
 		return fmt.Sprintf("log: effect unknown: %v", e.Err)
--- a/plain/plain.go
+++ b/plain/plain.go
@@ -4,9 +4,9 @@
 // HTTP.
 //
 // A plain service responds to each call with one response, which is returned to
-// the caller whatever its status. Only a response with the header
-// Linkmast-Started set to "false" or a failure to connect proves that a call had
-// no effect.
+// the caller whatever its status, unless it has the header Linkmast-Started set to
+// "false". Only such a response or a failure to connect proves that a call had no
+// effect.
 package plain
 
 import (
