--- a/internal/days/main.go
+++ b/internal/days/main.go
@@ -85,7 +85,7 @@
 }
 
 // play plays one day and returns its report. It ignores the player's exit code if there is a
-// report, because the report states the faults.
+// report, because the report names the faults.
 func play(ctx context.Context, o *options, dir, day string, seed int64) (report, error) {
 	name := filepath.Join(dir, filepath.Base(day)+"-"+strconv.FormatInt(seed, 10)+".json")
 	args := []string{
--- a/internal/days/report.go
+++ b/internal/days/report.go
@@ -81,8 +81,8 @@
 	return mean, deviation
 }
 
-// columns lists the columns between the spread and the faults, with the value that each shows
-// the mean of.
+// columns lists the columns between the spread and the faults. Each shows the mean of the
+// value that its function returns.
 var columns = []struct {
 	name   string
 	figure func(*report) float64
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -66,7 +66,7 @@
 	score float64
 }
 
-// Index maps a name to an index in [0, n) by its hash. N must be positive.
+// Index maps a name to an index in [0, n) by its hash. The number n must be positive.
 func Index(name string, n int) int {
 	return int(xxhash.Sum64String(name) % uint64(n))
 }
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -25,7 +25,7 @@
 	Unit string
 	// A and B are the coefficients of the fit y = A + B·n.
 	A, B float64
-	// Error is the largest relative error of the fit over all sizes.
+	// Error is the largest relative error of the fit over all values except zeros.
 	Error float64
 	// Sizes lists the values of n.
 	Sizes []float64
@@ -35,8 +35,9 @@
 
 var namePattern = regexp.MustCompile(`^Benchmark(?:Slope)?(.+)/n=(\d+)(?:-\d+)?$`)
 
-// Read parses the output of go test -bench and fits every value that is reported at least twice;
-// only a fit over two or more sizes is meaningful. It skips lines that it cannot parse.
+// Read parses the output of go test -bench and returns a Line for every value that is reported
+// at least twice. The fit is meaningful only if these reports are for two or more sizes. Read
+// skips lines that it cannot parse.
 func Read(r io.Reader) ([]Line, error) {
 	var order []string
 	found := make(map[string]*Line)
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -22,8 +22,8 @@
 var (
 	// clockSource is the source that is in use.
 	clockSource atomic.Pointer[Source]
-	// startOffset is the clock offset at the start of the process, and suspended the time in
-	// which the host was suspended since then, in ns.
+	// startOffset is the clock offset at the start of the process, and suspended the time for
+	// which the host has been suspended since then, in ns.
 	startOffset time.Duration
 	suspended   atomic.Int64
 )
@@ -116,7 +116,8 @@
 	return startOffset
 }
 
-// SetSource replaces the source of the clock readings until restore is called, for tests.
+// SetSource replaces the source of the clock readings until restore is called, for tests. The
+// function restore also restores the suspended time.
 func SetSource(s Source) (restore func()) {
 	old, oldSuspended := clockSource.Load(), suspended.Load()
 	clockSource.Store(&s)
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -33,8 +33,8 @@
 	assertClose(t, -steady.Until(before), 25*time.Second)
 }
 
-// TestKernel guards against suspension being detected with the kernel's clocks while the host
-// runs.
+// TestKernel guards against a suspension that is detected with the kernel's clocks although
+// the host runs.
 func TestKernel(t *testing.T) {
 	before := steady.Now()
 	wall := time.Now()
@@ -43,8 +43,7 @@
 	is.New(t).True(steady.Since(before)-time.Since(wall) < 10*time.Millisecond)
 }
 
-// TestNeverBack guards against time running backwards when the clock offset shrinks, and
-// against small growth of the offset being counted as suspension.
+// TestNeverBack guards against time that runs backwards when the clock offset shrinks.
 func TestNeverBack(t *testing.T) {
 	is := is.New(t)
 	offset := steady.StartOffset()
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -19,9 +19,9 @@
 	// unackedTimeout bounds how long sent data may stay unacknowledged.
 	unackedTimeout = 2500 * time.Millisecond
 	// probeIdle is how long a connection is idle before the first keep-alive probe, and
-	// probeInterval the interval between probes. The kernel takes whole seconds. A dead peer
-	// is detected within about three seconds; the kernel of a busy peer still answers the
-	// probes.
+	// probeInterval the interval between probes. The kernel takes whole seconds. A peer whose
+	// host is down is detected within about three seconds. The kernel of a peer whose process
+	// is busy still answers the probes.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	// probeCount is the number of unanswered probes after which the connection is closed. With
--- a/internal/tcp/tcptest/proxy.go
+++ b/internal/tcp/tcptest/proxy.go
@@ -13,7 +13,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Link states the faults of a proxy's connections. The zero value forwards data without
+// Link configures the faults of a proxy's connections. The zero value forwards data without
 // faults.
 type Link struct {
 	// Delay is how long the proxy holds back each chunk of data.
@@ -188,8 +188,8 @@
 // copyBytes is the size of the buffer of one direction, in bytes.
 const copyBytes = 16 << 10
 
-// copy forwards one direction of a connection. It forwards an end of file as a half-close and
-// an error as a reset.
+// copy forwards one direction of a connection, which the function blocked checks for. It
+// forwards an end of file as a half-close and an error as a reset.
 func (p *Proxy) copy(to, from net.Conn, blocked func(Link) bool) {
 	buf := make([]byte, copyBytes)
 	for {
@@ -228,7 +228,8 @@
 	return silent
 }
 
-// hold delays data by the delay of the link and blocks while the link blocks the direction.
+// hold waits for the delay of the link, and then until the link does not block the direction
+// or resets connections. The function blocked reports whether a link blocks the direction.
 func (p *Proxy) hold(blocked func(Link) bool) {
 	for {
 		p.mu.Lock()
--- a/internal/tcp/tcptest/proxy_test.go
+++ b/internal/tcp/tcptest/proxy_test.go
@@ -42,10 +42,10 @@
 		link Link
 		want string
 	}{
-		{"well", Link{}, "hello"},
+		{"no fault", Link{}, "hello"},
 		{"slow", Link{Delay: 20 * time.Millisecond}, "hello"},
-		{"silent up", Link{BlockUp: true}, ""},
-		{"silent down", Link{BlockDown: true}, ""},
+		{"blocked up", Link{BlockUp: true}, ""},
+		{"blocked down", Link{BlockDown: true}, ""},
 		{"reset", Link{Reset: true}, ""},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -104,7 +104,7 @@
 	return echoOn(c)
 }
 
-// echoOn sends "hello" on a connection and returns what arrives within 300 ms.
+// echoOn sends "hello" on a connection and returns up to five bytes that arrive within 300 ms.
 func echoOn(c net.Conn) string {
 	c.Write([]byte("hello"))
 	c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// bufferBytes is the size of the read and the write buffer of a connection; most requests and
-// many responses fit.
+// bufferBytes is the size of the read buffer and of the write buffer of a connection; most
+// requests and many responses fit.
 const bufferBytes = 8 << 10
 
 // Conn is a connection to an endpoint.
@@ -40,8 +40,8 @@
 	}
 }
 
-// reusable reports whether an idle connection is still open and has no data to read, by a read
-// that does not block.
+// reusable reports whether an idle connection is still open and has no data to read, which it
+// determines with a read that does not block.
 func (c *Conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -5,7 +5,7 @@
 // requests on its own, ignores the idle timeout that a server announces, and accepts any
 // response on a connection as the one to its request.
 //
-// In this package, a request is written once, to one connection, and the error states whether
-// the endpoint may have received any of it. Responses to other requests are skipped, and a
+// This package writes a request once, to one connection, and its errors report whether the
+// endpoint may have received any of it. Responses to other requests are skipped, and an idle
 // connection with unexpected data on it is closed.
 package upstream
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -39,7 +39,7 @@
 
 // Error reports that a request got no response.
 type Error struct {
-	// Sent states whether the endpoint may have received part of the request.
+	// Sent is true if the endpoint may have received part of the request.
 	Sent bool
 	// Err is the cause.
 	Err error
@@ -65,21 +65,21 @@
 
 	pool *Pool
 	conn *Conn
-	// stop stops the closing of the connection at the end of the context. It returns false if
-	// the connection is being closed already.
+	// stop prevents the end of the context from closing the connection. It returns false if
+	// the context has ended already.
 	stop func() bool
 	// written receives the result of writing the request.
 	written chan error
-	// complete states whether the body was read to its end.
+	// complete is true if the body was read to its end.
 	complete bool
 }
 
 // maxResponses bounds the responses that are read for a request, provisional ones included.
 const maxResponses = 4
 
-// Do sends a request and returns once it has read the header of the response. The connection
-// is closed when ctx ends, even after Do has returned. The caller must close the exchange. The
-// error is an *Error.
+// Do sends a request and returns once it has read the header of the response. If ctx ends
+// before the exchange is closed, the connection is closed. The caller must close the exchange.
+// The error is an *Error.
 func (p *Pool) Do(ctx context.Context, r Request) (*Exchange, error) {
 	c, err := p.get(ctx, r.Address, r.MaxIdle)
 	if err != nil {
@@ -177,7 +177,7 @@
 	return errors.New("responses belong to other requests")
 }
 
-// release returns the connection of a request of which nothing was written to the pool, or
+// release ends an exchange of which nothing was sent. It returns the connection to the pool, or
 // closes it if the context has ended.
 func (x *Exchange) release() {
 	if !x.stop() {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -28,7 +28,7 @@
 )
 
 // maxIdlePerEndpoint bounds the idle connections to one endpoint. It equals the usual number
-// of slots of an engine.
+// of requests that an engine runs at once.
 const maxIdlePerEndpoint = 16
 
 // Settings configures a Pool. Zero values select the defaults.
@@ -64,8 +64,8 @@
 	return p.dials.Load()
 }
 
-// get returns an idle connection that has been idle for less than maxIdle, or a new one. The
-// error is that of the dial.
+// get returns a reusable connection that has been idle for less than maxIdle and less than its
+// idle timeout, or a new one. The error is that of the dial.
 func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration) (*Conn, error) {
 	for {
 		c := p.take(address)
@@ -99,8 +99,8 @@
 	return c
 }
 
-// put adds a connection to the idle ones. It closes the connection if the endpoint does not
-// keep it open, unexpected data is buffered, or the endpoint has too many idle connections.
+// put adds a connection to the idle ones. It closes the connection if its idle timeout is not
+// positive, unexpected data is buffered, or the endpoint has maxIdlePerEndpoint idle connections.
 func (p *Pool) put(c *Conn) {
 	if c.idleTimeout <= 0 || c.reader.Buffered() > 0 {
 		c.close()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -192,8 +192,8 @@
 	is.Equal(e.conns.Load(), int64(1))
 }
 
-// TestNoAnswer guards against repeated requests, and errors that deny that the request was
-// sent, when there is no complete response.
+// TestNoAnswer guards against a request that is sent again, or reported as not sent, when there
+// is no complete response.
 func TestNoAnswer(t *testing.T) {
 	for _, row := range []struct {
 		name   string
--- a/internal/wirehttp/wirehttp.go
+++ b/internal/wirehttp/wirehttp.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package wirehttp holds HTTP helpers that the client and server adapters share: a client with
-// bounded dial times, request bodies that are never sent twice, and JSON responses.
+// Package wirehttp holds what the HTTP clients and servers of the other packages share: a client
+// with bounded dial times, request bodies that are never sent twice, and JSON responses.
 package wirehttp
 
 import (
@@ -92,7 +92,8 @@
 	}
 }
 
-// Drain reads the rest of a small body and closes it, so that the connection can be reused.
+// Drain reads up to MaxErrorBody bytes of the rest of a body and closes it, so that the
+// connection can be reused if the rest is not longer.
 func Drain(body io.ReadCloser) {
 	// The caller has already evaluated the response; an error here only prevents the reuse.
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, MaxErrorBody))
