--- a/soak/check_abandoned.go
+++ b/soak/check_abandoned.go
@@ -39,9 +39,9 @@
 		if p.ended().Before(x.Sent) || p.began.After(ended) {
 			continue
 		}
-		_, link := endpointLinks[p.step.Kind]
-		link = link || p.step.Kind == endpointsSilent
-		frozen := p.step.Kind == "freeze" && p.step.Target%len(w.processes) == x.Instance
+		_, link := endpointLinks[p.fault.Kind]
+		link = link || p.fault.Kind == endpointsSilent
+		frozen := p.fault.Kind == "freeze" && p.fault.Target%len(w.processes) == x.Instance
 		if link || frozen {
 			return true
 		}
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -58,7 +58,7 @@
 
 // sendCrashing sends a request that crashes endpoints repeatedly for the duration of a step
 // and some time beyond. The step's target selects the route.
-func (w *World) sendCrashing(s Step) {
+func (w *World) sendCrashing(s Fault) {
 	c := &callers{
 		world: w,
 	}
@@ -133,7 +133,7 @@
 // lostAll reports whether all instances were killed in an outage of the store between two
 // times.
 func (w *World) lostAll(from, to time.Time) bool {
-	return slices.ContainsFunc(w.played, func(p playedStep) bool {
-		return p.step.Kind == "all lost in an outage" && p.began.Before(to) && p.ended().After(from)
+	return slices.ContainsFunc(w.played, func(p playedFault) bool {
+		return p.fault.Kind == "all lost in an outage" && p.began.Before(to) && p.ended().After(from)
 	})
 }
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -95,11 +95,11 @@
 
 // blocksStore reports whether a step kept the instance of a request from reading the store:
 // the store was faulty, the instance's link to it was, or the instance was stopped.
-func (w *World) blocksStore(p *playedStep, x *Exchange) bool {
-	if _, store := storeFaults[p.step.Kind]; store || p.step.Kind == "all lost in an outage" {
+func (w *World) blocksStore(p *playedFault, x *Exchange) bool {
+	if _, store := storeFaults[p.fault.Kind]; store || p.fault.Kind == "all lost in an outage" {
 		return true
 	}
-	_, link := storeLinks[p.step.Kind]
-	link = link || p.step.Kind == "store connections silent"
-	return (link || p.step.Kind == "freeze") && p.step.Target%len(w.processes) == x.Instance
+	_, link := storeLinks[p.fault.Kind]
+	link = link || p.fault.Kind == "store connections silent"
+	return (link || p.fault.Kind == "freeze") && p.fault.Target%len(w.processes) == x.Instance
 }
--- a/soak/play.go
+++ b/soak/play.go
@@ -13,24 +13,24 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// playedStep is a step with the time at which it began.
-type playedStep struct {
-	step  Step
+// playedFault is a step with the time at which it began.
+type playedFault struct {
+	fault Fault
 	began time.Time
 }
 
 // ended returns when the step ends according to its duration.
-func (p *playedStep) ended() time.Time {
-	return p.began.Add(p.step.For)
+func (p *playedFault) ended() time.Time {
+	return p.began.Add(p.fault.For)
 }
 
 // play carries out a schedule, calls note for each step, and returns when all steps have
 // ended.
-func (w *World) play(ctx context.Context, steps []Step, note func(Step)) {
+func (w *World) play(ctx context.Context, schedule []Fault, note func(Fault)) {
 	begin := time.Now()
 	var playing sync.WaitGroup
 	defer playing.Wait()
-	for _, s := range steps {
+	for _, s := range schedule {
 		select {
 		case <-ctx.Done():
 			return
@@ -43,17 +43,17 @@
 }
 
 // record stores a step that begins now for the checks at the end of the run.
-func (w *World) record(s Step) {
+func (w *World) record(s Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.played = append(w.played, playedStep{
-		step:  s,
+	w.played = append(w.played, playedFault{
+		fault: s,
 		began: time.Now(),
 	})
 }
 
 // do injects the fault of one step, waits for its duration and removes the fault.
-func (w *World) do(s Step) {
+func (w *World) do(s Fault) {
 	p := w.processes[s.Target%len(w.processes)]
 	e := w.endpoints[s.Target%len(w.endpoints)]
 	if f, ok := storeFaults[s.Kind]; ok {
@@ -135,7 +135,7 @@
 
 // doOther carries out the steps that signal processes, silence connections, write to the store
 // or combine several faults.
-func (w *World) doOther(s Step, p *process, e *endpoint) {
+func (w *World) doOther(s Fault, p *process, e *endpoint) {
 	switch s.Kind {
 	case "term":
 		p.signal(syscall.SIGTERM, true)
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Step is one fault of a schedule.
-type Step struct {
+// Fault is one fault of a schedule.
+type Fault struct {
 	// At is when the fault begins, relative to the start of the schedule.
 	At time.Duration
 	// For is how long the fault lasts.
@@ -21,7 +21,7 @@
 }
 
 // String formats the step as one line.
-func (s Step) String() string {
+func (s Fault) String() string {
 	return fmt.Sprintf("%6.2fs %s %d for %s", s.At.Seconds(), s.Kind, s.Target, s.For)
 }
 
@@ -45,16 +45,16 @@
 
 // Draw returns the schedule of a seed. The times between the beginnings of faults are
 // exponentially distributed, so faults may overlap.
-func Draw(seed uint64, length time.Duration, processes int) []Step {
+func Draw(seed uint64, length time.Duration, processes int) []Fault {
 	r := rand.New(rand.NewPCG(seed, 1))
 	total := 0
 	for _, k := range kinds {
 		total += k.weight
 	}
-	var out []Step
-	for at := firstStep; at < length; at += time.Duration(r.ExpFloat64() * float64(meanPause)) {
+	var out []Fault
+	for at := firstFault; at < length; at += time.Duration(r.ExpFloat64() * float64(meanPause)) {
 		kind := kindAt(r.IntN(total))
-		out = append(out, Step{
+		out = append(out, Fault{
 			At:     at,
 			For:    time.Duration(minDurationMS+r.IntN(durationSpreadMS)) * time.Millisecond,
 			Kind:   kind,
@@ -77,8 +77,8 @@
 
 // Parameters of a schedule.
 const (
-	// firstStep is when the first fault begins, after the load has started.
-	firstStep = 500 * time.Millisecond
+	// firstFault is when the first fault begins, after the load has started.
+	firstFault = 500 * time.Millisecond
 	// meanPause is the mean time between the beginnings of two faults.
 	meanPause = time.Second
 	// minDurationMS is the shortest duration of a fault and durationSpreadMS the range above
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -90,11 +90,11 @@
 	defer watching.Wait()
 	defer unwatch()
 	loading.Go(func() { c.run(load, s.Seed) })
-	steps := Draw(s.Seed, s.Length, s.Processes)
+	schedule := Draw(s.Seed, s.Length, s.Processes)
 	if s.Statements {
-		steps = merge(steps, DrawStatements(s.Seed, s.Length))
+		schedule = merge(schedule, DrawStatements(s.Seed, s.Length))
 	}
-	w.play(ctx, steps, func(step Step) { _, _ = fmt.Fprintln(s.Out, step) })
+	w.play(ctx, schedule, func(f Fault) { _, _ = fmt.Fprintln(s.Out, f) })
 	wait(ctx, recoverWithin)
 	w.recovered = time.Now()
 	wait(ctx, recoverFor)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -67,22 +67,22 @@
 func TestDisturbed(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
-		step  Step
+		fault Fault
 		began time.Time
 		want  bool
 	}{
-		{Step{Kind: "freeze", Target: 1, For: time.Second}, now, true},
-		{Step{Kind: "freeze", Target: 2, For: time.Second}, now, false},
-		{Step{Kind: "endpoint link one way", For: time.Second}, now, true},
-		{Step{Kind: "endpoint link one way", For: time.Second}, now.Add(-time.Minute), false},
-		{Step{Kind: "kill", Target: 1, For: time.Second}, now, false},
+		{Fault{Kind: "freeze", Target: 1, For: time.Second}, now, true},
+		{Fault{Kind: "freeze", Target: 2, For: time.Second}, now, false},
+		{Fault{Kind: "endpoint link one way", For: time.Second}, now, true},
+		{Fault{Kind: "endpoint link one way", For: time.Second}, now.Add(-time.Minute), false},
+		{Fault{Kind: "kill", Target: 1, For: time.Second}, now, false},
 	} {
-		t.Run(row.step.String(), func(t *testing.T) {
+		t.Run(row.fault.String(), func(t *testing.T) {
 			is := is.New(t)
 			w := &World{
 				processes: make([]*process, 4),
-				played: []playedStep{{
-					step:  row.step,
+				played: []playedFault{{
+					fault: row.fault,
 					began: row.began,
 				}},
 			}
@@ -183,26 +183,26 @@
 		name   string
 		domain string
 		at     time.Time
-		fault  Step
+		fault  Fault
 		wrong  bool
 	}{
-		{"immediately", "d-1", now, Step{}, false},
-		{"within the bound", "d-1", after(-time.Millisecond), Step{}, false},
-		{"after the bound", "d-1", after(time.Millisecond), Step{}, true},
-		{"in another domain", "d-2", after(time.Millisecond), Step{}, false},
-		{"after it was undrained", "d-1", after(2 * time.Second), Step{}, false},
-		{"while the store was silent", "d-1", after(time.Millisecond), Step{Kind: "store silent", For: time.Second}, false},
-		{"by a stopped instance", "d-1", after(time.Millisecond), Step{Kind: "freeze", Target: 1, For: time.Second}, false},
-		{"while another instance was stopped", "d-1", after(time.Millisecond), Step{Kind: "freeze", Target: 2, For: time.Second}, true},
-		{"long after the store recovered", "d-1", after(900 * time.Millisecond), Step{Kind: "store silent", For: 500 * time.Millisecond}, true},
-		{"while another instance was killed", "d-1", after(time.Millisecond), Step{Kind: "kill", Target: 2, For: time.Second}, true},
+		{"immediately", "d-1", now, Fault{}, false},
+		{"within the bound", "d-1", after(-time.Millisecond), Fault{}, false},
+		{"after the bound", "d-1", after(time.Millisecond), Fault{}, true},
+		{"in another domain", "d-2", after(time.Millisecond), Fault{}, false},
+		{"after it was undrained", "d-1", after(2 * time.Second), Fault{}, false},
+		{"while the store was silent", "d-1", after(time.Millisecond), Fault{Kind: "store silent", For: time.Second}, false},
+		{"by a stopped instance", "d-1", after(time.Millisecond), Fault{Kind: "freeze", Target: 1, For: time.Second}, false},
+		{"while another instance was stopped", "d-1", after(time.Millisecond), Fault{Kind: "freeze", Target: 2, For: time.Second}, true},
+		{"long after the store recovered", "d-1", after(900 * time.Millisecond), Fault{Kind: "store silent", For: 500 * time.Millisecond}, true},
+		{"while another instance was killed", "d-1", after(time.Millisecond), Fault{Kind: "kill", Target: 2, For: time.Second}, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			w := &World{
 				processes: make([]*process, 3),
-				played: []playedStep{{
-					step:  row.fault,
+				played: []playedFault{{
+					fault: row.fault,
 					began: now,
 				}},
 				drains: []drainPeriod{{
@@ -229,8 +229,8 @@
 // TestLateRuns guards against miscounted late runs of requests that crash endpoints.
 func TestLateRuns(t *testing.T) {
 	start := time.Now()
-	lost := playedStep{
-		step: Step{
+	lost := playedFault{
+		fault: Fault{
 			Kind: "all lost in an outage",
 			For:  time.Second,
 		},
@@ -240,15 +240,15 @@
 		name string
 		// runs lists the times of the runs in seconds.
 		runs   []float64
-		played []playedStep
+		played []playedFault
 		want   int
 	}{
 		{"three runs", []float64{0, 1, 2}, nil, 0},
 		{"in time after the third", []float64{0, 1, 2, 3, 4, 5}, nil, 0},
 		{"late runs", []float64{0, 1, 2, 5.1, 6, 7, 8}, nil, 4},
 		{"unsorted", []float64{8, 2, 0, 5.1, 1}, nil, 2},
-		{"all instances lost in between", []float64{0, 1, 2, 12, 13, 14, 16}, []playedStep{lost}, 0},
-		{"late runs after the loss of all instances", []float64{0, 1, 2, 12, 13, 14, 18}, []playedStep{lost}, 1},
+		{"all instances lost in between", []float64{0, 1, 2, 12, 13, 14, 16}, []playedFault{lost}, 0},
+		{"late runs after the loss of all instances", []float64{0, 1, 2, 12, 13, 14, 18}, []playedFault{lost}, 1},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			w := &World{
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -52,12 +52,12 @@
 
 // DrawStatements returns the steps of a seed in which endpoints announce something in their
 // responses.
-func DrawStatements(seed uint64, length time.Duration) []Step {
+func DrawStatements(seed uint64, length time.Duration) []Fault {
 	kinds := append(slices.Sorted(maps.Keys(statementFaults)), saysLeaving)
 	r := rand.New(rand.NewPCG(seed, 2))
-	var out []Step
-	for at := firstStep; at < length; at += time.Duration(r.ExpFloat64() * float64(2*meanPause)) {
-		out = append(out, Step{
+	var out []Fault
+	for at := firstFault; at < length; at += time.Duration(r.ExpFloat64() * float64(2*meanPause)) {
+		out = append(out, Fault{
 			At:     at,
 			For:    time.Duration(2*minDurationMS+r.IntN(2*durationSpreadMS)) * time.Millisecond,
 			Kind:   kinds[r.IntN(len(kinds))],
@@ -207,15 +207,15 @@
 		if p.ended().Add(excuseSlack).Before(from) || p.began.After(to) {
 			continue
 		}
-		_, link := endpointLinks[p.step.Kind]
-		link = link || p.step.Kind == endpointsSilent
+		_, link := endpointLinks[p.fault.Kind]
+		link = link || p.fault.Kind == endpointsSilent
 		switch {
-		case link && w.endpoints[p.step.Target%len(w.endpoints)] == e:
+		case link && w.endpoints[p.fault.Target%len(w.endpoints)] == e:
 			return true
-		case p.step.Kind == "all lost in an outage":
+		case p.fault.Kind == "all lost in an outage":
 			return true
-		case p.step.Target%len(w.processes) != instance:
-		case p.step.Kind == "term" || p.step.Kind == "kill" || p.step.Kind == "freeze":
+		case p.fault.Target%len(w.processes) != instance:
+		case p.fault.Kind == "term" || p.fault.Kind == "kill" || p.fault.Kind == "freeze":
 			return true
 		}
 	}
@@ -227,6 +227,6 @@
 const excuseSlack = 2 * time.Second
 
 // merge merges two schedules by the start of their steps.
-func merge(a, b []Step) []Step {
-	return slices.SortedStableFunc(slices.Values(slices.Concat(a, b)), func(x, y Step) int { return cmp.Compare(x.At, y.At) })
+func merge(a, b []Fault) []Fault {
+	return slices.SortedStableFunc(slices.Values(slices.Concat(a, b)), func(x, y Fault) int { return cmp.Compare(x.At, y.At) })
 }
--- a/soak/statements_test.go
+++ b/soak/statements_test.go
@@ -60,8 +60,8 @@
 				endpoints: []*endpoint{e},
 			}
 			is.New(t).Equal(len(c.check(w, e, c.all)) > 0, c.wrong)
-			w.played = []playedStep{{
-				step:  Step{Kind: "freeze", For: time.Hour},
+			w.played = []playedFault{{
+				fault: Fault{Kind: "freeze", For: time.Hour},
 				began: begin,
 			}}
 			is.New(t).Equal(len(c.check(w, e, c.all)), 0)
--- a/soak/world.go
+++ b/soak/world.go
@@ -73,7 +73,7 @@
 	mu      sync.Mutex
 	version int
 	// played lists the steps of the schedule that have begun.
-	played []playedStep
+	played []playedFault
 	// drains lists the periods in which failure domains were drained.
 	drains []drainPeriod
 	// crashSends lists the exchanges of requests that crash endpoints.
