--- a/soak/callers.go
+++ b/soak/callers.go
@@ -29,17 +29,18 @@
 	Instance int
 	// Sent is when the caller began to send the request.
 	Sent time.Time
-	// Ended is when the caller had read the response, failed or gave up.
+	// Ended is when the caller had read the response, failed or canceled the request.
 	Ended time.Time
 	// Status is the HTTP status; zero if there was no response.
 	Status int
 	// Answer is the body of the response as far as it was received.
 	Answer string
-	// Whole states whether the body was read to its end without an error.
+	// Whole is true if the body was read to its end without an error.
 	Whole bool
-	// Signed states whether the response carried an endpoint's proof of origin.
+	// Signed is true if the response carried an endpoint's proof of origin.
 	Signed bool
-	// CancelsEarly states whether the caller was set to cancel the request early.
+	// CancelsEarly is true if the caller was to cancel the request early, unless the answer
+	// came before.
 	CancelsEarly bool
 }
 
@@ -56,7 +57,8 @@
 	// callersPerInstance is the number of callers, each with its own connection, per instance.
 	callersPerInstance = 4
 	// maxCallers bounds the callers of all instances together, so that the engines do not run
-	// out of slots with many instances. Each instance has at least one caller nevertheless.
+	// out of slots with many instances. Each instance has at least one caller, also if that
+	// exceeds the bound.
 	maxCallers = 40
 	// cancelShare is the share of requests that the caller cancels early.
 	cancelShare = 0.05
@@ -67,10 +69,11 @@
 	// maxCancelDelay is the longest delay after which a caller cancels a request early. The
 	// delay is random, so that cancellations hit requests in all stages.
 	maxCancelDelay = time.Second
-	// callerSlack is how much longer than the time limit of the request a caller waits for the
-	// answer or refusal.
+	// callerSlack is how much longer than requestTimeout a caller waits for the answer or
+	// refusal.
 	callerSlack = time.Second
-	// outputTokens is the maximum length of the answer that callers announce, in tokens.
+	// outputTokens is the maximum length of the answer that callers name in their requests, in
+	// tokens.
 	outputTokens = 100
 )
 
--- a/soak/check.go
+++ b/soak/check.go
@@ -12,11 +12,11 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// Violation describes a broken promise.
+// Violation describes an observation that contradicts a guarantee of the system.
 type Violation struct {
-	// Guarantee is the text of the promise.
+	// Guarantee is the text of the guarantee.
 	Guarantee string
-	// Detail states the observation that contradicts the promise.
+	// Detail describes the observation.
 	Detail string
 }
 
@@ -25,11 +25,12 @@
 	return v.Guarantee + ": " + v.Detail
 }
 
-// runSlack is how long after a time limit a run may begin, because the request was in transit.
+// runSlack is how long after a time limit a run may begin, because its request may have been in
+// transit.
 const runSlack = 300 * time.Millisecond
 
-// check checks the exchanges of the callers and the runs of the endpoints against the
-// promises.
+// check checks the guarantees on the exchanges of the callers and the runs of the endpoints, and
+// on the final state of the instances and endpoints. It does not check the recovery.
 func (w *World) check(history []Exchange) []Violation {
 	runs := make(map[string][]platformtest.Run)
 	sent := make(map[string]*Exchange, len(history))
--- a/soak/check_abandoned.go
+++ b/soak/check_abandoned.go
@@ -9,8 +9,8 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// abandonSlack is how long a run may continue after its caller canceled the request. It covers
-// a few messages and a scheduling delay of a busy host.
+// abandonSlack is how long a run may continue after its caller canceled the request. It allows
+// for a few messages and a scheduling delay of a busy host.
 const abandonSlack = 500 * time.Millisecond
 
 // checkAbandoned checks that a run ends soon after its caller canceled the request.
@@ -29,9 +29,9 @@
 	wrong("runs end when their callers cancel", fmt.Sprintf("it continued for %s", late.Round(time.Millisecond)))
 }
 
-// disturbed reports whether, between the sending of a request and the end of its run, a fault
-// kept an endpoint from learning of the cancellation: the instance of the request was stopped,
-// or the link to any endpoint was faulty.
+// disturbed reports whether, between the sending of a request and the end of its run, there was
+// a fault that may have kept the endpoint from learning of the cancellation: the instance of
+// the request was frozen, or the link to any endpoint was faulty.
 func (w *World) disturbed(x *Exchange, ended time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -26,9 +26,9 @@
 	// how often it then tries to listen on its address again.
 	crashDowntime = 600 * time.Millisecond
 	listenRetry   = 10 * time.Millisecond
-	// crashesToDetect is the number of crashes after which instances must keep a request from
-	// endpoints, detectWithin how soon after the last of these crashes they must do so, and
-	// maxLateRuns the number of runs tolerated after that.
+	// crashesToDetect is the number of crashes after which instances must send a request to no
+	// further endpoint, detectWithin how soon after the last of these crashes they must stop,
+	// and maxLateRuns the number of runs tolerated after that.
 	crashesToDetect = 3
 	detectWithin    = 3 * time.Second
 	maxLateRuns     = 3
@@ -56,8 +56,8 @@
 	})
 }
 
-// sendCrashing sends a request that crashes endpoints repeatedly for the duration of a step
-// and some time beyond. The step's target selects the route.
+// sendCrashing repeatedly sends a request that crashes endpoints, for the duration of a fault
+// and 2*detectWithin beyond it. The fault's target selects the route.
 func (w *World) sendCrashing(s Fault) {
 	c := &callers{
 		world: w,
@@ -91,7 +91,8 @@
 	return w.crashSends
 }
 
-// checkCrashes checks that instances soon stop sending a request that crashes endpoints.
+// checkCrashes checks that each request that crashes endpoints runs at most maxLateRuns times
+// after the instances must have detected it.
 func (w *World) checkCrashes() []Violation {
 	runs := make(map[string][]time.Time)
 	for _, e := range w.endpoints {
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
 // Package soak runs the real programs as separate processes against stand-ins of the platform,
-// injects faults from outside the processes, and checks the observations of callers and
-// endpoints against the promises of the system.
+// injects faults from outside the processes, and checks the guarantees of the system on what
+// callers and endpoints observed.
 //
 // A seed determines the schedule of faults: signals to processes (SIGTERM, SIGKILL, SIGSTOP
 // and SIGCONT, SIGHUP), faults of the store and of endpoints, proxies that delay, reset or
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -16,8 +16,8 @@
 	// the store. It includes the time that an instance needs to follow another one if the one
 	// that it follows has just ended.
 	drainWithin = 3 * time.Second
-	// minDrainExcess is how much longer than drainWithin a drain lasts at least, so that
-	// requests can be checked after the bound.
+	// minDrainExcess is how much longer than drainWithin a drain lasts at least, so that some
+	// requests arrive in it after the bound.
 	minDrainExcess = 3 * time.Second
 )
 
@@ -61,8 +61,8 @@
 	return len(w.drains) - 1, true
 }
 
-// checkDrained checks that an endpoint of a drained failure domain did not begin a run of a
-// request after the bound.
+// checkDrained reports whether run r of exchange x began on endpoint e later than allowed after
+// the failure domain of e was drained, and returns the violation.
 func (w *World) checkDrained(x *Exchange, e *endpoint, r *platformtest.Run) (Violation, bool) {
 	for _, m := range w.drains {
 		if m.domain != e.domain || !m.to.IsZero() && r.At.After(m.to) {
@@ -93,8 +93,8 @@
 	return since
 }
 
-// blocksStore reports whether a step kept the instance of a request from reading the store:
-// the store was faulty, the instance's link to it was, or the instance was stopped.
+// blocksStore reports whether a fault kept the instance of a request from reading the store:
+// the store was faulty, the instance's link to it was, or the instance was frozen.
 func (w *World) blocksStore(p *playedFault, x *Exchange) bool {
 	if _, store := storeFaults[p.fault.Kind]; store || p.fault.Kind == "all lost in an outage" {
 		return true
--- a/soak/play.go
+++ b/soak/play.go
@@ -13,19 +13,19 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// playedFault is a step with the time at which it began.
+// playedFault is a fault with the time at which it began.
 type playedFault struct {
 	fault Fault
 	began time.Time
 }
 
-// ended returns when the step ends according to its duration.
+// ended returns when the fault ends according to its duration.
 func (p *playedFault) ended() time.Time {
 	return p.began.Add(p.fault.For)
 }
 
-// play carries out a schedule, calls note for each step, and returns when all steps have
-// ended.
+// play injects the faults of a schedule and calls note for each. It returns when all faults
+// that have begun have ended. It begins no further ones after the end of ctx.
 func (w *World) play(ctx context.Context, schedule []Fault, note func(Fault)) {
 	begin := time.Now()
 	var playing sync.WaitGroup
@@ -42,7 +42,7 @@
 	}
 }
 
-// record stores a step that begins now for the checks at the end of the run.
+// record stores a fault that begins now for the checks at the end of the run.
 func (w *World) record(s Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -52,7 +52,7 @@
 	})
 }
 
-// do injects the fault of one step, waits for its duration and removes the fault.
+// do injects a fault and, if the fault lasts, removes it after its duration.
 func (w *World) do(s Fault) {
 	p := w.processes[s.Target%len(w.processes)]
 	e := w.endpoints[s.Target%len(w.endpoints)]
@@ -89,7 +89,7 @@
 	w.doOther(s, p, e)
 }
 
-// storeFaults maps kinds of steps to faults that the stand-in store simulates.
+// storeFaults maps kinds of faults to the settings of the stand-in store that inject them.
 var storeFaults = map[string]platformtest.StoreFaults{
 	"store refuses":      {Refuse: true},
 	"store silent":       {Silent: true},
@@ -99,7 +99,8 @@
 
 // Parameters of the faults.
 const (
-	// storeDelay delays each response of the store. It is below the timeouts of reads.
+	// storeDelay delays each response of the store. It is below the timeouts for reading the
+	// store.
 	storeDelay = 400 * time.Millisecond
 	// linkDelay delays each chunk of data to and from an endpoint.
 	linkDelay = 100 * time.Millisecond
@@ -109,7 +110,7 @@
 	cutAfter = 3
 )
 
-// endpointFaults maps kinds of steps to faults that the stand-in endpoint simulates.
+// endpointFaults maps kinds of faults to the settings of a stand-in endpoint that inject them.
 var endpointFaults = map[string]platformtest.EndpointFaults{
 	"endpoint rejects":       {Reject: true},
 	"endpoint fails":         {Fail: true},
@@ -119,22 +120,24 @@
 	"endpoint slow":          {Slowdown: slowFactor},
 }
 
-// storeLinks maps kinds of steps to faults of the proxy between an instance and the store.
+// storeLinks maps kinds of faults to the settings of the proxy between an instance and the
+// store that inject them.
 var storeLinks = map[string]tcptest.Link{
 	"store link silent":  {BlockUp: true, BlockDown: true},
 	"store link one way": {BlockDown: true},
 	"store link reset":   {Reset: true},
 }
 
-// endpointLinks maps kinds of steps to faults of the proxy before an endpoint.
+// endpointLinks maps kinds of faults to the settings of the proxy in front of an endpoint that
+// inject them.
 var endpointLinks = map[string]tcptest.Link{
 	"endpoint link slow":    {Delay: linkDelay},
 	"endpoint link reset":   {Reset: true},
 	"endpoint link one way": {BlockDown: true},
 }
 
-// doOther carries out the steps that signal processes, silence connections, write to the store
-// or combine several faults.
+// doOther injects the faults that signal processes, silence connections, write to the store or
+// need several actions.
 func (w *World) doOther(s Fault, p *process, e *endpoint) {
 	switch s.Kind {
 	case "term":
@@ -201,8 +204,8 @@
 	all.Wait()
 }
 
-// restartDivisor is the divisor of a step's duration that yields how long an instance or endpoint
-// stays down.
+// restartDivisor is the divisor of a fault's duration that yields how long an instance or
+// endpoint stays down.
 const restartDivisor = 4
 
 // graceSlack is how much longer than grace an instance may take to stop before it is killed.
@@ -231,8 +234,8 @@
 	}
 }
 
-// leave marks the entry of an endpoint as leaving, removes the entry after a time, and enters
-// the endpoint again under a new name.
+// leave marks the entry of an endpoint as leaving, removes the entry after the given time, and
+// writes an entry for the endpoint under a new name.
 func (w *World) leave(e *endpoint, after time.Duration) {
 	w.writeEntry(e, true)
 	time.Sleep(after)
--- a/soak/process.go
+++ b/soak/process.go
@@ -37,9 +37,9 @@
 	exited chan struct{}
 	// unexpectedExits counts exits that the schedule did not cause, and failed restarts.
 	unexpectedExits int
-	// exitExpected states whether the running process was sent a signal that ends it.
+	// exitExpected is true if the running process was sent a signal that ends it.
 	exitExpected bool
-	// starting states whether a call of restart is about to start the instance again.
+	// starting is true if a call of restart is about to start the instance again.
 	starting bool
 }
 
@@ -51,7 +51,7 @@
 	grace = 6 * time.Second
 )
 
-// readyTimeout bounds a readiness check, since a stopped process does not respond.
+// readyTimeout bounds a readiness check, since a frozen process does not respond.
 const readyTimeout = 300 * time.Millisecond
 
 // settingsText is the format of an instance's settings file.
@@ -74,8 +74,8 @@
 stop_within = "%s"
 `
 
-// Range of the ports that instances listen on. It lies below the kernel's range of ephemeral
-// ports, so that no other socket takes a port between its selection and its use.
+// Range of the ports that instances listen on. It lies below Linux's default range of ephemeral
+// ports, so that the kernel gives no port to another socket between its selection and its use.
 const (
 	firstPort = 20_000
 	portCount = 10_000
@@ -85,8 +85,8 @@
 // that depends on the process ID, so that concurrent soaks try different ports.
 var nextPort = os.Getpid() * 97
 
-// freeAddress returns a loopback address on which nothing listens. It is not safe for
-// concurrent use.
+// freeAddress returns a loopback address, with a port of the range above, on which nothing
+// listens. It is not safe for concurrent use.
 func freeAddress() (string, error) {
 	for range portCount {
 		nextPort = (nextPort + 1) % portCount
@@ -182,8 +182,8 @@
 	close(exited)
 }
 
-// signal sends a signal to the current process. The argument ends states that the signal ends
-// the process.
+// signal sends a signal to the current process. With endsProcess, an exit of the process is
+// expected from then on.
 func (p *process) signal(s syscall.Signal, endsProcess bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// Fault is one fault of a schedule.
+// Fault is a fault of a schedule.
 type Fault struct {
 	// At is when the fault begins, relative to the start of the schedule.
 	At time.Duration
 	// For is how long the fault lasts.
 	For time.Duration
-	// Kind is the name of the fault.
+	// Kind is the name of the fault, one of kinds or of the kinds of DrawStatements.
 	Kind string
-	// Target is an index that selects the process or endpoint, modulo their number.
+	// Target is an index that selects the process, endpoint, failure domain or route that the
+	// fault affects, modulo their number.
 	Target int
 }
 
-// String formats the step as one line.
+// String formats the fault as one line.
 func (s Fault) String() string {
 	return fmt.Sprintf("%6.2fs %s %d for %s", s.At.Seconds(), s.Kind, s.Target, s.For)
 }
@@ -64,7 +65,7 @@
 	return out
 }
 
-// kindAt returns the kind that the number n selects among the cumulated weights.
+// kindAt returns the kind whose interval of cumulative weights contains n.
 func kindAt(n int) string {
 	for _, k := range kinds {
 		if n < k.weight {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -20,9 +20,9 @@
 	// Seed determines the schedule and the load. With an odd seed, instances also run with
 	// strict revocation of keys.
 	Seed uint64
-	// Length is the period in which faults begin.
+	// Length is the length of the period in which faults begin.
 	Length time.Duration
-	// Statements adds faults by which endpoints announce rate limits, back-offs or their
+	// Statements adds faults that make endpoints announce rate limits, back-offs or their
 	// leaving in responses.
 	Statements bool
 	// Processes is the number of instances.
@@ -44,7 +44,7 @@
 	// readyPollInterval is the pause between checks whether all instances are ready.
 	readyPollInterval = 50 * time.Millisecond
 	// recoverWithin is the time that the system has to recover after the last fault, and
-	// recoverFor how long the load continues after it.
+	// recoverFor how long the load continues after that time.
 	recoverWithin = 8 * time.Second
 	recoverFor    = 2 * time.Second
 	// settleFor is the time after the end of the load in which endpoints may still run
@@ -52,9 +52,9 @@
 	settleFor = 4500 * time.Millisecond
 )
 
-// Run plays one schedule and returns the promises that were broken. The error is that of ctx
-// if ctx ended during the run; any other error means that the run could not be prepared or
-// cleaned up.
+// Run plays one schedule and returns the violations of guarantees. The error is that of ctx if
+// ctx ended during the run; any other error means that the run could not be prepared or cleaned
+// up.
 func Run(ctx context.Context, s Settings) ([]Violation, error) {
 	w, err := newWorld(s.Program, s.Processes, s.strict())
 	if err != nil {
@@ -68,7 +68,7 @@
 	broken := append(w.check(history), checkRecovery(history, w.recovered)...)
 	w.report(s, history, broken)
 	if len(broken) == 0 {
-		// Keep the instances' logs only if a promise was broken.
+		// The instances' logs are kept only if a guarantee was violated.
 		if err := os.RemoveAll(w.dir); err != nil {
 			return nil, errors.Wrap(err, "remove directory of the run")
 		}
@@ -122,7 +122,7 @@
 	return errors.Errorf("instances are not ready after %s; %s", startWithin, w.logLocation())
 }
 
-// report writes the number of requests and broken promises and, if there are any, their
+// report writes the numbers of requests and of violations and, if there are violations, their
 // details, the stalls and the location of the logs.
 func (w *World) report(s Settings, history []Exchange, broken []Violation) {
 	status := make(map[int]int)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -62,8 +62,8 @@
 	(*runs)[0].Ended = x.Ended.Add(after)
 }
 
-// TestDisturbed guards against wrong excuses of runs that outlast their callers. Only a
-// stopped instance of the caller and a faulty link to an endpoint are excuses.
+// TestDisturbed guards against wrong excuses for runs that outlast their callers. Only a faulty
+// link to an endpoint and a frozen instance, if it is the one of the request, are excuses.
 func TestDisturbed(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestCheckExchange guards against broken promises that are not detected, or that are reported
-// as other promises.
+// TestCheckExchange guards against violations that are not detected, or that are reported for
+// another guarantee.
 func TestCheckExchange(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
@@ -174,7 +174,7 @@
 	}
 }
 
-// TestCheckDrained guards against undetected requests to drained failure domains, and against
+// TestCheckDrained guards against undetected runs in drained failure domains, and against
 // violations reported for instances that could not read the store.
 func TestCheckDrained(t *testing.T) {
 	now := time.Now()
@@ -192,8 +192,8 @@
 		{"in another domain", "d-2", after(time.Millisecond), Fault{}, false},
 		{"after it was undrained", "d-1", after(2 * time.Second), Fault{}, false},
 		{"while the store was silent", "d-1", after(time.Millisecond), Fault{Kind: "store silent", For: time.Second}, false},
-		{"by a stopped instance", "d-1", after(time.Millisecond), Fault{Kind: "freeze", Target: 1, For: time.Second}, false},
-		{"while another instance was stopped", "d-1", after(time.Millisecond), Fault{Kind: "freeze", Target: 2, For: time.Second}, true},
+		{"by a frozen instance", "d-1", after(time.Millisecond), Fault{Kind: "freeze", Target: 1, For: time.Second}, false},
+		{"while another instance was frozen", "d-1", after(time.Millisecond), Fault{Kind: "freeze", Target: 2, For: time.Second}, true},
 		{"long after the store recovered", "d-1", after(900 * time.Millisecond), Fault{Kind: "store silent", For: 500 * time.Millisecond}, true},
 		{"while another instance was killed", "d-1", after(time.Millisecond), Fault{Kind: "kill", Target: 2, For: time.Second}, true},
 	} {
--- a/soak/stall.go
+++ b/soak/stall.go
@@ -24,7 +24,8 @@
 	maxStallsReported = 20
 )
 
-// stall is an interval in which a runnable thread waited for a processor.
+// stall is an interval, ending at the time at, in which a runnable thread of who waited for a
+// processor.
 type stall struct {
 	who    string
 	at     time.Time
@@ -38,7 +39,7 @@
 }
 
 // watchStalls records stalls of this process and of all instances until ctx ends. They help to
-// distinguish faults of the system from an overloaded host when a promise was broken.
+// distinguish faults of the system from an overloaded host when a guarantee was violated.
 func (w *World) watchStalls(ctx context.Context) {
 	before := make(map[string]time.Duration)
 	tick := time.NewTicker(stallInterval)
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -25,7 +25,8 @@
 	statedBackoff = time.Second
 )
 
-// statementFaults maps kinds of steps to what an endpoint announces in its responses.
+// statementFaults maps kinds of faults to the settings of a stand-in endpoint that make it
+// announce something in its responses.
 var statementFaults = map[string]platformtest.EndpointFaults{
 	"endpoint names a limit":       {RateLimit: fmt.Sprint(statedRate)},
 	"endpoint asks for a back-off": {Reject: true, RetryAfter: fmt.Sprint(statedBackoff.Seconds())},
@@ -50,7 +51,7 @@
 	limitSlack  = 5
 )
 
-// DrawStatements returns the steps of a seed in which endpoints announce something in their
+// DrawStatements returns the faults of a seed that make endpoints announce something in their
 // responses.
 func DrawStatements(seed uint64, length time.Duration) []Fault {
 	kinds := append(slices.Sorted(maps.Keys(statementFaults)), saysLeaving)
@@ -86,8 +87,9 @@
 	instance int
 }
 
-// checkStatements checks that instances respect what endpoints announce in their responses. It
-// excuses instances that were affected by other faults at the time.
+// checkStatements checks that instances respect what endpoints announce in their responses. The
+// map sent holds the exchanges of callers by request ID. Instances that were affected by other
+// faults at the time are excused.
 func (w *World) checkStatements(sent map[string]*Exchange) []Violation {
 	var out []Violation
 	for _, e := range w.endpoints {
@@ -198,8 +200,9 @@
 	return out
 }
 
-// excused reports whether, between two times, an instance was terminated, killed or stopped,
-// all instances were lost in an outage of the store, or the link to an endpoint was faulty.
+// excused reports whether, between two times or at most excuseSlack before them, an instance was
+// terminated, killed or frozen, all instances were lost in an outage of the store, or the link
+// to an endpoint was faulty.
 func (w *World) excused(instance int, e *endpoint, from, to time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -222,11 +225,11 @@
 	return false
 }
 
-// excuseSlack is how long an instance is excused after the end of a fault, while it restarts,
-// or processes the messages that arrived while it was stopped.
+// excuseSlack is how long an instance is excused after the end of a fault, while it restarts or
+// processes the messages that arrived while it was frozen.
 const excuseSlack = 2 * time.Second
 
-// merge merges two schedules by the start of their steps.
+// merge merges two schedules by the times at which their faults begin.
 func merge(a, b []Fault) []Fault {
 	return slices.SortedStableFunc(slices.Values(slices.Concat(a, b)), func(x, y Fault) int { return cmp.Compare(x.At, y.At) })
 }
--- a/soak/statements_test.go
+++ b/soak/statements_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestCheckStatements guards against undetected requests that disregard an endpoint's
-// announcement, and against violations reported for a stopped instance.
+// announcement, and against violations reported for a frozen instance.
 func TestCheckStatements(t *testing.T) {
 	begin := time.Now()
 	leaving := platformtest.EndpointFaults{Leaving: true}
--- a/soak/world.go
+++ b/soak/world.go
@@ -37,7 +37,7 @@
 )
 
 // headerTimeout bounds how long the stand-ins wait for the header of a request. It is longer
-// than any fault.
+// than any fault of a schedule.
 const headerTimeout = time.Minute
 
 // endpoint is a stand-in of an endpoint behind a proxy.
@@ -47,22 +47,23 @@
 	service string
 	domain  string
 	proxy   *tcptest.Proxy
-	// startedAt is when the endpoint last restarted under its name; zero before that.
+	// startedAt is when the endpoint last restarted without getting a new name; zero before
+	// that.
 	startedAt time.Time
 }
 
 // World is the deployment under test, with the records of a run.
 type World struct {
 	program string
-	// strict states that instances out of touch with the store must refuse revoked keys in
+	// strict is true if instances out of touch with the store must refuse revoked keys in
 	// time, too.
 	strict    bool
 	dir       string
 	store     *platformtest.Store
 	storeAddr string
 	processes []*process
-	// seedAddresses lists the peer addresses of the first instances, from which all
-	// instances learn of the others when they start.
+	// seedAddresses lists the peer addresses of the seeds: the first instances, which each
+	// instance contacts when it starts.
 	seedAddresses []string
 	endpoints     []*endpoint
 	servers       []*http.Server
@@ -72,13 +73,13 @@
 
 	mu      sync.Mutex
 	version int
-	// played lists the steps of the schedule that have begun.
+	// played lists the faults of the schedule that have begun.
 	played []playedFault
 	// drains lists the periods in which failure domains were drained.
 	drains []drainPeriod
 	// crashSends lists the exchanges of requests that crash endpoints.
 	crashSends []Exchange
-	// stalls lists the periods in which a thread waited for a processor.
+	// stalls lists the intervals in which a runnable thread waited for a processor.
 	stalls []stall
 	// keys maps each of the customer's keys to the time of its revocation; zero for valid
 	// keys.
@@ -125,7 +126,7 @@
 	return w, nil
 }
 
-// maxSeeds bounds the number of instances that serve as contacts of the others.
+// maxSeeds bounds the number of instances that are seeds for the others.
 const maxSeeds = 3
 
 // serve serves a stand-in on a free port and returns its address.
@@ -197,8 +198,8 @@
 	return fmt.Sprintf("d-%d", i%domains)
 }
 
-// writeEntry writes an endpoint's entry to the store. If leaving is set, the entry states that
-// the endpoint takes no new requests.
+// writeEntry writes an endpoint's entry to the store. If leaving is true, the entry says that
+// the endpoint is about to end and takes no new requests.
 func (w *World) writeEntry(e *endpoint, leaving bool) {
 	w.mu.Lock()
 	startedAt := e.startedAt
@@ -214,7 +215,7 @@
 	})
 }
 
-// logLocation returns a text that states where the instances' logs are.
+// logLocation returns a text that says where the instances' logs are.
 func (w *World) logLocation() string {
 	return "logs in " + strings.TrimSuffix(w.dir, "/")
 }
