--- a/standin/cache.go
+++ b/standin/cache.go
@@ -8,7 +8,8 @@
 	"github.com/linkmast/linkmast/engine"
 )
 
-// maxCacheEvents is the number of latest events that are always kept.
+// maxCacheEvents is the number of latest events that are always kept. Up to twice as many are
+// stored.
 const maxCacheEvents = 4096
 
 // cache is a prefix cache that evicts the least recently used block.
@@ -27,7 +28,7 @@
 	}
 }
 
-// hit returns the number of leading blocks that are cached and marks them as used.
+// hit returns the number of leading blocks that are cached, and marks these as used.
 func (c *cache) hit(blocks []uint64) int {
 	for i, b := range blocks {
 		e, ok := c.blocks[b]
--- a/standin/client.go
+++ b/standin/client.go
@@ -14,14 +14,15 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// keepAliveInterval is the interval at which a stream without new tokens returns a chunk
-// without text, which shows that the engine is alive.
+// keepAliveInterval is the interval at which a stream without new tokens returns a keep-alive
+// chunk.
 const keepAliveInterval = 500 * time.Millisecond
 
 // errConnectionLost simulates a connection that broke.
 var errConnectionLost = errors.New("connection broke")
 
-// awaitAvailable waits while the engine is frozen. It fails if the engine is dead or ctx ends.
+// awaitAvailable waits while the engine is frozen. It fails if the engine is dead, or if ctx
+// ends during the wait.
 func (e *Engine) awaitAvailable(ctx context.Context) error {
 	for {
 		e.mu.Lock()
@@ -168,7 +169,7 @@
 	return s, nil
 }
 
-// running lists the attempts and reservations that hold memory. The caller holds e.mu.
+// running returns the attempts and reservations that hold memory. The caller holds e.mu.
 func (e *Engine) running() []engine.Held {
 	out := make([]engine.Held, 0, len(e.runs)+len(e.reserved))
 	now := e.now()
@@ -286,8 +287,8 @@
 	}
 }
 
-// queueNext queues the next chunk after applying the faults. If no chunk is available yet, it
-// returns a channel that is closed when the state of the run or the engine changes.
+// queueNext queues what the faults leave of the next chunk. If no chunk is available yet, or the
+// engine is frozen, it returns a channel that is closed when that may have changed.
 func (d *reader) queueNext() (<-chan struct{}, error) {
 	e := d.engine
 	e.mu.Lock()
@@ -315,7 +316,7 @@
 }
 
 // applyFaults returns the chunks that a reader delivers in place of k under the current
-// faults.
+// faults. The caller holds e.mu.
 func (e *Engine) applyFaults(k engine.Chunk) []engine.Chunk {
 	switch {
 	case k.End != "" && consume(&e.faults.DropEnd):
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -89,8 +89,8 @@
 		name   string
 		faults Faults
 		change func(*engine.Attempt)
-		// refused states what is known of the start if Run fails; empty if Run succeeds.
-		// broken states whether the stream fails before the end of the answer.
+		// refused is what the error reports on the start if Run fails; empty if Run succeeds.
+		// broken is true if the stream fails before the end of the answer.
 		refused problem.Ran
 		broken  bool
 		starts  int
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestEngineMemoryContract guards against lost or doubled accounting of the memory of attempts
-// and reservations.
+// TestEngineMemoryContract guards against memory of attempts and reservations that is not
+// counted, counted twice or not released.
 func TestEngineMemoryContract(t *testing.T) {
 	e := newTestEngine(t)
 	for way, client := range engineClients(t, e) {
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -8,13 +8,13 @@
 // that decodes, and prefills up to ChunkTokens tokens of the other attempts in order of
 // priority and arrival:
 //
-//	step time = max(decode step if any attempt decodes, prefill tokens / prefill rate)
+//	step time = max(DecodeStep if any attempt decodes, prefill tokens / prefill rate)
 //
 // An attempt holds memory for its prompt and for MaxTokens tokens of answer from start to end.
-// In a joint prefill by g engines, it prefills at g times the rate, and each engine holds the
-// memory of 1/g of the prompt. While an engine holds a reservation, which it does for the
-// joint prefill of an attempt of another engine, it prefills its own attempts at half the
-// rate. Blocks of prompts stay in the prefix cache while memory is free.
+// In a joint prefill by g engines, the engine that runs the attempt prefills it at g times the
+// rate and holds the memory of 1/g of its prompt. The helpers hold only the memory that was
+// reserved on them. While an engine holds a reservation, it prefills its own attempts at half
+// the rate. Blocks of prompts stay in the prefix cache while memory is free.
 //
 // All types run in real time or inside a testing/synctest bubble. Faults can be changed at run
 // time.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -32,8 +32,8 @@
 	// DecodeStep is the shortest duration of a step in which an attempt decodes; the default
 	// is 20ms.
 	DecodeStep time.Duration
-	// ChecksOrders states whether the engine refuses orders with a fence below the highest one
-	// it has received.
+	// ChecksOrders makes the engine refuse orders with a fence below the highest one that it
+	// has received.
 	ChecksOrders bool
 }
 
@@ -81,19 +81,25 @@
 
 // run is the state of one attempt.
 type run struct {
-	attempt     engine.Attempt
-	arrival     int
-	startedAt   time.Time
-	bytes       int64
-	hash        uint64
-	tokens      int
-	blocks      []uint64
+	attempt   engine.Attempt
+	arrival   int
+	startedAt time.Time
+	bytes     int64
+	// hash is the hash of the prompt, and tokens the length of the prompt.
+	hash   uint64
+	tokens int
+	blocks []uint64
+	// cached is the number of prompt tokens that were in the prefix cache, and prefillLeft the
+	// number of those that are not prefilled yet.
 	cached      int
 	prefillLeft int
 	chunks      []engine.Chunk
-	ended       bool
-	removed     bool
-	changed     chan struct{}
+	// ended is true after the last chunk or a cancellation, and removed after a cancellation or
+	// the death of the engine.
+	ended   bool
+	removed bool
+	// changed is closed and replaced when chunks, ended or removed change.
+	changed chan struct{}
 }
 
 // reservation is memory held for the joint prefill of another engine's attempt.
@@ -184,7 +190,7 @@
 	return e.cache.order.Len()
 }
 
-// wakeLoop makes the loop check for work, without blocking.
+// wakeLoop makes the loop check for work. It does not block.
 func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
@@ -267,8 +273,8 @@
 	return step, work
 }
 
-// prefill distributes the prefill tokens of a step over the waiting runs and returns the
-// shares and their duration. It sorts waiting.
+// prefill distributes the prefill tokens of a step over the waiting runs and returns the work of
+// each and the duration of all. It sorts waiting. The caller holds e.mu.
 func (e *Engine) prefill(waiting []*run) ([]prefillWork, time.Duration) {
 	slices.SortFunc(waiting, func(a, b *run) int {
 		return cmp.Or(cmp.Compare(a.attempt.Priority, b.attempt.Priority), cmp.Compare(a.arrival, b.arrival))
@@ -296,8 +302,8 @@
 	return work, time.Duration(seconds * float64(time.Second))
 }
 
-// apply completes a step: it advances the prefill by the given shares and appends a token to
-// each run whose prefill is complete.
+// apply completes a step: it advances the prefill by the given work and appends a token to each
+// run whose prefill is complete. It does nothing if the engine is frozen or dead.
 func (e *Engine) apply(work []prefillWork) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -324,7 +330,7 @@
 }
 
 // appendToken appends the next token to a run, followed by the final chunk if it is the last
-// one.
+// one. The caller holds e.mu.
 func (e *Engine) appendToken(r *run) {
 	place := len(r.chunks)
 	r.chunks = append(r.chunks, engine.Chunk{
@@ -347,19 +353,20 @@
 }
 
 // releaseRun ends a run and releases its memory. Its chunks stay available to current readers.
+// The caller holds e.mu.
 func (e *Engine) releaseRun(r *run) {
 	r.ended = true
 	e.held -= r.bytes
 	delete(e.runs, r.attempt.ID)
 }
 
-// cacheCapacity returns how many blocks fit into the free memory.
+// cacheCapacity returns how many blocks fit into the free memory. The caller holds e.mu.
 func (e *Engine) cacheCapacity() int {
 	free := e.settings.MemoryBytes - e.held
 	return int(free / (engine.BlockTokens * e.settings.KVBytesPerToken))
 }
 
-// admit starts an attempt or returns the reason for refusing it. The caller holds e.mu.
+// admit starts an attempt or returns the refusal. The caller holds e.mu.
 func (e *Engine) admit(a engine.Attempt) (*run, *engine.Refusal) {
 	tokens := engine.Tokens(len(a.Prompt))
 	group := 1 + len(a.Members)
--- a/standin/enginehttp.go
+++ b/standin/enginehttp.go
@@ -71,8 +71,8 @@
 	return v, true
 }
 
-// respond answers a request with v, or with the refusal that err describes. If err states that
-// the engine is unreachable, or is no engine.RunError, respond aborts the connection.
+// respond answers a request with v, or with the refusal that err describes. If err has the code
+// Unreachable, or is not an engine.RunError, respond aborts the connection.
 func respond(w http.ResponseWriter, v any, err error) {
 	if err == nil {
 		wirehttp.JSON(w, http.StatusOK, v)
@@ -103,7 +103,7 @@
 	writeStream(w, s)
 }
 
-// serveResume streams the answer of a running attempt from a given chunk on.
+// serveResume streams the answer of a running attempt from the given chunk on.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	seq, err := strconv.Atoi(r.FormValue("from"))
 	if err != nil {
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -11,8 +11,8 @@
 // other than CutAfter and EventGap counts how many more times the fault occurs; a negative
 // count never runs out.
 type Faults struct {
-	// Dead makes an Engine or a Service refuse everything, as if its process had ended. Other
-	// stand-ins ignore it.
+	// Dead makes an Engine or a Service refuse everything new, as if its process had ended. An
+	// Engine also breaks its streams. Other stand-ins ignore it.
 	Dead bool `json:"dead"`
 	// CrashOn is the prefix of the prompts and bodies that make an endpoint Dead when it
 	// starts to process them; empty means none.
@@ -28,7 +28,8 @@
 	RefuseBefore int `json:"refuse_before"`
 	// RefuseAfter refuses attempts and calls after they have started.
 	RefuseAfter int `json:"refuse_after"`
-	// LoseAnswer breaks the connection after an operation took effect.
+	// LoseAnswer breaks the connection after an attempt, reservation, order, call or append took
+	// effect.
 	LoseAnswer int `json:"lose_answer"`
 	// CutAfter breaks streams after this number of chunks; zero means never.
 	CutAfter int `json:"cut_after"`
@@ -40,7 +41,7 @@
 	DropChunks int `json:"drop_chunks"`
 	// DropEnd omits the final chunk of an answer.
 	DropEnd int `json:"drop_end"`
-	// LoseCancel ignores a cancellation but reports success.
+	// LoseCancel makes an Engine ignore a cancellation and report success.
 	LoseCancel int `json:"lose_cancel"`
 	// EventGap omits the cache events whose sequence number is a multiple of it; zero means
 	// none.
--- a/standin/log.go
+++ b/standin/log.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// read returns the records available from an offset, and a channel that is closed at the next
-// append to the stream.
+// read returns up to readLimit records from an offset on, and a channel that is closed at the
+// next append to the stream.
 func (l *Log) read(name string, from int64) (logsvc.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -32,7 +32,7 @@
 	list instances.List
 }
 
-// maxSnapshots bounds the length of the history.
+// maxSnapshots bounds the number of versions in the history.
 const maxSnapshots = 256
 
 // NewInstances returns an empty list.
@@ -210,7 +210,7 @@
 	})
 }
 
-// serveRead returns the records of a stream from an offset on.
+// serveRead serves the records of a stream from an offset on.
 func (p *Platform) serveRead(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.FormValue("from"), 10, 64)
 	if err != nil {
--- a/standin/service.go
+++ b/standin/service.go
@@ -171,7 +171,7 @@
 }
 
 // begin records that a call takes effect, unless the call names another incarnation or a fault
-// prevents it.
+// prevents it. With the fault RefuseAfter it also returns an error.
 func (v *Service) begin(c plain.Call) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -30,7 +30,8 @@
 	defaultWeights = 1 << 30
 )
 
-// Weights is a weight store that only issues permits. It implements weights.Store.
+// Weights is a weight store that issues permits and has no weights. It implements
+// weights.Store.
 type Weights struct {
 	bytes int64
 	limit *rate.Limiter
