--- a/emulator/attempt.go
+++ b/emulator/attempt.go
@@ -79,7 +79,7 @@
 }
 
 // finishPrefill records that one engine has prefilled its share. After the last share the
-// main engine emits the first event.
+// main engine sends the first event.
 func (a *attempt) finishPrefill() {
 	a.pendingPrefills--
 	if a.pendingPrefills > 0 {
@@ -90,7 +90,7 @@
 }
 
 // sendEvent sends an event from the main engine to the entry instance, which forwards it to
-// the caller and reports the first one to the pool.
+// the caller and reports the first one to the pool. With the last one, it removes the jobs.
 func (a *attempt) sendEvent(last bool) {
 	p := a.caller.play
 	if last {
--- a/emulator/bound.go
+++ b/emulator/bound.go
@@ -11,22 +11,23 @@
 )
 
 // boundInterval is the time resolution of Bound. Windows are rounded outwards to whole
-// intervals, so a longer one gives a higher bound.
+// intervals, so a longer interval gives a looser bound.
 const boundInterval = 100 * time.Millisecond
 
-// Bound returns a worth for each request such that no policy can keep more than their sum,
-// even if it knows all arrivals beforehand and nothing fails. A single value is not a
-// bound. All kinds must have a Gap above zero. The engines are relaxed to one supply of
-// engine time, which any request may use at any rate:
+// Bound returns a worth for each request such that no policy can keep more than the sum of
+// all, even one that knows all arrivals beforehand and meets no fault. The worth of a single
+// request is no bound for it. All kinds must have a Gap above zero. The engines are relaxed to
+// one supply of engine time, which any request may use at any rate:
 //
 //	maximize   Σ late + (worth − late) × (prefilled share + decoded share)
 //	such that  for each period, the work whose window lies within it fits into it
 //
-// The work of a request has two parts: the prefill, whose window ends at the target, and
-// the request's part of the passes of full engines that decode its answer, whose window
-// ends with the last event in time. The shares are parts of the sum of both. The relaxed
-// problem is one over a polymatroid, so taking the work in descending order of worth per
-// second solves it. A late answer is assumed to cost no engine time.
+// The work of a request has two parts, whose windows begin with its arrival: the prefill, whose
+// window ends at the target, and the decoding, whose window ends when the last event is due.
+// The decoding counts as the request's part of passes of engines with no free slot. The shares
+// are fractions of the sum of both parts. The feasible amounts form a polymatroid, so taking
+// the work in descending order of worth per second solves the problem. A late answer is assumed
+// to cost no engine time.
 func Bound(s *Sheet, requests []Request) []float64 {
 	model := s.Engines.Model()
 	kept := make([]float64, len(requests))
@@ -70,9 +71,9 @@
 	valuePerSecond float64
 }
 
-// workOf returns the prefill and the decode work of request i. The decode window ends with the
-// last event in time if Kind.Gap is above zero. With a Gap of zero it ends at the target
-// already, so the result of Bound may be too low.
+// workOf returns the prefill and the decode work of request i. The window of the decode work
+// ends when the last event is due, but at the latest at the deadline. With a Gap of zero it ends
+// at the target already, so the result of Bound may be too low.
 func (s *Sheet) workOf(i int, r *Request, m *batch.Model) []work {
 	k := &s.Kinds[r.Kind]
 	prefill := m.PrefillTime(r.Prompt, 1)
@@ -101,12 +102,12 @@
 // capacityTable holds the engine time that is left in each period.
 type capacityTable struct {
 	intervals int
-	// free is the engine time in seconds that is left for work whose window lies within a
-	// period, indexed by intervals × first interval + last interval of the period.
+	// free is the engine time in seconds that is left in a period for work whose window lies
+	// within it, indexed by intervals × first interval + last interval of the period.
 	free []float64
 }
 
-// newCapacityTable returns a table that covers the windows of all works, with room seconds
+// newCapacityTable returns a table that covers the windows of all works, with capacity seconds
 // of engine time in each interval.
 func newCapacityTable(works []work, capacity float64) *capacityTable {
 	t := &capacityTable{}
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -53,15 +53,15 @@
 	firstEventAt time.Time
 	lastEventAt  time.Time
 	longestGap   time.Duration
-	// waitID changes when a try or the back-off before it begins. A timer of watchPatience
-	// that was set under another waitID has no effect.
+	// waitID changes when a try or the back-off before it begins. The change invalidates the
+	// timers that watchPatience set before.
 	waitID int
 
 	// done is true once the request has ended; ending says how.
 	done   bool
 	ending Ending
-	// migrated is true if a silent attempt was replaced, and longestWait is the longest
-	// queueing time of a granted placement, replacements excluded.
+	// migrated is true if a silent attempt was replaced. longestWait is the longest queueing
+	// time of a granted placement request, replacements excluded.
 	migrated    bool
 	longestWait time.Duration
 	// longestRefusedWait is the longest time from sending the request to a refusal.
@@ -180,8 +180,9 @@
 	return a
 }
 
-// handleRefusal retries the request after the back-off, which is at most maxRetryWaitShare
-// of the time left. It ends the request after the last try or the deadline.
+// handleRefusal sends the request again after the refusal's back-off, or after maxRetryWaitShare
+// of the time left until the deadline if that is shorter. It ends the request if this was the
+// last try or the deadline has passed.
 func (c *caller) handleRefusal(r *pool.Refusal) {
 	if c.done {
 		return
@@ -211,9 +212,9 @@
 	c.watchSilence(a, silence, first)
 }
 
-// watchSilence requests a replacement of attempt a when a has been silent for too long: for
-// first before its first event, and for silence afterwards. It ends when the try has had
-// maxAttempts attempts.
+// watchSilence requests a replacement of attempt a when a has been silent for too long: for the
+// time first before its first event, and for the time silence after an event. It does nothing
+// more once the try has had maxAttempts attempts.
 func (c *caller) watchSilence(a *attempt, silence, first time.Duration) {
 	a.lastEventAt = c.play.clock.now
 	limit := first
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -151,7 +151,7 @@
 		// cause occurs with the fault and not without it.
 		cause emulator.Cause
 	}{
-		{"dark engines", emulator.Trouble{At: at, For: long, Engines: 6}, emulator.CauseAbandoned},
+		{"stopped engines", emulator.Trouble{At: at, For: long, Engines: 6}, emulator.CauseAbandoned},
 		{"slow engines", emulator.Trouble{At: at, For: long, Engines: 6, Slow: 8}, emulator.CauseLateFirstEvent},
 		{"streams cut", emulator.Trouble{At: at, For: long, Slow: 1, Cut: 1}, emulator.CauseRetried},
 	} {
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestSlowdownKnown checks that the pool loses less to slow engines if it determines their
-// slowdown. The slow engines are the first ones, or are spread over all engines.
+// TestSlowdownKnown checks that less worth is lost to slow engines if the pool determines their
+// slowdown.
 func TestSlowdownKnown(t *testing.T) {
 	for _, row := range []struct {
 		name   string
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -22,8 +22,8 @@
 	tokensLeft int
 	passTokens int
 	perToken   time.Duration
-	// memory is the number of tokens whose memory the job occupies, and context the number
-	// of tokens that it adds to the context of a decode step.
+	// memory is the number of tokens whose memory the job occupies. context is the number of
+	// tokens that it adds to the context of decode steps after its prefill.
 	memory  int
 	context int
 	// eventsLeft is the number of events to send. The end of the prefill sends the first
@@ -41,7 +41,7 @@
 	model *batch.Model
 	// slowdown multiplies the time of each pass. With zero, the engine starts no passes.
 	slowdown float64
-	// slowdownChanges are all changes of slowdown, in the order of their times.
+	// slowdownChanges holds all changes of slowdown, in the order of their times.
 	slowdownChanges []slowdownChange
 	jobs            []*job
 	// waiting is the queue of requests that have no slot and memory yet.
@@ -90,7 +90,7 @@
 	e.startPass()
 }
 
-// startPass starts a pass if none runs, the engine is not stopped and it has work.
+// startPass starts a pass if none runs, the engine is not stopped and has work.
 func (e *engine) startPass() {
 	if e.inPass || e.slowdown == 0 {
 		return
@@ -122,8 +122,8 @@
 	e.clock.after(time.Duration(float64(length)*e.slowdown), e.finishPass)
 }
 
-// prefillOrder returns the jobs to prefill: joint prefills first, the latest before the
-// others, and then other prompts in order of admission.
+// prefillOrder returns the jobs to prefill: first joint prefills, in the reverse order of their
+// admission, and then other prompts in the order of their admission.
 func (e *engine) prefillOrder() []*job {
 	var out []*job
 	for _, j := range slices.Backward(e.jobs) {
@@ -139,8 +139,8 @@
 	return out
 }
 
-// finishPass ends the current pass: decoding jobs send an event, prefills advance, and
-// shares that are prefilled and hold no memory are removed.
+// finishPass ends the current pass and starts the next one: decoding jobs send an event,
+// prefills advance, and shares that are prefilled and occupy no memory are removed.
 func (e *engine) finishPass() {
 	for _, j := range slices.Clone(e.jobs) {
 		switch {
@@ -169,8 +169,8 @@
 	j.attempt.sendEvent(j.eventsLeft <= 0)
 }
 
-// setSlowdown sets the slowdown from the next pass on. It restarts an engine that was
-// stopped.
+// setSlowdown sets the slowdown from the next pass on. A zero stops the engine after the
+// current pass, and another value restarts a stopped engine.
 func (e *engine) setSlowdown(slowdown float64) {
 	e.slowdown = slowdown
 	e.slowdownChanges = append(e.slowdownChanges, slowdownChange{
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -26,8 +26,8 @@
 // counting its attempts.
 const entryLossDelay = 2 * time.Second
 
-// retryBudget limits the retries in each period of 10 s to 220 plus a fifth of the
-// requests.
+// retryBudget limits the retries in a sliding window of 10 s to 220 plus a fifth of the
+// requests that are sent for the first time in it.
 var retryBudget = pool.Budget{
 	Ratio:  0.2,
 	Extra:  220,
@@ -41,10 +41,10 @@
 	rng     *rand.Rand
 	pool    *pool.Scheduler
 	engines map[string]*engine
-	// engineNames are the names of the engines in order.
+	// engineNames holds the names of the engines in order.
 	engineNames []string
 	callers     []*caller
-	// pending are the placement requests without a decision.
+	// pending holds the placement requests without a decision.
 	pending []*pending
 	// reviewScheduled is true while a timer for a review is set.
 	reviewScheduled bool
@@ -146,7 +146,7 @@
 	return time.Duration(n) * time.Duration(p.sheet.Delay)
 }
 
-// jitteredDelay returns a random time for n consecutive messages.
+// jitteredDelay returns a random time for n consecutive messages, which all get the same factor.
 func (p *play) jitteredDelay(n int) time.Duration {
 	return time.Duration((minJitter + (maxJitter-minJitter)*p.rng.Float64()) * float64(p.delay(n)))
 }
@@ -197,8 +197,8 @@
 	p.pending = slices.DeleteFunc(p.pending, func(o *pending) bool { return o == q })
 }
 
-// scheduleReview schedules a review of the queued requests, which repeats while any is
-// queued. It does nothing if a review is scheduled already.
+// scheduleReview schedules a review of the queued placement requests after a delay. Reviews
+// repeat while any is queued. It does nothing if a review is scheduled already.
 func (p *play) scheduleReview(in time.Duration) {
 	if p.reviewScheduled {
 		return
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -71,8 +71,8 @@
 	Cause Cause
 	// FirstEvent is the time from the first try to the first event; zero without one.
 	FirstEvent time.Duration
-	// LongestPause is the longest pause between two events. A pause with a second try in it
-	// counts from the start of that try.
+	// LongestPause is the longest pause between two events. A pause during which the caller sent
+	// the request again counts from the start of that try.
 	LongestPause time.Duration
 	// LongestRefusedWait is the longest time from sending the request to a refusal.
 	LongestRefusedWait time.Duration
@@ -209,8 +209,8 @@
 	return (w.Day*r.DayShare() + w.Windows*sum + w.Kind*kind) / (w.Day + w.Windows + w.Kind)
 }
 
-// LostShares returns, by kind and cause, the lost worth divided by the worth of all requests,
-// or by 1 if that is less than 1.
+// LostShares returns, by kind and cause, the lost worth divided by the larger of 1 and the worth
+// of all requests.
 func (r *Result) LostShares() [][]float64 {
 	out := make([][]float64, len(r.sheet.Kinds))
 	for i := range out {
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -42,21 +42,23 @@
 type Engines struct {
 	// Count is the number of engines.
 	Count int `toml:"count"`
-	// Slots bounds the requests that run at once on one engine.
+	// Slots bounds the requests that run at once on one engine. Shares of joint prefills for
+	// other engines don't count.
 	Slots int `toml:"slots"`
 	// Capacity is the memory of one engine in tokens.
 	Capacity int `toml:"capacity"`
-	// StepsPerPass is the number of steps in a pass with decoding requests.
+	// StepsPerPass is the number of steps in a pass in which requests decode. An event of an
+	// answer has as many tokens.
 	StepsPerPass int `toml:"stride"`
 	// Chunk bounds the tokens that an engine prefills per step; zero means no limit.
 	Chunk int `toml:"chunk"`
-	// Step is the fixed time of a step. PerSequence is added for each decoding request, and
-	// PerThousandContext for each thousand tokens of context.
+	// Step is the fixed time of a decode step. PerSequence is added to it for each decoding
+	// request, and PerThousandContext for each thousand tokens of context.
 	Step               config.Duration `toml:"step"`
 	PerSequence        config.Duration `toml:"per_sequence"`
 	PerThousandContext config.Duration `toml:"per_thousand_context"`
-	// PrefillPerSecond is the prefill rate in tokens per second. PerMillionPairs is added for
-	// each million pairs of a token and an earlier one.
+	// PrefillPerSecond is the prefill rate in tokens per second. PerMillionPairs is added to
+	// the time of a prefill for each million pairs of a token and an earlier one.
 	PrefillPerSecond float64         `toml:"read_per_second"`
 	PerMillionPairs  config.Duration `toml:"per_million_pairs"`
 }
@@ -84,11 +86,11 @@
 	PerSecond float64 `toml:"per_second"`
 	// Prompt is the length of prompts in tokens.
 	Prompt Spread `toml:"prompt"`
-	// Events is the number of events of an answer, each of Stride tokens.
+	// Events is the number of events of an answer, each of Engines.StepsPerPass tokens.
 	Events Spread `toml:"events"`
-	// Target is the time within which the first event is in time.
+	// Target is the time within which the first event must arrive to be in time.
 	Target config.Duration `toml:"target"`
-	// Gap is the longest pause between events that is in time; zero means any.
+	// Gap is the longest pause between events that is in time; zero means that any is.
 	Gap config.Duration `toml:"gap"`
 	// Deadline is how long a caller waits for the whole answer.
 	Deadline config.Duration `toml:"deadline"`
@@ -100,11 +102,12 @@
 	Rank int `toml:"rank"`
 }
 
-// Spread is a lognormal distribution of sizes that is cut off at Most.
+// Spread is a lognormal distribution of sizes. Sizes below 1 are raised to 1, and those above
+// Most lowered to Most.
 type Spread struct {
-	// Mean is the mean before the cut-off.
+	// Mean is the mean before these changes.
 	Mean float64 `toml:"mean"`
-	// Deviation is the standard deviation before the cut-off, in units of the mean.
+	// Deviation is the standard deviation before these changes, in units of the mean.
 	Deviation float64 `toml:"deviation"`
 	// Most is the largest size.
 	Most float64 `toml:"most"`
@@ -148,10 +151,11 @@
 	// stops them.
 	Engines int     `toml:"engines"`
 	Slow    float64 `toml:"slow"`
-	// Spread selects engines at even distances instead of the first ones.
+	// Spread selects engines at even distances in their order instead of the first ones.
 	Spread bool `toml:"spread"`
-	// Cut is the probability with which each request that has an attempt loses its entry
-	// instance at the start of the fault. It also applies to requests that have ended.
+	// Cut is the probability with which each request that has or had an attempt loses its
+	// entry instance at the start of the fault. A request that has ended on its last try then
+	// counts as EntryLost.
 	Cut float64 `toml:"cut"`
 }
 
@@ -262,8 +266,8 @@
 	return -1
 }
 
-// typicalSize returns the mean sizes of a prompt and an answer without bursts, in tokens,
-// as a configuration states them.
+// typicalSize returns the mean lengths of a prompt and an answer over all kinds, in tokens, as
+// a configuration contains them. They are weighted with the rates without wave and bursts.
 func (s *Sheet) typicalSize() route.Size {
 	all, prompts, answers := 0.0, 0.0, 0.0
 	for _, k := range s.Kinds {
--- a/emulator/slowdown.go
+++ b/emulator/slowdown.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// reportLag is the age of the slowdown that an engine reports.
+// reportLag is how old the slowdown is that an engine reports.
 const reportLag = 200 * time.Millisecond
 
 // slowdownChange is a change of an engine's slowdown.
@@ -13,7 +13,7 @@
 	slowdown float64
 }
 
-// slowdownAt returns the slowdown that the engine had at a time.
+// slowdownAt returns the slowdown that the engine had at a time; 1 before the first change.
 func (e *engine) slowdownAt(at time.Time) float64 {
 	slowdown := 1.0
 	for _, change := range e.slowdownChanges {
