--- a/experiment/run.go
+++ b/experiment/run.go
@@ -27,15 +27,15 @@
 	// Day is the mean share of all worth that is kept, and Kinds that of each kind.
 	Day   float64   `json:"day"`
 	Kinds []float64 `json:"kinds"`
-	// Windows is the share that is kept in each period of length emulator.Window.
+	// Windows is the mean share that is kept in each period of length emulator.Window.
 	Windows []float64 `json:"windows"`
-	// Silent is the number of replaced silent attempts per request.
+	// Silent is the mean number of replaced silent attempts per request.
 	Silent float64 `json:"silent"`
-	// Lost is, by kind and cause, the lost worth as a share of the worth of the day.
+	// Lost is, by kind and cause, the mean lost worth as a share of the worth of the day.
 	Lost [][]float64 `json:"lost"`
 }
 
-// BoundName is the variant in the rows of the bound.
+// BoundName is the name of the variant in the rows of the bound.
 const BoundName = "bound"
 
 // normalQuantile95 is the quantile of the normal distribution for a two-sided interval of
@@ -58,7 +58,8 @@
 	return rows, nil
 }
 
-// compare plays all variants, and the bound if the plan asks for it, on one sheet.
+// compare plays all variants on one sheet, computes the bound if the plan asks for it, and
+// returns their rows.
 func compare(ctx context.Context, p *Plan, s *emulator.Sheet, load float64, jobs int) ([]Row, error) {
 	names := make([]string, 0, len(p.Variants)+1)
 	for _, v := range p.Variants {
@@ -92,8 +93,8 @@
 	return rows, nil
 }
 
-// playDay plays a seed with the variant of an index. The index after the last variant
-// selects the bound.
+// playDay plays the requests of a seed with the variant at an index. At the index after the
+// last variant, it returns the bound.
 func (p *Plan) playDay(s *emulator.Sheet, variant int, seed uint64) *emulator.Result {
 	requests := emulator.Draw(s, seed)
 	if variant == len(p.Variants) {
@@ -102,8 +103,8 @@
 	return emulator.Play(s, requests, p.Variants[variant].settings(), seed)
 }
 
-// summarize returns the row of a variant. Days are its results and first those of the first
-// variant, by seed.
+// summarize returns the row of a variant. The results of the variant are in days, and those of
+// the first variant in first, both in the order of seeds.
 func summarize(s *emulator.Sheet, load float64, name string, days, first []*emulator.Result) Row {
 	row := Row{
 		Sheet:   s.Name,
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -11,15 +11,14 @@
 	"github.com/matryer/is"
 )
 
-// TestProfiles checks that the embedded profiles are valid and have the required share of
-// long prompts.
+// TestProfiles checks that the embedded profiles are valid and that a fiftieth of their requests
+// are of kinds with long prompts.
 func TestProfiles(t *testing.T) {
 	for _, name := range []string{"pinecrest", "tana"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p, err := ReadProfile(name)
 			is.NoErr(err)
-			// One prompt in fifty must be longer than 100 000 tokens.
 			long := 0.0
 			for i := range p.Kinds {
 				if p.Kinds[i].IsLong() {
--- a/load/profile.go
+++ b/load/profile.go
@@ -68,7 +68,8 @@
 // longTokens is the length above which a prompt is long.
 const longTokens = 100_000
 
-// meanPrefill returns the mean number of prompt tokens after the shared prefix.
+// meanPrefill returns the mean number of prompt tokens after the shared prefix; 0 for plain
+// calls.
 func (k *Kind) meanPrefill() float64 {
 	if k.isPlain() {
 		return 0
@@ -157,8 +158,8 @@
 	tokens int
 }
 
-// arrivals draws the arrivals of a Poisson process with rate requests per second during
-// within.
+// arrivals draws the arrivals of a Poisson process of the given rate in requests per second,
+// before the time within.
 func (p *Profile) arrivals(rate float64, within time.Duration, r *rand.Rand) []arrival {
 	var out []arrival
 	at := 0.0
@@ -178,7 +179,8 @@
 	}
 }
 
-// kindAt returns the kind at a position from 0 to the total weight.
+// kindAt returns the kind whose interval of cumulative weights contains at, a number from 0 to
+// the total weight.
 func (p *Profile) kindAt(at float64) *Kind {
 	for i := range p.Kinds {
 		if at -= p.Kinds[i].Weight; at < 0 {
--- a/load/report.go
+++ b/load/report.go
@@ -25,8 +25,10 @@
 
 // outcome is the result of one request.
 type outcome struct {
-	kind     *Kind
-	tokens   int
+	kind *Kind
+	// tokens is the length of the prompt; zero for plain calls.
+	tokens int
+	// measured is false during the warm-up.
 	measured bool
 	answered bool
 	refused  bool
@@ -133,7 +135,7 @@
 	return &Class{}
 }
 
-// add counts an outcome and, after the warm-up, records its times.
+// add counts an outcome and records its times if it is measured.
 func (r *Report) add(o *outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/load/send.go
+++ b/load/send.go
@@ -34,8 +34,8 @@
 	Duration time.Duration
 	// Seed determines arrivals, kinds and lengths.
 	Seed uint64
-	// Warmup is the initial time whose requests are sent but whose latencies are not
-	// recorded.
+	// Warmup is the length of the initial period whose requests are counted but whose
+	// latencies are not recorded.
 	Warmup time.Duration
 }
 
@@ -92,9 +92,9 @@
 	return string(b)
 }
 
-// prompt returns a prompt that is unique in the run: the prefix shared by the kind, the
-// number of the request, and filler. It is longer than a.tokens if prefix and number don't
-// fit.
+// prompt returns a prompt that is unique in the run: the prefix that the prompts of the kind
+// share, the kind, the seed and the number of the request, and filler. It is longer than
+// a.tokens if prefix and number don't fit.
 func (x *sender) prompt(a arrival) string {
 	size := a.tokens * engine.TokenBytes
 	shared := a.kind.SharedTokens * engine.TokenBytes
@@ -251,8 +251,8 @@
 	}
 }
 
-// refuse records an answer with an error status. It counts as refused if its problem says
-// that the request did not run, and else as failed.
+// refuse records an answer whose status is not 200. It counts as refused if its problem
+// document says that the request did not run, and otherwise as failed.
 func (o *outcome) refuse(res *http.Response, due time.Time) {
 	data, err := io.ReadAll(io.LimitReader(res.Body, wirehttp.MaxErrorBody))
 	p, ok := problem.Parse(data)
@@ -266,7 +266,7 @@
 	o.total = time.Since(due)
 }
 
-// fail records a failure without a problem.
+// fail records a failure without a problem document.
 func (o *outcome) fail(err error) {
 	o.failed = true
 	o.cause = err.Error()
