--- a/cmd/linkmast/deploy_test.go
+++ b/cmd/linkmast/deploy_test.go
@@ -309,7 +309,8 @@
 	return total
 }
 
-// wantMemoryReleased fails the test if an engine still holds memory after the given time.
+// wantMemoryReleased fails the test if an engine that answers still holds memory after the
+// given time.
 func (d *deployment) wantMemoryReleased(within time.Duration) {
 	d.t.Helper()
 	until := time.Now().Add(within)
--- a/cmd/linkmast/main.go
+++ b/cmd/linkmast/main.go
@@ -90,8 +90,9 @@
 
 // instance is a node or a gateway.
 type instance interface {
-	// Stop drains and ends the instance. It cuts off the remaining requests when ctx ends or
-	// the instance's own time limit is reached.
+	// Stop serves new requests for a short time and ends the instance after the last one. It
+	// cuts off the remaining requests when ctx ends or the instance's own time limit is
+	// reached.
 	Stop(ctx context.Context)
 }
 
--- a/cmd/linkmast/process_test.go
+++ b/cmd/linkmast/process_test.go
@@ -78,8 +78,8 @@
 	return r
 }
 
-// startStreams starts n streams through each address. The returned function waits for their
-// end and returns the results by address.
+// startStreams starts n streams of the given number of tokens through each address. The
+// returned function waits for their end and returns the results by address.
 func startStreams(addresses []string, n, tokens int) func() map[string][]result {
 	var all sync.WaitGroup
 	var mu sync.Mutex
--- a/cmd/linkmastctl/configuration.go
+++ b/cmd/linkmastctl/configuration.go
@@ -122,7 +122,8 @@
 }
 
 // base returns the file that the publication replaces, so that only the difference is
-// written to the log. It returns nil if the whole file is to be written.
+// written to the log. It returns nil if the whole file is to be written, and an error if
+// another generation than Replaces is in force.
 func (c *publishCommand) base(ctx context.Context, log logsvc.Log) ([]byte, error) {
 	if c.Force || c.Whole {
 		return nil, nil
@@ -137,7 +138,8 @@
 	return j.InForce.Text, nil
 }
 
-// inForce replays the log and returns the configuration in force and all verdicts.
+// inForce replays the log and returns its evaluation, which holds the configuration in force,
+// and all verdicts. It returns an error if no configuration is in force.
 func inForce(o *platformOptions) (*rollout.Evaluator, []rollout.Verdict, error) {
 	log, ctx, cancel := o.open()
 	defer cancel()
--- a/cmd/linkmastctl/load.go
+++ b/cmd/linkmastctl/load.go
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// run runs profile p once, at part of the rate of the profile whole.
+// run runs profile p once. The rate of its requests is the fraction part of the rate that is
+// set for the profile whole.
 func (c *loadCommand) run(p, whole *load.Profile, part float64, fault string) (*load.Report, error) {
 	s := load.Settings{
 		Addresses: c.Node,
--- a/cmd/linkmastctl/soak.go
+++ b/cmd/linkmastctl/soak.go
@@ -60,7 +60,7 @@
 }
 
 // runSeeds runs one soak for each seed, one after the other. It returns an error if any of
-// them broke a promise.
+// them found a violated guarantee.
 func (c *soakCommand) runSeeds(ctx context.Context) error {
 	bad := 0
 	for i := range c.Runs {
--- a/cmd/linkmastctl/standin.go
+++ b/cmd/linkmastctl/standin.go
@@ -30,8 +30,8 @@
 	Outage bool          `long:"outage" description:"start with an outage"`
 }
 
-// faults returns the faults of the command line. They and all others can be set while the
-// stand-in runs: PUT /faults with a JSON object such as {"frozen":true}.
+// faults returns the faults of the command line. While the stand-in runs, PUT /faults replaces
+// them by those of a JSON object such as {"frozen":true}.
 func (o *serveOptions) faults() standin.Faults {
 	return standin.Faults{
 		Slow:   o.Slow,
--- a/cmd/linkmastctl/status.go
+++ b/cmd/linkmastctl/status.go
@@ -18,7 +18,7 @@
 	"github.com/linkmast/linkmast/node"
 )
 
-// adminOptions are the nodes to query.
+// adminOptions are the options for querying nodes.
 type adminOptions struct {
 	Admin   []string      `long:"admin" value-name:"HOST:PORT" required:"yes" description:"admin address of a node; repeat for each"`
 	Timeout time.Duration `long:"timeout" default:"3s" description:"how long to wait for each node"`
@@ -48,7 +48,7 @@
 }
 
 // errNotFound means that a node answered with status 404.
-var errNotFound = errors.New("not there")
+var errNotFound = errors.New("status 404")
 
 // statusCommand prints the state of the nodes that answer and their endpoints.
 type statusCommand struct {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// print prints the statuses, as JSON or as tables.
+// print prints the statuses of nodes, as JSON or as tables of nodes and of endpoints.
 func (c *statusCommand) print(all []node.Status) error {
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(all)
