--- a/cmd/linkmast/main.go
+++ b/cmd/linkmast/main.go
@@ -164,7 +164,7 @@
 	fresh, err := settings.Read(path)
 	switch {
 	case err != nil:
-		log.Error(err, "reload: settings are invalid and were not applied")
+		log.Error(err, "reload: settings are invalid; the next start would fail")
 	case reflect.DeepEqual(fresh, s):
 		log.Info("reload: settings are unchanged")
 	default:
--- a/engine/http.go
+++ b/engine/http.go
@@ -109,7 +109,7 @@
 		return nil
 	}
 	if err := json.NewDecoder(res.Body).Decode(out); err != nil {
-		return errors.Wrap(err, "read answer of engine")
+		return errors.Wrap(err, "decode response of engine")
 	}
 	return nil
 }
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -101,7 +101,7 @@
 		{"sheets are missing", `seeds = 1`},
 		{"seeds must be", `sheets = ["few.toml"]`},
 		{"variants are missing", "sheets = [\"few.toml\"]\nseeds = 1"},
-		{"each once", "sheets = [\"few.toml\"]\nseeds = 1\nvariants = [{ name = \"a\" }, { name = \"a\" }]"},
+		{"empty or repeated", "sheets = [\"few.toml\"]\nseeds = 1\nvariants = [{ name = \"a\" }, { name = \"a\" }]"},
 		{"pace", "sheets = [\"few.toml\"]\nseeds = 1\nvariants = [{ name = \"a\", pace = \"guessed\" }]"},
 		{"load", "sheets = [\"few.toml\"]\nseeds = 1\nloads = [0.0]\nvariants = [{ name = \"a\" }]"},
 		{"no such file", "sheets = [\"none.toml\"]\nseeds = 1\nvariants = [{ name = \"a\" }]"},
--- a/experiment/plan.go
+++ b/experiment/plan.go
@@ -105,7 +105,7 @@
 	names := make(map[string]bool)
 	for _, v := range p.Variants {
 		if v.Name == "" || names[v.Name] {
-			return errors.Errorf("variant %q: names must be set, each once", v.Name)
+			return errors.Errorf("variant %q: names must not be empty or repeated", v.Name)
 		}
 		names[v.Name] = true
 		if _, ok := slowdownModes[v.Pace]; !ok {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -19,6 +19,7 @@
 
 func of(n node) (string, int) { return n.id, n.weight }
 
+// nodes returns n nodes of equal weight, named n0, n1 and so on.
 func nodes(n int) []node {
 	var out []node
 	for i := range n {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -141,7 +141,7 @@
 		_, _ = fmt.Fprintf(w, "Content-Length: %d\r\n", len(r.Body))
 	}
 	if err := r.Header.Write(w); err != nil {
-		return errors.Wrap(err, "write header")
+		return errors.Wrap(err, "write request header")
 	}
 	_, _ = io.WriteString(w, "\r\n")
 	_, _ = w.Write(r.Body)
@@ -171,10 +171,10 @@
 			return nil
 		}
 		if _, err := io.Copy(io.Discard, res.Body); err != nil || res.Close {
-			return errors.New("response belongs to another request")
+			return errors.New("response to another request, after which the connection ended")
 		}
 	}
-	return errors.New("responses belong to other requests")
+	return errors.New("too many responses that don't answer the request")
 }
 
 // release ends an exchange of which nothing was sent. It returns the connection to the pool, or
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -53,6 +53,7 @@
 	return e
 }
 
+// serve reads requests from a connection until answer returns false or a read fails.
 func (e *endpoint) serve(c net.Conn, answer func(c net.Conn, r *http.Request, n int) bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -69,6 +70,7 @@
 	}
 }
 
+// request returns a request that only a response with the same id in its header matches.
 func (e *endpoint) request(id string) upstream.Request {
 	return upstream.Request{
 		Address: e.address,
@@ -82,6 +84,7 @@
 	}
 }
 
+// ok returns a response with status 200, an id in its header, and a body.
 func ok(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -130,7 +130,7 @@
 		wrong("endpoints receive the customer but not the key", fmt.Sprintf("customer %q, key %q", r.Customer(), r.Key()))
 	}
 	if revoked := w.revokedAt(x.Key); !revoked.IsZero() && x.Sent.After(w.refusedFrom(revoked)) {
-		wrong("revoked keys are refused", fmt.Sprintf("revoked %s before", x.Sent.Sub(revoked)))
+		wrong("revoked keys are refused", fmt.Sprintf("its key was revoked %s before it was sent", x.Sent.Sub(revoked)))
 	}
 	if r.At.After(x.Sent.Add(requestTimeout + runSlack)) {
 		wrong("no run begins after the deadline of its request", fmt.Sprintf("run began %s after the request was sent", r.At.Sub(x.Sent)))
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -107,7 +107,7 @@
 		if n := w.lateRuns(at); n > maxLateRuns {
 			out = append(out, Violation{
 				Guarantee: "requests that crash endpoints reach few endpoints",
-				Detail:    fmt.Sprintf("%q ran %d times, %d of them %s after its third", body, len(at), n, detectWithin),
+				Detail:    fmt.Sprintf("%q ran %d times, %d of them more than %s after its third run", body, len(at), n, detectWithin),
 			})
 		}
 	}
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -74,7 +74,7 @@
 		}
 		return Violation{
 			Guarantee: "drained failure domains get no new requests",
-			Detail: fmt.Sprintf("request %s %s at instance %d ran at %s, %s after the bound", x.ID, x.Path,
+			Detail: fmt.Sprintf("request %s %s at instance %d ran on endpoint %s, %s after the bound", x.ID, x.Path,
 				x.Instance, e.Name(), late.Round(time.Millisecond)),
 		}, true
 	}
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -125,7 +125,7 @@
 		if late > 0 && !w.excused(a.instance, e, first, a.At) {
 			out = append(out, Violation{
 				Guarantee: "leaving endpoints get no new requests",
-				Detail: fmt.Sprintf("request %s of instance %d reached %s %s after the bound", a.ID, a.instance,
+				Detail: fmt.Sprintf("request %s of instance %d reached endpoint %s, %s after the bound", a.ID, a.instance,
 					e.Name(), late.Round(time.Millisecond)),
 			})
 		}
@@ -160,7 +160,7 @@
 		if in > maxBackoffRequests && !w.excused(asked.instance, e, asked.At, end) {
 			out = append(out, Violation{
 				Guarantee: "back-offs of endpoints are respected",
-				Detail:    fmt.Sprintf("%d requests of instance %d reached %s within its back-off that began at %s", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
+				Detail:    fmt.Sprintf("%d requests of instance %d reached endpoint %s within its back-off that began at %s", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
 			})
 		}
 	}
@@ -193,7 +193,7 @@
 		if allowed := limitFactor*statedRate*limitWindow.Seconds() + limitSlack; float64(in) > allowed {
 			out = append(out, Violation{
 				Guarantee: "rate limits of endpoints are respected",
-				Detail:    fmt.Sprintf("%d requests reached %s in %s up to %s, %.0f allowed", in, e.Name(), limitWindow, last.At.Format("15:04:05.000"), allowed),
+				Detail:    fmt.Sprintf("%d requests reached endpoint %s in the %s until %s, %.0f allowed", in, e.Name(), limitWindow, last.At.Format("15:04:05.000"), allowed),
 			})
 		}
 	}
