--- a/soak/callers.go
+++ b/soak/callers.go
@@ -39,8 +39,8 @@
 	Whole bool
 	// Signed is true if the response carried an endpoint's proof of origin.
 	Signed bool
-	// CancelsEarly is true if the caller was to cancel the request early, unless the answer
-	// came before.
+	// CancelsEarly is true if the caller was set to cancel the request early. The answer may
+	// have come before.
 	CancelsEarly bool
 }
 
@@ -147,8 +147,8 @@
 	return minShortPrompt + r.IntN(shortSpread)
 }
 
-// send sends the request of x and records the outcome in it. If leave is positive, the caller
-// cancels the request after that time.
+// send sends the request of x, with a prompt of the given length in tokens, and records the
+// outcome in x. If cancelAfter is positive, the caller cancels the request after that time.
 func (c *callers) send(client *http.Client, x *Exchange, cancelAfter time.Duration, prompt int) {
 	timeout := requestTimeout + callerSlack
 	if cancelAfter > 0 {
--- a/soak/check.go
+++ b/soak/check.go
@@ -145,8 +145,8 @@
 }
 
 // refusedFrom returns the time from which a key must be refused that was revoked at the given
-// time. Without strict revocation, an instance out of touch with the store may accept the key
-// until the recovery from all faults.
+// time. Without strict revocation, this is not before the time for recovery from the last fault,
+// since instances out of touch with the store may accept the key until then.
 func (w *World) refusedFrom(revoked time.Time) time.Time {
 	from := revoked.Add(revoke)
 	if !w.strict && from.Before(w.recovered) {
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -29,8 +29,8 @@
 	to time.Time
 }
 
-// drain drains a failure domain for longer than drainWithin and then undrains it. It does
-// nothing if the domain is drained already.
+// drain drains a failure domain for drainWithin + minDrainExcess + last and then undrains it. It
+// does nothing if the domain is drained already.
 func (w *World) drain(domain string, last time.Duration) {
 	i, ok := w.beginDrain(domain)
 	if !ok {
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -38,13 +38,13 @@
 	// leavingWithin bounds how long after a response that announces its leaving an endpoint
 	// may still get requests from the instance that received the response.
 	leavingWithin = 2 * time.Second
-	// backoffGrace is how long after its announcement a back-off need not be respected yet,
-	// and maxBackoffRequests the number of requests tolerated in the rest of it.
+	// backoffGrace is the time after the announcement of a back-off in which any number of
+	// requests is tolerated, and maxBackoffRequests the number tolerated in the rest of it.
 	backoffGrace       = 500 * time.Millisecond
 	maxBackoffRequests = 2
-	// limitGrace is how long after its first announcement a rate limit need not be respected
-	// yet. Then limitFactor times the limit, plus limitSlack requests, is tolerated in each
-	// limitWindow.
+	// limitGrace is the time after the first announcement of a rate limit in which any rate is
+	// tolerated. Then limitFactor times what the limit allows in limitWindow, plus limitSlack
+	// requests, is tolerated in each period of that length.
 	limitGrace  = 3 * time.Second
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
