--- a/cmd/linkmast/deploy_test.go
+++ b/cmd/linkmast/deploy_test.go
@@ -39,7 +39,7 @@
 	mu      sync.Mutex
 }
 
-// deployment is a whole deployment of separate processes.
+// deployment is a platform, engines, a plain service and nodes, each in a process of its own.
 type deployment struct {
 	t        *testing.T
 	bin      string
--- a/engine/check_test.go
+++ b/engine/check_test.go
@@ -70,8 +70,8 @@
 }
 
 // serveClosingOnSecond starts a server that responds to the first request on each
-// connection, and reads the second and closes the connection. It returns the address and
-// the number of requests that the server has read.
+// connection, and closes the connection when it has read the second one. It returns the
+// address and a counter of the requests that the server has read.
 func serveClosingOnSecond(t *testing.T) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/soak/stall.go
+++ b/soak/stall.go
@@ -103,7 +103,7 @@
 	return time.Duration(ns), err == nil
 }
 
-// writeStalls writes the number of stalls and the first of them.
+// writeStalls writes the number of stalls and the first maxStallsReported of them.
 func (w *World) writeStalls(out io.Writer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
