--- a/soak/callers.go
+++ b/soak/callers.go
@@ -46,7 +46,7 @@
 
 // callers sends requests to all instances and records the exchanges.
 type callers struct {
-	world *World
+	deployment *Deployment
 
 	mu      sync.Mutex
 	history []Exchange
@@ -95,8 +95,8 @@
 // run starts the callers and waits until they stop after the end of ctx.
 func (c *callers) run(ctx context.Context, seed uint64) {
 	var all sync.WaitGroup
-	each := max(min(callersPerInstance, maxCallers/len(c.world.processes)), 1)
-	for i := range c.world.processes {
+	each := max(min(callersPerInstance, maxCallers/len(c.deployment.processes)), 1)
+	for i := range c.deployment.processes {
 		for k := range each {
 			r := rand.New(rand.NewPCG(seed, uint64(i*callersPerInstance+k)))
 			all.Go(func() { c.runCaller(ctx, i, k, r) })
@@ -123,9 +123,9 @@
 		}
 		switch r.IntN(4) {
 		case 0:
-			x.Key = c.world.currentKey()
+			x.Key = c.deployment.currentKey()
 		case 1:
-			x.Key = c.world.anyKey(r)
+			x.Key = c.deployment.anyKey(r)
 		}
 		cancelAfter := time.Duration(0)
 		if r.Float64() < cancelShare {
@@ -157,7 +157,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	req, err := x.request(ctx, c.world.processes[x.Instance].listen, prompt)
+	req, err := x.request(ctx, c.deployment.processes[x.Instance].listen, prompt)
 	if err != nil {
 		return
 	}
--- a/soak/check.go
+++ b/soak/check.go
@@ -31,18 +31,18 @@
 
 // check checks the guarantees on the exchanges of the callers and the runs of the endpoints, and
 // on the final state of the instances and endpoints. It does not check the recovery.
-func (w *World) check(history []Exchange) []Violation {
+func (d *Deployment) check(history []Exchange) []Violation {
 	runs := make(map[string][]platformtest.Run)
 	sent := make(map[string]*Exchange, len(history))
 	for i := range history {
 		sent[history[i].ID] = &history[i]
 	}
 	var out []Violation
-	for _, e := range w.endpoints {
+	for _, e := range d.endpoints {
 		for _, r := range e.Runs() {
 			runs[r.ID] = append(runs[r.ID], r)
 			if x := sent[r.ID]; x != nil {
-				if v, wrong := w.checkDrained(x, e, &r); wrong {
+				if v, wrong := d.checkDrained(x, e, &r); wrong {
 					out = append(out, v)
 				}
 			}
@@ -50,7 +50,7 @@
 	}
 	for i := range history {
 		x := &history[i]
-		out = append(out, w.checkExchange(x, runs[x.ID])...)
+		out = append(out, d.checkExchange(x, runs[x.ID])...)
 	}
 	for id := range runs {
 		if sent[id] == nil {
@@ -60,11 +60,11 @@
 			})
 		}
 	}
-	return slices.Concat(out, w.checkCrashes(), w.checkStatements(sent), w.checkFinalState())
+	return slices.Concat(out, d.checkCrashes(), d.checkStatements(sent), d.checkFinalState())
 }
 
 // checkExchange checks one exchange and the runs of its request.
-func (w *World) checkExchange(x *Exchange, runs []platformtest.Run) []Violation {
+func (d *Deployment) checkExchange(x *Exchange, runs []platformtest.Run) []Violation {
 	var out []Violation
 	wrong := func(guarantee, detail string) {
 		out = append(out, Violation{
@@ -89,8 +89,8 @@
 		checkAnswer(x, runs, wrong)
 	}
 	for i := range runs {
-		w.checkRun(x, &runs[i], wrong)
-		w.checkAbandoned(x, &runs[i], wrong)
+		d.checkRun(x, &runs[i], wrong)
+		d.checkAbandoned(x, &runs[i], wrong)
 	}
 	return out
 }
@@ -122,14 +122,14 @@
 
 // checkRun checks one run: the forwarded request, the customer, the validity of the key and
 // the time of the run.
-func (w *World) checkRun(x *Exchange, r *platformtest.Run, wrong func(guarantee, detail string)) {
+func (d *Deployment) checkRun(x *Exchange, r *platformtest.Run, wrong func(guarantee, detail string)) {
 	switch {
 	case r.Method != http.MethodPost || r.Target != x.Path || r.Body != x.Body:
 		wrong("requests are forwarded unchanged", fmt.Sprintf("%s %s with %d bytes", r.Method, r.Target, len(r.Body)))
 	case r.Key() != "" || r.Customer() != customer:
 		wrong("endpoints receive the customer but not the key", fmt.Sprintf("customer %q, key %q", r.Customer(), r.Key()))
 	}
-	if revoked := w.revokedAt(x.Key); !revoked.IsZero() && x.Sent.After(w.refusedFrom(revoked)) {
+	if revoked := d.revokedAt(x.Key); !revoked.IsZero() && x.Sent.After(d.refusedFrom(revoked)) {
 		wrong("revoked keys are refused", fmt.Sprintf("its key was revoked %s before it was sent", x.Sent.Sub(revoked)))
 	}
 	if r.At.After(x.Sent.Add(requestTimeout + runSlack)) {
@@ -138,19 +138,19 @@
 }
 
 // revokedAt returns when a key was revoked; zero for a valid key.
-func (w *World) revokedAt(key string) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.keys[key]
+func (d *Deployment) revokedAt(key string) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.keys[key]
 }
 
 // refusedFrom returns the time from which a key must be refused that was revoked at the given
 // time. Without strict revocation, this is not before the time for recovery from the last fault,
 // since instances out of touch with the store may accept the key until then.
-func (w *World) refusedFrom(revoked time.Time) time.Time {
+func (d *Deployment) refusedFrom(revoked time.Time) time.Time {
 	from := revoked.Add(revoke)
-	if !w.strict && from.Before(w.recovered) {
-		return w.recovered
+	if !d.strict && from.Before(d.recovered) {
+		return d.recovered
 	}
 	return from
 }
--- a/soak/check_abandoned.go
+++ b/soak/check_abandoned.go
@@ -14,7 +14,7 @@
 const abandonSlack = 500 * time.Millisecond
 
 // checkAbandoned checks that a run ends soon after its caller canceled the request.
-func (w *World) checkAbandoned(x *Exchange, r *platformtest.Run, wrong func(guarantee, detail string)) {
+func (d *Deployment) checkAbandoned(x *Exchange, r *platformtest.Run, wrong func(guarantee, detail string)) {
 	if !x.CancelsEarly || x.Whole || !r.At.Before(x.Ended) {
 		return
 	}
@@ -23,7 +23,7 @@
 		ended = time.Now()
 	}
 	late := ended.Sub(x.Ended)
-	if late <= abandonSlack || w.disturbed(x, ended) {
+	if late <= abandonSlack || d.disturbed(x, ended) {
 		return
 	}
 	wrong("runs end when their callers cancel", fmt.Sprintf("it continued for %s", late.Round(time.Millisecond)))
@@ -32,16 +32,16 @@
 // disturbed reports whether, between the sending of a request and the end of its run, there was
 // a fault that may have kept the endpoint from learning of the cancellation: the instance of
 // the request was frozen, or the link to any endpoint was faulty.
-func (w *World) disturbed(x *Exchange, ended time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.played {
+func (d *Deployment) disturbed(x *Exchange, ended time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, p := range d.played {
 		if p.ended().Before(x.Sent) || p.began.After(ended) {
 			continue
 		}
 		_, link := endpointLinks[p.fault.Kind]
 		link = link || p.fault.Kind == endpointsSilent
-		frozen := p.fault.Kind == "freeze" && p.fault.Target%len(w.processes) == x.Instance
+		frozen := p.fault.Kind == "freeze" && p.fault.Target%len(d.processes) == x.Instance
 		if link || frozen {
 			return true
 		}
--- a/soak/check_final.go
+++ b/soak/check_final.go
@@ -10,9 +10,9 @@
 
 // checkFinalState checks that no endpoint runs requests or holds reserved tokens after the
 // load has ended, and that no instance exited unexpectedly.
-func (w *World) checkFinalState() []Violation {
+func (d *Deployment) checkFinalState() []Violation {
 	var out []Violation
-	for _, e := range w.endpoints {
+	for _, e := range d.endpoints {
 		if n := e.Running(); n > 0 {
 			out = append(out, Violation{
 				Guarantee: "no request runs after the load has ended",
@@ -26,7 +26,7 @@
 			})
 		}
 	}
-	for _, p := range w.processes {
+	for _, p := range d.processes {
 		p.mu.Lock()
 		if p.unexpectedExits > 0 {
 			out = append(out, Violation{
--- a/soak/configuration.go
+++ b/soak/configuration.go
@@ -52,17 +52,17 @@
 )
 
 // publish writes the next version of the configuration, with the keys that are valid now.
-func (w *World) publish() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
+func (d *Deployment) publish() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version++
 	var keys []string
-	for k, revoked := range w.keys {
+	for k, revoked := range d.keys {
 		if revoked.IsZero() {
 			keys = append(keys, k)
 		}
 	}
-	w.store.Publish(w.version, []route.Route{
+	d.store.Publish(d.version, []route.Route{
 		routeOf(streamPath, route.Streaming, engineService, true),
 		routeOf(oncePath, route.Streaming, engineService, false),
 		routeOf(safePath, route.Safe, plainService, false),
@@ -112,32 +112,32 @@
 const publishWithin = time.Second
 
 // rotateKey revokes the current key and adds a new one.
-func (w *World) rotateKey() {
-	w.mu.Lock()
-	for k, revoked := range w.keys {
+func (d *Deployment) rotateKey() {
+	d.mu.Lock()
+	for k, revoked := range d.keys {
 		if revoked.IsZero() && k != steadyKey {
-			w.keys[k] = time.Now()
+			d.keys[k] = time.Now()
 		}
 	}
-	w.keys[fmt.Sprintf("k-%d", len(w.keys))] = time.Time{}
-	w.mu.Unlock()
-	w.publish()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	d.keys[fmt.Sprintf("k-%d", len(d.keys))] = time.Time{}
+	d.mu.Unlock()
+	d.publish()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := time.Now()
-	for k, revoked := range w.keys {
+	for k, revoked := range d.keys {
 		// The time limit for refusing the key starts when the store has the new version.
 		if !revoked.IsZero() && now.Sub(revoked) < publishWithin {
-			w.keys[k] = now
+			d.keys[k] = now
 		}
 	}
 }
 
 // currentKey returns a valid key that may be revoked later, or steadyKey if there is none.
-func (w *World) currentKey() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for k, revoked := range w.keys {
+func (d *Deployment) currentKey() string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for k, revoked := range d.keys {
 		if revoked.IsZero() && k != steadyKey {
 			return k
 		}
@@ -146,9 +146,9 @@
 }
 
 // anyKey returns a random key that is valid or was revoked.
-func (w *World) anyKey(r *rand.Rand) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	all := slices.Sorted(maps.Keys(w.keys))
+func (d *Deployment) anyKey(r *rand.Rand) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	all := slices.Sorted(maps.Keys(d.keys))
 	return all[r.IntN(len(all))]
 }
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -43,24 +43,24 @@
 
 // crash makes an endpoint refuse connections, and restarts it under its name after
 // crashDowntime.
-func (w *World) crash(e *endpoint) {
+func (d *Deployment) crash(e *endpoint) {
 	e.proxy.Refuse()
 	time.AfterFunc(crashDowntime, func() {
 		for e.proxy.Resume() != nil {
 			time.Sleep(listenRetry)
 		}
-		w.mu.Lock()
+		d.mu.Lock()
 		e.startedAt = time.Now()
-		w.mu.Unlock()
-		w.writeEntry(e, false)
+		d.mu.Unlock()
+		d.writeEntry(e, false)
 	})
 }
 
 // sendCrashing repeatedly sends a request that crashes endpoints, for the duration of a fault
 // and 2*detectWithin beyond it. The fault's target selects the route.
-func (w *World) sendCrashing(s Fault) {
+func (d *Deployment) sendCrashing(s Fault) {
 	c := &callers{
-		world: w,
+		deployment: d,
 	}
 	end := time.Now().Add(s.For + 2*detectWithin)
 	for n := 0; time.Now().Before(end); n++ {
@@ -69,7 +69,7 @@
 			Path:     paths[s.Target%len(paths)],
 			Key:      steadyKey,
 			Body:     fmt.Sprint(crashBody, s.At),
-			Instance: n % len(w.processes),
+			Instance: n % len(d.processes),
 		}
 		client := &http.Client{
 			Transport: &http.Transport{
@@ -77,25 +77,25 @@
 			},
 		}
 		c.send(client, &x, 0, minShortPrompt)
-		w.mu.Lock()
-		w.crashSends = append(w.crashSends, x)
-		w.mu.Unlock()
+		d.mu.Lock()
+		d.crashSends = append(d.crashSends, x)
+		d.mu.Unlock()
 		time.Sleep(crashInterval)
 	}
 }
 
 // crashExchanges returns the exchanges of requests that crash endpoints.
-func (w *World) crashExchanges() []Exchange {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.crashSends
+func (d *Deployment) crashExchanges() []Exchange {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.crashSends
 }
 
 // checkCrashes checks that each request that crashes endpoints runs at most maxLateRuns times
 // after the instances must have detected it.
-func (w *World) checkCrashes() []Violation {
+func (d *Deployment) checkCrashes() []Violation {
 	runs := make(map[string][]time.Time)
-	for _, e := range w.endpoints {
+	for _, e := range d.endpoints {
 		for _, r := range e.Runs() {
 			if strings.HasPrefix(r.Body, crashBody) {
 				runs[r.Body] = append(runs[r.Body], r.At)
@@ -104,7 +104,7 @@
 	}
 	var out []Violation
 	for body, at := range runs {
-		if n := w.lateRuns(at); n > maxLateRuns {
+		if n := d.lateRuns(at); n > maxLateRuns {
 			out = append(out, Violation{
 				Guarantee: "requests that crash endpoints reach few endpoints",
 				Detail:    fmt.Sprintf("%q ran %d times, %d of them more than %s after its third run", body, len(at), n, detectWithin),
@@ -117,11 +117,11 @@
 // lateRuns returns how many runs of a request began more than detectWithin after the start of its
 // third run; each run crashes an endpoint. The count starts again whenever all instances were
 // lost in an outage of the store, because they lose their records of crashes then.
-func (w *World) lateRuns(runs []time.Time) int {
+func (d *Deployment) lateRuns(runs []time.Time) int {
 	slices.SortFunc(runs, time.Time.Compare)
 	n, first := 0, 0
 	for i, at := range runs {
-		if i > 0 && w.lostAll(runs[i-1], at) {
+		if i > 0 && d.lostAll(runs[i-1], at) {
 			first = i
 		}
 		if i-first >= crashesToDetect && at.Sub(runs[first+crashesToDetect-1]) > detectWithin {
@@ -133,8 +133,8 @@
 
 // lostAll reports whether all instances were killed in an outage of the store between two
 // times.
-func (w *World) lostAll(from, to time.Time) bool {
-	return slices.ContainsFunc(w.played, func(p playedFault) bool {
+func (d *Deployment) lostAll(from, to time.Time) bool {
+	return slices.ContainsFunc(d.played, func(p playedFault) bool {
 		return p.fault.Kind == "all lost in an outage" && p.began.Before(to) && p.ended().After(from)
 	})
 }
--- a/soak/world.go
+++ b/soak/deployment.go
@@ -52,8 +52,8 @@
 	startedAt time.Time
 }
 
-// World is the deployment under test, with the records of a run.
-type World struct {
+// Deployment is the deployment under test, with the records of a run.
+type Deployment struct {
 	program string
 	// strict is true if instances out of touch with the store must refuse revoked keys in
 	// time, too.
@@ -86,13 +86,13 @@
 	keys map[string]time.Time
 }
 
-// newWorld starts the stand-ins and the given number of instances of a program.
-func newWorld(program string, instances int, strict bool) (*World, error) {
+// newDeployment starts the stand-ins and the given number of instances of a program.
+func newDeployment(program string, instances int, strict bool) (*Deployment, error) {
 	dir, err := os.MkdirTemp("", "linkmast-soak-")
 	if err != nil {
 		return nil, errors.Wrap(err, "create directory of the run")
 	}
-	w := &World{
+	d := &Deployment{
 		program: program,
 		strict:  strict,
 		dir:     dir,
@@ -102,12 +102,12 @@
 			"k-0":     {},
 		},
 	}
-	if w.storeAddr, err = w.serve(w.store); err != nil {
+	if d.storeAddr, err = d.serve(d.store); err != nil {
 		return nil, err
 	}
-	w.publish()
+	d.publish()
 	for i := range engines + services {
-		if err := w.addEndpoint(i); err != nil {
+		if err := d.addEndpoint(i); err != nil {
 			return nil, err
 		}
 	}
@@ -116,21 +116,21 @@
 		if err != nil {
 			return nil, err
 		}
-		w.seedAddresses = append(w.seedAddresses, address)
+		d.seedAddresses = append(d.seedAddresses, address)
 	}
 	for i := range instances {
-		if err := w.addProcess(i); err != nil {
+		if err := d.addProcess(i); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return d, nil
 }
 
 // maxSeeds bounds the number of instances that are seeds for the others.
 const maxSeeds = 3
 
 // serve serves a stand-in on a free port and returns its address.
-func (w *World) serve(h http.Handler) (string, error) {
+func (d *Deployment) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "listen for a stand-in")
@@ -139,7 +139,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 	}
-	w.servers = append(w.servers, s)
+	d.servers = append(d.servers, s)
 	go func() {
 		// Serve always returns an error after Close.
 		_ = s.Serve(l)
@@ -149,7 +149,7 @@
 
 // addEndpoint starts endpoint i behind a proxy and writes its entry to the store. The first
 // endpoints are engines, the others plain.
-func (w *World) addEndpoint(i int) error {
+func (d *Deployment) addEndpoint(i int) error {
 	e := &endpoint{
 		Endpoint: &platformtest.Endpoint{
 			Instance: fmt.Sprintf("e-%d", i),
@@ -163,32 +163,32 @@
 		e.service = engineService
 		e.Engine = engineModel()
 	}
-	address, err := w.serve(e.Endpoint)
+	address, err := d.serve(e.Endpoint)
 	if err != nil {
 		return err
 	}
 	if e.proxy, err = tcptest.NewProxy(address); err != nil {
 		return errors.Wrap(err, "start proxy to an endpoint")
 	}
-	e.Crash = func([]string) { w.crash(e) }
+	e.Crash = func([]string) { d.crash(e) }
 	e.setFaults(platformtest.EndpointFaults{})
-	w.endpoints = append(w.endpoints, e)
-	w.writeEntry(e, false)
+	d.endpoints = append(d.endpoints, e)
+	d.writeEntry(e, false)
 	return nil
 }
 
 // close kills the instances and stops the proxies and stand-ins.
-func (w *World) close() {
-	for _, p := range w.processes {
+func (d *Deployment) close() {
+	for _, p := range d.processes {
 		p.signal(syscall.SIGCONT, false)
 		p.signal(syscall.SIGKILL, true)
 		<-p.done()
 		p.store.Close()
 	}
-	for _, e := range w.endpoints {
+	for _, e := range d.endpoints {
 		e.proxy.Close()
 	}
-	for _, s := range w.servers {
+	for _, s := range d.servers {
 		_ = s.Close()
 	}
 }
@@ -200,11 +200,11 @@
 
 // writeEntry writes an endpoint's entry to the store. If leaving is true, the entry says that
 // the endpoint is about to end and takes no new requests.
-func (w *World) writeEntry(e *endpoint, leaving bool) {
-	w.mu.Lock()
+func (d *Deployment) writeEntry(e *endpoint, leaving bool) {
+	d.mu.Lock()
 	startedAt := e.startedAt
-	w.mu.Unlock()
-	w.store.PutEndpoint(platformtest.EndpointEntry{
+	d.mu.Unlock()
+	d.store.PutEndpoint(platformtest.EndpointEntry{
 		Instance:  e.Name(),
 		Service:   e.service,
 		Address:   e.proxy.Address,
@@ -216,6 +216,6 @@
 }
 
 // logLocation returns a text that says where the instances' logs are.
-func (w *World) logLocation() string {
-	return "logs in " + strings.TrimSuffix(w.dir, "/")
+func (d *Deployment) logLocation() string {
+	return "logs in " + strings.TrimSuffix(d.dir, "/")
 }
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -31,44 +31,44 @@
 
 // drain drains a failure domain for drainWithin + minDrainExcess + last and then undrains it. It
 // does nothing if the domain is drained already.
-func (w *World) drain(domain string, last time.Duration) {
-	i, ok := w.beginDrain(domain)
+func (d *Deployment) drain(domain string, last time.Duration) {
+	i, ok := d.beginDrain(domain)
 	if !ok {
 		return
 	}
 	time.Sleep(drainWithin + minDrainExcess + last)
-	w.mu.Lock()
-	w.drains[i].to = time.Now()
-	w.mu.Unlock()
-	w.store.UndrainDomain(domain)
+	d.mu.Lock()
+	d.drains[i].to = time.Now()
+	d.mu.Unlock()
+	d.store.UndrainDomain(domain)
 }
 
 // beginDrain writes the operator's order to drain a failure domain to the store. It returns
 // the index of the new period in drains, or false if the domain is drained already.
-func (w *World) beginDrain(domain string) (int, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, e := range w.drains {
+func (d *Deployment) beginDrain(domain string) (int, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, e := range d.drains {
 		if e.domain == domain && e.to.IsZero() {
 			return 0, false
 		}
 	}
-	w.store.DrainDomain(domain)
-	w.drains = append(w.drains, drainPeriod{
+	d.store.DrainDomain(domain)
+	d.drains = append(d.drains, drainPeriod{
 		domain: domain,
 		from:   time.Now(),
 	})
-	return len(w.drains) - 1, true
+	return len(d.drains) - 1, true
 }
 
 // checkDrained reports whether run r of exchange x began on endpoint e later than allowed after
 // the failure domain of e was drained, and returns the violation.
-func (w *World) checkDrained(x *Exchange, e *endpoint, r *platformtest.Run) (Violation, bool) {
-	for _, m := range w.drains {
+func (d *Deployment) checkDrained(x *Exchange, e *endpoint, r *platformtest.Run) (Violation, bool) {
+	for _, m := range d.drains {
 		if m.domain != e.domain || !m.to.IsZero() && r.At.After(m.to) {
 			continue
 		}
-		late := r.At.Sub(w.informedSince(x, m.from, r.At).Add(drainWithin + runSlack))
+		late := r.At.Sub(d.informedSince(x, m.from, r.At).Add(drainWithin + runSlack))
 		if late < 0 {
 			continue
 		}
@@ -84,9 +84,9 @@
 // informedSince returns the time from which the instance of a request was able to read the
 // order that was written to the store at the time since. This is the latest of since and the ends
 // of the faults that began before until and blocked the store for the instance.
-func (w *World) informedSince(x *Exchange, since, until time.Time) time.Time {
-	for _, p := range w.played {
-		if p.began.Before(until) && w.blocksStore(&p, x) && p.ended().After(since) {
+func (d *Deployment) informedSince(x *Exchange, since, until time.Time) time.Time {
+	for _, p := range d.played {
+		if p.began.Before(until) && d.blocksStore(&p, x) && p.ended().After(since) {
 			since = p.ended()
 		}
 	}
@@ -95,11 +95,11 @@
 
 // blocksStore reports whether a fault kept the instance of a request from reading the store:
 // the store was faulty, the instance's link to it was, or the instance was frozen.
-func (w *World) blocksStore(p *playedFault, x *Exchange) bool {
+func (d *Deployment) blocksStore(p *playedFault, x *Exchange) bool {
 	if _, store := storeFaults[p.fault.Kind]; store || p.fault.Kind == "all lost in an outage" {
 		return true
 	}
 	_, link := storeLinks[p.fault.Kind]
 	link = link || p.fault.Kind == "store connections silent"
-	return (link || p.fault.Kind == "freeze") && p.fault.Target%len(w.processes) == x.Instance
+	return (link || p.fault.Kind == "freeze") && p.fault.Target%len(d.processes) == x.Instance
 }
--- a/soak/play.go
+++ b/soak/play.go
@@ -26,7 +26,7 @@
 
 // play injects the faults of a schedule and calls note for each. It returns when all faults
 // that have begun have ended. It begins no further ones after the end of ctx.
-func (w *World) play(ctx context.Context, schedule []Fault, note func(Fault)) {
+func (d *Deployment) play(ctx context.Context, schedule []Fault, note func(Fault)) {
 	begin := time.Now()
 	var playing sync.WaitGroup
 	defer playing.Wait()
@@ -37,29 +37,29 @@
 		case <-time.After(time.Until(begin.Add(s.At))):
 		}
 		note(s)
-		w.record(s)
-		playing.Go(func() { w.do(s) })
+		d.record(s)
+		playing.Go(func() { d.do(s) })
 	}
 }
 
 // record stores a fault that begins now for the checks at the end of the run.
-func (w *World) record(s Fault) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.played = append(w.played, playedFault{
+func (d *Deployment) record(s Fault) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.played = append(d.played, playedFault{
 		fault: s,
 		began: time.Now(),
 	})
 }
 
 // do injects a fault and, if the fault lasts, removes it after its duration.
-func (w *World) do(s Fault) {
-	p := w.processes[s.Target%len(w.processes)]
-	e := w.endpoints[s.Target%len(w.endpoints)]
+func (d *Deployment) do(s Fault) {
+	p := d.processes[s.Target%len(d.processes)]
+	e := d.endpoints[s.Target%len(d.endpoints)]
 	if f, ok := storeFaults[s.Kind]; ok {
-		w.store.SetFaults(f)
+		d.store.SetFaults(f)
 		time.Sleep(s.For)
-		w.store.SetFaults(platformtest.StoreFaults{})
+		d.store.SetFaults(platformtest.StoreFaults{})
 		return
 	}
 	if f, ok := endpointFaults[s.Kind]; ok {
@@ -86,7 +86,7 @@
 		e.proxy.Set(tcptest.Link{})
 		return
 	}
-	w.doOther(s, p, e)
+	d.doOther(s, p, e)
 }
 
 // storeFaults maps kinds of faults to the settings of the stand-in store that inject them.
@@ -138,14 +138,14 @@
 
 // doOther injects the faults that signal processes, silence connections, write to the store or
 // need several actions.
-func (w *World) doOther(s Fault, p *process, e *endpoint) {
+func (d *Deployment) doOther(s Fault, p *process, e *endpoint) {
 	switch s.Kind {
 	case "term":
 		p.signal(syscall.SIGTERM, true)
-		w.restart(p, s.For)
+		d.restart(p, s.For)
 	case "kill":
 		p.signal(syscall.SIGKILL, true)
-		w.restart(p, s.For)
+		d.restart(p, s.For)
 	case "freeze":
 		p.signal(syscall.SIGSTOP, false)
 		time.Sleep(s.For)
@@ -153,54 +153,54 @@
 	case "hangup":
 		p.signal(syscall.SIGHUP, false)
 	case "store forgets":
-		w.store.Compact(platformtest.TopicEndpoints)
-		w.store.Compact(platformtest.TopicOperator)
+		d.store.Compact(platformtest.TopicEndpoints)
+		d.store.Compact(platformtest.TopicOperator)
 	case "endpoint leaves":
-		w.leave(e, s.For)
+		d.leave(e, s.For)
 	case saysLeaving:
-		w.leaveByAnswers(e, s.For)
+		d.leaveByAnswers(e, s.For)
 	case "key taken away":
-		w.rotateKey()
+		d.rotateKey()
 	case "store connections silent":
 		p.store.Silence()
 	case endpointsSilent:
 		e.proxy.Silence()
 	case "all lost in an outage":
-		w.loseAll(s.For)
+		d.loseAll(s.For)
 	case "domain emptied":
-		w.drain(domainOf(s.Target), s.For)
+		d.drain(domainOf(s.Target), s.For)
 	case "endpoint starts again":
-		w.restartEndpoint(e, s.For)
+		d.restartEndpoint(e, s.For)
 	case requestCrashes:
-		w.sendCrashing(s)
+		d.sendCrashing(s)
 	}
 }
 
 // restartEndpoint restarts an endpoint under its name: it resets the connections and writes an
 // entry with a new start time.
-func (w *World) restartEndpoint(e *endpoint, away time.Duration) {
+func (d *Deployment) restartEndpoint(e *endpoint, away time.Duration) {
 	e.proxy.Set(tcptest.Link{Reset: true})
 	time.Sleep(away / restartDivisor)
-	w.mu.Lock()
+	d.mu.Lock()
 	e.startedAt = time.Now()
-	w.mu.Unlock()
-	w.writeEntry(e, false)
+	d.mu.Unlock()
+	d.writeEntry(e, false)
 	e.proxy.Set(tcptest.Link{})
 }
 
 // loseAll kills all instances while the store refuses requests, and restarts them before the
 // outage ends.
-func (w *World) loseAll(outage time.Duration) {
-	w.store.SetFaults(storeFaults["store refuses"])
+func (d *Deployment) loseAll(outage time.Duration) {
+	d.store.SetFaults(storeFaults["store refuses"])
 	var all sync.WaitGroup
-	for _, p := range w.processes {
+	for _, p := range d.processes {
 		all.Go(func() {
 			p.signal(syscall.SIGKILL, true)
-			w.restart(p, outage)
+			d.restart(p, outage)
 		})
 	}
 	time.Sleep(outage)
-	w.store.SetFaults(platformtest.StoreFaults{})
+	d.store.SetFaults(platformtest.StoreFaults{})
 	all.Wait()
 }
 
@@ -214,7 +214,7 @@
 // restart waits until an instance has exited, killing it if it exceeds its grace period, and
 // starts it again. If several calls wait for the same exit, only one of them starts the
 // instance.
-func (w *World) restart(p *process, after time.Duration) {
+func (d *Deployment) restart(p *process, after time.Duration) {
 	exited := p.done()
 	select {
 	case <-exited:
@@ -227,7 +227,7 @@
 	if !p.claimStart(exited) {
 		return
 	}
-	if err := w.start(p); err != nil {
+	if err := d.start(p); err != nil {
 		p.mu.Lock()
 		p.unexpectedExits++
 		p.mu.Unlock()
@@ -236,13 +236,13 @@
 
 // leave marks the entry of an endpoint as leaving, removes the entry after the given time, and
 // writes an entry for the endpoint under a new name.
-func (w *World) leave(e *endpoint, after time.Duration) {
-	w.writeEntry(e, true)
+func (d *Deployment) leave(e *endpoint, after time.Duration) {
+	d.writeEntry(e, true)
 	time.Sleep(after)
-	w.store.DeleteEndpoint(e.Name())
-	w.mu.Lock()
-	w.version++
-	e.SetInstance(fmt.Sprintf("%s.%d", e.Name(), w.version))
-	w.mu.Unlock()
-	w.writeEntry(e, false)
+	d.store.DeleteEndpoint(e.Name())
+	d.mu.Lock()
+	d.version++
+	e.SetInstance(fmt.Sprintf("%s.%d", e.Name(), d.version))
+	d.mu.Unlock()
+	d.writeEntry(e, false)
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -101,12 +101,12 @@
 }
 
 // addProcess writes the settings of instance i and starts it, with a proxy to the store.
-func (w *World) addProcess(i int) error {
+func (d *Deployment) addProcess(i int) error {
 	p := &process{
 		name: fmt.Sprintf("n-%d", i),
 	}
 	var err error
-	if p.store, err = tcptest.NewProxy(w.storeAddr); err != nil {
+	if p.store, err = tcptest.NewProxy(d.storeAddr); err != nil {
 		return errors.Wrap(err, "start proxy to the store")
 	}
 	own := ""
@@ -115,16 +115,16 @@
 			return err
 		}
 	}
-	if i < len(w.seedAddresses) {
-		own = w.seedAddresses[i]
+	if i < len(d.seedAddresses) {
+		own = d.seedAddresses[i]
 	}
-	p.settings = filepath.Join(w.dir, p.name+".toml")
-	text := fmt.Sprintf(settingsText, p.name, domainOf(i), p.listen, p.ready, own, quoted(w.seedAddresses), p.store.Address, revoke, w.strict, grace)
+	p.settings = filepath.Join(d.dir, p.name+".toml")
+	text := fmt.Sprintf(settingsText, p.name, domainOf(i), p.listen, p.ready, own, quoted(d.seedAddresses), p.store.Address, revoke, d.strict, grace)
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
 		return errors.Wrap(err, "write settings of an instance")
 	}
-	w.processes = append(w.processes, p)
-	return w.start(p)
+	d.processes = append(d.processes, p)
+	return d.start(p)
 }
 
 // quoted formats texts as the elements of a TOML array.
@@ -137,12 +137,12 @@
 }
 
 // start starts the program of an instance and appends its output to the instance's log.
-func (w *World) start(p *process) error {
-	out, err := os.OpenFile(filepath.Join(w.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (d *Deployment) start(p *process) error {
+	out, err := os.OpenFile(filepath.Join(d.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "open log of an instance")
 	}
-	cmd := exec.Command(w.program, "--settings", p.settings)
+	cmd := exec.Command(d.program, "--settings", p.settings)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, "start instance")
@@ -207,12 +207,12 @@
 }
 
 // readyCount returns the number of instances whose readiness check succeeds.
-func (w *World) readyCount() int {
+func (d *Deployment) readyCount() int {
 	client := &http.Client{
 		Timeout: readyTimeout,
 	}
 	n := 0
-	for _, p := range w.processes {
+	for _, p := range d.processes {
 		res, err := client.Get("http://" + p.ready + "/")
 		if err != nil {
 			continue
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -56,20 +56,20 @@
 // ctx ended during the run; any other error means that the run could not be prepared or cleaned
 // up.
 func Run(ctx context.Context, s Settings) ([]Violation, error) {
-	w, err := newWorld(s.Program, s.Processes, s.strict())
+	d, err := newDeployment(s.Program, s.Processes, s.strict())
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	if err := w.awaitReady(ctx); err != nil {
+	defer d.close()
+	if err := d.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	history := w.loadAndPlay(ctx, s)
-	broken := append(w.check(history), checkRecovery(history, w.recovered)...)
-	w.report(s, history, broken)
+	history := d.loadAndPlay(ctx, s)
+	broken := append(d.check(history), checkRecovery(history, d.recovered)...)
+	d.report(s, history, broken)
 	if len(broken) == 0 {
 		// The instances' logs are kept only if a guarantee was violated.
-		if err := os.RemoveAll(w.dir); err != nil {
+		if err := os.RemoveAll(d.dir); err != nil {
 			return nil, errors.Wrap(err, "remove directory of the run")
 		}
 	}
@@ -78,15 +78,15 @@
 
 // loadAndPlay plays the schedule under load, waits until the load has ended and for settleFor
 // after it, and returns the exchanges of the callers.
-func (w *World) loadAndPlay(ctx context.Context, s Settings) []Exchange {
+func (d *Deployment) loadAndPlay(ctx context.Context, s Settings) []Exchange {
 	c := &callers{
-		world: w,
+		deployment: d,
 	}
 	load, stop := context.WithCancel(ctx)
 	defer stop()
 	watch, unwatch := context.WithCancel(ctx)
 	var loading, watching sync.WaitGroup
-	watching.Go(func() { w.watchStalls(watch) })
+	watching.Go(func() { d.watchStalls(watch) })
 	defer watching.Wait()
 	defer unwatch()
 	loading.Go(func() { c.run(load, s.Seed) })
@@ -94,14 +94,14 @@
 	if s.Statements {
 		schedule = merge(schedule, DrawStatements(s.Seed, s.Length))
 	}
-	w.play(ctx, schedule, func(f Fault) { _, _ = fmt.Fprintln(s.Out, f) })
+	d.play(ctx, schedule, func(f Fault) { _, _ = fmt.Fprintln(s.Out, f) })
 	wait(ctx, recoverWithin)
-	w.recovered = time.Now()
+	d.recovered = time.Now()
 	wait(ctx, recoverFor)
 	stop()
 	loading.Wait()
 	wait(ctx, settleFor)
-	return append(c.all(), w.crashExchanges()...)
+	return append(c.all(), d.crashExchanges()...)
 }
 
 // wait sleeps for d or until ctx ends.
@@ -113,18 +113,18 @@
 }
 
 // awaitReady waits until all instances are ready, for at most startWithin.
-func (w *World) awaitReady(ctx context.Context) error {
+func (d *Deployment) awaitReady(ctx context.Context) error {
 	for end := time.Now().Add(startWithin); time.Now().Before(end); wait(ctx, readyPollInterval) {
-		if w.readyCount() == len(w.processes) {
+		if d.readyCount() == len(d.processes) {
 			return nil
 		}
 	}
-	return errors.Errorf("instances are not ready after %s; %s", startWithin, w.logLocation())
+	return errors.Errorf("instances are not ready after %s; %s", startWithin, d.logLocation())
 }
 
 // report writes the numbers of requests and of violations and, if there are violations, their
 // details, the stalls and the location of the logs.
-func (w *World) report(s Settings, history []Exchange, broken []Violation) {
+func (d *Deployment) report(s Settings, history []Exchange, broken []Violation) {
 	status := make(map[int]int)
 	for _, x := range history {
 		status[x.Status]++
@@ -135,7 +135,7 @@
 		_, _ = fmt.Fprintln(s.Out, "  "+v.String())
 	}
 	if len(broken) > 0 {
-		w.writeStalls(s.Out)
-		_, _ = fmt.Fprintln(s.Out, "  "+w.logLocation())
+		d.writeStalls(s.Out)
+		_, _ = fmt.Fprintln(s.Out, "  "+d.logLocation())
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -79,7 +79,7 @@
 	} {
 		t.Run(row.fault.String(), func(t *testing.T) {
 			is := is.New(t)
-			w := &World{
+			d := &Deployment{
 				processes: make([]*process, 4),
 				played: []playedFault{{
 					fault: row.fault,
@@ -90,7 +90,7 @@
 				Instance: 1,
 				Sent:     now,
 			}
-			is.Equal(w.disturbed(&x, now.Add(time.Second)), row.want)
+			is.Equal(d.disturbed(&x, now.Add(time.Second)), row.want)
 		})
 	}
 }
@@ -133,12 +133,12 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := &World{
+			d := &Deployment{
 				keys: map[string]time.Time{"gone": now.Add(-time.Minute)},
 			}
 			x, runs := servedAt(now), []platformtest.Run{runOf("r", "/unsafe/", now)}
 			row.change(&x, &runs)
-			got := w.checkExchange(&x, runs)
+			got := d.checkExchange(&x, runs)
 			if row.guarantee == "" {
 				is.Equal(len(got), 0)
 				return
@@ -165,11 +165,11 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := &World{
+			d := &Deployment{
 				strict:    row.strict,
 				recovered: row.recovered,
 			}
-			is.Equal(w.refusedFrom(now), row.want)
+			is.Equal(d.refusedFrom(now), row.want)
 		})
 	}
 }
@@ -199,7 +199,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := &World{
+			d := &Deployment{
 				processes: make([]*process, 3),
 				played: []playedFault{{
 					fault: row.fault,
@@ -220,7 +220,7 @@
 			x := servedAt(now)
 			x.Instance = 1
 			r := runOf("r", "/unsafe/", row.at)
-			_, wrong := w.checkDrained(&x, e, &r)
+			_, wrong := d.checkDrained(&x, e, &r)
 			is.Equal(wrong, row.wrong)
 		})
 	}
@@ -251,14 +251,14 @@
 		{"late runs after the loss of all instances", []float64{0, 1, 2, 12, 13, 14, 18}, []playedFault{lost}, 1},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			w := &World{
+			d := &Deployment{
 				played: row.played,
 			}
 			var at []time.Time
 			for _, s := range row.runs {
 				at = append(at, start.Add(time.Duration(s*float64(time.Second))))
 			}
-			is.New(t).Equal(w.lateRuns(at), row.want)
+			is.New(t).Equal(d.lateRuns(at), row.want)
 		})
 	}
 }
--- a/soak/stall.go
+++ b/soak/stall.go
@@ -40,7 +40,7 @@
 
 // watchStalls records stalls of this process and of all instances until ctx ends. They help to
 // distinguish faults of the system from an overloaded host when a guarantee was violated.
-func (w *World) watchStalls(ctx context.Context) {
+func (d *Deployment) watchStalls(ctx context.Context) {
 	before := make(map[string]time.Duration)
 	tick := time.NewTicker(stallInterval)
 	defer tick.Stop()
@@ -51,9 +51,9 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		w.recordStall(os.Getpid(), "the soak", before, now)
-		for _, p := range w.processes {
-			w.recordStall(p.pid(), p.name, before, now)
+		d.recordStall(os.Getpid(), "the soak", before, now)
+		for _, p := range d.processes {
+			d.recordStall(p.pid(), p.name, before, now)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 // recordStall records a stall if a thread of a process waited long enough since the previous
 // reading. The map before holds the total waiting time of each thread at the previous reading
 // and is updated.
-func (w *World) recordStall(pid int, who string, before map[string]time.Duration, now time.Time) {
+func (d *Deployment) recordStall(pid int, who string, before map[string]time.Duration, now time.Time) {
 	// A process that has exited has no threads, so Glob finds nothing.
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
@@ -78,9 +78,9 @@
 	if longest < time.Duration(stallShare*float64(stallInterval)) {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stalls = append(w.stalls, stall{
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.stalls = append(d.stalls, stall{
 		who:    who,
 		at:     now,
 		waited: longest,
@@ -104,11 +104,11 @@
 }
 
 // writeStalls writes the number of stalls and the first maxStallsReported of them.
-func (w *World) writeStalls(out io.Writer) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	_, _ = fmt.Fprintf(out, "  %d stalls of %d ms or more\n", len(w.stalls), int(stallShare*float64(stallInterval.Milliseconds())))
-	for _, s := range w.stalls[:min(len(w.stalls), maxStallsReported)] {
+func (d *Deployment) writeStalls(out io.Writer) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	_, _ = fmt.Fprintf(out, "  %d stalls of %d ms or more\n", len(d.stalls), int(stallShare*float64(stallInterval.Milliseconds())))
+	for _, s := range d.stalls[:min(len(d.stalls), maxStallsReported)] {
 		_, _ = fmt.Fprintln(out, "    "+s.String())
 	}
 }
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -41,15 +41,15 @@
 // missed stalls.
 func TestRecordStall(t *testing.T) {
 	is := is.New(t)
-	w := &World{}
+	d := &Deployment{}
 	before := make(map[string]time.Duration)
-	w.recordStall(os.Getpid(), "this one", before, time.Now())
-	is.Equal(len(w.stalls), 0) // there is no previous reading
+	d.recordStall(os.Getpid(), "this one", before, time.Now())
+	is.Equal(len(d.stalls), 0) // there is no previous reading
 	is.True(len(before) > 0)
 	for path := range before {
 		before[path] -= time.Second // simulates a wait of one second since the previous reading
 	}
-	w.recordStall(os.Getpid(), "this one", before, time.Now())
-	is.Equal(len(w.stalls), 1)
-	is.True(w.stalls[0].waited >= time.Second)
+	d.recordStall(os.Getpid(), "this one", before, time.Now())
+	is.Equal(len(d.stalls), 1)
+	is.True(d.stalls[0].waited >= time.Second)
 }
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -70,14 +70,14 @@
 
 // leaveByAnswers makes an endpoint announce in its responses, but not in the store, that it
 // leaves, and restarts it under another name after the given time.
-func (w *World) leaveByAnswers(e *endpoint, lasts time.Duration) {
+func (d *Deployment) leaveByAnswers(e *endpoint, lasts time.Duration) {
 	e.setFaults(platformtest.EndpointFaults{
 		Leaving: true,
 	})
 	time.Sleep(lasts)
 	// The next incarnation does not announce it.
 	e.setFaults(platformtest.EndpointFaults{})
-	w.leave(e, 0)
+	d.leave(e, 0)
 }
 
 // arrival is a request that arrived at an endpoint, with the index of the instance that sent
@@ -90,9 +90,9 @@
 // checkStatements checks that instances respect what endpoints announce in their responses. The
 // map sent holds the exchanges of callers by request ID. Instances that were affected by other
 // faults at the time are excused.
-func (w *World) checkStatements(sent map[string]*Exchange) []Violation {
+func (d *Deployment) checkStatements(sent map[string]*Exchange) []Violation {
 	var out []Violation
-	for _, e := range w.endpoints {
+	for _, e := range d.endpoints {
 		var all []arrival
 		for _, a := range e.Arrivals() {
 			if x := sent[a.ID]; x != nil {
@@ -102,14 +102,14 @@
 				})
 			}
 		}
-		out = slices.Concat(out, w.checkLeaving(e, all), w.checkBackoffs(e, all), w.checkLimits(e, all))
+		out = slices.Concat(out, d.checkLeaving(e, all), d.checkBackoffs(e, all), d.checkLimits(e, all))
 	}
 	return out
 }
 
 // checkLeaving checks that an endpoint gets no further requests from an instance some time
 // after a response to that instance announced its leaving.
-func (w *World) checkLeaving(e *endpoint, all []arrival) []Violation {
+func (d *Deployment) checkLeaving(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	announced := make(map[int]time.Time)
 	for _, a := range all {
@@ -122,7 +122,7 @@
 			continue
 		}
 		late := a.At.Sub(first.Add(answerWithin + leavingWithin + runSlack))
-		if late > 0 && !w.excused(a.instance, e, first, a.At) {
+		if late > 0 && !d.excused(a.instance, e, first, a.At) {
 			out = append(out, Violation{
 				Guarantee: "leaving endpoints get no new requests",
 				Detail: fmt.Sprintf("request %s of instance %d reached endpoint %s, %s after the bound", a.ID, a.instance,
@@ -144,7 +144,7 @@
 
 // checkBackoffs checks that an instance sends an endpoint at most maxBackoffRequests requests
 // during a back-off that the endpoint announced to it.
-func (w *World) checkBackoffs(e *endpoint, all []arrival) []Violation {
+func (d *Deployment) checkBackoffs(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	for i, asked := range all {
 		if !asked.Faults.Reject || asked.Faults.RetryAfter != statementFaults["endpoint asks for a back-off"].RetryAfter {
@@ -157,7 +157,7 @@
 				in++
 			}
 		}
-		if in > maxBackoffRequests && !w.excused(asked.instance, e, asked.At, end) {
+		if in > maxBackoffRequests && !d.excused(asked.instance, e, asked.At, end) {
 			out = append(out, Violation{
 				Guarantee: "back-offs of endpoints are respected",
 				Detail:    fmt.Sprintf("%d requests of instance %d reached endpoint %s within its back-off that began at %s", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
@@ -169,7 +169,7 @@
 
 // checkLimits checks that all instances together respect a rate limit that an endpoint
 // announces.
-func (w *World) checkLimits(e *endpoint, all []arrival) []Violation {
+func (d *Deployment) checkLimits(e *endpoint, all []arrival) []Violation {
 	limited := func(a arrival) bool { return a.Faults.RateLimit == fmt.Sprint(statedRate) }
 	var out []Violation
 	since := time.Time{}
@@ -186,7 +186,7 @@
 		}
 		in := 0
 		for _, a := range all[:i+1] {
-			if a.At.After(last.At.Add(-limitWindow)) && !a.At.Before(since) && !w.excused(a.instance, e, since, last.At) {
+			if a.At.After(last.At.Add(-limitWindow)) && !a.At.Before(since) && !d.excused(a.instance, e, since, last.At) {
 				in++
 			}
 		}
@@ -203,21 +203,21 @@
 // excused reports whether, between two times or at most excuseSlack before them, an instance was
 // terminated, killed or frozen, all instances were lost in an outage of the store, or the link
 // to an endpoint was faulty.
-func (w *World) excused(instance int, e *endpoint, from, to time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.played {
+func (d *Deployment) excused(instance int, e *endpoint, from, to time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, p := range d.played {
 		if p.ended().Add(excuseSlack).Before(from) || p.began.After(to) {
 			continue
 		}
 		_, link := endpointLinks[p.fault.Kind]
 		link = link || p.fault.Kind == endpointsSilent
 		switch {
-		case link && w.endpoints[p.fault.Target%len(w.endpoints)] == e:
+		case link && d.endpoints[p.fault.Target%len(d.endpoints)] == e:
 			return true
 		case p.fault.Kind == "all lost in an outage":
 			return true
-		case p.fault.Target%len(w.processes) != instance:
+		case p.fault.Target%len(d.processes) != instance:
 		case p.fault.Kind == "term" || p.fault.Kind == "kill" || p.fault.Kind == "freeze":
 			return true
 		}
--- a/soak/statements_test.go
+++ b/soak/statements_test.go
@@ -35,36 +35,36 @@
 	leaving := platformtest.EndpointFaults{Leaving: true}
 	limit := statementFaults["endpoint names a limit"]
 	backoff := statementFaults["endpoint asks for a back-off"]
-	leave := (*World).checkLeaving
+	leave := (*Deployment).checkLeaving
 	for _, c := range []struct {
 		name  string
-		check func(*World, *endpoint, []arrival) []Violation
+		check func(*Deployment, *endpoint, []arrival) []Violation
 		all   []arrival
 		wrong bool
 	}{
 		{"leaving, requests in time", leave, arrivalsEvery(begin, 20, 100*time.Millisecond, leaving), false},
 		{"leaving, late requests", leave, arrivalsEvery(begin, 5, time.Second, leaving), true},
 		{"not leaving", leave, arrivalsEvery(begin, 5, time.Second, platformtest.EndpointFaults{}), false},
-		{"limit kept", (*World).checkLimits, arrivalsEvery(begin, 20, 500*time.Millisecond, limit), false},
-		{"limit exceeded", (*World).checkLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, limit), true},
-		{"no limit", (*World).checkLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, platformtest.EndpointFaults{}), false},
-		{"back-off kept", (*World).checkBackoffs, arrivalsEvery(begin, 5, statedBackoff, backoff), false},
-		{"back-off broken", (*World).checkBackoffs, arrivalsEvery(begin, 20, 100*time.Millisecond, backoff), true},
+		{"limit kept", (*Deployment).checkLimits, arrivalsEvery(begin, 20, 500*time.Millisecond, limit), false},
+		{"limit exceeded", (*Deployment).checkLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, limit), true},
+		{"no limit", (*Deployment).checkLimits, arrivalsEvery(begin, 60, 100*time.Millisecond, platformtest.EndpointFaults{}), false},
+		{"back-off kept", (*Deployment).checkBackoffs, arrivalsEvery(begin, 5, statedBackoff, backoff), false},
+		{"back-off broken", (*Deployment).checkBackoffs, arrivalsEvery(begin, 20, 100*time.Millisecond, backoff), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := &endpoint{
 				Endpoint: &platformtest.Endpoint{},
 			}
-			w := &World{
+			d := &Deployment{
 				processes: make([]*process, 1),
 				endpoints: []*endpoint{e},
 			}
-			is.New(t).Equal(len(c.check(w, e, c.all)) > 0, c.wrong)
-			w.played = []playedFault{{
+			is.New(t).Equal(len(c.check(d, e, c.all)) > 0, c.wrong)
+			d.played = []playedFault{{
 				fault: Fault{Kind: "freeze", For: time.Hour},
 				began: begin,
 			}}
-			is.New(t).Equal(len(c.check(w, e, c.all)), 0)
+			is.New(t).Equal(len(c.check(d, e, c.all)), 0)
 		})
 	}
 }
