--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -52,7 +52,7 @@
 	startedAt time.Time
 }
 
-// Deployment is the deployment under test, with the records of a run.
+// Deployment holds the processes under test, the stand-ins around them, and the records of a run.
 type Deployment struct {
 	program string
 	// strict is true if instances out of touch with the store must refuse revoked keys in
@@ -86,7 +86,8 @@
 	keys map[string]time.Time
 }
 
-// newDeployment starts the stand-ins and the given number of instances of a program.
+// newDeployment starts the stand-ins and the given number of instances of a program. On an error
+// it leaves running what it has started.
 func newDeployment(program string, instances int, strict bool) (*Deployment, error) {
 	dir, err := os.MkdirTemp("", "linkmast-soak-")
 	if err != nil {
