--- a/cmd/linkmastctl/standin.go
+++ b/cmd/linkmastctl/standin.go
@@ -34,10 +34,10 @@
 // them by those of a JSON object such as {"frozen":true}.
 func (o *serveOptions) faults() standin.Faults {
 	return standin.Faults{
-		Slow:   o.Slow,
-		Frozen: o.Frozen,
-		Lag:    o.Lag,
-		Outage: o.Outage,
+		Slowdown: o.Slow,
+		Frozen:   o.Frozen,
+		Lag:      o.Lag,
+		Outage:   o.Outage,
 	}
 }
 
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -97,7 +97,7 @@
 		{"target", func(s *emulator.Sheet) { s.Kinds[0].Target = 0 }},
 		{"worth", func(s *emulator.Sheet) { s.Kinds[0].LateWorth = 2 * s.Kinds[0].Worth }},
 		{"unknown kind", func(s *emulator.Sheet) { s.Bursts = []emulator.Burst{{Kind: "none", For: 1}} }},
-		{"trouble", func(s *emulator.Sheet) { s.Troubles = []emulator.Trouble{{Engines: 1000}} }},
+		{"trouble", func(s *emulator.Sheet) { s.Faults = []emulator.Fault{{Engines: 1000}} }},
 		{"wave", func(s *emulator.Sheet) { s.Wave = emulator.Wave{Swing: 0.2} }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -142,18 +142,18 @@
 	is.Equal(o.LongestPause.Round(time.Millisecond), 45*time.Millisecond)
 }
 
-// TestTroubles checks that each kind of fault has its effect.
-func TestTroubles(t *testing.T) {
+// TestFaults checks that each kind of fault has its effect.
+func TestFaults(t *testing.T) {
 	at, long := config.Duration(5*time.Second), config.Duration(10*time.Second)
 	for _, row := range []struct {
-		name    string
-		trouble emulator.Trouble
+		name  string
+		fault emulator.Fault
 		// cause occurs with the fault and not without it.
 		cause emulator.Cause
 	}{
-		{"stopped engines", emulator.Trouble{At: at, For: long, Engines: 6}, emulator.CauseAbandoned},
-		{"slow engines", emulator.Trouble{At: at, For: long, Engines: 6, Slow: 8}, emulator.CauseLateFirstEvent},
-		{"streams cut", emulator.Trouble{At: at, For: long, Slow: 1, Cut: 1}, emulator.CauseRetried},
+		{"stopped engines", emulator.Fault{At: at, For: long, Engines: 6}, emulator.CauseAbandoned},
+		{"slow engines", emulator.Fault{At: at, For: long, Engines: 6, Slowdown: 8}, emulator.CauseLateFirstEvent},
+		{"streams cut", emulator.Fault{At: at, For: long, Slowdown: 1, Cut: 1}, emulator.CauseRetried},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -167,7 +167,7 @@
 				return n
 			}
 			is.Equal(causes()[row.cause], 0)
-			s.Troubles = []emulator.Trouble{row.trouble}
+			s.Faults = []emulator.Fault{row.fault}
 			is.True(causes()[row.cause] > 0)
 		})
 	}
@@ -186,12 +186,12 @@
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			s := readSheet(t, "grown.toml")
-			s.Troubles = []emulator.Trouble{{
-				At:      config.Duration(8 * time.Second),
-				For:     config.Duration(10 * time.Second),
-				Engines: 18,
-				Slow:    3,
-				Spread:  row.spread,
+			s.Faults = []emulator.Fault{{
+				At:       config.Duration(8 * time.Second),
+				For:      config.Duration(10 * time.Second),
+				Engines:  18,
+				Slowdown: 3,
+				Spread:   row.spread,
 			}}
 			requests := emulator.Draw(s, 1)
 			day := func(mode pool.SlowdownMode) float64 {
--- a/emulator/overload_test.go
+++ b/emulator/overload_test.go
@@ -36,7 +36,7 @@
 	is := is.New(t)
 	s := shortPromptSheet(30, 18*time.Second)
 	s.Bursts = []emulator.Burst{{At: config.Duration(5 * time.Second), For: config.Duration(6 * time.Second), Factor: 2}}
-	s.Troubles = []emulator.Trouble{{At: config.Duration(5 * time.Second), For: config.Duration(6 * time.Second), Engines: 2, Slow: 8}}
+	s.Faults = []emulator.Fault{{At: config.Duration(5 * time.Second), For: config.Duration(6 * time.Second), Engines: 2, Slowdown: 8}}
 	requests := emulator.Draw(s, 1)
 	r := emulator.Play(s, requests, pool.Settings{}, 1)
 	before, during, after := inTimeShare(requests, r, 0, 2*time.Second), inTimeShare(requests, r, 6*time.Second, 11*time.Second), inTimeShare(requests, r, 12*time.Second, 18*time.Second)
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -83,8 +83,8 @@
 		p.callers = append(p.callers, c)
 		p.clock.after(c.request.At, c.start)
 	}
-	for i := range s.Troubles {
-		p.scheduleTrouble(&s.Troubles[i])
+	for i := range s.Faults {
+		p.scheduleFault(&s.Faults[i])
 	}
 	p.clock.run(time.Duration(s.Length) + settleTime)
 	return p.result()
@@ -118,23 +118,23 @@
 	p.pool.Update(snap)
 }
 
-// scheduleTrouble schedules the slowdown of engines and the loss of entry instances.
-func (p *play) scheduleTrouble(t *Trouble) {
-	slowDown := func(slow float64) func() {
+// scheduleFault schedules the slowdown of engines and the loss of entry instances.
+func (p *play) scheduleFault(f *Fault) {
+	setSlowdown := func(slowdown float64) func() {
 		return func() {
-			for i := range t.Engines {
-				if t.Spread {
-					i = i * len(p.engineNames) / t.Engines
+			for i := range f.Engines {
+				if f.Spread {
+					i = i * len(p.engineNames) / f.Engines
 				}
-				p.engines[p.engineNames[i]].setSlowdown(slow)
+				p.engines[p.engineNames[i]].setSlowdown(slowdown)
 			}
 		}
 	}
-	p.clock.after(time.Duration(t.At), slowDown(t.Slow))
-	p.clock.after(time.Duration(t.At)+time.Duration(t.For), slowDown(1))
-	p.clock.after(time.Duration(t.At), func() {
+	p.clock.after(time.Duration(f.At), setSlowdown(f.Slowdown))
+	p.clock.after(time.Duration(f.At)+time.Duration(f.For), setSlowdown(1))
+	p.clock.after(time.Duration(f.At), func() {
 		for _, c := range p.callers {
-			if c.attempt != nil && p.rng.Float64() < t.Cut {
+			if c.attempt != nil && p.rng.Float64() < f.Cut {
 				c.loseEntry()
 			}
 		}
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -29,8 +29,8 @@
 	Wave Wave `toml:"wave"`
 	// Bursts change rates for a limited time.
 	Bursts []Burst `toml:"bursts"`
-	// Troubles are the faults that are injected.
-	Troubles []Trouble `toml:"troubles"`
+	// Faults are the faults that are injected.
+	Faults []Fault `toml:"troubles"`
 	// Delay is the nominal time of a message between a caller, its entry instance, the pool
 	// and an engine.
 	Delay config.Duration `toml:"delay"`
@@ -142,15 +142,15 @@
 	Factor float64 `toml:"factor"`
 }
 
-// Trouble is a fault that is injected for a limited time.
-type Trouble struct {
+// Fault is a fault that is injected for a limited time.
+type Fault struct {
 	// At is the start of the fault since the start of the day, and For its duration.
 	At  config.Duration `toml:"at"`
 	For config.Duration `toml:"for"`
 	// Engines is the number of engines whose passes take Slow times as long; a Slow of zero
 	// stops them.
-	Engines int     `toml:"engines"`
-	Slow    float64 `toml:"slow"`
+	Engines  int     `toml:"engines"`
+	Slowdown float64 `toml:"slow"`
 	// Spread selects engines at even distances in their order instead of the first ones.
 	Spread bool `toml:"spread"`
 	// Cut is the probability with which each request that has or had an attempt loses its
@@ -217,8 +217,8 @@
 			return errors.New("burst: factor or duration is out of range")
 		}
 	}
-	for _, t := range s.Troubles {
-		if t.Engines > e.Count || t.Engines < 0 || t.Slow < 0 || t.Cut < 0 || t.Cut > 1 {
+	for _, t := range s.Faults {
+		if t.Engines > e.Count || t.Engines < 0 || t.Slowdown < 0 || t.Cut < 0 || t.Cut > 1 {
 			return errors.New("trouble: engines, slow or cut is out of range")
 		}
 	}
--- a/experiment/plan.go
+++ b/experiment/plan.go
@@ -32,10 +32,10 @@
 type Variant struct {
 	// Name identifies the variant in results.
 	Name string `toml:"name"`
-	// Pace selects how the scheduler determines the slowdown of engines: "told" queries
+	// Slowdown selects how the scheduler determines the slowdown of engines: "told" queries
 	// engines, "learned" estimates it from their events, "ignored" does neither, and empty
 	// combines both.
-	Pace string `toml:"pace"`
+	Slowdown string `toml:"pace"`
 	// Worth configures the value of answers.
 	Worth worth.Settings `toml:"worth"`
 }
@@ -43,7 +43,7 @@
 // settings returns the scheduler's settings for the variant.
 func (v *Variant) settings() pool.Settings {
 	return pool.Settings{
-		SlowdownMode: slowdownModes[v.Pace],
+		SlowdownMode: slowdownModes[v.Slowdown],
 		Worth:        v.Worth,
 	}
 }
@@ -108,8 +108,8 @@
 			return errors.Errorf("variant %q: names must not be empty or repeated", v.Name)
 		}
 		names[v.Name] = true
-		if _, ok := slowdownModes[v.Pace]; !ok {
-			return errors.Errorf("variant %q: unknown pace %q", v.Name, v.Pace)
+		if _, ok := slowdownModes[v.Slowdown]; !ok {
+			return errors.Errorf("variant %q: unknown pace %q", v.Name, v.Slowdown)
 		}
 	}
 	for _, l := range p.Loads {
--- a/fleet/faults_test.go
+++ b/fleet/faults_test.go
@@ -97,7 +97,7 @@
 		}, nil, 22},
 		{"slow engines", func(v *virtualFleet) {
 			for _, e := range v.engines {
-				e.SetFaults(standin.Faults{Slow: 20})
+				e.SetFaults(standin.Faults{Slowdown: 20})
 			}
 		}, nil, 0},
 	} {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -267,8 +267,8 @@
 	if decodes || step == 0 {
 		step = max(step, e.settings.DecodeStep)
 	}
-	if e.faults.Slow > 0 {
-		step = time.Duration(float64(step) * e.faults.Slow)
+	if e.faults.Slowdown > 0 {
+		step = time.Duration(float64(step) * e.faults.Slowdown)
 	}
 	return step, work
 }
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -20,9 +20,9 @@
 	// Frozen makes an Engine stop responding and making progress, and makes new calls and probes
 	// of a Service wait. Other stand-ins ignore it.
 	Frozen bool `json:"frozen"`
-	// Slow is the factor by which the duration of every step of an Engine is multiplied; zero
+	// Slowdown is the factor by which the duration of every step of an Engine is multiplied; zero
 	// counts as one.
-	Slow float64 `json:"slow"`
+	Slowdown float64 `json:"slow"`
 	// RefuseBefore refuses attempts and calls before they start, with an error that says so. It
 	// also refuses reservations, as if the memory were taken.
 	RefuseBefore int `json:"refuse_before"`
