--- a/emulator/play.go
+++ b/emulator/play.go
@@ -118,7 +118,7 @@
 	p.pool.Update(snap)
 }
 
-// scheduleFault schedules the slowdown of engines and the loss of entry instances.
+// scheduleFault schedules the slowdown of engines, its end, and the loss of entry instances.
 func (p *play) scheduleFault(f *Fault) {
 	setSlowdown := func(slowdown float64) func() {
 		return func() {
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -147,8 +147,8 @@
 	// At is the start of the fault since the start of the day, and For its duration.
 	At  config.Duration `toml:"at"`
 	For config.Duration `toml:"for"`
-	// Engines is the number of engines whose passes take Slow times as long; a Slow of zero
-	// stops them.
+	// Engines is the number of engines whose passes take Slowdown times as long; a Slowdown of
+	// zero stops them.
 	Engines  int     `toml:"engines"`
 	Slowdown float64 `toml:"slow"`
 	// Spread selects engines at even distances in their order instead of the first ones.
--- a/engine/http.go
+++ b/engine/http.go
@@ -159,7 +159,8 @@
 }
 
 // refusalError returns the refusal in the body of a response as a *RunError. Its Ran is
-// MayHaveRun if the body is not a refusal.
+// NotRun if the refusal says that the attempt has not started, and MayHaveRun if it says
+// otherwise or the body is not a refusal.
 func refusalError(res *http.Response) *RunError {
 	r := Refusal{
 		Code:    RefusedFault,
--- a/experiment/plan.go
+++ b/experiment/plan.go
@@ -32,9 +32,9 @@
 type Variant struct {
 	// Name identifies the variant in results.
 	Name string `toml:"name"`
-	// Slowdown selects how the scheduler determines the slowdown of engines: "told" queries
-	// engines, "learned" estimates it from their events, "ignored" does neither, and empty
-	// combines both.
+	// Slowdown selects how the scheduler determines the slowdown of engines: "told" queries the
+	// engines, "learned" estimates it from their events, "ignored" takes it as 1, and empty
+	// combines queries and estimates.
 	Slowdown string `toml:"pace"`
 	// Worth configures the value of answers.
 	Worth worth.Settings `toml:"worth"`
