--- a/fleet/identity_test.go
+++ b/fleet/identity_test.go
@@ -44,7 +44,7 @@
 		status                               int
 		field                                string
 	}{
-		{"fine", "/v1/completions", "key-desk", "", "", fine, 200, ""},
+		{"valid", "/v1/completions", "key-desk", "", "", fine, 200, ""},
 		{"chat", "/v1/chat/completions", "key-desk", "", "", `{"model":"m1","messages":[{"role":"user","content":"hi"}]}`, 200, ""},
 		{"adapter", "/v1/completions", "key-desk", "", "", strings.Replace(fine, "m1", "m1-desk", 1), 200, ""},
 		{"wrong key", "/v1/completions", "key-des", "", "", fine, 401, "Authorization"},
@@ -60,11 +60,11 @@
 		{"tokens as text", "/v1/completions", "key-desk", "", "", `{"model":"m1","prompt":"x","max_tokens":"y"}`, 400, "max_tokens"},
 		{"two answers", "/v1/completions", "key-desk", "", "", `{"model":"m1","prompt":"x","n":2}`, 400, "n"},
 		{"no messages", "/v1/chat/completions", "key-desk", "", "", `{"model":"m1","messages":[]}`, 400, "messages"},
-		{"image", "/v1/chat/completions", "key-desk", "", "", `{"model":"m1","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, 400, "messages[0].content"},
+		{"image in a message", "/v1/chat/completions", "key-desk", "", "", `{"model":"m1","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, 400, "messages[0].content"},
 		{"no JSON", "/v1/completions", "key-desk", "", "", `{"model":`, 400, "body"},
-		{"deadline", "/v1/completions", "key-desk", "Linkmast-Deadline", "soon", fine, 400, "Linkmast-Deadline"},
+		{"malformed deadline", "/v1/completions", "key-desk", "Linkmast-Deadline", "soon", fine, 400, "Linkmast-Deadline"},
 		{"deadline too far", "/v1/completions", "key-desk", "Linkmast-Deadline", "24h", fine, 400, "Linkmast-Deadline"},
-		{"once", "/v1/completions", "key-desk", "Linkmast-Once", "perhaps", fine, 400, "Linkmast-Once"},
+		{"malformed once", "/v1/completions", "key-desk", "Linkmast-Once", "perhaps", fine, 400, "Linkmast-Once"},
 		{"key too long", "/v1/completions", "key-desk", "Idempotency-Key", strings.Repeat("k", 300), fine, 400, "Idempotency-Key"},
 		{"unknown service", "/services/none/x", "key-desk", "", "", "x", 404, ""},
 		{"unknown path", "/v2/x", "key-desk", "", "", "x", 404, ""},
