--- a/cmd/linkmast/deploy_test.go
+++ b/cmd/linkmast/deploy_test.go
@@ -39,7 +39,7 @@
 	mu      sync.Mutex
 }
 
-// deployment is a whole deployment of separate processes.
+// deployment is a platform, engines, a plain service and nodes, each in a process of its own.
 type deployment struct {
 	t        *testing.T
 	bin      string
@@ -309,7 +309,8 @@
 	return total
 }
 
-// wantMemoryReleased fails the test if an engine still holds memory after the given time.
+// wantMemoryReleased fails the test if an engine that answers still holds memory after the
+// given time.
 func (d *deployment) wantMemoryReleased(within time.Duration) {
 	d.t.Helper()
 	until := time.Now().Add(within)
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -39,14 +39,14 @@
 		Length: config.Duration(length),
 		Delay:  config.Duration(time.Millisecond),
 		Engines: emulator.Engines{
-			Count:           6,
-			Slots:           16,
-			Capacity:        400_000,
-			Stride:          34,
-			Chunk:           2048,
-			Step:            config.Duration(1310 * time.Microsecond),
-			ReadPerSecond:   154_000,
-			PerMillionPairs: config.Duration(162 * time.Microsecond),
+			Count:            6,
+			Slots:            16,
+			Capacity:         400_000,
+			StepsPerPass:     34,
+			Chunk:            2048,
+			Step:             config.Duration(1310 * time.Microsecond),
+			PrefillPerSecond: 154_000,
+			PerMillionPairs:  config.Duration(162 * time.Microsecond),
 		},
 		Kinds: []emulator.Kind{
 			{
@@ -97,7 +97,7 @@
 		{"target", func(s *emulator.Sheet) { s.Kinds[0].Target = 0 }},
 		{"worth", func(s *emulator.Sheet) { s.Kinds[0].LateWorth = 2 * s.Kinds[0].Worth }},
 		{"unknown kind", func(s *emulator.Sheet) { s.Bursts = []emulator.Burst{{Kind: "none", For: 1}} }},
-		{"trouble", func(s *emulator.Sheet) { s.Troubles = []emulator.Trouble{{Engines: 1000}} }},
+		{"trouble", func(s *emulator.Sheet) { s.Faults = []emulator.Fault{{Engines: 1000}} }},
 		{"wave", func(s *emulator.Sheet) { s.Wave = emulator.Wave{Swing: 0.2} }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -136,24 +136,24 @@
 	s := lightSheet()
 	requests := emulator.Draw(s, 1)[:1]
 	o := emulator.Play(s, requests, pool.Settings{}, 1).Outcomes[0]
-	read := 20_000.0/154_000 + 200*162e-6
+	prefill := 20_000.0/154_000 + 200*162e-6
 	is.Equal(o.Cause, emulator.CauseNone)
-	is.True(o.FirstEvent.Seconds() > read+0.002 && o.FirstEvent.Seconds() < read+0.015)
+	is.True(o.FirstEvent.Seconds() > prefill+0.002 && o.FirstEvent.Seconds() < prefill+0.015)
 	is.Equal(o.LongestPause.Round(time.Millisecond), 45*time.Millisecond)
 }
 
-// TestTroubles checks that each kind of fault has its effect.
-func TestTroubles(t *testing.T) {
+// TestFaults checks that each kind of fault has its effect.
+func TestFaults(t *testing.T) {
 	at, long := config.Duration(5*time.Second), config.Duration(10*time.Second)
 	for _, row := range []struct {
-		name    string
-		trouble emulator.Trouble
+		name  string
+		fault emulator.Fault
 		// cause occurs with the fault and not without it.
 		cause emulator.Cause
 	}{
-		{"dark engines", emulator.Trouble{At: at, For: long, Engines: 6}, emulator.CauseAbandoned},
-		{"slow engines", emulator.Trouble{At: at, For: long, Engines: 6, Slow: 8}, emulator.CauseLateFirstEvent},
-		{"streams cut", emulator.Trouble{At: at, For: long, Slow: 1, Cut: 1}, emulator.CauseRetried},
+		{"stopped engines", emulator.Fault{At: at, For: long, Engines: 6}, emulator.CauseAbandoned},
+		{"slow engines", emulator.Fault{At: at, For: long, Engines: 6, Slowdown: 8}, emulator.CauseLateFirstEvent},
+		{"streams cut", emulator.Fault{At: at, For: long, Slowdown: 1, Cut: 1}, emulator.CauseRetried},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -167,14 +167,14 @@
 				return n
 			}
 			is.Equal(causes()[row.cause], 0)
-			s.Troubles = []emulator.Trouble{row.trouble}
+			s.Faults = []emulator.Fault{row.fault}
 			is.True(causes()[row.cause] > 0)
 		})
 	}
 }
 
-// TestSlowdownKnown checks that the pool loses less to slow engines if it determines their
-// slowdown. The slow engines are the first ones, or are spread over all engines.
+// TestSlowdownKnown checks that less worth is lost to slow engines if the pool determines their
+// slowdown.
 func TestSlowdownKnown(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -186,12 +186,12 @@
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			s := readSheet(t, "grown.toml")
-			s.Troubles = []emulator.Trouble{{
-				At:      config.Duration(8 * time.Second),
-				For:     config.Duration(10 * time.Second),
-				Engines: 18,
-				Slow:    3,
-				Spread:  row.spread,
+			s.Faults = []emulator.Fault{{
+				At:       config.Duration(8 * time.Second),
+				For:      config.Duration(10 * time.Second),
+				Engines:  18,
+				Slowdown: 3,
+				Spread:   row.spread,
 			}}
 			requests := emulator.Draw(s, 1)
 			day := func(mode pool.SlowdownMode) float64 {
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -26,8 +26,8 @@
 // counting its attempts.
 const entryLossDelay = 2 * time.Second
 
-// retryBudget limits the retries in each period of 10 s to 220 plus a fifth of the
-// requests.
+// retryBudget limits the retries in a sliding window of 10 s to 220 plus a fifth of the
+// requests that are sent for the first time in it.
 var retryBudget = pool.Budget{
 	Ratio:  0.2,
 	Extra:  220,
@@ -41,10 +41,10 @@
 	rng     *rand.Rand
 	pool    *pool.Scheduler
 	engines map[string]*engine
-	// engineNames are the names of the engines in order.
+	// engineNames holds the names of the engines in order.
 	engineNames []string
 	callers     []*caller
-	// pending are the placement requests without a decision.
+	// pending holds the placement requests without a decision.
 	pending []*pending
 	// reviewScheduled is true while a timer for a review is set.
 	reviewScheduled bool
@@ -83,8 +83,8 @@
 		p.callers = append(p.callers, c)
 		p.clock.after(c.request.At, c.start)
 	}
-	for i := range s.Troubles {
-		p.scheduleTrouble(&s.Troubles[i])
+	for i := range s.Faults {
+		p.scheduleFault(&s.Faults[i])
 	}
 	p.clock.run(time.Duration(s.Length) + settleTime)
 	return p.result()
@@ -118,23 +118,23 @@
 	p.pool.Update(snap)
 }
 
-// scheduleTrouble schedules the slowdown of engines and the loss of entry instances.
-func (p *play) scheduleTrouble(t *Trouble) {
-	slowDown := func(slow float64) func() {
+// scheduleFault schedules the slowdown of engines, its end, and the loss of entry instances.
+func (p *play) scheduleFault(f *Fault) {
+	setSlowdown := func(slowdown float64) func() {
 		return func() {
-			for i := range t.Engines {
-				if t.Spread {
-					i = i * len(p.engineNames) / t.Engines
+			for i := range f.Engines {
+				if f.Spread {
+					i = i * len(p.engineNames) / f.Engines
 				}
-				p.engines[p.engineNames[i]].setSlowdown(slow)
+				p.engines[p.engineNames[i]].setSlowdown(slowdown)
 			}
 		}
 	}
-	p.clock.after(time.Duration(t.At), slowDown(t.Slow))
-	p.clock.after(time.Duration(t.At)+time.Duration(t.For), slowDown(1))
-	p.clock.after(time.Duration(t.At), func() {
+	p.clock.after(time.Duration(f.At), setSlowdown(f.Slowdown))
+	p.clock.after(time.Duration(f.At)+time.Duration(f.For), setSlowdown(1))
+	p.clock.after(time.Duration(f.At), func() {
 		for _, c := range p.callers {
-			if c.attempt != nil && p.rng.Float64() < t.Cut {
+			if c.attempt != nil && p.rng.Float64() < f.Cut {
 				c.loseEntry()
 			}
 		}
@@ -146,7 +146,7 @@
 	return time.Duration(n) * time.Duration(p.sheet.Delay)
 }
 
-// jitteredDelay returns a random time for n consecutive messages.
+// jitteredDelay returns a random time for n consecutive messages, which all get the same factor.
 func (p *play) jitteredDelay(n int) time.Duration {
 	return time.Duration((minJitter + (maxJitter-minJitter)*p.rng.Float64()) * float64(p.delay(n)))
 }
@@ -197,8 +197,8 @@
 	p.pending = slices.DeleteFunc(p.pending, func(o *pending) bool { return o == q })
 }
 
-// scheduleReview schedules a review of the queued requests, which repeats while any is
-// queued. It does nothing if a review is scheduled already.
+// scheduleReview schedules a review of the queued placement requests after a delay. Reviews
+// repeat while any is queued. It does nothing if a review is scheduled already.
 func (p *play) scheduleReview(in time.Duration) {
 	if p.reviewScheduled {
 		return
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -29,8 +29,8 @@
 	Wave Wave `toml:"wave"`
 	// Bursts change rates for a limited time.
 	Bursts []Burst `toml:"bursts"`
-	// Troubles are the faults that are injected.
-	Troubles []Trouble `toml:"troubles"`
+	// Faults are the faults that are injected.
+	Faults []Fault `toml:"troubles"`
 	// Delay is the nominal time of a message between a caller, its entry instance, the pool
 	// and an engine.
 	Delay config.Duration `toml:"delay"`
@@ -42,23 +42,25 @@
 type Engines struct {
 	// Count is the number of engines.
 	Count int `toml:"count"`
-	// Slots bounds the requests that run at once on one engine.
+	// Slots bounds the requests that run at once on one engine. Shares of joint prefills for
+	// other engines don't count.
 	Slots int `toml:"slots"`
 	// Capacity is the memory of one engine in tokens.
 	Capacity int `toml:"capacity"`
-	// Stride is the number of steps in a pass with decoding requests.
-	Stride int `toml:"stride"`
+	// StepsPerPass is the number of steps in a pass in which requests decode. An event of an
+	// answer has as many tokens.
+	StepsPerPass int `toml:"stride"`
 	// Chunk bounds the tokens that an engine prefills per step; zero means no limit.
 	Chunk int `toml:"chunk"`
-	// Step is the fixed time of a step. PerSequence is added for each decoding request, and
-	// PerThousandContext for each thousand tokens of context.
+	// Step is the fixed time of a decode step. PerSequence is added to it for each decoding
+	// request, and PerThousandContext for each thousand tokens of context.
 	Step               config.Duration `toml:"step"`
 	PerSequence        config.Duration `toml:"per_sequence"`
 	PerThousandContext config.Duration `toml:"per_thousand_context"`
-	// ReadPerSecond is the prefill rate in tokens per second. PerMillionPairs is added for
-	// each million pairs of a token and an earlier one.
-	ReadPerSecond   float64         `toml:"read_per_second"`
-	PerMillionPairs config.Duration `toml:"per_million_pairs"`
+	// PrefillPerSecond is the prefill rate in tokens per second. PerMillionPairs is added to
+	// the time of a prefill for each million pairs of a token and an earlier one.
+	PrefillPerSecond float64         `toml:"read_per_second"`
+	PerMillionPairs  config.Duration `toml:"per_million_pairs"`
 }
 
 // Model returns the cost model of the engines.
@@ -66,12 +68,12 @@
 	return &batch.Model{
 		Slots:              e.Slots,
 		Capacity:           e.Capacity,
-		StepsPerPass:       e.Stride,
+		StepsPerPass:       e.StepsPerPass,
 		Chunk:              e.Chunk,
 		Step:               time.Duration(e.Step),
 		PerSequence:        time.Duration(e.PerSequence),
 		PerThousandContext: time.Duration(e.PerThousandContext),
-		PrefillPerSecond:   e.ReadPerSecond,
+		PrefillPerSecond:   e.PrefillPerSecond,
 		PerMillionPairs:    time.Duration(e.PerMillionPairs),
 	}
 }
@@ -84,11 +86,11 @@
 	PerSecond float64 `toml:"per_second"`
 	// Prompt is the length of prompts in tokens.
 	Prompt Spread `toml:"prompt"`
-	// Events is the number of events of an answer, each of Stride tokens.
+	// Events is the number of events of an answer, each of Engines.StepsPerPass tokens.
 	Events Spread `toml:"events"`
-	// Target is the time within which the first event is in time.
+	// Target is the time within which the first event must arrive to be in time.
 	Target config.Duration `toml:"target"`
-	// Gap is the longest pause between events that is in time; zero means any.
+	// Gap is the longest pause between events that is in time; zero means that any is.
 	Gap config.Duration `toml:"gap"`
 	// Deadline is how long a caller waits for the whole answer.
 	Deadline config.Duration `toml:"deadline"`
@@ -100,11 +102,12 @@
 	Rank int `toml:"rank"`
 }
 
-// Spread is a lognormal distribution of sizes that is cut off at Most.
+// Spread is a lognormal distribution of sizes. Sizes below 1 are raised to 1, and those above
+// Most lowered to Most.
 type Spread struct {
-	// Mean is the mean before the cut-off.
+	// Mean is the mean before these changes.
 	Mean float64 `toml:"mean"`
-	// Deviation is the standard deviation before the cut-off, in units of the mean.
+	// Deviation is the standard deviation before these changes, in units of the mean.
 	Deviation float64 `toml:"deviation"`
 	// Most is the largest size.
 	Most float64 `toml:"most"`
@@ -139,19 +142,20 @@
 	Factor float64 `toml:"factor"`
 }
 
-// Trouble is a fault that is injected for a limited time.
-type Trouble struct {
+// Fault is a fault that is injected for a limited time.
+type Fault struct {
 	// At is the start of the fault since the start of the day, and For its duration.
 	At  config.Duration `toml:"at"`
 	For config.Duration `toml:"for"`
-	// Engines is the number of engines whose passes take Slow times as long; a Slow of zero
-	// stops them.
-	Engines int     `toml:"engines"`
-	Slow    float64 `toml:"slow"`
-	// Spread selects engines at even distances instead of the first ones.
+	// Engines is the number of engines whose passes take Slowdown times as long; a Slowdown of
+	// zero stops them.
+	Engines  int     `toml:"engines"`
+	Slowdown float64 `toml:"slow"`
+	// Spread selects engines at even distances in their order instead of the first ones.
 	Spread bool `toml:"spread"`
-	// Cut is the probability with which each request that has an attempt loses its entry
-	// instance at the start of the fault. It also applies to requests that have ended.
+	// Cut is the probability with which each request that has or had an attempt loses its
+	// entry instance at the start of the fault. A request that has ended on its last try then
+	// counts as EntryLost.
 	Cut float64 `toml:"cut"`
 }
 
@@ -190,9 +194,9 @@
 		{"engines.count", e.Count > 0},
 		{"engines.slots", e.Slots > 0},
 		{"engines.capacity", e.Capacity > 0},
-		{"engines.stride", e.Stride > 0},
+		{"engines.stride", e.StepsPerPass > 0},
 		{"engines.step", e.Step > 0},
-		{"engines.read_per_second", e.ReadPerSecond > 0},
+		{"engines.read_per_second", e.PrefillPerSecond > 0},
 		{"wave", s.Wave.Swing >= 0 && s.Wave.Swing <= 1 && (s.Wave.Swing == 0 || s.Wave.Period > 0)},
 		{"weights", s.Weights.Day+s.Weights.Windows+s.Weights.Kind > 0},
 	} {
@@ -213,8 +217,8 @@
 			return errors.New("burst: factor or duration is out of range")
 		}
 	}
-	for _, t := range s.Troubles {
-		if t.Engines > e.Count || t.Engines < 0 || t.Slow < 0 || t.Cut < 0 || t.Cut > 1 {
+	for _, t := range s.Faults {
+		if t.Engines > e.Count || t.Engines < 0 || t.Slowdown < 0 || t.Cut < 0 || t.Cut > 1 {
 			return errors.New("trouble: engines, slow or cut is out of range")
 		}
 	}
@@ -262,14 +266,14 @@
 	return -1
 }
 
-// typicalSize returns the mean sizes of a prompt and an answer without bursts, in tokens,
-// as a configuration states them.
+// typicalSize returns the mean lengths of a prompt and an answer over all kinds, in tokens, as
+// a configuration contains them. They are weighted with the rates without wave and bursts.
 func (s *Sheet) typicalSize() route.Size {
 	all, prompts, answers := 0.0, 0.0, 0.0
 	for _, k := range s.Kinds {
 		all += k.PerSecond
 		prompts += k.PerSecond * k.Prompt.Mean
-		answers += k.PerSecond * k.Events.Mean * float64(s.Engines.Stride)
+		answers += k.PerSecond * k.Events.Mean * float64(s.Engines.StepsPerPass)
 	}
 	if all == 0 {
 		return route.Size{}
--- a/engine/check_test.go
+++ b/engine/check_test.go
@@ -18,15 +18,15 @@
 	"github.com/linkmast/linkmast/problem"
 )
 
-// TestAnswerChecker guards against accepting an answer with missing, repeated or foreign
-// chunks. Each step is a chunk "id:seq", with "!" after the last chunk.
+// TestAnswerChecker guards against accepting missing or repeated chunks and those of other
+// attempts. The chunks are written as "id:seq", with "!" after the last one.
 func TestAnswerChecker(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		steps string
-		fresh int
-		bad   bool
-		ended bool
+		name   string
+		chunks string
+		fresh  int
+		bad    bool
+		ended  bool
 	}{
 		{"complete", "a:1 a:2 a:3!", 3, false, true},
 		{"keep-alive chunks", "a:0 a:1 a:0 a:2!", 2, false, true},
@@ -46,8 +46,8 @@
 				Attempt: "a",
 			}
 			fresh, bad := 0, false
-			for _, step := range strings.Fields(c.steps) {
-				id, rest, _ := strings.Cut(step, ":")
+			for _, chunk := range strings.Fields(c.chunks) {
+				id, rest, _ := strings.Cut(chunk, ":")
 				k := engine.Chunk{
 					Attempt: id,
 					Seq:     int(rest[0] - '0'),
@@ -70,8 +70,8 @@
 }
 
 // serveClosingOnSecond starts a server that responds to the first request on each
-// connection, and reads the second and closes the connection. It returns the address and
-// the number of requests that the server has read.
+// connection, and closes the connection when it has read the second one. It returns the
+// address and a counter of the requests that the server has read.
 func serveClosingOnSecond(t *testing.T) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/fleet/vendpoint_test.go
+++ b/fleet/vendpoint_test.go
@@ -19,15 +19,15 @@
 	*standin.Engine
 }
 
-// unreachableError returns a RunError for an engine that could not be reached. ran is
-// true if the attempt may have run.
-func unreachableError(err error, ran bool) error {
+// unreachableError returns the RunError of a call that did not reach an engine or got no
+// response. Its Ran is may_have_run if mayHaveRun is true, and not_run otherwise.
+func unreachableError(err error, mayHaveRun bool) error {
 	e := &engine.RunError{
 		Ran:  "not_run",
 		Code: engine.Unreachable,
 		Err:  err,
 	}
-	if ran {
+	if mayHaveRun {
 		e.Ran = "may_have_run"
 	}
 	return e
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -53,6 +53,7 @@
 	return e
 }
 
+// serve reads requests from a connection until answer returns false or a read fails.
 func (e *endpoint) serve(c net.Conn, answer func(c net.Conn, r *http.Request, n int) bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -69,6 +70,7 @@
 	}
 }
 
+// request returns a request that only a response with the same id in its header matches.
 func (e *endpoint) request(id string) upstream.Request {
 	return upstream.Request{
 		Address: e.address,
@@ -82,6 +84,7 @@
 	}
 }
 
+// ok returns a response with status 200, an id in its header, and a body.
 func ok(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
@@ -103,11 +106,11 @@
 
 func TestConnections(t *testing.T) {
 	for _, row := range []struct {
-		name   string
-		answer func(c net.Conn, r *http.Request, n int) bool
-		fresh  time.Duration
-		pause  time.Duration
-		conns  int64
+		name    string
+		answer  func(c net.Conn, r *http.Request, n int) bool
+		maxIdle time.Duration
+		pause   time.Duration
+		conns   int64
 	}{
 		{"kept", func(c net.Conn, r *http.Request, _ int) bool {
 			io.WriteString(c, ok(r.Header.Get("Id"), "hi"))
@@ -140,7 +143,7 @@
 			p := upstream.New(upstream.Settings{})
 			for i := range 3 {
 				r := e.request(fmt.Sprint(i))
-				r.MaxIdle = row.fresh
+				r.MaxIdle = row.maxIdle
 				body, err := do(t, p, r)
 				is.NoErr(err)
 				is.Equal(body, "hi")
@@ -192,8 +195,8 @@
 	is.Equal(e.conns.Load(), int64(1))
 }
 
-// TestNoAnswer guards against repeated requests, and errors that deny that the request was
-// sent, when there is no complete response.
+// TestNoAnswer guards against a request that is sent again, or reported as not sent, when there
+// is no complete response.
 func TestNoAnswer(t *testing.T) {
 	for _, row := range []struct {
 		name   string
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -29,23 +29,24 @@
 	Instance int
 	// Sent is when the caller began to send the request.
 	Sent time.Time
-	// Ended is when the caller had read the response, failed or gave up.
+	// Ended is when the caller had read the response, failed or canceled the request.
 	Ended time.Time
 	// Status is the HTTP status; zero if there was no response.
 	Status int
 	// Answer is the body of the response as far as it was received.
 	Answer string
-	// Whole states whether the body was read to its end without an error.
+	// Whole is true if the body was read to its end without an error.
 	Whole bool
-	// Signed states whether the response carried an endpoint's proof of origin.
+	// Signed is true if the response carried an endpoint's proof of origin.
 	Signed bool
-	// GaveUp states whether the caller was set to cancel the request early.
-	GaveUp bool
+	// CancelsEarly is true if the caller was set to cancel the request early. The answer may
+	// have come before.
+	CancelsEarly bool
 }
 
 // callers sends requests to all instances and records the exchanges.
 type callers struct {
-	world *World
+	deployment *Deployment
 
 	mu      sync.Mutex
 	history []Exchange
@@ -56,21 +57,23 @@
 	// callersPerInstance is the number of callers, each with its own connection, per instance.
 	callersPerInstance = 4
 	// maxCallers bounds the callers of all instances together, so that the engines do not run
-	// out of slots with many instances. Each instance has at least one caller nevertheless.
+	// out of slots with many instances. Each instance has at least one caller, also if that
+	// exceeds the bound.
 	maxCallers = 40
-	// giveUpShare is the share of requests that the caller cancels early.
-	giveUpShare = 0.05
+	// cancelShare is the share of requests that the caller cancels early.
+	cancelShare = 0.05
 	// pauseMean is the mean pause between two requests of a caller.
 	pauseMean = 60 * time.Millisecond
 	// maxBodyLength is the exclusive upper bound of the length of bodies, in bytes.
 	maxBodyLength = 3000
-	// maxLeaveDelay is the longest delay after which a caller cancels a request early. The
+	// maxCancelDelay is the longest delay after which a caller cancels a request early. The
 	// delay is random, so that cancellations hit requests in all stages.
-	maxLeaveDelay = time.Second
-	// callerSlack is how much longer than the time limit of the request a caller waits for the
-	// answer or refusal.
+	maxCancelDelay = time.Second
+	// callerSlack is how much longer than requestTimeout a caller waits for the answer or
+	// refusal.
 	callerSlack = time.Second
-	// outputTokens is the maximum length of the answer that callers announce, in tokens.
+	// outputTokens is the maximum length of the answer that callers name in their requests, in
+	// tokens.
 	outputTokens = 100
 )
 
@@ -92,8 +95,8 @@
 // run starts the callers and waits until they stop after the end of ctx.
 func (c *callers) run(ctx context.Context, seed uint64) {
 	var all sync.WaitGroup
-	each := max(min(callersPerInstance, maxCallers/len(c.world.processes)), 1)
-	for i := range c.world.processes {
+	each := max(min(callersPerInstance, maxCallers/len(c.deployment.processes)), 1)
+	for i := range c.deployment.processes {
 		for k := range each {
 			r := rand.New(rand.NewPCG(seed, uint64(i*callersPerInstance+k)))
 			all.Go(func() { c.runCaller(ctx, i, k, r) })
@@ -120,15 +123,15 @@
 		}
 		switch r.IntN(4) {
 		case 0:
-			x.Key = c.world.currentKey()
+			x.Key = c.deployment.currentKey()
 		case 1:
-			x.Key = c.world.anyKey(r)
+			x.Key = c.deployment.anyKey(r)
 		}
-		leave := time.Duration(0)
-		if r.Float64() < giveUpShare {
-			leave = time.Duration(1 + r.Int64N(int64(maxLeaveDelay)))
+		cancelAfter := time.Duration(0)
+		if r.Float64() < cancelShare {
+			cancelAfter = time.Duration(1 + r.Int64N(int64(maxCancelDelay)))
 		}
-		c.send(client, &x, leave, promptOf(r))
+		c.send(client, &x, cancelAfter, promptOf(r))
 		c.mu.Lock()
 		c.history = append(c.history, x)
 		c.mu.Unlock()
@@ -144,17 +147,17 @@
 	return minShortPrompt + r.IntN(shortSpread)
 }
 
-// send sends the request of x and records the outcome in it. If leave is positive, the caller
-// cancels the request after that time.
-func (c *callers) send(client *http.Client, x *Exchange, leave time.Duration, prompt int) {
+// send sends the request of x, with a prompt of the given length in tokens, and records the
+// outcome in x. If cancelAfter is positive, the caller cancels the request after that time.
+func (c *callers) send(client *http.Client, x *Exchange, cancelAfter time.Duration, prompt int) {
 	timeout := requestTimeout + callerSlack
-	if leave > 0 {
-		timeout = leave
-		x.GaveUp = true
+	if cancelAfter > 0 {
+		timeout = cancelAfter
+		x.CancelsEarly = true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	req, err := x.request(ctx, c.world.processes[x.Instance].listen, prompt)
+	req, err := x.request(ctx, c.deployment.processes[x.Instance].listen, prompt)
 	if err != nil {
 		return
 	}
--- a/soak/check.go
+++ b/soak/check.go
@@ -12,36 +12,37 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// Violation describes a broken promise.
+// Violation describes an observation that contradicts a guarantee of the system.
 type Violation struct {
-	// Promise is the text of the promise.
-	Promise string
-	// Detail states the observation that contradicts the promise.
+	// Guarantee is the text of the guarantee.
+	Guarantee string
+	// Detail describes the observation.
 	Detail string
 }
 
 // String formats the violation as one line.
 func (v Violation) String() string {
-	return v.Promise + ": " + v.Detail
+	return v.Guarantee + ": " + v.Detail
 }
 
-// runSlack is how long after a time limit a run may begin, because the request was in transit.
+// runSlack is how long after a time limit a run may begin, because its request may have been in
+// transit.
 const runSlack = 300 * time.Millisecond
 
-// check checks the exchanges of the callers and the runs of the endpoints against the
-// promises.
-func (w *World) check(history []Exchange) []Violation {
+// check checks the guarantees on the exchanges of the callers and the runs of the endpoints, and
+// on the final state of the instances and endpoints. It does not check the recovery.
+func (d *Deployment) check(history []Exchange) []Violation {
 	runs := make(map[string][]platformtest.Run)
 	sent := make(map[string]*Exchange, len(history))
 	for i := range history {
 		sent[history[i].ID] = &history[i]
 	}
 	var out []Violation
-	for _, e := range w.endpoints {
+	for _, e := range d.endpoints {
 		for _, r := range e.Runs() {
 			runs[r.ID] = append(runs[r.ID], r)
 			if x := sent[r.ID]; x != nil {
-				if v, wrong := w.checkDrained(x, e, &r); wrong {
+				if v, wrong := d.checkDrained(x, e, &r); wrong {
 					out = append(out, v)
 				}
 			}
@@ -49,25 +50,25 @@
 	}
 	for i := range history {
 		x := &history[i]
-		out = append(out, w.checkExchange(x, runs[x.ID])...)
+		out = append(out, d.checkExchange(x, runs[x.ID])...)
 	}
 	for id := range runs {
 		if sent[id] == nil {
 			out = append(out, Violation{
-				Promise: "endpoints run only requests of callers",
-				Detail:  "request " + id + " ran but no caller sent it",
+				Guarantee: "endpoints run only requests of callers",
+				Detail:    "request " + id + " ran but no caller sent it",
 			})
 		}
 	}
-	return slices.Concat(out, w.checkCrashes(), w.checkStatements(sent), w.checkFinalState())
+	return slices.Concat(out, d.checkCrashes(), d.checkStatements(sent), d.checkFinalState())
 }
 
 // checkExchange checks one exchange and the runs of its request.
-func (w *World) checkExchange(x *Exchange, runs []platformtest.Run) []Violation {
+func (d *Deployment) checkExchange(x *Exchange, runs []platformtest.Run) []Violation {
 	var out []Violation
-	wrong := func(promise, detail string) {
+	wrong := func(guarantee, detail string) {
 		out = append(out, Violation{
-			Promise: promise,
+			Guarantee: guarantee,
 			Detail: fmt.Sprintf("request %s %s at instance %d, sent %s, status %d, %d runs: %s",
 				x.ID, x.Path, x.Instance, x.Sent.Format("15:04:05.000"), x.Status, len(runs), detail),
 		})
@@ -88,14 +89,14 @@
 		checkAnswer(x, runs, wrong)
 	}
 	for i := range runs {
-		w.checkRun(x, &runs[i], wrong)
-		w.checkAbandoned(x, &runs[i], wrong)
+		d.checkRun(x, &runs[i], wrong)
+		d.checkAbandoned(x, &runs[i], wrong)
 	}
 	return out
 }
 
 // checkAnswer checks the body and the origin of a successful answer.
-func checkAnswer(x *Exchange, runs []platformtest.Run, wrong func(promise, detail string)) {
+func checkAnswer(x *Exchange, runs []platformtest.Run, wrong func(guarantee, detail string)) {
 	want := x.expectedAnswer()
 	switch {
 	case x.Whole && x.Answer != want:
@@ -121,15 +122,15 @@
 
 // checkRun checks one run: the forwarded request, the customer, the validity of the key and
 // the time of the run.
-func (w *World) checkRun(x *Exchange, r *platformtest.Run, wrong func(promise, detail string)) {
+func (d *Deployment) checkRun(x *Exchange, r *platformtest.Run, wrong func(guarantee, detail string)) {
 	switch {
 	case r.Method != http.MethodPost || r.Target != x.Path || r.Body != x.Body:
 		wrong("requests are forwarded unchanged", fmt.Sprintf("%s %s with %d bytes", r.Method, r.Target, len(r.Body)))
 	case r.Key() != "" || r.Customer() != customer:
 		wrong("endpoints receive the customer but not the key", fmt.Sprintf("customer %q, key %q", r.Customer(), r.Key()))
 	}
-	if revoked := w.revokedAt(x.Key); !revoked.IsZero() && x.Sent.After(w.refusedFrom(revoked)) {
-		wrong("revoked keys are refused", fmt.Sprintf("revoked %s before", x.Sent.Sub(revoked)))
+	if revoked := d.revokedAt(x.Key); !revoked.IsZero() && x.Sent.After(d.refusedFrom(revoked)) {
+		wrong("revoked keys are refused", fmt.Sprintf("its key was revoked %s before it was sent", x.Sent.Sub(revoked)))
 	}
 	if r.At.After(x.Sent.Add(requestTimeout + runSlack)) {
 		wrong("no run begins after the deadline of its request", fmt.Sprintf("run began %s after the request was sent", r.At.Sub(x.Sent)))
@@ -137,19 +138,19 @@
 }
 
 // revokedAt returns when a key was revoked; zero for a valid key.
-func (w *World) revokedAt(key string) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.keys[key]
+func (d *Deployment) revokedAt(key string) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.keys[key]
 }
 
 // refusedFrom returns the time from which a key must be refused that was revoked at the given
-// time. Without strict revocation, an instance out of touch with the store may accept the key
-// until the recovery from all faults.
-func (w *World) refusedFrom(revoked time.Time) time.Time {
+// time. Without strict revocation, this is not before the time for recovery from the last fault,
+// since instances out of touch with the store may accept the key until then.
+func (d *Deployment) refusedFrom(revoked time.Time) time.Time {
 	from := revoked.Add(revoke)
-	if !w.strict && from.Before(w.recovered) {
-		return w.recovered
+	if !d.strict && from.Before(d.recovered) {
+		return d.recovered
 	}
 	return from
 }
--- a/soak/world.go
+++ b/soak/deployment.go
@@ -37,7 +37,7 @@
 )
 
 // headerTimeout bounds how long the stand-ins wait for the header of a request. It is longer
-// than any fault.
+// than any fault of a schedule.
 const headerTimeout = time.Minute
 
 // endpoint is a stand-in of an endpoint behind a proxy.
@@ -47,51 +47,53 @@
 	service string
 	domain  string
 	proxy   *tcptest.Proxy
-	// startedAt is when the endpoint last restarted under its name; zero before that.
+	// startedAt is when the endpoint last restarted without getting a new name; zero before
+	// that.
 	startedAt time.Time
 }
 
-// World is the deployment under test, with the records of a run.
-type World struct {
+// Deployment holds the processes under test, the stand-ins around them, and the records of a run.
+type Deployment struct {
 	program string
-	// strict states that instances out of touch with the store must refuse revoked keys in
+	// strict is true if instances out of touch with the store must refuse revoked keys in
 	// time, too.
 	strict    bool
 	dir       string
 	store     *platformtest.Store
 	storeAddr string
 	processes []*process
-	// contactAddresses lists the peer addresses of the first instances, from which all
-	// instances learn of the others when they start.
-	contactAddresses []string
-	endpoints        []*endpoint
-	servers          []*http.Server
+	// seedAddresses lists the peer addresses of the seeds: the first instances, which each
+	// instance contacts when it starts.
+	seedAddresses []string
+	endpoints     []*endpoint
+	servers       []*http.Server
 
 	// recovered is when the system must have recovered from the last fault.
 	recovered time.Time
 
 	mu      sync.Mutex
 	version int
-	// played lists the steps of the schedule that have begun.
-	played []playedStep
+	// played lists the faults of the schedule that have begun.
+	played []playedFault
 	// drains lists the periods in which failure domains were drained.
 	drains []drainPeriod
 	// crashSends lists the exchanges of requests that crash endpoints.
 	crashSends []Exchange
-	// stalls lists the periods in which a thread waited for a processor.
+	// stalls lists the intervals in which a runnable thread waited for a processor.
 	stalls []stall
 	// keys maps each of the customer's keys to the time of its revocation; zero for valid
 	// keys.
 	keys map[string]time.Time
 }
 
-// newWorld starts the stand-ins and the given number of instances of a program.
-func newWorld(program string, instances int, strict bool) (*World, error) {
+// newDeployment starts the stand-ins and the given number of instances of a program. On an error
+// it leaves running what it has started.
+func newDeployment(program string, instances int, strict bool) (*Deployment, error) {
 	dir, err := os.MkdirTemp("", "linkmast-soak-")
 	if err != nil {
 		return nil, errors.Wrap(err, "create directory of the run")
 	}
-	w := &World{
+	d := &Deployment{
 		program: program,
 		strict:  strict,
 		dir:     dir,
@@ -101,35 +103,35 @@
 			"k-0":     {},
 		},
 	}
-	if w.storeAddr, err = w.serve(w.store); err != nil {
+	if d.storeAddr, err = d.serve(d.store); err != nil {
 		return nil, err
 	}
-	w.publish()
+	d.publish()
 	for i := range engines + services {
-		if err := w.addEndpoint(i); err != nil {
+		if err := d.addEndpoint(i); err != nil {
 			return nil, err
 		}
 	}
-	for range min(instances, maxContacts) {
+	for range min(instances, maxSeeds) {
 		address, err := freeAddress()
 		if err != nil {
 			return nil, err
 		}
-		w.contactAddresses = append(w.contactAddresses, address)
+		d.seedAddresses = append(d.seedAddresses, address)
 	}
 	for i := range instances {
-		if err := w.addProcess(i); err != nil {
+		if err := d.addProcess(i); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return d, nil
 }
 
-// maxContacts bounds the number of instances that serve as contacts of the others.
-const maxContacts = 3
+// maxSeeds bounds the number of instances that are seeds for the others.
+const maxSeeds = 3
 
 // serve serves a stand-in on a free port and returns its address.
-func (w *World) serve(h http.Handler) (string, error) {
+func (d *Deployment) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrap(err, "listen for a stand-in")
@@ -138,7 +140,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 	}
-	w.servers = append(w.servers, s)
+	d.servers = append(d.servers, s)
 	go func() {
 		// Serve always returns an error after Close.
 		_ = s.Serve(l)
@@ -148,7 +150,7 @@
 
 // addEndpoint starts endpoint i behind a proxy and writes its entry to the store. The first
 // endpoints are engines, the others plain.
-func (w *World) addEndpoint(i int) error {
+func (d *Deployment) addEndpoint(i int) error {
 	e := &endpoint{
 		Endpoint: &platformtest.Endpoint{
 			Instance: fmt.Sprintf("e-%d", i),
@@ -162,32 +164,32 @@
 		e.service = engineService
 		e.Engine = engineModel()
 	}
-	address, err := w.serve(e.Endpoint)
+	address, err := d.serve(e.Endpoint)
 	if err != nil {
 		return err
 	}
 	if e.proxy, err = tcptest.NewProxy(address); err != nil {
 		return errors.Wrap(err, "start proxy to an endpoint")
 	}
-	e.Crash = func([]string) { w.crash(e) }
+	e.Crash = func([]string) { d.crash(e) }
 	e.setFaults(platformtest.EndpointFaults{})
-	w.endpoints = append(w.endpoints, e)
-	w.writeEntry(e, false)
+	d.endpoints = append(d.endpoints, e)
+	d.writeEntry(e, false)
 	return nil
 }
 
 // close kills the instances and stops the proxies and stand-ins.
-func (w *World) close() {
-	for _, p := range w.processes {
+func (d *Deployment) close() {
+	for _, p := range d.processes {
 		p.signal(syscall.SIGCONT, false)
 		p.signal(syscall.SIGKILL, true)
 		<-p.done()
 		p.store.Close()
 	}
-	for _, e := range w.endpoints {
+	for _, e := range d.endpoints {
 		e.proxy.Close()
 	}
-	for _, s := range w.servers {
+	for _, s := range d.servers {
 		_ = s.Close()
 	}
 }
@@ -197,24 +199,24 @@
 	return fmt.Sprintf("d-%d", i%domains)
 }
 
-// writeEntry writes an endpoint's entry to the store. If leaving is set, the entry states that
-// the endpoint takes no new requests.
-func (w *World) writeEntry(e *endpoint, leaving bool) {
-	w.mu.Lock()
-	born := e.startedAt
-	w.mu.Unlock()
-	w.store.PutEndpoint(platformtest.EndpointEntry{
+// writeEntry writes an endpoint's entry to the store. If leaving is true, the entry says that
+// the endpoint is about to end and takes no new requests.
+func (d *Deployment) writeEntry(e *endpoint, leaving bool) {
+	d.mu.Lock()
+	startedAt := e.startedAt
+	d.mu.Unlock()
+	d.store.PutEndpoint(platformtest.EndpointEntry{
 		Instance:  e.Name(),
 		Service:   e.service,
 		Address:   e.proxy.Address,
 		Domain:    e.domain,
 		Slots:     endpointSlots,
 		Leaving:   leaving,
-		StartedAt: born,
+		StartedAt: startedAt,
 	})
 }
 
-// logLocation returns a text that states where the instances' logs are.
-func (w *World) logLocation() string {
-	return "logs in " + strings.TrimSuffix(w.dir, "/")
+// logLocation returns a text that says where the instances' logs are.
+func (d *Deployment) logLocation() string {
+	return "logs in " + strings.TrimSuffix(d.dir, "/")
 }
--- a/soak/play.go
+++ b/soak/play.go
@@ -13,53 +13,53 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// playedStep is a step with the time at which it began.
-type playedStep struct {
-	step  Step
+// playedFault is a fault with the time at which it began.
+type playedFault struct {
+	fault Fault
 	began time.Time
 }
 
-// ended returns when the step ends according to its duration.
-func (p *playedStep) ended() time.Time {
-	return p.began.Add(p.step.For)
+// ended returns when the fault ends according to its duration.
+func (p *playedFault) ended() time.Time {
+	return p.began.Add(p.fault.For)
 }
 
-// play carries out a schedule, calls note for each step, and returns when all steps have
-// ended.
-func (w *World) play(ctx context.Context, steps []Step, note func(Step)) {
+// play injects the faults of a schedule and calls note for each. It returns when all faults
+// that have begun have ended. It begins no further ones after the end of ctx.
+func (d *Deployment) play(ctx context.Context, schedule []Fault, note func(Fault)) {
 	begin := time.Now()
 	var playing sync.WaitGroup
 	defer playing.Wait()
-	for _, s := range steps {
+	for _, s := range schedule {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(begin.Add(s.At))):
 		}
 		note(s)
-		w.record(s)
-		playing.Go(func() { w.do(s) })
+		d.record(s)
+		playing.Go(func() { d.do(s) })
 	}
 }
 
-// record stores a step that begins now for the checks at the end of the run.
-func (w *World) record(s Step) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.played = append(w.played, playedStep{
-		step:  s,
+// record stores a fault that begins now for the checks at the end of the run.
+func (d *Deployment) record(s Fault) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.played = append(d.played, playedFault{
+		fault: s,
 		began: time.Now(),
 	})
 }
 
-// do injects the fault of one step, waits for its duration and removes the fault.
-func (w *World) do(s Step) {
-	p := w.processes[s.Target%len(w.processes)]
-	e := w.endpoints[s.Target%len(w.endpoints)]
+// do injects a fault and, if the fault lasts, removes it after its duration.
+func (d *Deployment) do(s Fault) {
+	p := d.processes[s.Target%len(d.processes)]
+	e := d.endpoints[s.Target%len(d.endpoints)]
 	if f, ok := storeFaults[s.Kind]; ok {
-		w.store.SetFaults(f)
+		d.store.SetFaults(f)
 		time.Sleep(s.For)
-		w.store.SetFaults(platformtest.StoreFaults{})
+		d.store.SetFaults(platformtest.StoreFaults{})
 		return
 	}
 	if f, ok := endpointFaults[s.Kind]; ok {
@@ -86,10 +86,10 @@
 		e.proxy.Set(tcptest.Link{})
 		return
 	}
-	w.doOther(s, p, e)
+	d.doOther(s, p, e)
 }
 
-// storeFaults maps kinds of steps to faults that the stand-in store simulates.
+// storeFaults maps kinds of faults to the settings of the stand-in store that inject them.
 var storeFaults = map[string]platformtest.StoreFaults{
 	"store refuses":      {Refuse: true},
 	"store silent":       {Silent: true},
@@ -99,7 +99,8 @@
 
 // Parameters of the faults.
 const (
-	// storeDelay delays each response of the store. It is below the timeouts of reads.
+	// storeDelay delays each response of the store. It is below the timeouts for reading the
+	// store.
 	storeDelay = 400 * time.Millisecond
 	// linkDelay delays each chunk of data to and from an endpoint.
 	linkDelay = 100 * time.Millisecond
@@ -109,7 +110,7 @@
 	cutAfter = 3
 )
 
-// endpointFaults maps kinds of steps to faults that the stand-in endpoint simulates.
+// endpointFaults maps kinds of faults to the settings of a stand-in endpoint that inject them.
 var endpointFaults = map[string]platformtest.EndpointFaults{
 	"endpoint rejects":       {Reject: true},
 	"endpoint fails":         {Fail: true},
@@ -119,30 +120,32 @@
 	"endpoint slow":          {Slowdown: slowFactor},
 }
 
-// storeLinks maps kinds of steps to faults of the proxy between an instance and the store.
+// storeLinks maps kinds of faults to the settings of the proxy between an instance and the
+// store that inject them.
 var storeLinks = map[string]tcptest.Link{
 	"store link silent":  {BlockUp: true, BlockDown: true},
 	"store link one way": {BlockDown: true},
 	"store link reset":   {Reset: true},
 }
 
-// endpointLinks maps kinds of steps to faults of the proxy before an endpoint.
+// endpointLinks maps kinds of faults to the settings of the proxy in front of an endpoint that
+// inject them.
 var endpointLinks = map[string]tcptest.Link{
 	"endpoint link slow":    {Delay: linkDelay},
 	"endpoint link reset":   {Reset: true},
 	"endpoint link one way": {BlockDown: true},
 }
 
-// doOther carries out the steps that signal processes, silence connections, write to the store
-// or combine several faults.
-func (w *World) doOther(s Step, p *process, e *endpoint) {
+// doOther injects the faults that signal processes, silence connections, write to the store or
+// need several actions.
+func (d *Deployment) doOther(s Fault, p *process, e *endpoint) {
 	switch s.Kind {
 	case "term":
 		p.signal(syscall.SIGTERM, true)
-		w.restart(p, s.For)
+		d.restart(p, s.For)
 	case "kill":
 		p.signal(syscall.SIGKILL, true)
-		w.restart(p, s.For)
+		d.restart(p, s.For)
 	case "freeze":
 		p.signal(syscall.SIGSTOP, false)
 		time.Sleep(s.For)
@@ -150,60 +153,60 @@
 	case "hangup":
 		p.signal(syscall.SIGHUP, false)
 	case "store forgets":
-		w.store.Compact(platformtest.TopicEndpoints)
-		w.store.Compact(platformtest.TopicOperator)
+		d.store.Compact(platformtest.TopicEndpoints)
+		d.store.Compact(platformtest.TopicOperator)
 	case "endpoint leaves":
-		w.leave(e, s.For)
+		d.leave(e, s.For)
 	case saysLeaving:
-		w.leaveByAnswers(e, s.For)
+		d.leaveByAnswers(e, s.For)
 	case "key taken away":
-		w.rotateKey()
+		d.rotateKey()
 	case "store connections silent":
 		p.store.Silence()
 	case endpointsSilent:
 		e.proxy.Silence()
 	case "all lost in an outage":
-		w.loseAll(s.For)
+		d.loseAll(s.For)
 	case "domain emptied":
-		w.drain(domainOf(s.Target), s.For)
+		d.drain(domainOf(s.Target), s.For)
 	case "endpoint starts again":
-		w.restartEndpoint(e, s.For)
+		d.restartEndpoint(e, s.For)
 	case requestCrashes:
-		w.sendCrashing(s)
+		d.sendCrashing(s)
 	}
 }
 
 // restartEndpoint restarts an endpoint under its name: it resets the connections and writes an
 // entry with a new start time.
-func (w *World) restartEndpoint(e *endpoint, away time.Duration) {
+func (d *Deployment) restartEndpoint(e *endpoint, away time.Duration) {
 	e.proxy.Set(tcptest.Link{Reset: true})
-	time.Sleep(away / restartPart)
-	w.mu.Lock()
+	time.Sleep(away / restartDivisor)
+	d.mu.Lock()
 	e.startedAt = time.Now()
-	w.mu.Unlock()
-	w.writeEntry(e, false)
+	d.mu.Unlock()
+	d.writeEntry(e, false)
 	e.proxy.Set(tcptest.Link{})
 }
 
 // loseAll kills all instances while the store refuses requests, and restarts them before the
 // outage ends.
-func (w *World) loseAll(outage time.Duration) {
-	w.store.SetFaults(storeFaults["store refuses"])
+func (d *Deployment) loseAll(outage time.Duration) {
+	d.store.SetFaults(storeFaults["store refuses"])
 	var all sync.WaitGroup
-	for _, p := range w.processes {
+	for _, p := range d.processes {
 		all.Go(func() {
 			p.signal(syscall.SIGKILL, true)
-			w.restart(p, outage)
+			d.restart(p, outage)
 		})
 	}
 	time.Sleep(outage)
-	w.store.SetFaults(platformtest.StoreFaults{})
+	d.store.SetFaults(platformtest.StoreFaults{})
 	all.Wait()
 }
 
-// restartPart is the divisor of a step's duration that yields how long an instance or endpoint
-// stays down.
-const restartPart = 4
+// restartDivisor is the divisor of a fault's duration that yields how long an instance or
+// endpoint stays down.
+const restartDivisor = 4
 
 // graceSlack is how much longer than grace an instance may take to stop before it is killed.
 const graceSlack = time.Second
@@ -211,7 +214,7 @@
 // restart waits until an instance has exited, killing it if it exceeds its grace period, and
 // starts it again. If several calls wait for the same exit, only one of them starts the
 // instance.
-func (w *World) restart(p *process, after time.Duration) {
+func (d *Deployment) restart(p *process, after time.Duration) {
 	exited := p.done()
 	select {
 	case <-exited:
@@ -220,26 +223,26 @@
 		p.signal(syscall.SIGKILL, true)
 		<-exited
 	}
-	time.Sleep(after / restartPart)
+	time.Sleep(after / restartDivisor)
 	if !p.claimStart(exited) {
 		return
 	}
-	if err := w.start(p); err != nil {
+	if err := d.start(p); err != nil {
 		p.mu.Lock()
 		p.unexpectedExits++
 		p.mu.Unlock()
 	}
 }
 
-// leave marks the entry of an endpoint as leaving, removes the entry after a time, and enters
-// the endpoint again under a new name.
-func (w *World) leave(e *endpoint, after time.Duration) {
-	w.writeEntry(e, true)
+// leave marks the entry of an endpoint as leaving, removes the entry after the given time, and
+// writes an entry for the endpoint under a new name.
+func (d *Deployment) leave(e *endpoint, after time.Duration) {
+	d.writeEntry(e, true)
 	time.Sleep(after)
-	w.store.DeleteEndpoint(e.Name())
-	w.mu.Lock()
-	w.version++
-	e.SetInstance(fmt.Sprintf("%s.%d", e.Name(), w.version))
-	w.mu.Unlock()
-	w.writeEntry(e, false)
+	d.store.DeleteEndpoint(e.Name())
+	d.mu.Lock()
+	d.version++
+	e.SetInstance(fmt.Sprintf("%s.%d", e.Name(), d.version))
+	d.mu.Unlock()
+	d.writeEntry(e, false)
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -37,9 +37,9 @@
 	exited chan struct{}
 	// unexpectedExits counts exits that the schedule did not cause, and failed restarts.
 	unexpectedExits int
-	// exitExpected states whether the running process was sent a signal that ends it.
+	// exitExpected is true if the running process was sent a signal that ends it.
 	exitExpected bool
-	// starting states whether a call of restart is about to start the instance again.
+	// starting is true if a call of restart is about to start the instance again.
 	starting bool
 }
 
@@ -51,7 +51,7 @@
 	grace = 6 * time.Second
 )
 
-// readyTimeout bounds a readiness check, since a stopped process does not respond.
+// readyTimeout bounds a readiness check, since a frozen process does not respond.
 const readyTimeout = 300 * time.Millisecond
 
 // settingsText is the format of an instance's settings file.
@@ -74,8 +74,8 @@
 stop_within = "%s"
 `
 
-// Range of the ports that instances listen on. It lies below the kernel's range of ephemeral
-// ports, so that no other socket takes a port between its selection and its use.
+// Range of the ports that instances listen on. It lies below Linux's default range of ephemeral
+// ports, so that the kernel gives no port to another socket between its selection and its use.
 const (
 	firstPort = 20_000
 	portCount = 10_000
@@ -85,8 +85,8 @@
 // that depends on the process ID, so that concurrent soaks try different ports.
 var nextPort = os.Getpid() * 97
 
-// freeAddress returns a loopback address on which nothing listens. It is not safe for
-// concurrent use.
+// freeAddress returns a loopback address, with a port of the range above, on which nothing
+// listens. It is not safe for concurrent use.
 func freeAddress() (string, error) {
 	for range portCount {
 		nextPort = (nextPort + 1) % portCount
@@ -101,12 +101,12 @@
 }
 
 // addProcess writes the settings of instance i and starts it, with a proxy to the store.
-func (w *World) addProcess(i int) error {
+func (d *Deployment) addProcess(i int) error {
 	p := &process{
 		name: fmt.Sprintf("n-%d", i),
 	}
 	var err error
-	if p.store, err = tcptest.NewProxy(w.storeAddr); err != nil {
+	if p.store, err = tcptest.NewProxy(d.storeAddr); err != nil {
 		return errors.Wrap(err, "start proxy to the store")
 	}
 	own := ""
@@ -115,16 +115,16 @@
 			return err
 		}
 	}
-	if i < len(w.contactAddresses) {
-		own = w.contactAddresses[i]
+	if i < len(d.seedAddresses) {
+		own = d.seedAddresses[i]
 	}
-	p.settings = filepath.Join(w.dir, p.name+".toml")
-	text := fmt.Sprintf(settingsText, p.name, domainOf(i), p.listen, p.ready, own, quoted(w.contactAddresses), p.store.Address, revoke, w.strict, grace)
+	p.settings = filepath.Join(d.dir, p.name+".toml")
+	text := fmt.Sprintf(settingsText, p.name, domainOf(i), p.listen, p.ready, own, quoted(d.seedAddresses), p.store.Address, revoke, d.strict, grace)
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
 		return errors.Wrap(err, "write settings of an instance")
 	}
-	w.processes = append(w.processes, p)
-	return w.start(p)
+	d.processes = append(d.processes, p)
+	return d.start(p)
 }
 
 // quoted formats texts as the elements of a TOML array.
@@ -137,12 +137,12 @@
 }
 
 // start starts the program of an instance and appends its output to the instance's log.
-func (w *World) start(p *process) error {
-	out, err := os.OpenFile(filepath.Join(w.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (d *Deployment) start(p *process) error {
+	out, err := os.OpenFile(filepath.Join(d.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "open log of an instance")
 	}
-	cmd := exec.Command(w.program, "--settings", p.settings)
+	cmd := exec.Command(d.program, "--settings", p.settings)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, "start instance")
@@ -182,12 +182,12 @@
 	close(exited)
 }
 
-// signal sends a signal to the current process. The argument ends states that the signal ends
-// the process.
-func (p *process) signal(s syscall.Signal, ends bool) {
+// signal sends a signal to the current process. With endsProcess, an exit of the process is
+// expected from then on.
+func (p *process) signal(s syscall.Signal, endsProcess bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.exitExpected = p.exitExpected || ends
+	p.exitExpected = p.exitExpected || endsProcess
 	// An error means that the process has exited already.
 	_ = p.cmd.Process.Signal(s)
 }
@@ -207,12 +207,12 @@
 }
 
 // readyCount returns the number of instances whose readiness check succeeds.
-func (w *World) readyCount() int {
+func (d *Deployment) readyCount() int {
 	client := &http.Client{
 		Timeout: readyTimeout,
 	}
 	n := 0
-	for _, p := range w.processes {
+	for _, p := range d.processes {
 		res, err := client.Get("http://" + p.ready + "/")
 		if err != nil {
 			continue
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Step is one fault of a schedule.
-type Step struct {
+// Fault is a fault of a schedule.
+type Fault struct {
 	// At is when the fault begins, relative to the start of the schedule.
 	At time.Duration
 	// For is how long the fault lasts.
 	For time.Duration
-	// Kind is the name of the fault.
+	// Kind is the name of the fault, one of kinds or of the kinds of DrawStatements.
 	Kind string
-	// Target is an index that selects the process or endpoint, modulo their number.
+	// Target is an index that selects the process, endpoint, failure domain or route that the
+	// fault affects, modulo their number.
 	Target int
 }
 
-// String formats the step as one line.
-func (s Step) String() string {
+// String formats the fault as one line.
+func (s Fault) String() string {
 	return fmt.Sprintf("%6.2fs %s %d for %s", s.At.Seconds(), s.Kind, s.Target, s.For)
 }
 
@@ -45,16 +46,16 @@
 
 // Draw returns the schedule of a seed. The times between the beginnings of faults are
 // exponentially distributed, so faults may overlap.
-func Draw(seed uint64, length time.Duration, processes int) []Step {
+func Draw(seed uint64, length time.Duration, processes int) []Fault {
 	r := rand.New(rand.NewPCG(seed, 1))
 	total := 0
 	for _, k := range kinds {
 		total += k.weight
 	}
-	var out []Step
-	for at := firstStep; at < length; at += time.Duration(r.ExpFloat64() * float64(meanPause)) {
+	var out []Fault
+	for at := firstFault; at < length; at += time.Duration(r.ExpFloat64() * float64(meanPause)) {
 		kind := kindAt(r.IntN(total))
-		out = append(out, Step{
+		out = append(out, Fault{
 			At:     at,
 			For:    time.Duration(minDurationMS+r.IntN(durationSpreadMS)) * time.Millisecond,
 			Kind:   kind,
@@ -64,7 +65,7 @@
 	return out
 }
 
-// kindAt returns the kind that the number n selects among the cumulated weights.
+// kindAt returns the kind whose interval of cumulative weights contains n.
 func kindAt(n int) string {
 	for _, k := range kinds {
 		if n < k.weight {
@@ -77,8 +78,8 @@
 
 // Parameters of a schedule.
 const (
-	// firstStep is when the first fault begins, after the load has started.
-	firstStep = 500 * time.Millisecond
+	// firstFault is when the first fault begins, after the load has started.
+	firstFault = 500 * time.Millisecond
 	// meanPause is the mean time between the beginnings of two faults.
 	meanPause = time.Second
 	// minDurationMS is the shortest duration of a fault and durationSpreadMS the range above
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -20,9 +20,9 @@
 	// Seed determines the schedule and the load. With an odd seed, instances also run with
 	// strict revocation of keys.
 	Seed uint64
-	// Length is the period in which faults begin.
+	// Length is the length of the period in which faults begin.
 	Length time.Duration
-	// Statements adds faults by which endpoints announce rate limits, back-offs or their
+	// Statements adds faults that make endpoints announce rate limits, back-offs or their
 	// leaving in responses.
 	Statements bool
 	// Processes is the number of instances.
@@ -44,7 +44,7 @@
 	// readyPollInterval is the pause between checks whether all instances are ready.
 	readyPollInterval = 50 * time.Millisecond
 	// recoverWithin is the time that the system has to recover after the last fault, and
-	// recoverFor how long the load continues after it.
+	// recoverFor how long the load continues after that time.
 	recoverWithin = 8 * time.Second
 	recoverFor    = 2 * time.Second
 	// settleFor is the time after the end of the load in which endpoints may still run
@@ -52,24 +52,24 @@
 	settleFor = 4500 * time.Millisecond
 )
 
-// Run plays one schedule and returns the promises that were broken. The error is that of ctx
-// if ctx ended during the run; any other error means that the run could not be prepared or
-// cleaned up.
+// Run plays one schedule and returns the violations of guarantees. The error is that of ctx if
+// ctx ended during the run; any other error means that the run could not be prepared or cleaned
+// up.
 func Run(ctx context.Context, s Settings) ([]Violation, error) {
-	w, err := newWorld(s.Program, s.Processes, s.strict())
+	d, err := newDeployment(s.Program, s.Processes, s.strict())
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	if err := w.awaitReady(ctx); err != nil {
+	defer d.close()
+	if err := d.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	history := w.loadAndPlay(ctx, s)
-	broken := append(w.check(history), checkRecovery(history, w.recovered)...)
-	w.report(s, history, broken)
+	history := d.loadAndPlay(ctx, s)
+	broken := append(d.check(history), checkRecovery(history, d.recovered)...)
+	d.report(s, history, broken)
 	if len(broken) == 0 {
-		// Keep the instances' logs only if a promise was broken.
-		if err := os.RemoveAll(w.dir); err != nil {
+		// The instances' logs are kept only if a guarantee was violated.
+		if err := os.RemoveAll(d.dir); err != nil {
 			return nil, errors.Wrap(err, "remove directory of the run")
 		}
 	}
@@ -78,30 +78,30 @@
 
 // loadAndPlay plays the schedule under load, waits until the load has ended and for settleFor
 // after it, and returns the exchanges of the callers.
-func (w *World) loadAndPlay(ctx context.Context, s Settings) []Exchange {
+func (d *Deployment) loadAndPlay(ctx context.Context, s Settings) []Exchange {
 	c := &callers{
-		world: w,
+		deployment: d,
 	}
 	load, stop := context.WithCancel(ctx)
 	defer stop()
 	watch, unwatch := context.WithCancel(ctx)
 	var loading, watching sync.WaitGroup
-	watching.Go(func() { w.watchStalls(watch) })
+	watching.Go(func() { d.watchStalls(watch) })
 	defer watching.Wait()
 	defer unwatch()
 	loading.Go(func() { c.run(load, s.Seed) })
-	steps := Draw(s.Seed, s.Length, s.Processes)
+	schedule := Draw(s.Seed, s.Length, s.Processes)
 	if s.Statements {
-		steps = merge(steps, DrawStatements(s.Seed, s.Length))
+		schedule = merge(schedule, DrawStatements(s.Seed, s.Length))
 	}
-	w.play(ctx, steps, func(step Step) { _, _ = fmt.Fprintln(s.Out, step) })
+	d.play(ctx, schedule, func(f Fault) { _, _ = fmt.Fprintln(s.Out, f) })
 	wait(ctx, recoverWithin)
-	w.recovered = time.Now()
+	d.recovered = time.Now()
 	wait(ctx, recoverFor)
 	stop()
 	loading.Wait()
 	wait(ctx, settleFor)
-	return append(c.all(), w.crashExchanges()...)
+	return append(c.all(), d.crashExchanges()...)
 }
 
 // wait sleeps for d or until ctx ends.
@@ -113,18 +113,18 @@
 }
 
 // awaitReady waits until all instances are ready, for at most startWithin.
-func (w *World) awaitReady(ctx context.Context) error {
+func (d *Deployment) awaitReady(ctx context.Context) error {
 	for end := time.Now().Add(startWithin); time.Now().Before(end); wait(ctx, readyPollInterval) {
-		if w.readyCount() == len(w.processes) {
+		if d.readyCount() == len(d.processes) {
 			return nil
 		}
 	}
-	return errors.Errorf("instances are not ready after %s; %s", startWithin, w.logLocation())
+	return errors.Errorf("instances are not ready after %s; %s", startWithin, d.logLocation())
 }
 
-// report writes the number of requests and broken promises and, if there are any, their
+// report writes the numbers of requests and of violations and, if there are violations, their
 // details, the stalls and the location of the logs.
-func (w *World) report(s Settings, history []Exchange, broken []Violation) {
+func (d *Deployment) report(s Settings, history []Exchange, broken []Violation) {
 	status := make(map[int]int)
 	for _, x := range history {
 		status[x.Status]++
@@ -135,7 +135,7 @@
 		_, _ = fmt.Fprintln(s.Out, "  "+v.String())
 	}
 	if len(broken) > 0 {
-		w.writeStalls(s.Out)
-		_, _ = fmt.Fprintln(s.Out, "  "+w.logLocation())
+		d.writeStalls(s.Out)
+		_, _ = fmt.Fprintln(s.Out, "  "+d.logLocation())
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -54,35 +54,35 @@
 	}
 }
 
-// leaveEarly changes an exchange to one whose caller canceled it, and its run to end the given
+// cancelEarly changes an exchange to one whose caller canceled it, and its run to end the given
 // time after that.
-func leaveEarly(x *Exchange, runs *[]platformtest.Run, after time.Duration) {
-	x.GaveUp, x.Whole, x.Status, x.Answer = true, false, 0, ""
-	x.Ended = x.Sent.Add(maxLeaveDelay / 2)
+func cancelEarly(x *Exchange, runs *[]platformtest.Run, after time.Duration) {
+	x.CancelsEarly, x.Whole, x.Status, x.Answer = true, false, 0, ""
+	x.Ended = x.Sent.Add(maxCancelDelay / 2)
 	(*runs)[0].Ended = x.Ended.Add(after)
 }
 
-// TestDisturbed guards against wrong excuses of runs that outlast their callers. Only a
-// stopped instance of the caller and a faulty link to an endpoint are excuses.
+// TestDisturbed guards against wrong excuses for runs that outlast their callers. Only a faulty
+// link to an endpoint and a frozen instance, if it is the one of the request, are excuses.
 func TestDisturbed(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
-		step  Step
+		fault Fault
 		began time.Time
 		want  bool
 	}{
-		{Step{Kind: "freeze", Target: 1, For: time.Second}, now, true},
-		{Step{Kind: "freeze", Target: 2, For: time.Second}, now, false},
-		{Step{Kind: "endpoint link one way", For: time.Second}, now, true},
-		{Step{Kind: "endpoint link one way", For: time.Second}, now.Add(-time.Minute), false},
-		{Step{Kind: "kill", Target: 1, For: time.Second}, now, false},
+		{Fault{Kind: "freeze", Target: 1, For: time.Second}, now, true},
+		{Fault{Kind: "freeze", Target: 2, For: time.Second}, now, false},
+		{Fault{Kind: "endpoint link one way", For: time.Second}, now, true},
+		{Fault{Kind: "endpoint link one way", For: time.Second}, now.Add(-time.Minute), false},
+		{Fault{Kind: "kill", Target: 1, For: time.Second}, now, false},
 	} {
-		t.Run(row.step.String(), func(t *testing.T) {
+		t.Run(row.fault.String(), func(t *testing.T) {
 			is := is.New(t)
-			w := &World{
+			d := &Deployment{
 				processes: make([]*process, 4),
-				played: []playedStep{{
-					step:  row.step,
+				played: []playedFault{{
+					fault: row.fault,
 					began: row.began,
 				}},
 			}
@@ -90,19 +90,19 @@
 				Instance: 1,
 				Sent:     now,
 			}
-			is.Equal(w.disturbed(&x, now.Add(time.Second)), row.want)
+			is.Equal(d.disturbed(&x, now.Add(time.Second)), row.want)
 		})
 	}
 }
 
-// TestCheckExchange guards against broken promises that are not detected, or that are reported
-// as other promises.
+// TestCheckExchange guards against violations that are not detected, or that are reported for
+// another guarantee.
 func TestCheckExchange(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
-		name    string
-		promise string
-		change  func(x *Exchange, runs *[]platformtest.Run)
+		name      string
+		guarantee string
+		change    func(x *Exchange, runs *[]platformtest.Run)
 	}{
 		{"served", "", func(*Exchange, *[]platformtest.Run) {}},
 		{"ran twice", "at most once", func(_ *Exchange, runs *[]platformtest.Run) {
@@ -125,26 +125,26 @@
 			(*runs)[0].At = now.Add(time.Minute)
 		}},
 		{"caller canceled, run ended", "", func(x *Exchange, runs *[]platformtest.Run) {
-			leaveEarly(x, runs, 100*time.Millisecond)
+			cancelEarly(x, runs, 100*time.Millisecond)
 		}},
 		{"caller canceled, run continued", "runs end when their callers cancel", func(x *Exchange, runs *[]platformtest.Run) {
-			leaveEarly(x, runs, time.Second)
+			cancelEarly(x, runs, time.Second)
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := &World{
+			d := &Deployment{
 				keys: map[string]time.Time{"gone": now.Add(-time.Minute)},
 			}
 			x, runs := servedAt(now), []platformtest.Run{runOf("r", "/unsafe/", now)}
 			row.change(&x, &runs)
-			got := w.checkExchange(&x, runs)
-			if row.promise == "" {
+			got := d.checkExchange(&x, runs)
+			if row.guarantee == "" {
 				is.Equal(len(got), 0)
 				return
 			}
 			is.True(len(got) > 0)
-			is.Equal(got[0].Promise, row.promise)
+			is.Equal(got[0].Guarantee, row.guarantee)
 		})
 	}
 }
@@ -165,16 +165,16 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := &World{
+			d := &Deployment{
 				strict:    row.strict,
 				recovered: row.recovered,
 			}
-			is.Equal(w.refusedFrom(now), row.want)
+			is.Equal(d.refusedFrom(now), row.want)
 		})
 	}
 }
 
-// TestCheckDrained guards against undetected requests to drained failure domains, and against
+// TestCheckDrained guards against undetected runs in drained failure domains, and against
 // violations reported for instances that could not read the store.
 func TestCheckDrained(t *testing.T) {
 	now := time.Now()
@@ -183,26 +183,26 @@
 		name   string
 		domain string
 		at     time.Time
-		fault  Step
+		fault  Fault
 		wrong  bool
 	}{
-		{"immediately", "d-1", now, Step{}, false},
-		{"within the bound", "d-1", after(-time.Millisecond), Step{}, false},
-		{"after the bound", "d-1", after(time.Millisecond), Step{}, true},
-		{"in another domain", "d-2", after(time.Millisecond), Step{}, false},
-		{"after it was undrained", "d-1", after(2 * time.Second), Step{}, false},
-		{"while the store was silent", "d-1", after(time.Millisecond), Step{Kind: "store silent", For: time.Second}, false},
-		{"by a stopped instance", "d-1", after(time.Millisecond), Step{Kind: "freeze", Target: 1, For: time.Second}, false},
-		{"while another instance was stopped", "d-1", after(time.Millisecond), Step{Kind: "freeze", Target: 2, For: time.Second}, true},
-		{"long after the store recovered", "d-1", after(900 * time.Millisecond), Step{Kind: "store silent", For: 500 * time.Millisecond}, true},
-		{"while another instance was killed", "d-1", after(time.Millisecond), Step{Kind: "kill", Target: 2, For: time.Second}, true},
+		{"immediately", "d-1", now, Fault{}, false},
+		{"within the bound", "d-1", after(-time.Millisecond), Fault{}, false},
+		{"after the bound", "d-1", after(time.Millisecond), Fault{}, true},
+		{"in another domain", "d-2", after(time.Millisecond), Fault{}, false},
+		{"after it was undrained", "d-1", after(2 * time.Second), Fault{}, false},
+		{"while the store was silent", "d-1", after(time.Millisecond), Fault{Kind: "store silent", For: time.Second}, false},
+		{"by a frozen instance", "d-1", after(time.Millisecond), Fault{Kind: "freeze", Target: 1, For: time.Second}, false},
+		{"while another instance was frozen", "d-1", after(time.Millisecond), Fault{Kind: "freeze", Target: 2, For: time.Second}, true},
+		{"long after the store recovered", "d-1", after(900 * time.Millisecond), Fault{Kind: "store silent", For: 500 * time.Millisecond}, true},
+		{"while another instance was killed", "d-1", after(time.Millisecond), Fault{Kind: "kill", Target: 2, For: time.Second}, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			w := &World{
+			d := &Deployment{
 				processes: make([]*process, 3),
-				played: []playedStep{{
-					step:  row.fault,
+				played: []playedFault{{
+					fault: row.fault,
 					began: now,
 				}},
 				drains: []drainPeriod{{
@@ -220,7 +220,7 @@
 			x := servedAt(now)
 			x.Instance = 1
 			r := runOf("r", "/unsafe/", row.at)
-			_, wrong := w.checkDrained(&x, e, &r)
+			_, wrong := d.checkDrained(&x, e, &r)
 			is.Equal(wrong, row.wrong)
 		})
 	}
@@ -229,8 +229,8 @@
 // TestLateRuns guards against miscounted late runs of requests that crash endpoints.
 func TestLateRuns(t *testing.T) {
 	start := time.Now()
-	lost := playedStep{
-		step: Step{
+	lost := playedFault{
+		fault: Fault{
 			Kind: "all lost in an outage",
 			For:  time.Second,
 		},
@@ -240,25 +240,25 @@
 		name string
 		// runs lists the times of the runs in seconds.
 		runs   []float64
-		played []playedStep
+		played []playedFault
 		want   int
 	}{
 		{"three runs", []float64{0, 1, 2}, nil, 0},
 		{"in time after the third", []float64{0, 1, 2, 3, 4, 5}, nil, 0},
 		{"late runs", []float64{0, 1, 2, 5.1, 6, 7, 8}, nil, 4},
 		{"unsorted", []float64{8, 2, 0, 5.1, 1}, nil, 2},
-		{"all instances lost in between", []float64{0, 1, 2, 12, 13, 14, 16}, []playedStep{lost}, 0},
-		{"late runs after the loss of all instances", []float64{0, 1, 2, 12, 13, 14, 18}, []playedStep{lost}, 1},
+		{"all instances lost in between", []float64{0, 1, 2, 12, 13, 14, 16}, []playedFault{lost}, 0},
+		{"late runs after the loss of all instances", []float64{0, 1, 2, 12, 13, 14, 18}, []playedFault{lost}, 1},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			w := &World{
+			d := &Deployment{
 				played: row.played,
 			}
 			var at []time.Time
 			for _, s := range row.runs {
 				at = append(at, start.Add(time.Duration(s*float64(time.Second))))
 			}
-			is.New(t).Equal(w.lateRuns(at), row.want)
+			is.New(t).Equal(d.lateRuns(at), row.want)
 		})
 	}
 }
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -25,7 +25,8 @@
 	statedBackoff = time.Second
 )
 
-// statementFaults maps kinds of steps to what an endpoint announces in its responses.
+// statementFaults maps kinds of faults to the settings of a stand-in endpoint that make it
+// announce something in its responses.
 var statementFaults = map[string]platformtest.EndpointFaults{
 	"endpoint names a limit":       {RateLimit: fmt.Sprint(statedRate)},
 	"endpoint asks for a back-off": {Reject: true, RetryAfter: fmt.Sprint(statedBackoff.Seconds())},
@@ -37,27 +38,27 @@
 	// leavingWithin bounds how long after a response that announces its leaving an endpoint
 	// may still get requests from the instance that received the response.
 	leavingWithin = 2 * time.Second
-	// backoffGrace is how long after its announcement a back-off need not be respected yet,
-	// and maxBackoffRequests the number of requests tolerated in the rest of it.
+	// backoffGrace is the time after the announcement of a back-off in which any number of
+	// requests is tolerated, and maxBackoffRequests the number tolerated in the rest of it.
 	backoffGrace       = 500 * time.Millisecond
 	maxBackoffRequests = 2
-	// limitGrace is how long after its first announcement a rate limit need not be respected
-	// yet. Then limitFactor times the limit, plus limitSlack requests, is tolerated in each
-	// limitWindow.
+	// limitGrace is the time after the first announcement of a rate limit in which any rate is
+	// tolerated. Then limitFactor times what the limit allows in limitWindow, plus limitSlack
+	// requests, is tolerated in each period of that length.
 	limitGrace  = 3 * time.Second
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// DrawStatements returns the steps of a seed in which endpoints announce something in their
+// DrawStatements returns the faults of a seed that make endpoints announce something in their
 // responses.
-func DrawStatements(seed uint64, length time.Duration) []Step {
+func DrawStatements(seed uint64, length time.Duration) []Fault {
 	kinds := append(slices.Sorted(maps.Keys(statementFaults)), saysLeaving)
 	r := rand.New(rand.NewPCG(seed, 2))
-	var out []Step
-	for at := firstStep; at < length; at += time.Duration(r.ExpFloat64() * float64(2*meanPause)) {
-		out = append(out, Step{
+	var out []Fault
+	for at := firstFault; at < length; at += time.Duration(r.ExpFloat64() * float64(2*meanPause)) {
+		out = append(out, Fault{
 			At:     at,
 			For:    time.Duration(2*minDurationMS+r.IntN(2*durationSpreadMS)) * time.Millisecond,
 			Kind:   kinds[r.IntN(len(kinds))],
@@ -69,14 +70,14 @@
 
 // leaveByAnswers makes an endpoint announce in its responses, but not in the store, that it
 // leaves, and restarts it under another name after the given time.
-func (w *World) leaveByAnswers(e *endpoint, lasts time.Duration) {
+func (d *Deployment) leaveByAnswers(e *endpoint, lasts time.Duration) {
 	e.setFaults(platformtest.EndpointFaults{
 		Leaving: true,
 	})
 	time.Sleep(lasts)
 	// The next incarnation does not announce it.
 	e.setFaults(platformtest.EndpointFaults{})
-	w.leave(e, 0)
+	d.leave(e, 0)
 }
 
 // arrival is a request that arrived at an endpoint, with the index of the instance that sent
@@ -86,11 +87,12 @@
 	instance int
 }
 
-// checkStatements checks that instances respect what endpoints announce in their responses. It
-// excuses instances that were affected by other faults at the time.
-func (w *World) checkStatements(sent map[string]*Exchange) []Violation {
+// checkStatements checks that instances respect what endpoints announce in their responses. The
+// map sent holds the exchanges of callers by request ID. Instances that were affected by other
+// faults at the time are excused.
+func (d *Deployment) checkStatements(sent map[string]*Exchange) []Violation {
 	var out []Violation
-	for _, e := range w.endpoints {
+	for _, e := range d.endpoints {
 		var all []arrival
 		for _, a := range e.Arrivals() {
 			if x := sent[a.ID]; x != nil {
@@ -100,14 +102,14 @@
 				})
 			}
 		}
-		out = slices.Concat(out, w.checkLeaving(e, all), w.checkBackoffs(e, all), w.checkLimits(e, all))
+		out = slices.Concat(out, d.checkLeaving(e, all), d.checkBackoffs(e, all), d.checkLimits(e, all))
 	}
 	return out
 }
 
 // checkLeaving checks that an endpoint gets no further requests from an instance some time
 // after a response to that instance announced its leaving.
-func (w *World) checkLeaving(e *endpoint, all []arrival) []Violation {
+func (d *Deployment) checkLeaving(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	announced := make(map[int]time.Time)
 	for _, a := range all {
@@ -120,10 +122,10 @@
 			continue
 		}
 		late := a.At.Sub(first.Add(answerWithin + leavingWithin + runSlack))
-		if late > 0 && !w.excused(a.instance, e, first, a.At) {
+		if late > 0 && !d.excused(a.instance, e, first, a.At) {
 			out = append(out, Violation{
-				Promise: "leaving endpoints get no new requests",
-				Detail: fmt.Sprintf("request %s of instance %d reached %s %s after the bound", a.ID, a.instance,
+				Guarantee: "leaving endpoints get no new requests",
+				Detail: fmt.Sprintf("request %s of instance %d reached endpoint %s, %s after the bound", a.ID, a.instance,
 					e.Name(), late.Round(time.Millisecond)),
 			})
 		}
@@ -142,7 +144,7 @@
 
 // checkBackoffs checks that an instance sends an endpoint at most maxBackoffRequests requests
 // during a back-off that the endpoint announced to it.
-func (w *World) checkBackoffs(e *endpoint, all []arrival) []Violation {
+func (d *Deployment) checkBackoffs(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	for i, asked := range all {
 		if !asked.Faults.Reject || asked.Faults.RetryAfter != statementFaults["endpoint asks for a back-off"].RetryAfter {
@@ -155,10 +157,10 @@
 				in++
 			}
 		}
-		if in > maxBackoffRequests && !w.excused(asked.instance, e, asked.At, end) {
+		if in > maxBackoffRequests && !d.excused(asked.instance, e, asked.At, end) {
 			out = append(out, Violation{
-				Promise: "back-offs of endpoints are respected",
-				Detail:  fmt.Sprintf("%d requests of instance %d reached %s within its back-off that began at %s", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
+				Guarantee: "back-offs of endpoints are respected",
+				Detail:    fmt.Sprintf("%d requests of instance %d reached endpoint %s within its back-off that began at %s", in, asked.instance, e.Name(), asked.At.Format("15:04:05.000")),
 			})
 		}
 	}
@@ -167,7 +169,7 @@
 
 // checkLimits checks that all instances together respect a rate limit that an endpoint
 // announces.
-func (w *World) checkLimits(e *endpoint, all []arrival) []Violation {
+func (d *Deployment) checkLimits(e *endpoint, all []arrival) []Violation {
 	limited := func(a arrival) bool { return a.Faults.RateLimit == fmt.Sprint(statedRate) }
 	var out []Violation
 	since := time.Time{}
@@ -184,49 +186,50 @@
 		}
 		in := 0
 		for _, a := range all[:i+1] {
-			if a.At.After(last.At.Add(-limitWindow)) && !a.At.Before(since) && !w.excused(a.instance, e, since, last.At) {
+			if a.At.After(last.At.Add(-limitWindow)) && !a.At.Before(since) && !d.excused(a.instance, e, since, last.At) {
 				in++
 			}
 		}
 		if allowed := limitFactor*statedRate*limitWindow.Seconds() + limitSlack; float64(in) > allowed {
 			out = append(out, Violation{
-				Promise: "rate limits of endpoints are respected",
-				Detail:  fmt.Sprintf("%d requests reached %s in %s up to %s, %.0f allowed", in, e.Name(), limitWindow, last.At.Format("15:04:05.000"), allowed),
+				Guarantee: "rate limits of endpoints are respected",
+				Detail:    fmt.Sprintf("%d requests reached endpoint %s in the %s until %s, %.0f allowed", in, e.Name(), limitWindow, last.At.Format("15:04:05.000"), allowed),
 			})
 		}
 	}
 	return out
 }
 
-// excused reports whether, between two times, an instance was terminated, killed or stopped,
-// all instances were lost in an outage of the store, or the link to an endpoint was faulty.
-func (w *World) excused(instance int, e *endpoint, from, to time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.played {
+// excused reports whether, between two times or at most excuseSlack before them, an instance was
+// terminated, killed or frozen, all instances were lost in an outage of the store, or the link
+// to an endpoint was faulty.
+func (d *Deployment) excused(instance int, e *endpoint, from, to time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, p := range d.played {
 		if p.ended().Add(excuseSlack).Before(from) || p.began.After(to) {
 			continue
 		}
-		_, link := endpointLinks[p.step.Kind]
-		link = link || p.step.Kind == endpointsSilent
+		_, link := endpointLinks[p.fault.Kind]
+		link = link || p.fault.Kind == endpointsSilent
 		switch {
-		case link && w.endpoints[p.step.Target%len(w.endpoints)] == e:
+		case link && d.endpoints[p.fault.Target%len(d.endpoints)] == e:
 			return true
-		case p.step.Kind == "all lost in an outage":
+		case p.fault.Kind == "all lost in an outage":
 			return true
-		case p.step.Target%len(w.processes) != instance:
-		case p.step.Kind == "term" || p.step.Kind == "kill" || p.step.Kind == "freeze":
+		case p.fault.Target%len(d.processes) != instance:
+		case p.fault.Kind == "term" || p.fault.Kind == "kill" || p.fault.Kind == "freeze":
 			return true
 		}
 	}
 	return false
 }
 
-// excuseSlack is how long an instance is excused after the end of a fault, while it restarts,
-// or processes the messages that arrived while it was stopped.
+// excuseSlack is how long an instance is excused after the end of a fault, while it restarts or
+// processes the messages that arrived while it was frozen.
 const excuseSlack = 2 * time.Second
 
-// merge merges two schedules by the start of their steps.
-func merge(a, b []Step) []Step {
-	return slices.SortedStableFunc(slices.Values(slices.Concat(a, b)), func(x, y Step) int { return cmp.Compare(x.At, y.At) })
+// merge merges two schedules by the times at which their faults begin.
+func merge(a, b []Fault) []Fault {
+	return slices.SortedStableFunc(slices.Values(slices.Concat(a, b)), func(x, y Fault) int { return cmp.Compare(x.At, y.At) })
 }
