--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -36,11 +36,13 @@
 	// Version is the version of the configuration in force.
 	Version int64 `json:"version"`
 	// AgeMS is an upper bound of the age of the configuration, in ms.
-	AgeMS     int64 `json:"age_ms"`
-	Endpoints int   `json:"endpoints"`
+	AgeMS int64 `json:"age_ms"`
+	// Endpoints is the number of known endpoints, including leaving ones.
+	Endpoints int `json:"endpoints"`
 	// Departed is the number of endpoints that are leaving or were removed recently.
 	Departed int `json:"departed"`
-	Peers    int `json:"peers"`
+	// Peers is the number of known instances, including this one once the store lists it.
+	Peers int `json:"peers"`
 	// Following describes how this instance receives the store's data and forwards it.
 	Following catalog.Stats `json:"following"`
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -67,7 +67,7 @@
 	callerConns *connections
 	// poolsReady is closed after pools has received the first complete snapshot.
 	poolsReady chan struct{}
-	// stopping is closed when a stop begins. cancel ends the goroutines that run the components.
+	// stopping is closed when Stop or Close begins. cancel ends the goroutines that run the components.
 	stopping   chan struct{}
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
@@ -148,8 +148,8 @@
 // idleCheckInterval is how often idle connections to endpoints are checked.
 const idleCheckInterval = time.Second
 
-// closeIdleUpstream periodically closes the idle connections whose idle timeout has passed, until
-// ctx ends. The connections are those to endpoints.
+// closeIdleUpstream periodically closes the connections to endpoints that have been idle for their
+// idle timeout, until ctx ends.
 func (g *Gateway) closeIdleUpstream(ctx context.Context) {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
--- a/node/admin.go
+++ b/node/admin.go
@@ -24,10 +24,10 @@
 	Generation int64 `json:"generation"`
 	// Members is the number of available instances, including this one unless it is stopping.
 	Members int `json:"members"`
-	// InFlight is the number of requests in flight, and of background tasks that finished requests
-	// have left.
+	// InFlight is the number of unfinished requests, and of unfinished background tasks that
+	// requests have started.
 	InFlight int64 `json:"in_flight"`
-	// Attempts is the number of attempts that the instance runs at endpoints.
+	// Attempts is the number of attempts for which the instance has a lease or has requested one.
 	Attempts int `json:"attempts"`
 	// Endpoints are summaries of the endpoints that the instance owns, ordered by id.
 	Endpoints []policy.Summary `json:"endpoints"`
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -30,7 +30,7 @@
 	s.LogDecisions = &no
 }
 
-// startFleet starts a fleet that is closed at the end of the benchmark.
+// startFleet starts a fleet without logs of decisions. It is closed at the end of the benchmark.
 func startFleet(b *testing.B, s fleet.Settings) *fleet.Fleet {
 	b.Helper()
 	s.Node = disableDecisionLog
--- a/node/follow.go
+++ b/node/follow.go
@@ -78,8 +78,8 @@
 	n.pool.CloseUnless(func(a string) bool { return known[a] })
 }
 
-// watchOwners sends summaries of the endpoints to the entry until ctx ends: those of this
-// instance's endpoints directly, and those of other owners in the region over a stream from each.
+// watchOwners forwards summaries of endpoints to the entry until ctx ends: those of this instance's
+// endpoints, and those that up to maxWatched other instances of the region send over a stream each.
 func (n *Node) watchOwners(ctx context.Context) {
 	watches := make(map[string]context.CancelFunc)
 	var all sync.WaitGroup
@@ -123,8 +123,8 @@
 	}
 }
 
-// maxWatched is the maximum number of owners that an instance watches. Other owners send summaries
-// only with their replies to releases.
+// maxWatched is the maximum number of owners that an instance watches. An owner that isn't watched
+// sends its summaries only with replies to releases, and only if it has few.
 const maxWatched = 32
 
 // The estimated sizes of a message with summaries: a fixed part, and a part for each summary.
@@ -133,8 +133,9 @@
 	watchSummaryBytes = 28
 )
 
-// watchInterval returns how often each watched owner should send its summaries. It is the interval
-// in the settings, or longer if the messages would exceed the configured bytes per second.
+// watchInterval returns the interval at which each watched owner should send changed summaries. It
+// is the interval in the settings, or longer if the messages of all watched owners would exceed the
+// configured bytes per second.
 func (n *Node) watchInterval() time.Duration {
 	set := time.Duration(n.settings.Times.Watch)
 	v, m := n.rollout.View(), n.member.View()
@@ -149,7 +150,8 @@
 
 // The intervals of updating and watching summaries.
 const (
-	// localInterval is how often the summaries of the instance's own endpoints are updated.
+	// localInterval is how often watchOwners forwards the summaries of the instance's own endpoints
+	// and checks whether the instances to be watched have changed.
 	localInterval = 20 * time.Millisecond
 	// watchRetryDelay is the delay before a broken watch is opened again.
 	watchRetryDelay = 300 * time.Millisecond
--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -168,15 +168,16 @@
 	return e.evaluatePublication(v, &rec, state)
 }
 
+// with returns v with an outcome and the reason for it.
 func (v Verdict) with(o Outcome, reason string) Verdict {
 	v.Outcome = o
 	v.Reason = reason
 	return v
 }
 
-// evaluateRepeat evaluates a repeat. If the evaluator is uncertain and the repeated generation is
-// not older than InForce, that generation becomes InForce. Then the pending publications are
-// evaluated, and the evaluator is certain.
+// evaluateRepeat evaluates a repeat. A repeat of the generation of InForce updates the time at which
+// its file was last written. If the evaluator is uncertain, a repeat of that generation or of a newer
+// one becomes InForce, the pending publications are evaluated, and the evaluator is then certain.
 func (e *Evaluator) evaluateRepeat(v Verdict, rec *rolloutpb.Record, s State) Verdict {
 	switch {
 	case rec.Repeats >= v.Offset:
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -200,7 +200,8 @@
 	return steady.Since(r.lastContact) > r.settings.StaleAfter
 }
 
-// read reads the next records of the log and evaluates them.
+// read reads the next records of the log and evaluates them. At the end of the log, it brings the
+// newest accepted configuration into force.
 func (r *Rollout) read(ctx context.Context) error {
 	r.mu.Lock()
 	next := max(r.evaluator.Next, 1)
