--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -36,7 +36,7 @@
 
 // crashingEndpoint runs an endpoint and restarts it after each crash, by default under another name.
 type crashingEndpoint struct {
-	world   *cluster
+	cluster *cluster
 	name    string
 	service string
 	address string
@@ -57,7 +57,7 @@
 func (w *crashCluster) addCrashing(name string, o crashOptions) *crashingEndpoint {
 	w.t.Helper()
 	x := &crashingEndpoint{
-		world:    w.cluster,
+		cluster:  w.cluster,
 		name:     name,
 		service:  o.service,
 		sameName: o.sameName,
@@ -102,7 +102,7 @@
 		Handler: x.endpoint,
 	}
 	go x.server.Serve(l)
-	x.world.store.PutEndpoint(platformtest.EndpointEntry{
+	x.cluster.store.PutEndpoint(platformtest.EndpointEntry{
 		Instance:  instance,
 		Service:   x.service,
 		Address:   x.address,
@@ -142,7 +142,7 @@
 		return
 	}
 	if !x.sameName {
-		x.world.store.DeleteEndpoint(before)
+		x.cluster.store.DeleteEndpoint(before)
 	}
 	x.start(l)
 }
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -53,12 +53,12 @@
 
 // assertLimited checks that endpoints that announced a limit at the time named received some
 // requests, but no more than the bound allows.
-func assertLimited(t *testing.T, w *cluster, rate float64, named time.Time, names ...string) {
+func assertLimited(t *testing.T, w *cluster, rate float64, announced time.Time, names ...string) {
 	t.Helper()
 	allowed := limitFactor*rate*limitWindow.Seconds() + limitSlack
 	for _, name := range names {
 		arrivals := w.endpoints[name].Arrivals()
-		got := maxInWindow(arrivals, named.Add(limitGrace), limitWindow)
+		got := maxInWindow(arrivals, announced.Add(limitGrace), limitWindow)
 		t.Logf("%s: %d requests in %v, %.0f allowed", name, got, limitWindow, allowed)
 		is.New(t).True(float64(got) <= allowed)
 		is.New(t).True(got > 0)
@@ -86,9 +86,9 @@
 			w := newCluster(t, 3)
 			w.load("before", request{path: c.path, tokens: 500}, time.Second)
 			w.setRateLimit("1", c.limited...)
-			named := time.Now()
+			announced := time.Now()
 			rejected := w.load("during", request{path: c.path, tokens: 500}, 8*time.Second)
-			assertLimited(t, w, 1, named, c.limited...)
+			assertLimited(t, w, 1, announced, c.limited...)
 			if !c.none {
 				is.New(t).Equal(len(rejected), 0)
 				return
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -13,9 +13,9 @@
 	"github.com/linkmast/linkmast/platform/platformtest"
 )
 
-// drainWithin is the time after which an endpoint that announces its departure must receive no more
+// departWithin is the time after which an endpoint that announces its departure must receive no more
 // requests.
-const drainWithin = 2 * time.Second
+const departWithin = 2 * time.Second
 
 // assertNothingSince checks that endpoints have received no request since a time.
 func assertNothingSince(t *testing.T, w *cluster, since time.Time, names ...string) {
@@ -55,7 +55,7 @@
 			}
 			began := time.Now()
 			rejected := w.load("leaving", request{path: c.path, tokens: 500}, 4*time.Second)
-			assertNothingSince(t, w, began.Add(drainWithin), c.leaving...)
+			assertNothingSince(t, w, began.Add(departWithin), c.leaving...)
 			if c.none {
 				is.New(t).True(len(rejected) > 0)
 			} else {
@@ -77,7 +77,7 @@
 	began := time.Now()
 	rejected := w.load("leaving", request{path: "/stream/a", tokens: 500}, 4*time.Second)
 	is.New(t).True(len(w.endpoints["e1"].Arrivals()) > 0) // the announcement was received
-	assertNothingSince(t, w, began.Add(drainWithin), "e1")
+	assertNothingSince(t, w, began.Add(departWithin), "e1")
 	is.New(t).Equal(len(rejected), 0)
 }
 
--- a/node/admin.go
+++ b/node/admin.go
@@ -64,12 +64,12 @@
 		wirehttp.JSON(w, http.StatusOK, n.Status())
 	})
 	mux.HandleFunc("GET /explain/{request}", func(w http.ResponseWriter, r *http.Request) {
-		story, ok := n.entry.Explain(r.PathValue("request"))
+		trace, ok := n.entry.Explain(r.PathValue("request"))
 		if !ok {
 			http.Error(w, "this instance knows no such request", http.StatusNotFound)
 			return
 		}
-		wirehttp.JSON(w, http.StatusOK, story)
+		wirehttp.JSON(w, http.StatusOK, trace)
 	})
 	mux.HandleFunc("GET /configuration", func(w http.ResponseWriter, _ *http.Request) {
 		text, generation := n.rollout.Text()
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -301,14 +301,14 @@
 				Nodes:   n,
 				Engines: 2 * n,
 			})
-			const look = 3 * time.Second
+			const duration = 3 * time.Second
 			var cpu time.Duration
 			for b.Loop() {
 				start := processorTime()
-				time.Sleep(look)
+				time.Sleep(duration)
 				cpu = processorTime() - start
 			}
-			perNode := cpu.Seconds() / look.Seconds() / float64(len(f.Nodes))
+			perNode := cpu.Seconds() / duration.Seconds() / float64(len(f.Nodes))
 			b.ReportMetric(perNode*100, "core-percent/node")
 		})
 	}
--- a/node/follow.go
+++ b/node/follow.go
@@ -90,14 +90,14 @@
 		}
 	}()
 	var seen *member.View
-	look := time.NewTicker(localInterval)
-	defer look.Stop()
+	tick := time.NewTicker(localInterval)
+	defer tick.Stop()
 	for {
 		n.entry.UpdateSummaries(n.owner.Summaries())
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-tick.C:
 		}
 		view := n.member.View()
 		if view == seen {
--- a/node/node.go
+++ b/node/node.go
@@ -214,7 +214,7 @@
 	n.generation.Store(n.rollout)
 	n.quarantine = quarantine.New(steady.Now, n.peers.retestTurn, n.log.WithName("quarantine"))
 	n.peerGuard = quarantine.NewPeerGuard(n.quarantine, n.peers, n.log.WithName("quarantine"))
-	adapters := &endpointClients{
+	endpoints := &endpointClients{
 		client: client,
 	}
 	n.entry = entry.New(entry.Settings{
@@ -225,7 +225,7 @@
 		Members:       n.member.View,
 		Leaser:        n.peers.leaser,
 		ReportFailure: n.member.ReportFailure,
-		Endpoints:     adapters,
+		Endpoints:     endpoints,
 		Claimer:       n.claimer,
 		Borrower:      n.borrower,
 		Quarantine:    n.peerGuard,
@@ -237,7 +237,7 @@
 		Strategy:      strategy,
 		SweepInterval: time.Duration(f.Times.Sweep),
 		ConfirmAfter:  time.Duration(f.Times.Confirm),
-	}, adapters, n.peers, n.newReconciler(client, log), decisions.WithName("owner"))
+	}, endpoints, n.peers, n.newReconciler(client, log), decisions.WithName("owner"))
 }
 
 // newReconciler returns the reconciler that brings endpoints to their desired states, or nil if the
--- a/rollout/evaluator_test.go
+++ b/rollout/evaluator_test.go
@@ -131,7 +131,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			j := &Evaluator{}
+			e := &Evaluator{}
 			b := logsvc.Batch{
 				Earliest: c.earliest,
 				Next:     c.earliest + int64(len(c.records)),
@@ -143,11 +143,11 @@
 				})
 			}
 			var outcomes []string
-			for _, v := range j.Apply(b) {
+			for _, v := range e.Apply(b) {
 				outcomes = append(outcomes, string(v.Outcome))
 			}
 			is.Equal(strings.Join(outcomes, " "), c.outcomes)
-			is.Equal(j.InForce.Generation, c.inForce)
+			is.Equal(e.InForce.Generation, c.inForce)
 		})
 	}
 }
--- a/rollout/publish.go
+++ b/rollout/publish.go
@@ -96,16 +96,16 @@
 // Replay evaluates all records that the log still holds. It returns the evaluator after the last
 // record and all verdicts in order.
 func Replay(ctx context.Context, log logsvc.Log) (*Evaluator, []Verdict, error) {
-	j := &Evaluator{}
+	e := &Evaluator{}
 	var all []Verdict
 	for {
-		b, err := log.Read(ctx, Stream, max(j.Next, 1), 0)
+		b, err := log.Read(ctx, Stream, max(e.Next, 1), 0)
 		if err != nil {
 			return nil, nil, err
 		}
-		all = append(all, j.Apply(b)...)
-		if j.Next >= b.Next {
-			return j, all, nil
+		all = append(all, e.Apply(b)...)
+		if e.Next >= b.Next {
+			return e, all, nil
 		}
 	}
 }
