--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -14,10 +14,11 @@
 
 // The bound on requests to an endpoint that announces a rate limit.
 const (
-	// limitGrace is the time from the announcement until the bound applies.
+	// limitGrace is the time from the announcement until the earliest end of a window that the
+	// bound applies to. Such a window may begin before the announcement.
 	limitGrace = 3 * time.Second
-	// In any limitWindow an endpoint may receive limitFactor times the requests that its limit
-	// allows, and limitSlack more.
+	// In any window of length limitWindow an endpoint may receive limitFactor times the requests
+	// that its limit allows, and limitSlack more.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
@@ -51,8 +52,8 @@
 	return n
 }
 
-// assertLimited checks that endpoints that announced a limit at the time named received some
-// requests, but no more than the bound allows.
+// assertLimited checks that endpoints that announced a limit at a given time received requests later
+// than limitGrace after it, but no more than the bound allows.
 func assertLimited(t *testing.T, w *cluster, rate float64, announced time.Time, names ...string) {
 	t.Helper()
 	allowed := limitFactor*rate*limitWindow.Seconds() + limitSlack
@@ -98,8 +99,8 @@
 	}
 }
 
-// recoverWithin is the maximum time from the end of a limit until all instances must know of it.
-// They learn of it from the answers to the requests that the limit still allows.
+// recoverWithin is the maximum time from the end of a limit until all instances know of it. They
+// learn of it from the answers to the requests that the limit still allows.
 const recoverWithin = 2 * time.Second
 
 // TestRateLimitEnds guards against requests that are still refused after the limit of all endpoints
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -100,9 +100,9 @@
 	return out
 }
 
-// assertBackoffKept checks the requests whose body begins with word. The first one starts the
-// back-off of an endpoint. If needed is true, the endpoint must receive requests again in the second
-// after its back-off.
+// assertBackoffKept checks the bound above for requests whose body begins with word. The first of them
+// at an endpoint starts its back-off. If needed is true, the endpoint must receive such requests again
+// in the second after its back-off.
 func assertBackoffKept(t *testing.T, w *cluster, word string, needed bool, names ...string) {
 	t.Helper()
 	for _, name := range names {
