--- a/account/account.go
+++ b/account/account.go
@@ -18,8 +18,8 @@
 // Cause is the result of a request: that it was in time, or why not.
 type Cause int
 
-// The causes. A request that is not in time has the first of the other causes that one of its
-// lines shows.
+// The causes. If the lines of a request show several causes, the request has the first of them
+// in this order, except that InTime comes last.
 const (
 	// InTime means that the first event and all pauses of each attempt were in time.
 	InTime Cause = iota
--- a/account/account_test.go
+++ b/account/account_test.go
@@ -61,7 +61,7 @@
 		refused("a"), attempt("b", "served", 0, 400, 0), attempt("c", "served", 0, 100, 0),
 	}, "\n")))
 	is.NoErr(err)
-	is.Equal(len(rows), 2) // a refusal doesn't state the target
+	is.Equal(len(rows), 2) // a refusal doesn't state the target, so it has a row of its own
 	is.Equal(rows[0].Seconds, map[int]int{0: 1})
 	is.Equal(rows[1].Seconds, map[int]int{2: 1})
 }
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -81,8 +81,9 @@
 	confirmed atomic.Pointer[time.Time]
 	// snapshot is the last published state; nil before the first configuration.
 	snapshot atomic.Pointer[Snapshot]
-	// storeAnswered is when the store last confirmed the configuration to this instance, and
-	// upstreamConfirmed is when it last did so to the root of the followed instance.
+	// storeAnswered is when the store last confirmed the configuration to this instance.
+	// upstreamConfirmed is when the store last confirmed it to the root of the followed instance,
+	// that is, to the instance that read the data from the store.
 	storeAnswered     timestamp
 	upstreamConfirmed timestamp
 	// peerAnswered is when another instance last answered, even if its data was stale.
@@ -144,10 +145,11 @@
 	holdRemovalsUntil time.Time
 	// heldRemovals are the removals that have not been applied yet, by endpoint.
 	heldRemovals map[string]heldRemoval
-	// departed maps leaving and removed endpoints to the time at which this instance noticed
-	// it.
+	// departed maps each leaving or removed endpoint to the time at which this instance learned
+	// of its departure.
 	departed map[string]time.Time
-	// drained maps drained failure domains to the time at which this instance noticed it.
+	// drained maps each drained failure domain to the time at which this instance learned of the
+	// drain.
 	drained map[string]time.Time
 	// banned are the banned requests.
 	banned map[quarantine.Identity]quarantine.Verdict
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -114,8 +114,9 @@
 	return r
 }
 
-// Decode implements catalog.Store. A record without a value undrains a failure domain or releases
-// a ban if its key has the prefix of these; otherwise it removes an endpoint.
+// Decode implements catalog.Store. A record without a value undrains a failure domain if its key
+// begins with drainedPrefix, and releases a ban if its key begins with bannedPrefix; otherwise it
+// removes an endpoint.
 func (s *fakeStore) Decode(_ catalog.Feed, r catalog.Record) catalog.Change {
 	if domain, ok := strings.CutPrefix(r.Key, drainedPrefix); ok && len(r.Value) == 0 {
 		return &catalog.DomainUndrained{
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -32,7 +32,7 @@
 // they arrive as fast and have the same age. A drain request that a full read no longer contains
 // has ended.
 //
-// Endpoints that vanish from the store while it is unreachable, or shortly afterwards, are kept
-// until it has been readable for Settings.Hold, because their entries expire when they can't
-// renew them.
+// The entries of endpoints expire during an outage of the store, because the endpoints can't
+// renew them. An endpoint whose entry vanishes during an outage, or shortly afterwards, is
+// therefore kept until the store has been readable for Settings.Hold.
 package catalog
--- a/catalog/drained_test.go
+++ b/catalog/drained_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestUndrainCompacted checks that an undrained failure domain becomes available even if the
-// store has compacted the record that undrains it, and that another one stays drained.
+// TestUndrainCompacted checks that the drain of a failure domain ends even if the store has
+// compacted the record of its end, and that another domain stays drained.
 func TestUndrainCompacted(t *testing.T) {
 	run(t, func(is *is.I, s *fakeStore, c *catalog.Catalog) {
 		s.put(catalog.Configurations, drains("d1"))
--- a/catalog/encoding.go
+++ b/catalog/encoding.go
@@ -37,8 +37,8 @@
 	return out, nil
 }
 
-// errUnknownBase ends following when a value was compressed with a record that this instance
-// does not have. The next stream sends the missing records.
+// errUnknownBase is the error for a value that was compressed with a record that this instance
+// does not have. It ends the stream; the next one starts with the missing records.
 var errUnknownBase = errors.New("value compressed with an unknown record")
 
 // base returns the value that serves as the dictionary of a compressed record: that of an
--- a/catalog/following.go
+++ b/catalog/following.go
@@ -110,8 +110,8 @@
 	maxRetryPause = 500 * time.Millisecond
 )
 
-// startupTries is the number of attempts with the short pause while no configuration is known,
-// because upstreams may start later than this instance.
+// startupTries is the number of attempts that are followed by quickRetryPause, patient or not,
+// while no configuration is known. Upstreams may start later than this instance.
 const startupTries = 20
 
 // errReadsStore ends following when this instance can read the store as a reader.
--- a/catalog/freshness.go
+++ b/catalog/freshness.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// stalenessSlack is the time beyond its wait time that a poll may take before followers regard
+// stalenessSlack is how much longer than its wait time a poll may take before followers regard
 // the data as stale.
 const stalenessSlack = 300 * time.Millisecond
 
--- a/catalog/introducing.go
+++ b/catalog/introducing.go
@@ -21,9 +21,9 @@
 	introduceInterval = 500 * time.Millisecond
 	// introduceTimeout is the timeout of one introduction.
 	introduceTimeout = 300 * time.Millisecond
-	// reintroduceDelay is the delay before a repeated introduction to an instance that follows
-	// another one or did not answer. It may restart in the meantime and know no instances
-	// again.
+	// reintroduceDelay is the delay before this instance repeats its introduction to one that
+	// follows another instance or did not answer. That one may have restarted meanwhile and know
+	// no instances.
 	reintroduceDelay = 2 * time.Second
 	// maxParallelIntroductions is the maximum number of concurrent introductions.
 	maxParallelIntroductions = 8
@@ -63,7 +63,7 @@
 	}
 }
 
-// introduce sends an instance the entry of this one and those of others that it can follow.
+// introduce sends p the entries of this instance and of others that p can follow.
 func (c *Catalog) introduce(ctx context.Context, p Peer) error {
 	ctx, cancel := context.WithTimeout(ctx, introduceTimeout)
 	defer cancel()
--- a/catalog/joining.go
+++ b/catalog/joining.go
@@ -30,9 +30,9 @@
 	seedStartWait  = 500 * time.Millisecond
 	seedAnswerWait = 1500 * time.Millisecond
 	// seedTimeout is how long an instance keeps asking the seeds without an answer before it
-	// reads the store. A random time up to readSpread is added, because many instances may do
-	// so together and the first ones introduce themselves to others. The spread doubles with
-	// each failure, up to maxReadSpread.
+	// reads the store. A random time up to readSpread is added: if many instances get no answer,
+	// the first ones that read the store introduce themselves to others, which then need not read
+	// it. The spread doubles with each failure, up to maxReadSpread.
 	seedTimeout   = time.Second
 	readSpread    = 3 * time.Second
 	maxReadSpread = 8 * time.Second
--- a/catalog/journal.go
+++ b/catalog/journal.go
@@ -96,8 +96,8 @@
 	size int
 }
 
-// add appends a record that replaces the record before of the same key, and drops the oldest
-// entries if a limit is exceeded.
+// add appends the record r and drops the oldest entries if a limit is exceeded. before is the
+// record of the same key that r replaces.
 func (j *journal) add(f Feed, r, before Record) {
 	e := entry{
 		feed:   f,
--- a/catalog/large_fleet_test.go
+++ b/catalog/large_fleet_test.go
@@ -24,7 +24,8 @@
 		name string
 		// read is the delay of each page.
 		read time.Duration
-		// more is the maximum number of other instances that make more than two calls.
+		// more is the maximum number of instances beside the readers that make more than two
+		// calls.
 		more int
 	}{
 		{"no delay", 0, 0},
--- a/catalog/missing.go
+++ b/catalog/missing.go
@@ -107,8 +107,8 @@
 	return missing
 }
 
-// collect adds the records of the parts in l. It omits the configuration if the follower has
-// the one at the same offset. The caller holds the lock.
+// collect adds the records of the parts in l. It omits the configuration if its offset is
+// tableOffset, that of the follower's configuration. The caller holds the lock.
 func (c *Catalog) collect(l *missingRecords, tableOffset int64) {
 	for key, r := range c.records[l.feed] {
 		if !l.parts.has(key) || c.isTable(l.feed, key) && r.Offset == tableOffset {
--- a/catalog/missing_test.go
+++ b/catalog/missing_test.go
@@ -100,7 +100,8 @@
 }
 
 // TestMissingInParts checks that a follower receives many records in messages of limited size,
-// and that it resumes after an interruption without taking a part for the whole feed.
+// and that after an interruption it resumes instead of taking the records so far for the whole
+// feed.
 func TestMissingInParts(t *testing.T) {
 	is := is.New(t)
 	const n = 2000
--- a/catalog/outage.go
+++ b/catalog/outage.go
@@ -50,9 +50,9 @@
 	return f != Configurations && !c.storeAnswered.within(c.freshFor()) && c.reliesOnPeers()
 }
 
-// backoff returns the wait after a number of consecutive failures. For instances that learn
-// from others that the store is back, it is proportional to the position in the order, so that
-// all of them together call the store about as often as the first few.
+// backoff returns the wait after a number of consecutive failures. If this instance learns from
+// others that the store is back, the wait grows in proportion to its position in the order. The
+// total rate of calls then grows only with the logarithm of the number of instances.
 func (c *Catalog) backoff(failures int) time.Duration {
 	if c.reliesOnPeers() {
 		factor := time.Duration(max(c.topology.Load().self/positionsPerBackoffStep, 1))
--- a/catalog/readers.go
+++ b/catalog/readers.go
@@ -55,10 +55,11 @@
 	return minReadDelay + time.Duration(doublings*float64(readDelayStep))
 }
 
-// shouldRead reports whether this instance must read the store: as a reader, or because it has
-// been without a fresh upstream for the delay of its position. In the latter case it goes on
-// reading while it has followers, even with a fresh upstream again, until the root of that
-// upstream precedes it in the order.
+// shouldRead reports whether this instance must read the store. Readers always must. Another
+// instance must once it has been without a fresh upstream for the delay of its position, plus
+// startReadDelay if it has seeds and no configuration yet. When it has a fresh upstream again, it
+// goes on reading as long as the store answers, it has followers, and the root of its upstream
+// does not precede it in the order.
 func (c *Catalog) shouldRead() bool {
 	r := c.topology.Load()
 	if r.isReader() {
--- a/catalog/readers_test.go
+++ b/catalog/readers_test.go
@@ -86,8 +86,8 @@
 	return groupAt(t, n, func(address string) string { return address })
 }
 
-// groupAt starts n instances whose entries have the address that known returns for the
-// listening address, such as that of a proxy.
+// groupAt starts n instances. The function known maps the address that an instance listens on to
+// the address in its entry, for example that of a proxy.
 func groupAt(t *testing.T, n int, known func(address string) string) (*fakeStore, []*instance) {
 	t.Helper()
 	fake := newFakeStore()
--- a/catalog/server.go
+++ b/catalog/server.go
@@ -204,7 +204,7 @@
 	c := s.catalog
 	started := peersOf(in.GetStarted())
 	if slices.ContainsFunc(started, func(p Peer) bool { return p.ID == "" || p.Address == "" }) {
-		// The entries are written in one call, which one invalid entry would fail.
+		// All entries are written in one call, which fails if one of them is invalid.
 		return nil, status.Error(codes.InvalidArgument, "instance entry without an ID or an address")
 	}
 	c.pending.add(slices.DeleteFunc(slices.Clone(started), c.entryStored)...)
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -21,12 +21,12 @@
 	Complete bool
 	// Endpoints are all known endpoints by name, including leaving ones.
 	Endpoints map[string]Endpoint
-	// Departed maps leaving and removed endpoints to the time at which this instance noticed
-	// it. Entries are kept for at least departedFor, because another instance may learn of the
-	// departure later.
+	// Departed maps each leaving or removed endpoint to the time at which this instance learned
+	// of its departure. Entries are kept for at least departedFor, because another instance may
+	// learn of the departure later.
 	Departed map[string]time.Time
-	// Drained maps the drained failure domains to the time at which this instance noticed it.
-	// Their endpoints must receive no new requests.
+	// Drained maps each drained failure domain to the time at which this instance learned of the
+	// drain. The endpoints of these domains must receive no new requests.
 	Drained map[string]time.Time
 	// Banned are the banned requests by identity.
 	Banned map[quarantine.Identity]quarantine.Verdict
--- a/catalog/start_test.go
+++ b/catalog/start_test.go
@@ -192,8 +192,8 @@
 	})
 }
 
-// TestManyInstancesAdded checks that a start is fast and takes few calls of the store if three
-// quarters as many instances are added as are running.
+// TestManyInstancesAdded checks that instances start fast and with few calls of the store when
+// they are added to a running fleet that they enlarge by three quarters.
 func TestManyInstancesAdded(t *testing.T) {
 	atTwoSizes(t, func(t *testing.T, n int) {
 		withFleet(t, func(c *testFleet) {
@@ -275,8 +275,8 @@
 	})
 }
 
-// TestStartBeforeStore checks that an unreachable store receives no more calls at a start than
-// the seeds alone may make, and that all instances are ready soon after it is back.
+// TestStartBeforeStore checks a start while the store is unreachable: the store receives no more
+// calls than the seeds alone may make, and all instances are ready soon after it is back.
 func TestStartBeforeStore(t *testing.T) {
 	atTwoSizes(t, func(t *testing.T, n int) {
 		withFleet(t, func(c *testFleet) {
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -43,8 +43,8 @@
 	positions map[string]int
 	// self is the position of this instance.
 	self int
-	// readers and relays are the numbers of instances at the start of the order that read the
-	// store and that serve followers. The relays include the readers.
+	// The first instances in the order are the relays, which serve followers. The first of the
+	// relays are the readers, which read the store. readers and relays are their numbers.
 	readers int
 	relays  int
 	// upstreams are the other instances in the order in which this one tries to follow them.
@@ -94,9 +94,9 @@
 	return r
 }
 
-// positionOfSelf returns the position of this instance. If it is the last known instance and
-// others are unknown, a hash places it among the unknown ones, so that the delays that depend
-// on the position differ between instances.
+// positionOfSelf returns the position of this instance. If some instances are unknown and this
+// one is the last of the known ones, a hash places it among the unknown ones. Otherwise all such
+// instances would have similar delays.
 func (t *topology) positionOfSelf(self Peer) int {
 	position := t.positions[self.ID]
 	unknown := t.total - len(t.all)
@@ -166,7 +166,7 @@
 	return followerLimitFactor * max(relayFanOut, t.total/t.relays)
 }
 
-// upstreamsOf returns the instances of all that p tries to follow, in order, and how many of
+// upstreamsOf returns the instances among all that p tries to follow, in order, and how many of
 // them are preferred. The preferred ones are the relays, or the readers if p is a relay itself.
 // Those in the failure domain of p come first, and each instance orders them differently to
 // spread the load. The other instances come last.
@@ -190,13 +190,12 @@
 
 // The pattern of attempts after the quick ones.
 const (
-	// patientEvery is the number of attempts of which one goes to a preferred upstream and
+	// patientEvery is the interval, in attempts, at which one goes to a preferred upstream and
 	// waits there, because preferred upstreams learn first that the store is back. The other
-	// attempts go mostly to the early readers, which have data if the store rejects the
-	// readers.
+	// attempts go mostly to the early readers, which have data if the store rejects the readers.
 	patientEvery = 3
-	// restEvery is the number of those other attempts of which one goes to an instance beyond
-	// the early readers, since it may be the only one with fresh data.
+	// restEvery is the interval, among those other attempts, at which one goes to an instance
+	// beyond the early readers, since that instance may be the only one with fresh data.
 	restEvery = 8
 )
 
--- a/catalog/topology_test.go
+++ b/catalog/topology_test.go
@@ -121,7 +121,8 @@
 	is.Equal(total, len(peers))
 }
 
-// TestPrecedes checks that exactly one of two instances precedes the other.
+// TestPrecedes checks that exactly one of two instances precedes the other, and that no instance
+// is preceded by itself or by an unknown one.
 func TestPrecedes(t *testing.T) {
 	is := is.New(t)
 	peers := instanceSet(5, 0)
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -68,7 +68,7 @@
 }
 
 // TestLogOutage guards against claims that hang while the log is down, and against a claim that was
-// abandoned in the outage but holds its key afterwards, even if its append takes effect late.
+// abandoned during the outage but holds its key afterwards because its append took effect late.
 func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,7 +88,7 @@
 		is.Equal(claimer.Pending(), 0)
 		// Writes the first claim again, as an append that takes effect late would.
 		late, err := writer.Claim(t.Context(), first)
-		is.True(err != nil || late.Request != "r1") // it was freed
+		is.True(err != nil || late.Request != "r1") // a freed claim holds no key
 		won, err := claimer.Claim(t.Context(), claimOf("k", "r2"))
 		is.NoErr(err)
 		is.Equal(won.Request, "r2")
--- a/entry/answers.go
+++ b/entry/answers.go
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// Write implements Writer. If the answer exceeds maxAnswerBytes, repeated requests receive
-// errNoAnswer after the part that was kept. Write returns no error then, so that the request's
-// own caller still gets all of it.
+// Write implements Writer. If the answer exceeds maxAnswerBytes, repeated requests get only the
+// part that was kept, followed by errNoAnswer. Write returns nil even then, because the caller
+// of the original request still gets the whole answer.
 func (k *keptAnswer) Write(data []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// earn adds the share of one request.
+// earn adds retryShare to the budget, once for each request.
 func (b *budget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -162,8 +162,9 @@
 	return nil, e.handleRefusal(ctx, s, c.endpoint, ownerInstance.ID, attempt, err)
 }
 
-// restart clears exclude and backs off when no endpoint is left, once per search. It returns
-// false if another try is not worthwhile.
+// restart is called when no endpoint is left. Once per search it clears exclude, backs off and
+// returns true, unless nothing was excluded or a lease was refused because of the deadline.
+// Otherwise it returns false.
 func (s *leaseSearch) restart(ctx context.Context) bool {
 	if len(s.exclude) == 0 || s.restarted || s.pastDeadline > 0 {
 		return false
@@ -174,10 +175,9 @@
 	return true
 }
 
-// patience returns the wait at the chosen endpoint above which its owner should refuse the
-// lease: slightly more than the estimate of the next best endpoint, or than twice the chosen
-// one's estimate if that is longer. Without another endpoint it returns zero, which means no
-// limit.
+// patience returns the longest wait at the chosen endpoint for which its owner should grant the
+// lease: the estimate of the next best endpoint, or twice the estimate of the chosen one if that
+// is longer, plus patienceSlack. Without another endpoint it returns zero, which means no limit.
 func patience(d policy.Decision) time.Duration {
 	if d.Alternative > time.Hour {
 		return 0
@@ -200,8 +200,9 @@
 	})
 }
 
-// handleRefusal logs and records the refusal of a lease. It returns whether another try is
-// worthwhile. Other errors are not logged, and permit another try unless ctx has ended.
+// handleRefusal handles the error of a request for a lease, and reports whether another try is
+// worthwhile. It logs and records err only if it is an owner's refusal; after any other error
+// another try is worthwhile unless ctx has ended.
 func (e *Entry) handleRefusal(ctx context.Context, s *leaseSearch, endpoint, ownerID, attempt string, err error) bool {
 	var r *owner.Refusal
 	if !errors.As(err, &r) {
--- a/entry/http.go
+++ b/entry/http.go
@@ -207,9 +207,8 @@
 	return abortIfReported(f(ctx, caller))
 }
 
-// abortIfReported closes the connection if p has status 0, that is, if the caller has received
-// part of the answer, so that the caller does not take the answer for complete. Other errors
-// are returned unchanged.
+// abortIfReported closes the connection if p has status 0. The caller has then received part of
+// the answer and must not take it for complete. Other errors are returned unchanged.
 func abortIfReported(p *problem.Error) *problem.Error {
 	if p != nil && p.Status == 0 {
 		panic(http.ErrAbortHandler)
--- a/member/member.go
+++ b/member/member.go
@@ -192,8 +192,8 @@
 	m.applyList(l)
 }
 
-// maxLowerVersions is the number of complete lists in a row with a lower version after which such a
-// list is accepted, because the platform was set up anew.
+// maxLowerVersions is how many complete lists in a row must have a lower version for the last of
+// them to be accepted. Versions are lower if the platform was set up anew.
 const maxLowerVersions = 5
 
 // applyList applies a list, or the changes since the known version, unless it is outdated.
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -120,7 +120,7 @@
 				for net.viewsIncluding("node-1") > 0 {
 					time.Sleep(100 * time.Millisecond)
 					if time.Since(start) > 8*time.Second {
-						t.Fatalf("%d of %d still consider it available after 8s", net.viewsIncluding("node-1"), n)
+						t.Fatalf("%d of %d members still consider node-1 available after 8s", net.viewsIncluding("node-1"), n)
 					}
 				}
 				t.Logf("considered down by all after %s", time.Since(start))
@@ -129,7 +129,7 @@
 				net.mu.Unlock()
 				time.Sleep(20 * time.Second)
 				if b := net.viewsIncluding("node-1"); b != n-1 {
-					t.Errorf("%d of %d consider it available after it came back", b, n-1)
+					t.Errorf("%d of %d other members consider node-1 available after it came back", b, n-1)
 				}
 			})
 		})
--- a/notice/registry.go
+++ b/notice/registry.go
@@ -11,9 +11,9 @@
 	"github.com/go-logr/logr"
 )
 
-// minRateHold is the least time from a change of an endpoint's notice until the value of its rate
-// limit changes, so that an endpoint that states another limit in each answer causes at most one
-// notice in that time.
+// minRateHold is the least time after a change of an endpoint's notice before another value of its
+// rate limit is adopted. An endpoint that states a different limit in each answer thus causes at
+// most one notice in that time.
 const minRateHold = time.Second
 
 // The limits of back-offs.
--- a/notice/registry_test.go
+++ b/notice/registry_test.go
@@ -163,8 +163,8 @@
 	assertLimit(t, b, -1)
 }
 
-// TestLeavingRecorded guards against an incarnation that has said that it is leaving and is used
-// again after later answers or notices.
+// TestLeavingRecorded guards against a leaving incarnation that no longer counts as leaving after a
+// later answer or notice.
 func TestLeavingRecorded(t *testing.T) {
 	c := newClock()
 	b, other := notice.New(c.now, logr.Discard()), notice.New(c.now, logr.Discard())
@@ -233,8 +233,8 @@
 	is.New(t).Equal(len(b.View().BackedOff()), 1)
 }
 
-// TestLeavingSurvivesNewerLimits guards against a newer rate limit, from an instance that doesn't
-// know that the endpoint is leaving, that undoes the leaving.
+// TestLeavingSurvivesNewerLimits guards against an endpoint that no longer counts as leaving after
+// a newer rate limit from an instance that doesn't know of the leaving.
 func TestLeavingSurvivesNewerLimits(t *testing.T) {
 	c := newClock()
 	leaving, _ := notice.New(c.now, logr.Discard()).RecordAnswer(c.answer(0), notice.Statements{Leaving: true})
--- a/owner/doc.go
+++ b/owner/doc.go
@@ -14,8 +14,8 @@
 // lease, about leases that remain unused and about leases that have not been
 // confirmed for ConfirmAfter. It cancels at once an attempt that its holder no
 // longer has, and after OrphanAfter one whose holder doesn't answer. Cancels
-// are repeated until the endpoint no longer lists the attempt, so that the
-// memory of an attempt whose holder has died is free within
+// are repeated until the endpoint no longer lists the attempt. The memory of an
+// attempt whose holder has died is therefore free within
 //
 //	ConfirmAfter + OrphanAfter + 2·SweepInterval
 //
--- a/quarantine/admission_test.go
+++ b/quarantine/admission_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// TestAdmit guards against requests that are admitted during a ban, or more than one at a time
-// after it.
+// TestAdmit guards against a request that is admitted during its ban, and against more than one
+// that is admitted at a time after the ban.
 func TestAdmit(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		is := is.New(t)
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -2,9 +2,9 @@
 
 // Package quarantine stops requests that crash the endpoints that run them.
 //
-// Requests with the same path, query, customer and body share an Identity. Callers use a new
-// request id for each retry, may send it to any instance and retry when an endpoint fails, so the
-// identity is the only link between the crashes that such a request causes.
+// Requests with the same path, query, customer and body share an Identity. Callers retry when an
+// endpoint fails, with a new request id and at any instance, so the identity is the only link
+// between the crashes that such a request causes.
 //
 // When an attempt is interrupted or its endpoint falls silent, a Detector checks whether the
 // endpoint still accepts connections, and reports a Crash if it does not. A Registry counts
@@ -21,7 +21,7 @@
 //
 // Each instance has a Registry and sends its decisions to other instances as Verdicts. Where entry
 // instances have sessions with the owner of a pool, package pool carries crashes to the owner and
-// verdicts back, and a Recorder writes bans to the platform's store, so that they survive a restart
+// verdicts back. A Recorder then writes bans to the platform's store, where they survive a restart
 // of all instances. Elsewhere a PeerGuard sends both by calls between instances. Code that sends
 // requests to endpoints uses the Guard interface.
 package quarantine
--- a/quarantine/peerguard_test.go
+++ b/quarantine/peerguard_test.go
@@ -25,7 +25,8 @@
 	calls int
 }
 
-// testInstance is one instance. It implements Peers; the first two instances count crashes.
+// testInstance is an instance of a cluster and implements Peers. The first two instances of the
+// cluster count the crashes of all identities.
 type testInstance struct {
 	cluster  *cluster
 	name     string
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -35,10 +35,10 @@
 	erase   bool
 }
 
-// SyncStored applies the bans that the store holds, given those that were read before. A ban that
-// is missing now has been cleared by another instance or an operator, or has expired. The store
-// keeps a record while its ban is retained, so that the expiry of one ban isn't mistaken for the
-// removal of the next.
+// SyncStored applies the bans that the store holds; previous are those of the last call. A ban that
+// is no longer in the store was removed by an instance or an operator, or its retention time is
+// over. The store keeps an expired ban for its retention time: if the record were erased when the
+// ban expires, instances could take this for the clearance of the identity's next ban.
 func (r *Registry) SyncStored(previous, current map[Identity]Verdict) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -130,7 +130,7 @@
 			is := is.New(t)
 			k := newRecordingInstance(t, m, false)
 			k.crashThrice()
-			m.bans[1] = Verdict{ // no other goroutine uses the store
+			m.bans[1] = Verdict{ // without the lock, as no other goroutine uses the store now
 				Identity:  1,
 				State:     Banned,
 				Remaining: firstBanDuration,
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -125,9 +125,9 @@
 }
 
 // OnVerdict calls the listener, until stop is called, with the verdicts that this instance decides,
-// and with bans and clearances that it receives from other instances if they are new to it. It does
-// not report bans that SyncStored adds, nor suspicions received from others. The listener must not
-// call the registry, whose lock is held meanwhile.
+// with new bans and clearances from other instances, and with clearances that SyncStored finds. It
+// does not report bans that SyncStored adds, nor suspicions received from others. The listener must
+// not call the registry, whose lock is held meanwhile.
 func (r *Registry) OnVerdict(listener func(Verdict)) (stop func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -281,8 +281,8 @@
 // remaining time from when it received the verdict.
 const sameBanTolerance = 10 * time.Second
 
-// applyBan applies a ban that is new, or that ends more than sameBanTolerance later than the known
-// one, and reports whether it did. The caller must hold the lock.
+// applyBan applies a ban with time remaining that is new, or that ends more than sameBanTolerance
+// later than the known one. It reports whether it did. The caller must hold the lock.
 func (r *Registry) applyBan(v Verdict, now time.Time) bool {
 	length := min(v.Remaining, maxBanDuration)
 	until := now.Add(length)
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -182,7 +182,7 @@
 }
 
 // TestOthersOnTheSameEndpoints guards against a ban of a harmless request that was already running
-// at each endpoint before the request that crashes it arrived.
+// at each endpoint before the request that crashes the endpoints arrived.
 func TestOthersOnTheSameEndpoints(t *testing.T) {
 	crashes := []crashedAttempt{{"a", "e1", 50, 100, 0}, {"b", "e2", 180, 250, 0}, {"c", "e3", 320, 400, 0}}
 	beside := []crashedAttempt{{"x", "e1", 0, 100, 2}, {"y", "e2", 110, 250, 2}, {"z", "e3", 260, 400, 2}}
--- a/quarantine/types.go
+++ b/quarantine/types.go
@@ -30,8 +30,8 @@
 const (
 	// Cleared requests may run.
 	Cleared State = iota
-	// Suspected requests may run, but the next crash bans them. An instance that answers one
-	// completely reports it, which clears the identity.
+	// Suspected requests may run, but the next crash that counts bans them. An instance reports its
+	// first complete answer to a suspected request, which clears the identity.
 	Suspected
 	// Banned requests must not be sent to any endpoint.
 	Banned
--- a/relay/configuration.go
+++ b/relay/configuration.go
@@ -23,12 +23,12 @@
 	configPollInterval = 10 * time.Millisecond
 )
 
-// awaitConfiguration returns the catalog's snapshot. If that is not usable yet, it first waits
-// until it is, for at most configWaitShare of the caller's timeout, because the caller may have
-// no further try. It does not wait if firstTry is set, without a timeout, or beyond
-// maxConfigWaiters. If the wait ends without a usable snapshot, it returns the current one,
-// which is nil without a configuration. FirstTry means that an earlier request named the same
-// timeout.
+// awaitConfiguration returns the catalog's snapshot. If the snapshot is not usable yet, the
+// function waits until it is, for at most configWaitShare of the caller's timeout, because the
+// caller may have no further try. It does not wait on a probable first try (firstTry), if the
+// caller names no timeout, or if maxConfigWaiters requests are waiting already. If the wait ends
+// without a usable snapshot, it returns the current one, which is nil if there is no
+// configuration.
 func (l *Relay) awaitConfiguration(ctx context.Context, wait time.Duration, firstTry bool) *catalog.Snapshot {
 	if known, ok := l.usableSnapshot(); ok {
 		return known
@@ -71,8 +71,9 @@
 	return l.tooOld(wait)
 }
 
-// tooOld returns a refusal if there is a MaxAge and the configuration has reached it or has an
-// unknown age, as a newer one may contain what this one does not. Wait is the caller's timeout.
+// tooOld returns a refusal if MaxAge is set and the age of the configuration has reached it or
+// is unknown. A newer configuration may contain what this one lacks. Wait is the caller's
+// timeout.
 func (l *Relay) tooOld(wait time.Duration) *refusal {
 	if l.settings.MaxAge == 0 {
 		return nil
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -10,8 +10,8 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// helperBlameDelay is the time after which a rejection that blames another endpoint of the
-// joint prefill is taken as that endpoint's crash. An endpoint that was down before is blamed
+// helperBlameDelay is the time from the start of an attempt after which the endpoint's rejection
+// is taken as the crash of the helper that it blames. A helper that was down before is blamed
 // within a round trip.
 const helperBlameDelay = 300 * time.Millisecond
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -25,8 +25,9 @@
 	// MaxAge is the age from which the configuration no longer proves that a route or key does
 	// not exist. The relay then answers 503 instead of 404 or 401. Zero means no limit.
 	MaxAge time.Duration
-	// StrictKeys makes the relay answer 503 to every request that needs a key while the
-	// configuration has reached MaxAge, as the key may have been revoked since.
+	// StrictKeys makes the relay answer 503 to every request that needs a key while the age of
+	// the configuration has reached MaxAge or is unknown, as the key may have been revoked
+	// since.
 	StrictKeys bool
 }
 
@@ -41,7 +42,7 @@
 	// Placer assigns requests to endpoints.
 	Placer pool.Placer
 	// Suspicions receives reports of silent streams and calls back when an attempt has to
-	// migrate. If it is nil, each stream is handled on its own.
+	// migrate. If it is nil, silences are not reported, and no attempt is ordered to migrate.
 	Suspicions pool.SilenceMonitor
 	// Quarantine bans requests that crash endpoints. Nil disables it.
 	Quarantine quarantine.Guard
--- a/relay/resume_test.go
+++ b/relay/resume_test.go
@@ -17,8 +17,9 @@
 func TestResumes(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// had is the last event that the caller received elsewhere, got states that it received
-		// another here 100 ms ago, and gap is the route's gap target.
+		// had is the id of the last event that the caller received from another instance; empty
+		// if none. got states that this instance sent it an event 100 ms ago. gap is the route's
+		// gap target.
 		had     string
 		got     bool
 		gap     time.Duration
--- a/relay/suspicion.go
+++ b/relay/suspicion.go
@@ -87,9 +87,10 @@
 	w.suspectTimer.Reset(pool.MinSuspectSilence)
 }
 
-// migrate makes the attempt leave its endpoint, which has stopped. A stream with events first
-// searches for another placement, and repeats the search while there is none. An attempt
-// without events ends at once, which frees its engines, and the request is placed again.
+// migrate makes the attempt leave its endpoint, because an endpoint that works on the attempt
+// has stopped. A stream with events first searches for another placement, and repeats the search
+// while there is none. An attempt without events ends at once, which frees its engines, and the
+// request is placed again.
 func (w *watch) migrate() {
 	w.mu.Lock()
 	ended := w.stopped.Err() != nil || w.next != nil || w.abandoned
--- a/relay/suspicion_test.go
+++ b/relay/suspicion_test.go
@@ -139,8 +139,8 @@
 		name  string
 		begun bool
 		found bool
-		// ends states that the attempt ends at once, and next that it has another placement
-		// then.
+		// ends states that the attempt must end at once, and next that another placement must be
+		// found for it.
 		ends bool
 		next bool
 	}{
--- a/relay/timeouts.go
+++ b/relay/timeouts.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// timeoutTracker distinguishes returning callers, which have sent the request before, from
-// first tries by their timeouts. First tries usually name one of a few timeouts, whereas a
-// returning caller names what is left of its own. If the timeouts of first tries all differ, no
-// caller is taken as returning. The zero value is ready for use.
+// timeoutTracker distinguishes returning callers, which have sent the request before, from first
+// tries by their timeouts. First tries usually name one of a few timeouts, whereas a returning
+// caller names what is left of its timeout. If the timeouts of first tries all differ, no caller
+// is taken as returning. The zero value is ready for use.
 type timeoutTracker struct {
 	mu   sync.Mutex
 	seen map[time.Duration]struct{}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -54,11 +54,11 @@
 	// Worth determines the worth of requests.
 	Worth worth.Settings `toml:"worth"`
 	// Peers are the peer addresses of instances that a starting instance contacts. On a platform
-	// with a log it asks them for the list of instances while the platform doesn't provide it,
-	// and for the configuration while it knows no other instances. On a platform with a store it
-	// asks them for instances to follow, so that few instances read the store. All instances
-	// should use the same addresses in the same order. The list may include their own addresses
-	// and those of stopped instances, and it may be empty.
+	// with a log, the starting instance asks them for the list of instances while the platform
+	// doesn't provide the list, and for the configuration while it knows no other instances. On a
+	// platform with a store, it asks them for instances to follow, so that few instances read the
+	// store. All instances should have the same addresses in the same order. Peers may include
+	// the instance's own address and those of stopped instances, and may be empty.
 	Peers []string `toml:"peers"`
 	// Strategy is "weighed", which is the default, or "naive".
 	Strategy string `toml:"strategy"`
@@ -129,9 +129,10 @@
 	StopWithin config.Duration `toml:"stop_within"`
 	// Revoke is the time after which a revoked key must be refused; zero means no limit.
 	Revoke config.Duration `toml:"revoke"`
-	// RevokeStrict determines what an instance does with requests that have a key if its
-	// configuration is so old that it can't guarantee Revoke. If true, which is the default, it
-	// refuses them; if false, it serves them by the newest configuration that it has.
+	// RevokeStrict determines what an instance does with requests that need a key while its
+	// configuration is too old to guarantee Revoke. If RevokeStrict is true, which is the
+	// default, the instance refuses such requests; otherwise it serves them by the newest
+	// configuration that it has.
 	RevokeStrict *bool `toml:"revoke_strict"`
 	// Watch is the shortest interval at which other owners send the instance summaries of their
 	// endpoints; the default is 200ms.
