--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -43,8 +43,9 @@
 	positions map[string]int
 	// self is the position of this instance.
 	self int
-	// The first instances in the order are the relays, which serve followers. The first of the
-	// relays are the readers, which read the store. readers and relays are their numbers.
+	// readers and relays are the numbers of readers and of relays. The first instances in the
+	// order are the relays, which serve followers; the first of these are also the readers, which
+	// read the store.
 	readers int
 	relays  int
 	// upstreams are the other instances in the order in which this one tries to follow them.
--- a/quarantine/admission_test.go
+++ b/quarantine/admission_test.go
@@ -124,7 +124,7 @@
 }
 
 // TestRetestTurnDelay guards against instances that admit requests at the same time after a ban,
-// and against a large fleet that takes longer than a first ban for it.
+// and against turns that together take longer than a first ban in a large fleet.
 func TestRetestTurnDelay(t *testing.T) {
 	for _, row := range []struct {
 		name string
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -37,7 +37,7 @@
 	// instance, and its failed attempts.
 	history quarantine.RequestHistory
 	// singleEndpoint states that only one endpoint may run the request, even on an idempotent
-	// route, because its ban has just ended.
+	// route, because its identity was banned and may still crash endpoints.
 	singleEndpoint bool
 	// sends counts the attempts that may have reached an endpoint.
 	sends int
