--- a/batch/batch.go
+++ b/batch/batch.go
@@ -79,9 +79,9 @@
 	return m.Chunk * max(m.StepsPerPass, 1)
 }
 
-// Work returns the engine time that a request takes: the prefill of its whole prompt, however
-// many engines share it, and its part of the decode steps, which the requests in all slots
-// share.
+// Work returns the engine time that a request takes: the prefill of its whole prompt, however many
+// engines share it, and its part of the decode steps if all slots are in use. It counts each decode
+// step as Step.
 func (m *Model) Work(prompt, output int) time.Duration {
 	decode := time.Duration(output) * m.Step / time.Duration(max(m.Slots, 1))
 	return m.PrefillTime(prompt, 1) + decode
--- a/placement/blocking.go
+++ b/placement/blocking.go
@@ -26,9 +26,9 @@
 )
 
 // blockingCost returns the cost that running the request's stream on e causes for future long
-// prefills. A long prefill pauses the streams of its engine, so it needs an engine whose
-// streams allow long pauses. A stream with a shorter limit makes the engine usable for fewer of
-// them:
+// prefills. A long prefill pauses the streams of its engine, so it needs an engine whose streams
+// allow long pauses. A stream with a shorter limit than the others lowers openFraction, the part of
+// the long prefills that may run on the engine:
 //
 //	blockingPrice × EngineShare × seconds of decoding × (openFraction before − openFraction after)
 //
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -84,9 +84,9 @@
 	return n - 1, chosen
 }
 
-// compare orders candidates by cost. Among candidates of equal cost, short prompts go to the
-// first engines of the list until these are crowded, and long prompts go to the engine with the
-// earliest first event, at equal times to the last of the list. This keeps streams off the last
+// compare orders candidates by cost. Among candidates of equal cost, short prompts go to the first
+// engines of the list until these are crowded. Long prompts go to the engine with the earliest
+// first event and, at equal times, to the last engine of the list. This keeps streams off the last
 // engines, so that long prompts don't interrupt them.
 func (r *Request) compare(a, b candidate) int {
 	if d := a.cost - b.cost; d < -costTolerance || d > costTolerance {
--- a/placement/cost_test.go
+++ b/placement/cost_test.go
@@ -9,8 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestPauseLoss checks that a pause of more than 250 ms costs a stream its stake, and one of more
-// than two seconds all its worth.
+// TestPauseLoss checks the loss of a stream that allows pauses of 250 ms: nothing by a clearly
+// shorter pause, its stake by a clearly longer one, and all its worth by one of more than two
+// seconds.
 func TestPauseLoss(t *testing.T) {
 	j := Job{
 		Gap:       250 * time.Millisecond,
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// nextStart returns when an idle engine starts its next pass: at the arrival of the first
-// prompt, or now.
+// nextStart returns when an idle engine starts its next pass: when the first prompt to prefill
+// arrives, or now if there is none or no arrival time is set.
 func (e *Engine) nextStart(now time.Time) time.Time {
 	var first *Job
 	for _, j := range e.Jobs {
@@ -137,9 +137,9 @@
 	}
 }
 
-// confirmTimeout is how long an engine still counts as prefilling a joint share after the
-// modelled end, unless the first event has come. A new joint share would run before the
-// unfinished rest and could delay that by seconds.
+// confirmTimeout is how long an engine still counts as prefilling a joint share after the modelled
+// end, unless the first event has come. A new joint share would run before the unfinished rest and
+// could delay it by seconds.
 const confirmTimeout = 100 * time.Millisecond
 
 // isPrefilled reports whether the job's prompt or share counts as complete.
--- a/placement/patience.go
+++ b/placement/patience.go
@@ -5,7 +5,7 @@
 import "time"
 
 // A caller abandons a silent stream after the longest of three times: a fixed one, a multiple of
-// its longest allowed pause and, until the first event has come, a multiple of the target for it.
+// its longest allowed pause and, until the first event has come, a multiple of its target time.
 const (
 	minPatience     = 2 * time.Second
 	patienceTargets = 4
--- a/placement/simulate.go
+++ b/placement/simulate.go
@@ -192,10 +192,10 @@
 	return ev
 }
 
-// simulate replaces the estimates of c by simulated ones, for a share that affects more than
-// the next pass of engine i. A stream pauses while the prompts behind its own are prefilled. An
-// estimate of the next pass alone misses such pauses of streams that start later, including the
-// request's own.
+// simulate replaces the estimates of c by simulated ones, for a share that affects more than the
+// next pass of engine i. A stream pauses while the prompts behind its own are prefilled. For
+// streams that are not decoding yet, including the request's own, the estimate would miss these
+// pauses.
 func (ev *evaluation) simulate(c *candidate, i int, p promptShare) {
 	if math.IsNaN(ev.baseLoss[i]) {
 		ev.baseLoss[i] = ev.totalLoss(ev.sim.run(c.engine, nil, ev.now))
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// candidates returns n endpoints with different backlogs.
+// candidates returns n endpoints with various backlogs.
 func candidates(n int) []Candidate {
 	out := make([]Candidate, n)
 	for i := range out {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Linkmast Authors. BSD 3-Clause licence, see LICENSE.
 
-// Package policy decides where a request runs, in what order requests start, and when they are
-// refused. It uses neither the clock nor the network: callers pass in the state, the request
-// and the time, and get a decision with its reason.
+// Package policy decides where a request runs and in what order requests start. It uses neither the
+// clock nor the network: callers pass in the state, the request and the time, and get a decision
+// with its reason. Owners refuse requests by its estimates, such as Ledger.MinTime.
 //
 // An engine is modelled as follows. It prefills prompts at a rate of R tokens per second in
 // order of priority, and each step of duration D generates one token for every request whose
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -8,18 +8,18 @@
 
 // Parameters of Ledger.
 const (
-	// prefillWindow is the outstanding prefill of the same and higher priorities on an engine
-	// above which Short and Medium prompts don't start, so that requests wait in the owner's
-	// queue, where it can still reorder them.
+	// prefillWindow bounds the outstanding prefill of the same and higher priorities on an engine.
+	// Above it, Short and Medium prompts don't start: they wait in the owner's queue, where the
+	// owner can still reorder them.
 	prefillWindow = 150 * time.Millisecond
 	// longShare is the fraction of an engine's memory that several long prompts may hold
 	// together. A single one may hold more.
 	longShare = 0.8
 	// maxLong is the number of long prompts that one engine may prefill at once.
 	maxLong = 1
-	// minLongRemainder is the fraction of a long prompt that counts as left at least until its
-	// first token is reported, because shorter prompts that overtake a long one delay it by more
-	// than the estimate accounts for.
+	// minLongRemainder is the least fraction of a long prompt that counts as left until its first
+	// token is reported. Shorter prompts that overtake it delay it by more than the estimate
+	// accounts for.
 	minLongRemainder = 0.05
 	// initialTokenInterval is the time between tokens that is assumed before any observation.
 	initialTokenInterval = 20 * time.Millisecond
--- a/policy/order.go
+++ b/policy/order.go
@@ -29,9 +29,8 @@
 const (
 	// ageing is the expected work, in seconds, that one second of waiting offsets.
 	ageing = 0.2
-	// shareWeight is added to the expected work, in seconds, of a request whose customer holds
-	// all leases, and a part of it in proportion to a smaller share. It keeps a customer with
-	// many requests from delaying others of its tier.
+	// shareWeight times the customer's share of the leases is added to the expected work of a
+	// request, in seconds. It keeps a customer with many requests from delaying others of its tier.
 	shareWeight = 2
 	// reserveAfter is the fraction of MaxWait after which memory that becomes free is reserved
 	// for the waiting request.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -39,8 +39,8 @@
 	return l
 }
 
-// TestNextInvariants guards against starting a request that does not fit or overtakes one of a
-// better rank that does.
+// TestNextInvariants guards against starting a request that does not fit, and against overtaking a
+// request of a better rank that fits.
 func TestNextInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLedger(t)
--- a/worth/doc.go
+++ b/worth/doc.go
@@ -18,7 +18,6 @@
 // A worth that only grew with the length of the prompt would favour long requests over urgent
 // ones when engines are scarce.
 //
-// In its unit, a short prompt is worth about 1.3. The worth of requests decides on their
-// placement, which requests they may displace, the price of engine time, refusals, and when
-// callers may come back.
+// In its unit, a short prompt is worth about 1.3. The worth of requests decides on their placement,
+// which requests they may displace, the price of engine time, and refusals.
 package worth
--- a/worth/scale.go
+++ b/worth/scale.go
@@ -57,8 +57,8 @@
 	defaultFixed = 0.3
 	defaultLate  = 0.25
 	// customerRankRatio is the ratio of the factors of two successive customer ranks. It exceeds
-	// the ratio of route ranks 0 and 2, so that a customer's rank takes precedence over those
-	// of its routes.
+	// the ratio of the factors of route ranks 0 and 2, so that a customer's rank takes precedence
+	// over these ranks of routes.
 	customerRankRatio = 4
 	// maxCustomerRanks is the number of customer ranks that the default distinguishes.
 	maxCustomerRanks = 5
@@ -94,7 +94,7 @@
 }
 
 // Scale computes the worth of the requests of one service. It learns the typical size of each
-// route's requests. Until a route has had requests, each one counts as typical for it.
+// route's requests. Until a route has had requests, a request counts as typical for it.
 type Scale struct {
 	settings Settings
 	model    *batch.Model
@@ -135,8 +135,8 @@
 }
 
 const (
-	// tierWindow is the number of requests that the mean tier covers: a few seconds of traffic,
-	// so that the mean follows the demand but no single request moves it.
+	// tierWindow is the number of requests that the mean tier covers: a few seconds of traffic, so
+	// that the mean follows the demand but a single request hardly moves it.
 	tierWindow = 500
 	// sizeWindow is the number of requests of a route that its mean size covers.
 	sizeWindow = 100
--- a/worth/scale_test.go
+++ b/worth/scale_test.go
@@ -16,8 +16,8 @@
 	"github.com/linkmast/linkmast/worth"
 )
 
-// model returns engines that prefill 100,000 tokens and decode 10,000 tokens a second; tokens
-// of long prompts take longer.
+// model returns the model of engines that prefill 100,000 tokens a second, and fewer of long
+// prompts, and decode 10,000 tokens a second in all slots together.
 func model() *batch.Model {
 	return &batch.Model{
 		Slots:            10,
