--- a/pool/cold_test.go
+++ b/pool/cold_test.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// TestColdLimitOfSuccessiveOwners checks that several owners which take over from each other
-// within a second, and know the attempts of the previous ones, keep to the limit of one owner.
+// TestColdLimitOfSuccessiveOwners checks that owners that take over from each other within a second
+// together keep to the limit of one owner, if each knows the attempts of the previous ones.
 func TestColdLimitOfSuccessiveOwners(t *testing.T) {
 	w := newColdHarness(t, 6, 1, defaultLimit())
 	w.setEndpoint("e0", "engines", time.Minute)
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -64,7 +64,7 @@
 			_, banned = n.client.BanRemaining(crashingRequest)
 		}
 		if banned != want {
-			t.Fatalf("%s: banned is %v", n.self.ID, banned)
+			t.Fatalf("instance %s: request banned: %v, want %v", n.self.ID, banned, want)
 		}
 	}
 }
--- a/pool/fallback_test.go
+++ b/pool/fallback_test.go
@@ -15,8 +15,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// TestFallbackInstancesSpread guards against many instances without an owner that together place
-// more of their first requests on an engine than it has slots.
+// TestFallbackInstancesSpread guards against instances that reach no owner and together place more
+// first requests on an engine than it has slots.
 func TestFallbackInstancesSpread(t *testing.T) {
 	is := is.New(t)
 	const instances, engines, slots = 300, 150, 10
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -70,9 +70,9 @@
 	is.New(t).True(got >= 0.5*mean)
 }
 
-// TestRateLimitedPlainPoolHasOwner checks that instances keep to the rate limits of plain
-// endpoints together through an owner, also when the owner stops, and that each instance
-// decides by itself again once the limits have ended.
+// TestRateLimitedPlainPoolHasOwner checks that a plain pool has an owner while its endpoints
+// announce rate limits, and that the limits are kept, also when the owner stops. Once the limits
+// have ended, each instance must decide by itself again.
 func TestRateLimitedPlainPoolHasOwner(t *testing.T) {
 	const rate = 10
 	f := newFleet(t, 5)
@@ -120,7 +120,7 @@
 	})
 }
 
-// rateSettles is how long placements before a rate limit count towards it.
+// rateSettles is how long placements from before a rate limit count towards the limit.
 const rateSettles = 4 * time.Second
 
 // sessionForgotten is longer than an owner keeps the attempts of an ended session.
--- a/pool/notice_test.go
+++ b/pool/notice_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestNoticeReachesAll guards against instances that don't learn of a rate limit, or of its end,
-// from another one that received the answer.
+// from the instance that received the answer.
 func TestNoticeReachesAll(t *testing.T) {
 	f := newFleet(t, 6)
 	f.owner("")
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -196,8 +196,8 @@
 	return g
 }
 
-// TestOwnerFailover guards against a pool that has several owners, or none for long after its owner
-// has stopped or was killed.
+// TestOwnerFailover guards against a pool that has several owners, or for long none, after its
+// owner has stopped or was killed.
 func TestOwnerFailover(t *testing.T) {
 	for _, row := range []struct {
 		name string
@@ -327,12 +327,13 @@
 }
 
 // TestEjectionNeedsTwoInstances guards against an endpoint that is ejected for all instances by the
-// reports of one, or that an instance still uses after its own requests have failed there.
+// reports of one, and against an instance that still uses an endpoint after its own requests have
+// failed there.
 func TestEjectionNeedsTwoInstances(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
-	// Attempts that were placed to find the owner occupy its first engines until their ends are
-	// reported.
+	// Attempts that f.owner placed occupy the first engines until the owner has received the
+	// reports of their ends.
 	for owner := f.owner(""); owner.scheduler.Stats()["engines"].Placed > 0; {
 		time.Sleep(time.Millisecond)
 	}
--- a/pool/rate_limit_test.go
+++ b/pool/rate_limit_test.go
@@ -195,7 +195,7 @@
 }
 
 // TestOwnerKeepsRateLimit checks that an owner under load keeps the rate limit of one of two
-// endpoints, but for a grace period after the limit becomes known, and makes use of it.
+// endpoints and uses most of it. A grace period after the limit becomes known does not count.
 func TestOwnerKeepsRateLimit(t *testing.T) {
 	for name, model := range map[string]*batch.Model{
 		"engines": idleModel(),
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestRefusedAtRateLimits checks that a request is refused at once if rate limits let no
-// endpoint accept it in time, with a RetryAfter at which one does.
+// TestRefusedAtRateLimits checks that a request is refused at once if rate limits let no endpoint
+// accept it in time, with a RetryAfter no shorter than the time until one accepts it.
 func TestRefusedAtRateLimits(t *testing.T) {
 	w := newRateLimitHarness(t, 1, 2, idleModel())
 	w.setLimit(0.5, "e0", "e1")
--- a/pool/reconnect_burst_test.go
+++ b/pool/reconnect_burst_test.go
@@ -99,8 +99,9 @@
 	return a
 }
 
-// TestDueTimeOfReconnect guards against a wrong time at which the next event of a reconnecting
-// caller is due. It follows from the attempt that was cut, if the owner still remembers that.
+// TestDueTimeOfReconnect guards against a wrong due time of the next event of a caller that
+// reconnects. The due time follows from the caller's interrupted attempt while the owner remembers
+// that attempt.
 func TestDueTimeOfReconnect(t *testing.T) {
 	const later = 60 * time.Millisecond
 	for _, row := range []struct {
@@ -177,7 +178,7 @@
 		{"few were cut", 3, 60_000, 1500 * time.Millisecond, false},
 		{"has time left", 24, 60_000, 1500 * time.Millisecond, true},
 		{"is late anyway", 24, 150_000, 100 * time.Millisecond, true},
-		{"has no time left and more value than its engines' share of the burst", 24, 60_000, 520 * time.Millisecond, false},
+		{"has no time left and is worth more than its engines' share of the burst", 24, 60_000, 520 * time.Millisecond, false},
 		{"has a short prompt", 24, 3000, 150 * time.Millisecond, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
--- a/pool/session_test.go
+++ b/pool/session_test.go
@@ -66,7 +66,7 @@
 }
 
 // openSession opens a session and sends Hello for an entry instance. If wait is set, it returns
-// once the owner has handled that.
+// once the owner has handled Hello.
 func openSession(t *testing.T, c poolpb.PoolClient, entry string, wait bool) entryStream {
 	t.Helper()
 	is := is.New(t)
@@ -88,8 +88,8 @@
 }
 
 // TestLateHello guards against an owner that handles the Hello of an abandoned session after that
-// of its successor, as it may after a freeze. If it then takes the live session for replaced, that
-// session goes on answering pings, but each placement made through it is dropped without a reply.
+// of its successor, as may happen after a freeze. An owner that then took the live session for
+// replaced would answer its pings, but drop its placement requests without a reply.
 func TestLateHello(t *testing.T) {
 	for _, row := range []struct {
 		name string
@@ -123,8 +123,9 @@
 	}
 }
 
-// assertAnswered sends a placement request over a session. It must be answered, or the session must
-// end, so that the entry instance opens another one and is answered there.
+// assertAnswered checks that a placement request is answered over a session. If the session ends
+// instead, the request must be answered over a new session, which an entry instance would open
+// then.
 func assertAnswered(t *testing.T, c poolpb.PoolClient, session entryStream) {
 	t.Helper()
 	is := is.New(t)
--- a/pool/slowdown_test.go
+++ b/pool/slowdown_test.go
@@ -100,8 +100,8 @@
 	return g, a.ID
 }
 
-// serve places a request and ends it after its first event, which arrives after the predicted
-// time, multiplied by slowdown, plus delay. It returns the grant.
+// serve places a request and ends it after its first event, which takes slowdown times the
+// predicted time, plus delay. It returns the grant.
 func (f *slowdownHarness) serve(a pool.PlacementRequest, slowdown float64, delay time.Duration) pool.Grant {
 	f.t.Helper()
 	g, id := f.place(a)
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -42,8 +42,8 @@
 	return len(l.ids)
 }
 
-// wait waits until n attempts were ordered to migrate, or for 100 ms if n is zero, and returns the
-// sorted IDs of all of them.
+// wait waits up to a second until n attempts were ordered to migrate, or for 100 ms if n is zero.
+// It returns the sorted IDs of all attempts that were ordered to migrate.
 func (l *migrationLog) wait(n int) []string {
 	within := time.Second
 	if n == 0 {
--- a/pool/wait_test.go
+++ b/pool/wait_test.go
@@ -19,8 +19,8 @@
 	"github.com/linkmast/linkmast/route"
 )
 
-// slowEngine returns the model of an engine that prefills 100 000 tokens a second, at most 1000 in a
-// pass, or 10 000 while it also decodes.
+// slowEngine returns the model of an engine that prefills 100 000 tokens a second, at most 1000 in
+// a step.
 func slowEngine() *batch.Model {
 	return &batch.Model{
 		Slots:            4,
@@ -93,8 +93,9 @@
 	return a
 }
 
-// TestWaitsForTimelyPlace checks that the request of a returning caller, which would be late
-// now, waits while it may still be in time, and is placed late if that becomes impossible.
+// TestWaitsForTimelyPlace checks that the request of a returning caller waits while it would be
+// late if placed now, but may be in time later. Once it can't be in time any more, it is placed
+// late.
 func TestWaitsForTimelyPlace(t *testing.T) {
 	t.Run("room in time", func(t *testing.T) {
 		withSlowEngine(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
@@ -119,8 +120,8 @@
 	})
 }
 
-// TestRefusedAtOnce checks that a request which can't be served as its caller needs it is
-// refused at once, with a RetryAfter at which there is room.
+// TestRefusedAtOnce checks that a request which can't be served as its caller needs it is refused
+// at once, with a RetryAfter no shorter than the time until there is room.
 func TestRefusedAtOnce(t *testing.T) {
 	for _, row := range []struct {
 		name string
