--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -11,8 +11,8 @@
 	s.adoptFor(a, g, s.settings.Self, begun)
 }
 
-// adoptFor records an attempt of an entry instance. A known attempt only stops being an orphan.
-// An attempt on an endpoint that is unknown, or that has restarted since, is not recorded, but
+// adoptFor records an attempt of an entry instance. A known attempt only stops being an orphan. An
+// attempt on an unknown endpoint, or on an earlier incarnation of a known one, is not recorded. It
 // still counts for the retry budget if it is a first send, and may count as a reconnect.
 func (s *Scheduler) adoptFor(a PlacementRequest, g Grant, entry string, begun bool) {
 	s.mu.Lock()
@@ -84,8 +84,8 @@
 	return plan
 }
 
-// markOrphans marks the attempts of a session that ended as orphans, and returns their mark.
-// Attempts maps IDs to services.
+// markOrphans marks the attempts of an ended session as orphans, and returns their mark. Attempts
+// has the service of each attempt by ID.
 func (s *Scheduler) markOrphans(attempts map[string]string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pool/budget.go
+++ b/pool/budget.go
@@ -13,8 +13,8 @@
 	Ratio float64
 	// Extra is the number of retries allowed in a window in addition.
 	Extra float64
-	// Window is the length of the window. The window moves by whole tenths of its length, so that
-	// what is older than nine tenths of it may not count any more.
+	// Window is the length of the window. The window moves in steps of a tenth of its length, so
+	// requests older than nine tenths of it may no longer count.
 	Window time.Duration
 }
 
--- a/pool/check.go
+++ b/pool/check.go
@@ -29,8 +29,9 @@
 	// verifyInterval is the least time between two verifications of an endpoint. An endpoint that
 	// passed one counts as busy, not as stopped, for the same time.
 	verifyInterval = time.Second
-	// recheckInterval is the time between two checks of an excluded endpoint. maxAbsence is how long
-	// it is excluded at most without an answer, in case the fault lies in this instance's network.
+	// recheckInterval is the time between two checks of an excluded endpoint. maxAbsence bounds the
+	// exclusion of an endpoint that does not answer, as the fault may lie in this instance's
+	// network.
 	recheckInterval = 300 * time.Millisecond
 	maxAbsence      = 5 * time.Second
 	// maxConcurrentChecks bounds the connections that one call of runChecks opens at the same time,
@@ -182,7 +183,7 @@
 			return nil
 		})
 	}
-	// The goroutines return no errors; they store them in failed.
+	// The goroutines store their errors in failed and return nil.
 	_ = wait.Wait()
 	return failed
 }
--- a/pool/client.go
+++ b/pool/client.go
@@ -33,8 +33,8 @@
 	// ownerOrder has the instances in the order in which they own a pool, by service. It contains
 	// only the services whose pool has an owner, and noEnginesPool if no service has engines.
 	ownerOrder map[string][]string
-	// plainOwned has the services without engines whose pool has an owner. Attempts of those in
-	// unannounced have not been reported to the owners yet.
+	// plainOwned has the services without engines whose pool has an owner. unannounced lists the
+	// services among them whose running attempts have not been reported to the owners yet.
 	plainOwned  map[string]bool
 	unannounced []string
 	// followed is the first part of ownerOrder by service: the instances that placement requests
@@ -156,7 +156,7 @@
 
 // placeAtOwners sends a placement request to the owners of a pool in order. The error is
 // errDecideLocally if this instance has to place the request, and errLost if no owner answered and
-// a session ended before its owner did. Fallback is set if this instance has to place the
+// a session ended before its owner's answer came. Fallback is set if this instance has to place the
 // request although another one may act as the owner at the same time: none of the owners before it
 // is reachable from here.
 func (c *Client) placeAtOwners(ctx context.Context, a *PlacementRequest) (g Grant, fallback bool, err error) {
--- a/pool/client_limited.go
+++ b/pool/client_limited.go
@@ -5,8 +5,8 @@
 import "github.com/linkmast/linkmast/notice"
 
 // assignOwners gives an owner to each pool without engines in which an endpoint announces a rate
-// limit, because the limit applies to all instances together, and removes the owner from the other
-// pools without engines. The caller must hold c.mu.
+// limit, and removes the owner from the other pools without engines. A rate limit applies to all
+// instances together. The caller must hold c.mu.
 func (c *Client) assignOwners() {
 	limited := c.limitedServices(c.local.settings.Notices.View())
 	for name := range c.plainOwned {
--- a/pool/client_links.go
+++ b/pool/client_links.go
@@ -154,7 +154,7 @@
 	return c.linksOf(service)
 }
 
-// linksOf is owners for a caller that holds c.mu.
+// linksOf is like owners, but the caller must hold c.mu.
 func (c *Client) linksOf(service string) []*ownerLink {
 	var out []*ownerLink
 	for _, id := range c.followed[service] {
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -119,7 +119,7 @@
 	return c.perSecond > 0 && c.limit.Overage > 0
 }
 
-// record returns the record of an record and creates it if necessary.
+// record returns the record of an endpoint and creates it if necessary.
 func (c *coldLedger) record(endpoint string) *coldEndpoint {
 	e := c.endpoints[endpoint]
 	if e == nil {
@@ -224,8 +224,8 @@
 
 // quota returns how many requests a decider may place on a cold endpoint within a window. An owner
 // may place at least one, as only an answer shows that the endpoint works. A part of the limit that
-// instances share is divided into whole numbers. Which instances may place one request more than
-// others differs between endpoints.
+// instances share is divided among them in whole numbers. Some instances may therefore place one
+// request more than others, and which ones differs between endpoints.
 func (c *coldLedger) quota(endpoint string, e *coldEndpoint, by decider) int {
 	bound := c.perSecond*c.limit.Overage + c.limit.Slack
 	switch by {
--- a/pool/decide.go
+++ b/pool/decide.go
@@ -28,10 +28,10 @@
 	deferPrefillShare = 0.7
 )
 
-// tryPlace places a request by its best plan. It returns false if there is no usable endpoint or no
-// plan, if the caller would give up before the first event, if too few slots are free, if the
-// request should wait for a better moment or a reconnect burst, or if it is not worth what the plan
-// costs. The caller must hold s.mu.
+// tryPlace places a request by its best plan. It returns false if no endpoint is usable, there is
+// no plan, the caller would give up before the first event, too few slots are free, the request
+// should wait for a better moment or a reconnect burst, or it is not worth what the plan costs. The
+// caller must hold s.mu.
 func (s *Scheduler) tryPlace(p *poolState, w *Waiter, now time.Time) (Grant, bool) {
 	list := p.usable(w, now)
 	if len(list) == 0 {
@@ -91,9 +91,9 @@
 	return !w.request.TargetAt.After(w.arrived)
 }
 
-// coversCost reports whether the worth that a request keeps under its plan is at least the price of
-// the engine time that it takes, and exceeds harmFactor times the loss of other requests if that
-// loss is above toleratedHarm. Requests that yield are exempt from the price.
+// coversCost reports whether a request keeps enough worth under its plan: at least the price of its
+// engine time and, if the loss of other requests is above toleratedHarm, more than harmFactor times
+// that loss. Requests that yield are exempt from the price.
 func (p *poolState) coversCost(w *Waiter, plan *placement.Plan, now time.Time) bool {
 	keeps := w.request.Worth - plan.OwnLoss
 	if !w.yields() && keeps < p.priceNow(now)*p.engineTime(w).Seconds() {
@@ -114,8 +114,8 @@
 	return w.lateOnArrival() && !w.placementRequest.Retry && w.placementRequest.isShort()
 }
 
-// remainingWorth returns the worth that a request would still have if it were answered at once:
-// LateWorth if it was late on arrival.
+// remainingWorth returns the worth that a request could still have when it arrived: LateWorth if it
+// was late on arrival.
 func (w *Waiter) remainingWorth() float64 {
 	if w.lateOnArrival() {
 		return w.request.LateWorth
--- a/pool/incarnation.go
+++ b/pool/incarnation.go
@@ -37,10 +37,10 @@
 	return ended, restarted
 }
 
-// endEarlierIncarnations ends the attempts that an endpoint answers and that were placed on an
-// incarnation before the one that started at the given time. It also removes the endpoint's
-// shares of joint prefills; the endpoints that answer those requests notice the failure
-// themselves. It returns how many attempts ended.
+// endEarlierIncarnations ends the attempts that were placed on an endpoint's earlier incarnations,
+// those that started before the given time, and returns their number. It also removes the
+// endpoint's shares of joint prefills; the endpoints that answer those requests notice the failure
+// themselves.
 func (p *poolState) endEarlierIncarnations(endpoint string, startedAt time.Time) int {
 	n := 0
 	for id, at := range p.attempts {
--- a/pool/link.go
+++ b/pool/link.go
@@ -32,7 +32,7 @@
 	idleTimeout = 2500 * time.Millisecond
 	// redialPause is the pause between two tries to open the session.
 	redialPause = 300 * time.Millisecond
-	// openTimeout bounds one try.
+	// openTimeout bounds one try to open the session.
 	openTimeout = time.Second
 )
 
@@ -72,8 +72,8 @@
 	tryingSince time.Time
 	open        bool
 	openedAt    time.Time
-	// redialing is non-nil during the first try to reopen a session, if that is made at once. It is
-	// closed when the try has succeeded or failed.
+	// redialing is non-nil during a try to reopen a session at once after its end. It is closed
+	// when the try has succeeded or failed.
 	redialing chan struct{}
 	// queue has the messages to send; nil while no session is open or opening.
 	queue chan *poolpb.FromEntry
@@ -123,9 +123,9 @@
 	l.enqueueLocked(m)
 }
 
-// enqueueLocked is enqueue for a caller that holds l.mu. Messages that are queued while the session
-// opens follow its greeting. It reports whether the message was queued; a full queue ends the
-// session.
+// enqueueLocked is like enqueue, but the caller must hold l.mu. Messages that are queued while the
+// session opens follow its greeting. It reports whether the message was queued; a full queue ends
+// the session.
 func (l *link) enqueueLocked(m *poolpb.FromEntry) bool {
 	if l.queue == nil {
 		return false
--- a/pool/messages.go
+++ b/pool/messages.go
@@ -87,7 +87,7 @@
 	return a
 }
 
-// microseconds converts a duration as it is sent.
+// microseconds converts a number of microseconds, as sent in messages, to a duration.
 func microseconds(n int64) time.Duration {
 	return time.Duration(n) * time.Microsecond
 }
@@ -109,8 +109,8 @@
 	return time.UnixMilli(ms)
 }
 
-// encodeGrant converts the grant of an attempt to its message. Reservations are left out because
-// the entry instance makes them.
+// encodeGrant converts the grant of an attempt to its message. PrefillShare.Reservation is left
+// out, as only the entry instance sets it.
 func encodeGrant(id string, g *Grant) *poolpb.Grant {
 	m := &poolpb.Grant{
 		Id:       id,
--- a/pool/prefill_load.go
+++ b/pool/prefill_load.go
@@ -12,8 +12,8 @@
 // prompt. With a pass added, it is longer than the shortest gaps that requests allow.
 const longPrefill = 150 * time.Millisecond
 
-// prefillLoad returns the part of the engines, leaving out unhealthy ones, that are busy with long
-// prompts, and the largest gap that any request so far allows.
+// prefillLoad returns the part of the healthy engines that is busy with long prompts, and the
+// largest Gap of the requests seen so far, including w.
 func (p *poolState) prefillLoad(w *Waiter, now time.Time) placement.LongPrefills {
 	p.longestGap = max(p.longestGap, w.placementRequest.Gap)
 	busy, all := 0, 0
--- a/pool/price.go
+++ b/pool/price.go
@@ -79,8 +79,8 @@
 	return p.price.perSecond(now) * p.utilization(now)
 }
 
-// utilization returns the part of the engines that is in use, leaving out unhealthy ones. An engine
-// with pending prefill counts in full, any other by its part of slots in use.
+// utilization returns the part of the healthy engines that is in use. An engine with pending
+// prefill counts in full, any other by its part of slots in use.
 func (p *poolState) utilization(now time.Time) float64 {
 	used, all := 0.0, 0
 	for _, e := range p.list {
--- a/pool/queue.go
+++ b/pool/queue.go
@@ -55,8 +55,7 @@
 }
 
 // urgency returns the sort key of queued requests; the lowest goes first. It is the time in seconds
-// until the request is late, plus a penalty for its rank. Requests that are late already come after
-// all others.
+// until the request is late, plus a penalty for its rank. Late requests come after all others.
 func (w *Waiter) urgency(now time.Time) float64 {
 	left := w.request.TargetAt.Sub(now)
 	if left <= 0 {
--- a/pool/rate_limit.go
+++ b/pool/rate_limit.go
@@ -72,8 +72,8 @@
 	// instances is the number of all instances.
 	instances int
 	// fallbackSince is when this instance last began to decide by itself because it reached no
-	// owner, and lastFallback when it last did so. fallbackPhase, from 0 to 1, is the part of
-	// the time between two of its requests by which the first one is delayed.
+	// owner, and lastFallback when it last did so. Its first request is delayed by fallbackPhase,
+	// from 0 to 1, times the time between two of its requests.
 	fallbackSince time.Time
 	lastFallback  time.Time
 	fallbackPhase float64
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -15,9 +15,9 @@
 	// reconnectWindow is the time within which the caller of an interrupted attempt is expected to
 	// reconnect. After that it counts as a new caller.
 	reconnectWindow = time.Second
-	// Interrupted streams count as a burst if there are at least minBurst of them, and
-	// minBurstShare for each engine, and the interrupted attempts have at least minBurst different
-	// workloads. Fewer are normal, as single callers leave at any time.
+	// Interrupted streams count as a burst if there are at least minBurst of them, and at least
+	// minBurstShare for each engine. The interrupted attempts must also have at least minBurst
+	// different workloads. Fewer are normal, as single callers leave at any time.
 	minBurstShare = 0.25
 	minBurst      = 4
 	// burstMinPrefill is the least prefill time of a request that may have to wait for a burst:
@@ -36,12 +36,12 @@
 	output   int
 }
 
-// workload describes an attempt, so that its request can be recognized and valued when its
-// caller reconnects.
+// workload describes an attempt, so that its request can be recognized, and its worth is known,
+// when its caller reconnects.
 type workload struct {
 	id  workloadID
 	gap time.Duration
-	// worth is the value of an answer in time.
+	// worth is the request's worth if it is answered in time.
 	worth float64
 	// targetAt is when the first event would be late.
 	targetAt time.Time
@@ -57,7 +57,7 @@
 	// between events that it allows.
 	resumes bool
 	gap     time.Duration
-	// worth is the value of an answer in time.
+	// worth is the request's worth if it is answered in time.
 	worth float64
 }
 
@@ -84,7 +84,7 @@
 	streams int
 	// until is when the last of their next events is due.
 	until time.Time
-	// worth is the value of all their answers in time.
+	// worth is the sum of the streams' worths if all are answered in time.
 	worth float64
 }
 
@@ -205,10 +205,10 @@
 }
 
 // burstGoesFirst reports whether a request with a long prefill must wait until the next events of
-// all streams of a reconnect burst are due, even if the streams are placed earlier. It must if it
-// is late anyway, if it would still be in time after that, or if the part of the burst that falls
-// on its engines is worth more. Streams placed on its engines would otherwise wait for the whole
-// prefill.
+// all streams of a reconnect burst are due, even if the streams are placed earlier. It must wait if
+// it is late anyway, if it would be in time even after the wait, or if the part of the burst that
+// falls on its engines is worth more. Streams placed on its engines would otherwise wait for the
+// whole prefill.
 func (r *reconnects) burstGoesFirst(w *Waiter, plan *placement.Plan, engines int, now time.Time) bool {
 	if plan.PrefillTime < burstMinPrefill {
 		return false
--- a/pool/refused_callers.go
+++ b/pool/refused_callers.go
@@ -20,9 +20,9 @@
 }
 
 // refusedCallers remembers the callers of refused requests to recognize them when they come back.
-// The elapsed time of such a request counts from its caller's first try, and the request is assumed
-// to be the caller's last try. Deadlines don't distinguish first tries from later ones, unless all
-// callers start with the same deadline.
+// When a caller comes back, the elapsed time of its request counts from its first try, and the
+// request is assumed to be its last try. Deadlines don't distinguish first tries from later ones,
+// unless all callers start with the same deadline.
 //
 // Each instance remembers the refusals that it decided. A new owner of a pool therefore takes
 // returning callers for new ones, and refuses them at once if they can't be in time. The zero
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -34,7 +34,7 @@
 	// Check opens a connection to an endpoint to find out whether it is reachable; nil disables
 	// these checks.
 	Check quarantine.Checker
-	// Worth configures the value of answers.
+	// Worth configures the worth of requests.
 	Worth worth.Settings
 	// Quarantine holds the requests that crash endpoints; the default is an empty registry.
 	Quarantine *quarantine.Registry
--- a/pool/server_orphans.go
+++ b/pool/server_orphans.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// unregisterSession undoes registerSession and makes the attempts that were running orphans.
+// unregisterSession undoes registerSession and marks the running attempts as orphans.
 func (s *Server) unregisterSession(x *session) {
 	if x.stopMigrations != nil {
 		x.stopMigrations()
--- a/pool/silence.go
+++ b/pool/silence.go
@@ -43,9 +43,9 @@
 // the transit of the event and most prediction errors.
 const silenceSlack = 150 * time.Millisecond
 
-// refuseReplacement returns a refusal if the silence of the attempt to be replaced is explained by
-// the model of its engine, and the next event is expected while the caller still waits. Otherwise
-// it returns nil.
+// refuseReplacement returns a refusal if an attempt should go on rather than be replaced: the model
+// of one of its engines explains its silence, and its next event is expected while the caller still
+// waits. Otherwise it returns nil.
 //
 // Replacing such an attempt would prefill its prompt again elsewhere, and count as a fault of an
 // engine that works.
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -46,8 +46,8 @@
 	// minOverdueShare of the predicted time.
 	minOverdue      = 100 * time.Millisecond
 	minOverdueShare = 0.6
-	// commonDelayWindow is how long the last event of an engine counts for the common delay,
-	// commonDelayMinEngines is how many engines are needed, and 1/commonDelayRank is the
+	// commonDelayWindow is how long the latest first event of an engine counts for the common
+	// delay. commonDelayMinEngines is how many engines are needed, and 1/commonDelayRank is the
 	// quantile of their lateness that is taken.
 	commonDelayWindow     = time.Second
 	commonDelayMinEngines = 2
@@ -67,9 +67,9 @@
 	// maxUnanswered is how many queries in a row may be unanswered before the slowdown is
 	// estimated from events.
 	maxUnanswered = 2
-	// unsurePerReport is how many other engines become unsure when one reports a changed
-	// slowdown. Each of them that reports a change makes as many unsure, so that few engines
-	// are queried if only one is slow, and all of them soon if many are.
+	// unsurePerReport is how many other engines become unsure when one reports a changed slowdown.
+	// Each of these that reports a change in turn makes as many unsure. Few engines are thus
+	// queried if only one is slow, and soon all of them if many are.
 	unsurePerReport = 64
 	// maxQueriesPerUpdate bounds the queries of one update.
 	maxQueriesPerUpdate = 64
@@ -128,7 +128,7 @@
 	// its last answer.
 	queriedAt  time.Time
 	unanswered int
-	// late and lateAt describe the last first event of an attempt whose prompt this engine
+	// late and lateAt describe the latest first event of an attempt whose prompt this engine
 	// prefilled alone: how much later than predicted it came, and when.
 	late   time.Duration
 	lateAt time.Time
@@ -187,9 +187,9 @@
 
 // observeFirstEvent compares the first event of an attempt with its prediction, after deducting the
 // delay that all engines have in common. An event that deviates makes the slowdown of its engines
-// unsure. The event also becomes a sample, unless its predicted time is too short, several
-// engines did the prefill, so that any of them may have been late, or the slowdown has changed
-// since the placement.
+// unsure. The event also becomes a sample, with three exceptions: its predicted time is too short,
+// the slowdown has changed since the placement, or several engines did the prefill, any of which
+// may have been late.
 func (p *poolState) observeFirstEvent(at *attempt, late time.Duration, now time.Time) {
 	took := now.Sub(at.placedAt) - p.transit.time
 	predicted := took - late
--- a/pool/state.go
+++ b/pool/state.go
@@ -37,7 +37,7 @@
 	fallbackRetries retryCounter
 	// predictions counts the predictions of first events, and those that were accurate.
 	predictions predictionStats
-	// worth computes the value of requests.
+	// worth computes a request's worth from its customer, route and size.
 	worth *worth.Scale
 	// refusedCallers remembers refused callers, which may come back.
 	refusedCallers refusedCallers
--- a/pool/stats.go
+++ b/pool/stats.go
@@ -33,26 +33,26 @@
 	PaceAsked   int `json:"pace_asked"`
 	PaceChanges int `json:"pace_changes"`
 	// Cut counts the attempts with a known prompt length that failed, were abandoned or were lost
-	// with a session, Returned those of them whose callers came back within a second, and
+	// with a session. Returned counts those of them whose callers came back within a second, and
 	// ReconnectBursts the reconnect bursts.
 	Cut             int `json:"cut"`
 	Returned        int `json:"returned"`
 	ReconnectBursts int `json:"crowds"`
 	// Suspected counts the reports of silent attempts, Confirmed the endpoints excluded because
-	// their attempts were silent, Migrated the attempts ordered to migrate, Checked the checks of
-	// endpoints, and Absent the endpoints excluded by a check of the whole pool.
+	// their attempts were silent, and Migrated the attempts ordered to migrate. Checked counts the
+	// checks of endpoints, and Absent the endpoints excluded by a check of the whole pool.
 	Suspected int `json:"suspected"`
 	Confirmed int `json:"agreed"`
 	Migrated  int `json:"moved"`
 	Checked   int `json:"checked"`
 	Absent    int `json:"absent"`
-	// Limited is the number of endpoints that announce a rate limit, PassedOver counts the
-	// endpoints that placements skipped because of a back-off or a rate limit, and Unavailable the
-	// requests refused because all endpoints were leaving, backing off or at their rate limits.
+	// Limited is the number of endpoints that announce a rate limit. PassedOver counts the
+	// endpoints that placements skipped because of a back-off or a rate limit. Unavailable counts
+	// the requests refused because all endpoints were leaving, backing off or at their rate limits.
 	Limited     int   `json:"limited"`
 	PassedOver  int64 `json:"passed_over"`
 	Unavailable int64 `json:"unavailable"`
-	// Routes has the typical request and its value, by route.
+	// Routes has the typical request and its worth, by route.
 	Routes map[string]worth.TypicalRequest `json:"routes,omitempty"`
 }
 
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -14,16 +14,18 @@
 // Parameters of the detection of stopped endpoints.
 const (
 	// An entry instance reports a stream as silent after MinSuspectSilence or SuspectGapFactor
-	// times the stream's usual pause, whichever is longer. Passes that prefill prompts may take
-	// MinSuspectSilence, and an engine that has become three times slower has not stopped.
+	// times the stream's usual pause, whichever is longer. A pass that prefills prompts may take as
+	// long as MinSuspectSilence, and an engine that has become three times slower stays below
+	// SuspectGapFactor.
 	MinSuspectSilence = 200 * time.Millisecond
 	SuspectGapFactor  = 4
 	// suspicionTTL is how long a report of silence counts. While the silence lasts, it is repeated
 	// every MinSuspectSilence.
 	suspicionTTL = 300 * time.Millisecond
-	// Lateness is how much later than predicted a first event is. The attempt counts as silent from
-	// a lateness of minSilentLateness or silentLatenessFactor times the predicted time, whichever
-	// is longer, and as late from minDoubtLateness or the predicted time, whichever is longer.
+	// Lateness is how much later than predicted a first event is. The attempt counts as late if its
+	// lateness is at least minDoubtLateness and at least the predicted time. It counts as silent if
+	// its lateness is at least minSilentLateness and at least silentLatenessFactor times the
+	// predicted time.
 	minSilentLateness    = 400 * time.Millisecond
 	silentLatenessFactor = 2
 	minDoubtLateness     = 150 * time.Millisecond
@@ -106,8 +108,8 @@
 }
 
 // watched reports whether the entry instance is expected to report the attempt when it is silent:
-// it is the first send of a stream with a Gap. The entry instance reports only streams that another
-// endpoint may resume, which a placement request doesn't tell.
+// it is the first send of a stream with a Gap. In fact the entry instance reports only streams that
+// another endpoint may resume, but a placement request doesn't tell which these are.
 func (a *PlacementRequest) watched() bool {
 	return a.Gap > 0 && !a.Retry
 }
@@ -217,7 +219,7 @@
 	return signalLate
 }
 
-// streamSignalOf is signalOf for an attempt whose first event has come.
+// streamSignalOf returns the signal of an attempt whose first event has come.
 func (p *poolState) streamSignalOf(id string, at *attempt, now time.Time) signal {
 	suspected := now.Sub(at.suspectedAt) <= suspicionTTL
 	switch {
@@ -250,8 +252,8 @@
 	return false
 }
 
-// mayPrefill reports whether a job is a long prefill that may still be running, since it may take
-// half as long again as predicted, or minSilentLateness longer if that is more.
+// mayPrefill reports whether a job is a long prefill that may still be running. It may exceed its
+// predicted time by half, or by minSilentLateness if that is longer.
 func (p *poolState) mayPrefill(j *placement.Job, now time.Time) bool {
 	at := p.attempts[j.ID]
 	if at == nil || at.begun || at.predictedFirst < longPrefillThreshold {
@@ -304,10 +306,9 @@
 	s.log.Info("endpoint suspected", "service", service, "endpoint", endpoint, "silent_for", silent, "moved", n)
 }
 
-// handleUnreachable excludes an endpoint that an instance could not connect to, shortly after
-// another instance reported a failure of it, and migrates its attempts. It does nothing if a stream
-// from there is alive, since an overloaded endpoint refuses connections, too. The caller must hold
-// s.mu.
+// handleUnreachable excludes an endpoint and migrates its attempts, after one instance reported a
+// failure of it and another one then could not connect to it. It does nothing if a stream from
+// there is alive, since an overloaded endpoint refuses connections, too. The caller must hold s.mu.
 func (s *Scheduler) handleUnreachable(p *poolState, service, endpoint string, now time.Time) {
 	if p.plain || p.hasLiveStream(endpoint, now) {
 		return
@@ -395,8 +396,8 @@
 	}
 }
 
-// onMigrations registers the function that sends migrations to an entry instance. It replaces an
-// earlier one, and is removed by stop.
+// onMigrations registers the function that sends migrations to an entry instance, in place of an
+// earlier one. Calling stop removes the function.
 func (s *Scheduler) onMigrations(entry string, send func(migration)) (stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pool/transit.go
+++ b/pool/transit.go
@@ -6,18 +6,18 @@
 
 // Parameters of the transit estimate.
 const (
-	// transitStep is how far one first event moves the estimate. A busy pool reaches a transit
-	// of a few milliseconds within a fraction of a second.
+	// transitStep is how far one first event moves the estimate. In a busy pool the estimate
+	// reaches a few milliseconds within a fraction of a second.
 	transitStep = 100 * time.Microsecond
-	// maxTransit bounds the estimate. It is shorter than a pass of the engines, so that a slow
-	// engine is not taken for a long transit.
+	// maxTransit bounds the estimate. It is shorter than a pass of the engines, so that the
+	// lateness of a slow engine is not taken for a long transit.
 	maxTransit = 50 * time.Millisecond
 )
 
-// transitEstimate estimates the time from a placement until the engine has the request, plus
-// the time that the first event takes back. It follows the median of how much later than
-// predicted first events come, by a fixed step for each event, so that a few very late events
-// have little influence. The zero value is ready for use.
+// transitEstimate estimates the time from a placement until the engine has the request, plus the
+// time that the first event takes back. It follows the median lateness of first events. Each event
+// moves it by the same step, so that a few very late events have little influence. The zero value
+// is ready for use.
 type transitEstimate struct {
 	time time.Duration
 }
--- a/pool/types.go
+++ b/pool/types.go
@@ -49,7 +49,8 @@
 	// Returning is set if the caller tried before and was refused or got no whole answer.
 	Returning bool
 	// Elapsed is the time between the caller's first try and this one. It is subtracted from
-	// Target, so that a returning caller's first event is due when that of its first try was.
+	// Target, so that the first event of a returning caller is due at the same time as on its first
+	// try.
 	Elapsed time.Duration
 	// Retry is set if the entry instance sent the request to an endpoint before. Such a request is
 	// charged to the retry budget.
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -62,8 +62,8 @@
 	// requests a second all eligible endpoints accept; zero if there are none.
 	soonest time.Time
 	rate    float64
-	// elsewhere is the earliest end of a back-off or a wait for a rate limit at the endpoints that
-	// the request must not use; zero if there is none.
+	// elsewhere is the earliest end of a back-off or of a wait for a rate limit among the endpoints
+	// that the request must not use; zero if there is none.
 	elsewhere time.Time
 	// someLeaving is set if an endpoint is leaving.
 	someLeaving bool
@@ -100,9 +100,9 @@
 	return p.rateLimits.share(l, w.fallback)
 }
 
-// refuseUnavailable returns a refusal if list, the usable endpoints, is empty because of
-// departures, back-offs or rate limits, and no endpoint accepts the request soon enough; nil
-// otherwise. Ahead is the number of waiting requests that go before this one.
+// refuseUnavailable returns a refusal if no endpoint is usable because of departures, back-offs or
+// rate limits, and none accepts the request soon enough; nil otherwise. List has the usable
+// endpoints. Ahead is the number of waiting requests that go before this one.
 func (s *Scheduler) refuseUnavailable(p *poolState, w *Waiter, list []*placement.Engine, ahead int, now time.Time) *Refusal {
 	if len(list) > 0 {
 		return nil
--- a/pool/waiter.go
+++ b/pool/waiter.go
@@ -20,7 +20,8 @@
 	// placeBy is when a late request with a long prompt is refused if it is still not placed; zero
 	// until it is late.
 	placeBy time.Time
-	// backoffs holds when the back-offs end that endpoints asked the entry instance for.
+	// backoffs holds the end of the back-off of each endpoint that asked the entry instance for
+	// one.
 	backoffs map[string]time.Time
 	// late is set if the last search for a place found no plan, or only one that makes the request
 	// late.
@@ -45,8 +46,8 @@
 	}
 }
 
-// backoffsUntil returns when each back-off ends that an endpoint asked the entry instance for,
-// by endpoint; nil if there are none.
+// backoffsUntil returns the end of the back-off of each endpoint that asked the entry instance for
+// one; nil if there are none.
 func (a *PlacementRequest) backoffsUntil(now time.Time) map[string]time.Time {
 	if len(a.Backoffs) == 0 {
 		return nil
--- a/pool/worth.go
+++ b/pool/worth.go
@@ -4,7 +4,7 @@
 
 import "github.com/linkmast/linkmast/worth"
 
-// worthRequest returns the properties of a request on which its value depends.
+// worthRequest returns the properties of a request on which its worth depends.
 func (a *PlacementRequest) worthRequest() worth.Request {
 	k := worth.Request{
 		Customer:  a.Rank,
