--- a/pool/cold.go
+++ b/pool/cold.go
@@ -18,7 +18,7 @@
 type ColdLimit struct {
 	// Overage is the factor of the sustained rate; zero means that there is no limit.
 	Overage float64
-	// Slack is a number of requests.
+	// Slack is a number of requests that is added to the limit.
 	Slack float64
 }
 
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -136,7 +136,7 @@
 	for _, n := range f.nodes {
 		n.learn(f.snap)
 	}
-	time.Sleep(300 * time.Millisecond) // until there are sessions to the instances that count
+	time.Sleep(300 * time.Millisecond) // until there are sessions to the instances that count crashes
 	for i := range 3 {
 		assertBanned(t, f.nodes, false)
 		f.nodes[i].reportCrash(i)
--- a/pool/drained.go
+++ b/pool/drained.go
@@ -26,7 +26,7 @@
 	return known || slices.Contains(a.DrainedDomains, e.FailureDomain)
 }
 
-// coversAny reports whether it covers any of the endpoints.
+// coversAny reports whether covers is true for any of the endpoints.
 func (d drainedDomains) coversAny(a *PlacementRequest, list []*placement.Engine) bool {
 	return slices.ContainsFunc(list, func(e *placement.Engine) bool {
 		return d.covers(a, e)
--- a/pool/drained_test.go
+++ b/pool/drained_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestDrainedWhileWaiting checks that a waiting request is placed elsewhere if the failure
-// domain with the endpoints that it waits for is drained and another one is undrained.
+// TestDrainedWhileWaiting checks that a waiting request is placed in another failure domain, which
+// is undrained, once the domain of the endpoints for which it waits is drained.
 func TestDrainedWhileWaiting(t *testing.T) {
 	withScheduler(t, func(ctx context.Context, is *is.I, s *pool.Scheduler) {
 		s.Update(drainedSnapshot("d0"))
--- a/pool/ejection.go
+++ b/pool/ejection.go
@@ -11,8 +11,8 @@
 	// minEjection is how long an endpoint is ejected after the first failure beyond
 	// toleratedFailures. The time doubles with each further failure.
 	minEjection = 700 * time.Millisecond
-	// maxEjection bounds the ejection after failures. Restarted engines are back after some
-	// seconds.
+	// maxEjection bounds the length of an ejection after failures. Restarted engines are back after
+	// some seconds.
 	maxEjection = 3 * time.Second
 	// maxDoublings prevents an overflow; maxEjection is reached before.
 	maxDoublings = 4
--- a/pool/plain_latency.go
+++ b/pool/plain_latency.go
@@ -15,8 +15,9 @@
 	// plainSlowThreshold is the least ratio of a slow endpoint's latency to the median. Lower
 	// ratios may be due to different kinds of requests.
 	plainSlowThreshold = 2
-	// maxPlainSlowdown bounds the ratio, so that an idle slow endpoint gets a request at the latest
-	// when each of the others has about maxPlainSlowdown requests.
+	// maxPlainSlowdown bounds the ratio of a slow endpoint's latency to the median. An idle slow
+	// endpoint thus gets a request at the latest when each of the others has about maxPlainSlowdown
+	// requests.
 	maxPlainSlowdown = 8
 	// minPlainEndpoints is how many endpoints must have a recent latency for a comparison.
 	minPlainEndpoints = 2
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -196,7 +196,7 @@
 	return g
 }
 
-// TestOwnerFailover guards against a pool that has several owners, or for long none, after its
+// TestOwnerFailover guards against a pool that has several owners, or no owner for long, after its
 // owner has stopped or was killed.
 func TestOwnerFailover(t *testing.T) {
 	for _, row := range []struct {
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -97,8 +97,8 @@
 }
 
 // isShort reports whether a request waits for a slot rather than for prefill, as its prompt is
-// prefilled within a pass. For a resumed stream, the time left doesn't depend on the prompt, so the
-// gap that it allows decides.
+// prefilled within a pass. A short Target indicates this, or a short Gap for a resumed stream,
+// whose time left doesn't depend on the prompt.
 func (a *PlacementRequest) isShort() bool {
 	if a.Resumed {
 		return a.Gap <= shortResumedGap
--- a/pool/slowdown.go
+++ b/pool/slowdown.go
@@ -211,8 +211,8 @@
 }
 
 // commonDelay returns the delay that the network is assumed to add to all events: the lower
-// quartile of the lateness of the engines' last events, as a slowdown affects only some
-// engines. It is zero if too few engines had events recently.
+// quartile of the lateness of the engines' latest first events, as a slowdown affects only some
+// engines. It is zero if too few engines had first events recently.
 func (k *slowdowns) commonDelay(now time.Time) time.Duration {
 	var lateness []time.Duration
 	for _, r := range k.records {
--- a/pool/suspicion.go
+++ b/pool/suspicion.go
@@ -38,8 +38,8 @@
 	// fault in the network of a single instance.
 	confirmQuorum = 2
 	doubtQuorum   = 3
-	// evaluateInterval is the least time between an evaluation and the next one that a new request
-	// triggers.
+	// evaluateInterval is the least time since the last evaluation at which a new request triggers
+	// another one.
 	evaluateInterval = 10 * time.Millisecond
 	// lateMigrationSpread is the time over which the migrations of attempts that are late already
 	// are spread. Their callers wait for at least two seconds, of which about half a second has
--- a/pool/types.go
+++ b/pool/types.go
@@ -36,8 +36,8 @@
 	Gap time.Duration
 	// Deadline is the time left for the whole request.
 	Deadline time.Duration
-	// Exclude lists endpoints that this request must not get, such as those that failed it and
-	// those that the entry instance knows to be leaving.
+	// Exclude lists endpoints on which the request must not be placed, such as those on which it
+	// failed and those that the entry instance knows to be leaving.
 	Exclude []string
 	// Avoid lists endpoints that the entry instance has ejected for its own requests. They are used
 	// only if no other endpoint is usable.
--- a/pool/unavailable.go
+++ b/pool/unavailable.go
@@ -126,9 +126,9 @@
 	return s.refusal(reason, after)
 }
 
-// waitsUntil returns until when a request waits for an endpoint that doesn't accept it now: until
-// it would be late, but at least for lateWait. A request that would wait longer is refused, so that
-// its caller tries again.
+// waitsUntil returns the time until which a request waits for an endpoint that doesn't accept it
+// now: when it becomes late, but at least lateWait after its arrival. A request that would wait
+// longer is refused, so that its caller tries again.
 func (w *Waiter) waitsUntil() time.Time {
 	return later(w.request.TargetAt, w.arrived.Add(lateWait))
 }
