--- a/catalog/following.go
+++ b/catalog/following.go
@@ -49,8 +49,8 @@
 		}
 		p, patient := r.upstreamFor(attempt)
 		began := steady.Now()
-		// While nothing is known yet, the attempt is always patient, because the upstream may
-		// be starting as well.
+		// While no configuration is known, the attempt is always patient, because the upstream
+		// may be starting as well.
 		err := c.followOne(ctx, p, patient || c.Snapshot() == nil)
 		if ctx.Err() != nil {
 			return
@@ -60,7 +60,7 @@
 		c.handleFollowEnd(p, err, steady.Since(began))
 		if steady.Since(began) > openTimeout {
 			// The upstream worked for a while, so the next attempt starts from the first
-			// choice.
+			// choice. An upstream that was silent from the start counts as well.
 			attempt = -1
 		}
 		if attempt >= 0 && attempt < startupTries && c.Snapshot() == nil {
--- a/catalog/outage.go
+++ b/catalog/outage.go
@@ -44,8 +44,8 @@
 }
 
 // skipsFeed reports whether this instance should not read a feed now. While the configurations
-// can't be read, that feed alone shows when the store is back. Readers, and instances without
-// contact to others, try all feeds, because the store may fail partially.
+// can't be read, trying to read them is enough to detect that the store is back. Readers, and
+// instances without contact to others, try all feeds, because the store may fail partially.
 func (c *Catalog) skipsFeed(f Feed) bool {
 	return f != Configurations && !c.storeAnswered.within(c.freshFor()) && c.reliesOnPeers()
 }
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -25,8 +25,8 @@
 // Limits on the number of followers. They spread the followers when many relays are lost at
 // once.
 const (
-	// followerLimitFactor is the limit of a relay, as a multiple of its intended number of
-	// followers.
+	// followerLimitFactor is the limit of an instance with enough capacity for a relay, as a
+	// multiple of a relay's intended number of followers.
 	followerLimitFactor = 2
 	// weakFollowerLimit is the limit of an instance with too little capacity for a relay, which
 	// is followed only if no other upstream is available. It is low because such an instance
@@ -191,12 +191,12 @@
 
 // The pattern of attempts after the quick ones.
 const (
-	// patientEvery is the interval, in attempts, at which one goes to a preferred upstream and
+	// patientEvery is the number of attempts of which one goes to a preferred upstream and
 	// waits there, because preferred upstreams learn first that the store is back. The other
 	// attempts go mostly to the early readers, which have data if the store rejects the readers.
 	patientEvery = 3
-	// restEvery is the interval, among those other attempts, at which one goes to an instance
-	// beyond the early readers, since that instance may be the only one with fresh data.
+	// restEvery is the number of those other attempts of which one goes to an instance beyond
+	// the early readers, since that instance may be the only one with fresh data.
 	restEvery = 8
 )
 
