--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -39,7 +39,7 @@
 type FailedAttempt struct {
 	// Attempt is the id of the attempt.
 	Attempt string
-	// StartedAt is when the attempt was sent.
+	// StartedAt is when the request was sent to the endpoint, or a moment before that.
 	StartedAt time.Time
 	// Endpoints are the addresses of the endpoints that worked on the attempt. The first is the one
 	// that the request was sent to.
--- a/quarantine/peerguard.go
+++ b/quarantine/peerguard.go
@@ -37,8 +37,8 @@
 	// each call.
 	maxParallelSends = 32
 	sendTimeout      = time.Second
-	// maxSendAttempts is how often a message is sent to an instance that doesn't answer, with
-	// sendRetryDelay between the attempts.
+	// maxSendAttempts is the maximum number of attempts to send a message to an instance, with
+	// sendRetryDelay between them.
 	maxSendAttempts = 3
 	sendRetryDelay  = 500 * time.Millisecond
 	// newInstanceInterval is the interval of checks for new instances.
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -28,8 +28,9 @@
 	settled bool
 }
 
-// extend inserts a crash into the chain in the order of time, unless it overlaps a neighbour or its
-// attempt or endpoint end is already there. It reports whether it did.
+// extend inserts a crash into the chain, in the order of the crashes' times, and reports whether it
+// did. It skips a crash whose attempt or endpoint end is already in the chain, and one that breaks
+// the sequence: each crash must follow the one before it, as defined by follows.
 func (s *suspect) extend(c Crash, e *endpointEnd) bool {
 	if slices.ContainsFunc(s.chain, func(l chainLink) bool { return l.end == e || l.crash.Attempt == c.Attempt }) {
 		return false
--- a/quarantine/types.go
+++ b/quarantine/types.go
@@ -18,7 +18,8 @@
 	// OtherEndpoints are the addresses of the other endpoints of the attempt's joint prefill. They
 	// may end at the same moment, which may be known only from crashes of other requests.
 	OtherEndpoints []string
-	// StartedAt is when the request was sent to the endpoint, and EndedAt when the attempt failed.
+	// StartedAt is when the request was sent to the endpoint, or a moment before that, and EndedAt
+	// is when the attempt failed.
 	StartedAt time.Time
 	EndedAt   time.Time
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -27,7 +27,8 @@
 	// caller is done when the caller disconnects or the request's time is over.
 	caller context.Context
 	// next is the placement of the next attempt, if this one was cancelled in favor of it.
-	next      *nextPlacement
+	next *nextPlacement
+	// startedAt is when the attempt started, before it reserved memory.
 	startedAt time.Time
 	// firstAfter is the time until the first event, or until an answer that is not a stream was
 	// read; zero before.
@@ -39,8 +40,8 @@
 // result is the outcome of an attempt.
 type result struct {
 	outcome pool.Outcome
-	// culprit is the address or id of the endpoint at fault. If it is empty, that is the one of
-	// the grant.
+	// culprit is the address or id of the endpoint at fault; empty means the endpoint of the
+	// grant.
 	culprit string
 	// answered states that the caller has received a complete answer.
 	answered bool
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -10,9 +10,10 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// helperBlameDelay is the time from the start of an attempt after which the endpoint's rejection
-// is taken as the crash of the helper that it blames. A helper that was down before is blamed
-// within a round trip.
+// helperBlameDelay is the time from the start of an attempt after which a rejection that blames a
+// helper is taken as a sign that the helper crashed during the attempt. In that case the endpoint
+// waits for the helper before it rejects the request, for longer than helperBlameDelay. An earlier
+// rejection is taken to mean that the helper was already down or could not help.
 const helperBlameDelay = 300 * time.Millisecond
 
 // enterQuarantine admits a request to run, or refuses it while its identity is banned or being
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -37,7 +37,7 @@
 	// configuration.
 	Snapshot func() *catalog.Snapshot
 	// Age returns an upper bound on the age of the configuration in force. It returns false
-	// before the store was first read.
+	// until the store has confirmed a configuration, directly or through other instances.
 	Age func() (time.Duration, bool)
 	// Placer assigns requests to endpoints.
 	Placer pool.Placer
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -23,7 +23,7 @@
 	reserveTimeout = 250 * time.Millisecond
 )
 
-// maxReserveAttempts is the number of calls to make or renew one reservation.
+// maxReserveAttempts is the maximum number of calls to make or renew one reservation.
 const maxReserveAttempts = 2
 
 // reservations holds the memory reservations of an attempt.
@@ -109,8 +109,8 @@
 		case <-tick.C:
 		}
 		for _, r := range h.items {
-			// A failed renewal is repeated at the next tick. If all fail, the engine ends the
-			// request.
+			// A failed renewal is repeated at the next tick. If the reservation expires before
+			// one succeeds, the request is cut off.
 			h.done.Go(func() { _ = h.reserveOne(ctx, r) })
 		}
 	}
--- a/relay/resume_test.go
+++ b/relay/resume_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestReplacementDueIn guards against a placement request for a silent stream that lacks the
-// due time of its next event, or has one before the first event.
+// TestReplacementDueIn guards against a placement request that lacks the due time of a silent
+// stream's next event, or that has a due time although no event has arrived yet.
 func TestReplacementDueIn(t *testing.T) {
 	for _, row := range []struct {
 		name  string
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -80,8 +80,8 @@
 // retryLeft is the least remaining time for which a retry is worthwhile.
 const retryLeft = 100 * time.Millisecond
 
-// relayLarge forwards an answer that is too large to buffer. If it is interrupted, the request
-// can't be retried, because the caller already has a part of it.
+// relayLarge forwards an answer that is too large to buffer. If the answer is interrupted, the
+// request can't be retried, because the caller already has a part of the answer.
 func (t *attempt) relayLarge(x *upstream.Exchange, begin []byte, r result) result {
 	out := t.job.out
 	out.sendHead(x.Response, x.Response.ContentLength)
