--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -45,12 +45,12 @@
 	minRetryAfter time.Duration
 }
 
-// maxPastDeadline is the number of refusals because of the deadline that ends the search. The
+// maxPastDeadline is the number of refusals with RefusedDeadline after which the search ends. The
 // first endpoint has the lowest estimate, so further ones are unlikely to meet the deadline.
 const maxPastDeadline = 2
 
-// maxImpatient is the number of refusals because of the patience after which a request accepts
-// any wait.
+// maxImpatient is the number of refusals with RefusedPatience after which a request accepts any
+// wait.
 const maxImpatient = 2
 
 // patienceSlack is added to the estimates in patience, so that small errors do not send a
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -10,21 +10,22 @@
 // maxTraces is the number of requests whose traces are kept.
 const maxTraces = 4096
 
-// Event is one step in the handling of a request.
+// Event is one entry of a Trace.
 type Event struct {
-	// At is the time of the step.
+	// At is the time of the event.
 	At time.Time `json:"at"`
-	// What names the step, for example "route" or "lease refused".
+	// What names the event, for example "route" or "lease refused".
 	What string `json:"what"`
-	// Attempt is the attempt's id; empty if the step belongs to none.
+	// Attempt is the attempt's id; empty if the event belongs to none.
 	Attempt string `json:"attempt,omitempty"`
 	// Endpoint is the id of the endpoint involved, if any.
 	Endpoint string `json:"endpoint,omitempty"`
 	// Owner is the id of the instance from which a lease is requested, if any.
 	Owner string `json:"owner,omitempty"`
-	// Reason explains the step.
+	// Reason explains the event.
 	Reason string `json:"reason,omitempty"`
-	// Candidates holds the estimates of the first candidates of a routing decision.
+	// Candidates holds the estimates of the chosen endpoint and of a few others, if the event is
+	// a routing decision.
 	Candidates []CandidateEstimate `json:"candidates,omitempty"`
 }
 
@@ -42,7 +43,7 @@
 	Model string `json:"model"`
 	// Tokens is the length of the prompt in tokens.
 	Tokens int `json:"tokens"`
-	// Events holds the steps in order.
+	// Events holds the events in order.
 	Events []Event `json:"events"`
 }
 
@@ -79,7 +80,7 @@
 	s.byID[j.id] = st
 }
 
-// add appends a step to the trace of a request, with the current time.
+// add appends an event to the trace of a request, with the current time.
 func (s *traces) add(id string, e Event) {
 	e.At = time.Now()
 	s.mu.Lock()
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -92,8 +92,8 @@
 	f.positions = positions
 }
 
-// carryOver returns the candidate of an endpoint with its latest summary and the arrival time
-// of that.
+// carryOver returns the candidate of an endpoint with its latest summary, and the arrival time
+// of the summary; zero if none has arrived.
 func (f *fleet) carryOver(e *config.Endpoint) (policy.Candidate, time.Time) {
 	c := policy.Candidate{
 		Summary: policy.Summary{
@@ -162,7 +162,7 @@
 	// usable is the number of endpoints in the group less those that were excluded for this
 	// request only.
 	usable int
-	// estimates holds the estimates of the first candidates, for the log.
+	// estimates holds the estimates of the chosen endpoint and of a few others, for the log.
 	estimates []CandidateEstimate
 }
 
@@ -170,7 +170,8 @@
 type CandidateEstimate struct {
 	// Endpoint is the endpoint's id.
 	Endpoint string `json:"endpoint"`
-	// EstimateMs is the estimated time to first token in milliseconds.
+	// EstimateMs is the estimated time to first token, in milliseconds, if no part of the prompt
+	// is cached.
 	EstimateMs int64 `json:"estimate_ms"`
 }
 
@@ -237,8 +238,9 @@
 	return excluded
 }
 
-// candidateEstimates returns the estimates of the chosen candidate and of the usable ones that
-// follow it in cs, at most maxEstimates.
+// candidateEstimates returns at most maxEstimates estimates: that of the chosen candidate, and
+// those of the next ones in cs that may get requests. After the end of cs it continues at the
+// start.
 func candidateEstimates(w *policy.Work, chosen int, cs []policy.Candidate, now time.Time) []CandidateEstimate {
 	p := policy.Priority(w.RankAt(now), w.Class())
 	out := make([]CandidateEstimate, 0, maxEstimates)
