--- a/config/config.go
+++ b/config/config.go
@@ -90,8 +90,8 @@
 	ID string `toml:"id"`
 	// Rank orders the tiers; rank 0 is served first.
 	Rank int `toml:"rank"`
-	// MaxWait is how long a request may wait in the queue before it counts as one rank higher;
-	// the default is 20s.
+	// MaxWait is the interval, counted from a request's arrival, at which the request counts as one
+	// rank higher; the default is 20s.
 	MaxWait Duration `toml:"max_wait"`
 }
 
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -120,8 +120,8 @@
 	t.Fatalf("no problem %q at line %d in:\n%v", reason, line, err)
 }
 
-// TestLinesOfLargeFile guards against a time for finding the lines that grows with the square of
-// the file's size.
+// TestLinesOfLargeFile checks the line of a problem at the end of a large file. If the time to find
+// lines grew with the square of the file's size, the test would be slow.
 func TestLinesOfLargeFile(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(valid)
--- a/limit/borrower.go
+++ b/limit/borrower.go
@@ -69,7 +69,7 @@
 	running      int
 	runningUntil time.Time
 	inUse        int
-	// recent is the number of starts after since, from which the next batch is sized.
+	// recent counts the starts from the time since on. They determine the size of the next batch.
 	recent int
 	since  time.Time
 	// localShare limits the starts while the quota owner can't be reached; nil until it is needed.
--- a/member/report.go
+++ b/member/report.go
@@ -13,7 +13,7 @@
 const failuresToReport = 2
 
 // failuresForDown is the number of failures in a row after which an instance considers a peer as
-// down without reports of other instances. For those, its failures remain a single report.
+// down without reports of other instances. To the others, its failures are a single report.
 const failuresForDown = 6
 
 // maxReports bounds the reports in one message.
--- a/owner/grpc.go
+++ b/owner/grpc.go
@@ -267,8 +267,8 @@
 }
 
 // Acquire implements Leaser. It returns a refusal with RefusedSilent if the call fails or the owner
-// sends no message for heartbeatTimeout. The elapsed time includes a suspension of the host, in
-// which timers stop: a grant that arrives afterwards may have expired.
+// sends no message for heartbeatTimeout. That time includes suspensions of the host, during which
+// timers stop, because a grant that arrives after a suspension may have expired.
 func (c *Client) Acquire(ctx context.Context, r Request, queued func(time.Duration)) (Grant, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -130,8 +130,8 @@
 	holder    string
 	granted   time.Time
 	confirmed time.Time
-	// silentSince is when the holder was first found unreachable; zero if it has confirmed the
-	// lease since.
+	// silentSince is when the holder was first found unreachable; zero if it never was, or has
+	// confirmed the lease since.
 	silentSince time.Time
 }
 
