--- a/entry/input.go
+++ b/entry/input.go
@@ -25,7 +25,8 @@
 	// HeaderTier requests a tier, which must not have a higher priority than the customer's
 	// own.
 	HeaderTier = "Linkmast-Tier"
-	// HeaderOnce states whether the request must not be retried, as a boolean.
+	// HeaderOnce states whether the request must not be retried after it may have run, as a
+	// boolean.
 	HeaderOnce = "Linkmast-Once"
 	// HeaderKey is the idempotency key of a request that must run at most once.
 	HeaderKey = "Idempotency-Key"
