--- a/cmd/linkmastctl/account.go
+++ b/cmd/linkmastctl/account.go
@@ -52,8 +52,8 @@
 	return w.Flush()
 }
 
-// writeSeconds writes how many requests of each kind were not in time, by the second of their
-// last log line, counted from the first line of the log that is evaluated.
+// writeSeconds writes how many requests of each kind were not in time, by the second of their last
+// log line. Seconds count from the earliest log line that account.Read evaluates.
 func writeSeconds(w *tabwriter.Writer, rows []account.Row) {
 	for i := range rows {
 		r := &rows[i]
--- a/cmd/linkmastctl/load.go
+++ b/cmd/linkmastctl/load.go
@@ -37,7 +37,8 @@
 	Fault    string        `long:"fault" choice:"none" choice:"engine-killed" choice:"engine-frozen" choice:"node-killed" default:"none" description:"what goes wrong a third into the run (embedded fleet)"`
 }
 
-// Result holds the results of the load and demo commands. The load command prints it as JSON.
+// Result holds the results of the load and demo commands. With --json, the load command prints it
+// as JSON.
 type Result struct {
 	// Baseline is the run without long prompts; nil if there was none.
 	Baseline *load.Report `json:"baseline,omitempty"`
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// run runs profile p once. The rate of its requests is the fraction part of the rate that is
-// set for the profile whole.
+// run runs profile p once. The rate of its requests is the rate for the whole profile, multiplied
+// by part.
 func (c *loadCommand) run(p, whole *load.Profile, part float64, fault string) (*load.Report, error) {
 	s := load.Settings{
 		Addresses: c.Node,
--- a/emulator/attempt.go
+++ b/emulator/attempt.go
@@ -89,8 +89,8 @@
 	a.engine.startPass()
 }
 
-// sendEvent sends an event from the main engine to the entry instance, which forwards it to
-// the caller and reports the first one to the pool. With the last one, it removes the jobs.
+// sendEvent sends an event from the main engine to the entry instance, which forwards it to the
+// caller and reports the first one to the pool. The last event also removes the attempt's jobs.
 func (a *attempt) sendEvent(last bool) {
 	p := a.caller.play
 	if last {
--- a/emulator/bound.go
+++ b/emulator/bound.go
@@ -14,20 +14,20 @@
 // intervals, so a longer interval gives a looser bound.
 const boundInterval = 100 * time.Millisecond
 
-// Bound returns a worth for each request such that no policy can keep more than the sum of
-// all, even one that knows all arrivals beforehand and meets no fault. The worth of a single
-// request is no bound for it. All kinds must have a Gap above zero. The engines are relaxed to
-// one supply of engine time, which any request may use at any rate:
+// Bound returns a worth for each request. No policy can keep more than the sum of these values,
+// not even one that knows all arrivals beforehand and meets no fault. A single value does not
+// bound the worth that its request keeps. All kinds must have a Gap above zero. The engines are
+// relaxed to one supply of engine time, which any request may use at any rate:
 //
 //	maximize   Σ late + (worth − late) × (prefilled share + decoded share)
 //	such that  for each period, the work whose window lies within it fits into it
 //
 // The work of a request has two parts, whose windows begin with its arrival: the prefill, whose
-// window ends at the target, and the decoding, whose window ends when the last event is due.
-// The decoding counts as the request's part of passes of engines with no free slot. The shares
-// are fractions of the sum of both parts. The feasible amounts form a polymatroid, so taking
-// the work in descending order of worth per second solves the problem. A late answer is assumed
-// to cost no engine time.
+// window ends at the target, and the decoding, whose window ends when the last event is due. The
+// decoding counts as the request's share of passes in which all slots of an engine are in use. The
+// shares are fractions of the sum of both parts. The feasible amounts form a polymatroid, so
+// taking the work in descending order of worth per second solves the problem. A late answer is
+// assumed to cost no engine time.
 func Bound(s *Sheet, requests []Request) []float64 {
 	model := s.Engines.Model()
 	kept := make([]float64, len(requests))
@@ -65,15 +65,15 @@
 	request int
 	// from and to are the first and the last interval of the window.
 	from, to int
-	// amount is in seconds of one engine, and valuePerSecond the worth that each second
-	// adds.
+	// amount is the engine time in seconds, and valuePerSecond the worth that each of these
+	// seconds adds.
 	amount         float64
 	valuePerSecond float64
 }
 
-// workOf returns the prefill and the decode work of request i. The window of the decode work
-// ends when the last event is due, but at the latest at the deadline. With a Gap of zero it ends
-// at the target already, so the result of Bound may be too low.
+// workOf returns the prefill and the decode work of request i. The window of the decode work ends
+// when the last event is due, but at the latest at the deadline. With a Gap of zero the window
+// ends at the target, so the result of Bound may be too low.
 func (s *Sheet) workOf(i int, r *Request, m *batch.Model) []work {
 	k := &s.Kinds[r.Kind]
 	prefill := m.PrefillTime(r.Prompt, 1)
@@ -102,8 +102,9 @@
 // capacityTable holds the engine time that is left in each period.
 type capacityTable struct {
 	intervals int
-	// free is the engine time in seconds that is left in a period for work whose window lies
-	// within it, indexed by intervals × first interval + last interval of the period.
+	// free holds for each period the engine time in seconds that is left for work whose window
+	// lies within the period. The index of a period is intervals × its first interval + its last
+	// interval.
 	free []float64
 }
 
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -114,8 +114,8 @@
 	return placement.Patience(time.Duration(c.kind.Target), time.Duration(c.kind.Gap))
 }
 
-// watchPatience ends the request when the caller has received nothing for the time of its
-// patience since the last event, or since the try started.
+// watchPatience ends the request when the caller's patience has passed since the last event, or
+// since the start of the try if the try has received none.
 func (c *caller) watchPatience() {
 	id := c.waitID
 	var check func()
@@ -212,9 +212,10 @@
 	c.watchSilence(a, silence, first)
 }
 
-// watchSilence requests a replacement of attempt a when a has been silent for too long: for the
-// time first before its first event, and for the time silence after an event. It does nothing
-// more once the try has had maxAttempts attempts.
+// watchSilence requests a replacement of attempt a when a has been silent for too long. The
+// parameter first limits the silence before the first event, and the parameter silence that after
+// each event. The watch ends when a is no longer the caller's attempt, when the request has ended,
+// or when the try has had maxAttempts attempts.
 func (c *caller) watchSilence(a *attempt, silence, first time.Duration) {
 	a.lastEventAt = c.play.clock.now
 	limit := first
@@ -291,10 +292,10 @@
 	}
 }
 
-// loseEntry removes the attempt because the entry instance has failed, and reports its end
-// to the pool after entryLossDelay. If a try is left, a request that has not ended is sent
-// again at once, for the events that it lacks. If none is left, the request ends as
-// EntryLost, even if it had ended differently before.
+// loseEntry simulates the failure of the entry instance. It removes the attempt, and reports the
+// end of the attempt to the pool after entryLossDelay. If a try is left and the request has not
+// ended, the caller sends the request again at once and receives only the missing events. If no
+// try is left, the request ends as EntryLost, even if it had ended in another way before.
 func (c *caller) loseEntry() {
 	a := c.attempt
 	c.attempt = nil
--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// run runs timers until none is left or the next one is due later than until after the
-// start.
+// run runs the timers that are due up to the time until, which counts from the start. These
+// include timers that are set during the run.
 func (c *clock) run(until time.Duration) {
 	end := c.start.Add(until)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
--- a/emulator/draw.go
+++ b/emulator/draw.go
@@ -20,7 +20,7 @@
 	// answer.
 	Prompt int
 	Events int
-	// Worth is the value of an answer in time, and LateWorth that of a late one.
+	// Worth is the value of an answer that is in time, and LateWorth that of a late one.
 	Worth     float64
 	LateWorth float64
 }
@@ -46,9 +46,9 @@
 	return out
 }
 
-// drawKind returns the requests of one kind, a Poisson process with a rate that varies. It
-// draws arrivals at the highest rate and drops each with the probability that yields the
-// current one.
+// drawKind returns the requests of one kind, a Poisson process with a rate that varies. It draws
+// arrivals at the highest rate and drops each with the probability that reduces the rate to that
+// at the time of the arrival.
 func (s *Sheet) drawKind(kind int, r *rand.Rand) []Request {
 	k := &s.Kinds[kind]
 	greatest := k.PerSecond
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -26,8 +26,7 @@
 	// tokens that it adds to the context of decode steps after its prefill.
 	memory  int
 	context int
-	// eventsLeft is the number of events to send. The end of the prefill sends the first
-	// one.
+	// eventsLeft is the number of events to send. The first one is sent when the prefill ends.
 	eventsLeft int
 	// decodesInPass is true if the job decodes in the current pass.
 	decodesInPass bool
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -26,8 +26,8 @@
 // counting its attempts.
 const entryLossDelay = 2 * time.Second
 
-// retryBudget limits the retries in a sliding window of 10 s to 220 plus a fifth of the
-// requests that are sent for the first time in it.
+// retryBudget limits the retries in a sliding window of 10 s to 220 plus a fifth of the first
+// tries in that window.
 var retryBudget = pool.Budget{
 	Ratio:  0.2,
 	Extra:  220,
@@ -197,8 +197,8 @@
 	p.pending = slices.DeleteFunc(p.pending, func(o *pending) bool { return o == q })
 }
 
-// scheduleReview schedules a review of the queued placement requests after a delay. Reviews
-// repeat while any is queued. It does nothing if a review is scheduled already.
+// scheduleReview schedules a review of the queued placement requests after a delay. Reviews repeat
+// while any of them is queued. It does nothing if a review is scheduled already.
 func (p *play) scheduleReview(in time.Duration) {
 	if p.reviewScheduled {
 		return
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -21,7 +21,7 @@
 	Refused
 	// Abandoned means that the caller gave up or reached its deadline.
 	Abandoned
-	// EntryLost means that the entry instance failed during the last try.
+	// EntryLost means that the entry instance failed during or after the last try.
 	EntryLost
 )
 
@@ -32,9 +32,9 @@
 const (
 	// CauseNone means that the request kept all its worth.
 	CauseNone Cause = iota
-	// CauseRefused, CauseAbandoned and CauseEntryLost mean that the request ended in this
-	// way without a whole answer. CauseAbandoned also covers requests that had not ended when
-	// the play did.
+	// CauseRefused, CauseAbandoned and CauseEntryLost mean that the request ended as Refused,
+	// Abandoned or EntryLost, and kept nothing of its worth. CauseAbandoned also covers requests
+	// that had not ended when the play did.
 	CauseRefused
 	CauseAbandoned
 	CauseEntryLost
@@ -150,8 +150,8 @@
 	return o
 }
 
-// keptShare returns the share of their worth that the requests selected by include keep, and 1
-// if none is selected.
+// keptShare returns the kept share of the worth of the requests that include selects, and 1 if it
+// selects none.
 func (r *Result) keptShare(include func(*Request) bool) float64 {
 	kept, all := 0.0, 0.0
 	for i := range r.requests {
@@ -166,13 +166,13 @@
 	return kept / all
 }
 
-// DayShare returns the share of their worth that all requests keep.
+// DayShare returns the kept share of the worth of all requests.
 func (r *Result) DayShare() float64 {
 	return r.keptShare(func(*Request) bool { return true })
 }
 
-// KindShare returns the share of their worth that the requests of a kind keep, and 1 if there
-// are none.
+// KindShare returns the kept share of the worth of the requests of a kind, and 1 if there are
+// none.
 func (r *Result) KindShare(kind int) float64 {
 	return r.keptShare(func(q *Request) bool { return q.Kind == kind })
 }
@@ -180,8 +180,8 @@
 // Window is the length of the periods that WindowShares returns.
 const Window = 2 * time.Second
 
-// WindowShares returns, for each period of length Window, the share of their worth that the
-// requests that arrived in it keep, and 1 for a period without requests.
+// WindowShares returns, for each period of length Window, the kept share of the worth of the
+// requests that arrived in it, and 1 for a period without requests.
 func (r *Result) WindowShares() []float64 {
 	n := int((time.Duration(r.sheet.Length) + Window - 1) / Window)
 	out := make([]float64, n)
@@ -191,8 +191,9 @@
 	return out
 }
 
-// Score returns the mean of three shares with the weights of the sheet: that of all
-// requests, the mean of the two worst windows, and that of the worst kind.
+// Score returns the weighted mean of three shares of kept worth: the share of all requests, the
+// mean share of the two worst windows, and the share of the worst kind. The weights are those of
+// the sheet.
 func (r *Result) Score() float64 {
 	w := r.sheet.Weights
 	windows := r.WindowShares()
--- a/emulator/sheet.go
+++ b/emulator/sheet.go
@@ -31,8 +31,8 @@
 	Bursts []Burst `toml:"bursts"`
 	// Faults are the faults that are injected.
 	Faults []Fault `toml:"troubles"`
-	// Delay is the nominal time of a message between a caller, its entry instance, the pool
-	// and an engine.
+	// Delay is the nominal time that a message takes between any two of caller, entry instance,
+	// pool and engine.
 	Delay config.Duration `toml:"delay"`
 	// Weights are the weights in the score of a day.
 	Weights Weights `toml:"weights"`
@@ -90,12 +90,12 @@
 	Events Spread `toml:"events"`
 	// Target is the time within which the first event must arrive to be in time.
 	Target config.Duration `toml:"target"`
-	// Gap is the longest pause between events that is in time; zero means that any is.
+	// Gap is the longest pause between events that counts as in time; zero means no limit.
 	Gap config.Duration `toml:"gap"`
 	// Deadline is how long a caller waits for the whole answer.
 	Deadline config.Duration `toml:"deadline"`
-	// Worth is the value of an answer in time to a prompt of mean length, and LateWorth
-	// that of a late one.
+	// Worth and LateWorth are the values of an answer to a prompt of mean length: Worth if the
+	// answer is in time, and LateWorth if it is late.
 	Worth     float64 `toml:"worth"`
 	LateWorth float64 `toml:"late_worth"`
 	// Rank is the priority; 0 is the highest.
@@ -266,8 +266,8 @@
 	return -1
 }
 
-// typicalSize returns the mean lengths of a prompt and an answer over all kinds, in tokens, as
-// a configuration contains them. They are weighted with the rates without wave and bursts.
+// typicalSize returns the typical size for the configuration of the service: the mean lengths of
+// prompts and answers in tokens. Each kind is weighted with its rate without wave and bursts.
 func (s *Sheet) typicalSize() route.Size {
 	all, prompts, answers := 0.0, 0.0, 0.0
 	for _, k := range s.Kinds {
--- a/emulator/slowdown.go
+++ b/emulator/slowdown.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// reportLag is how old the slowdown is that an engine reports.
+// reportLag is the age of the slowdown that an engine reports.
 const reportLag = 200 * time.Millisecond
 
 // slowdownChange is a change of an engine's slowdown.
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -16,8 +16,8 @@
 const hashBytes = 8
 
 // BlockHashes returns a hash for each of the first limit complete blocks of a
-// prompt. The hash h_i of block i covers the scope and the prompt from its start to
-// the end of the block, where | is concatenation:
+// prompt. The hash h_i of block i, counted from 1, covers the scope and the prompt
+// from its start to the end of the block. H is xxHash, and | is concatenation:
 //
 //	h_0 = H(scope), h_i = H(h_{i-1} | block_i)
 //
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -37,7 +37,7 @@
 // minLoss is the smallest loss that WriteTable lists, as a share of the worth of the day.
 const minLoss = 0.0005
 
-// writeCauses writes the losses of a row by kind and cause.
+// writeCauses writes the losses of a row by kind and cause, without those below minLoss.
 func writeCauses(w io.Writer, r *Row) {
 	for kind, lost := range r.Lost {
 		for c, part := range lost {
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -38,9 +38,9 @@
 	return -w * w / math.Log(fraction)
 }
 
-// Sort sorts nodes in place for a key, highest score first and ties by name. The function of
-// returns the name and the weight of a node. Each score is computed only once, since the
-// logarithm dominates the cost of a comparison.
+// Sort sorts nodes in place for a key, highest score first and ties by name. The parameter of is a
+// function that returns the name and the weight of a node. Each score is computed only once, since
+// the logarithm dominates the cost of a comparison.
 func Sort[T any](key string, nodes []T, of func(T) (id string, weight int)) {
 	all := make([]scored[T], 0, len(nodes))
 	for _, n := range nodes {
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -2,8 +2,8 @@
 
 // Package slope fits straight lines to benchmark results.
 //
-// A benchmark that runs at several sizes names its sub-benchmarks n=1, n=10 and so on. For
-// each value that it reports, Fit determines a and b of y = a + b·n with the least sum of
+// A benchmark that runs at several sizes names its sub-benchmarks n=1, n=10 and so on. For each
+// reported value, Fit determines the coefficients of y = a + b·n that give the least sum of
 // squared relative errors, so that small sizes count as much as large ones.
 package slope
 
--- a/internal/steady/doc.go
+++ b/internal/steady/doc.go
@@ -9,8 +9,8 @@
 // CLOCK_BOOTTIME includes the suspension. Now adds to time.Now the amount by which
 // CLOCK_BOOTTIME has advanced further than CLOCK_MONOTONIC since the process started.
 //
-// The offset of the clocks is b - m, with b a reading of CLOCK_BOOTTIME and m a later one of
-// CLOCK_MONOTONIC, so that a delay between the two readings makes the offset smaller and not
+// The offset of the clocks is b - m, where b is a reading of CLOCK_BOOTTIME and m a later one of
+// CLOCK_MONOTONIC. A delay between the two readings therefore makes the offset smaller, never
 // larger. The suspended time grows only if the offset grows by at least minSuspension, and it
 // never shrinks.
 package steady
--- a/internal/steady/steadytest/steadytest.go
+++ b/internal/steady/steadytest/steadytest.go
@@ -16,8 +16,8 @@
 	suspended atomic.Int64
 }
 
-// New makes package steady read the clocks of a simulated host until the test ends. They are
-// global to the process, so no other test that uses package steady may run in parallel.
+// New makes package steady read the clocks of a simulated host until the test ends. This affects
+// the whole process, so no other test that uses package steady may run in parallel.
 func New(t testing.TB) *Host {
 	t.Helper()
 	m := &Host{}
--- a/internal/tcp/tcptest/proxy.go
+++ b/internal/tcp/tcptest/proxy.go
@@ -188,8 +188,9 @@
 // copyBytes is the size of the buffer of one direction, in bytes.
 const copyBytes = 16 << 10
 
-// copy forwards one direction of a connection, which the function blocked checks for. It
-// forwards an end of file as a half-close and an error as a reset.
+// copy forwards the data of one direction of a connection. The function blocked reports whether a
+// link blocks this direction. An end of file is forwarded as a half-close, and an error as a
+// reset.
 func (p *Proxy) copy(to, from net.Conn, blocked func(Link) bool) {
 	buf := make([]byte, copyBytes)
 	for {
@@ -228,8 +229,9 @@
 	return silent
 }
 
-// hold waits for the delay of the link, and then until the link does not block the direction
-// or resets connections. The function blocked reports whether a link blocks the direction.
+// hold waits for the delay of the link. If the link blocks the direction, it then waits until the
+// link no longer does so or resets connections. The function blocked reports whether a link blocks
+// the direction.
 func (p *Proxy) hold(blocked func(Link) bool) {
 	for {
 		p.mu.Lock()
--- a/internal/wirehttp/wirehttp.go
+++ b/internal/wirehttp/wirehttp.go
@@ -82,10 +82,10 @@
 	return n, err
 }
 
-// Once returns a request body that net/http cannot rewind. The transport may resend a request
-// that it considers idempotent, such as one with an idempotency key, but only if it can read
-// the body again. The result releases r after r has been read to its end, although the request
-// stays referenced by its response.
+// Once returns a request body that net/http cannot rewind. The transport may resend a request that
+// it considers idempotent, such as one with an idempotency key, but only if it can read the body
+// again. The result drops its reference to r at the end of r or at an error, so that the body can
+// be freed while the response still refers to the request.
 func Once(r io.Reader) io.Reader {
 	return &once{
 		r: r,
--- a/load/send.go
+++ b/load/send.go
@@ -93,8 +93,8 @@
 }
 
 // prompt returns a prompt that is unique in the run: the prefix that the prompts of the kind
-// share, the kind, the seed and the number of the request, and filler. It is longer than
-// a.tokens if prefix and number don't fit.
+// share, the kind, the seed and the number of the request, and filler. It is longer than a.tokens
+// if the parts before the filler don't fit.
 func (x *sender) prompt(a arrival) string {
 	size := a.tokens * engine.TokenBytes
 	shared := a.kind.SharedTokens * engine.TokenBytes
@@ -257,7 +257,7 @@
 	data, err := io.ReadAll(io.LimitReader(res.Body, wirehttp.MaxErrorBody))
 	p, ok := problem.Parse(data)
 	if err != nil || !ok {
-		o.fail(errors.Errorf("status %d without a problem", res.StatusCode))
+		o.fail(errors.Errorf("status %d without a problem document", res.StatusCode))
 		return
 	}
 	o.code = p.Code
--- a/logsvc/doc.go
+++ b/logsvc/doc.go
@@ -13,8 +13,8 @@
 //	POST /v1/streams/{name}                   {"records":[…]} -> {"offset":N}
 //	GET  /v1/streams/{name}?from=N&wait_ms=M  -> Batch
 //
-// The status 503 and any status below 500 other than 200 prove that an append had no
-// effect. If the status is another 5xx, or the response is lost, the error has
-// Unknown set, and the caller has to read the stream to find out whether the records were
-// added.
+// The status 503 and any status below 500 other than 200 prove that an append had
+// no effect. If the status is another 5xx, or the response is lost, Append returns
+// an error with Unknown set. The caller must then read the stream to find out
+// whether the records were added.
 package logsvc
--- a/plain/plain.go
+++ b/plain/plain.go
@@ -3,10 +3,10 @@
 // Package plain defines the interface to plain services and implements it over
 // HTTP.
 //
-// A plain service responds to each call with one response, which is returned to
-// the caller whatever its status, unless it has the header Linkmast-Started set to
-// "false". Only such a response or a failure to connect proves that a call had no
-// effect.
+// A plain service responds to each call with one response. The caller receives the
+// response, whatever its status, unless its header Linkmast-Started is "false".
+// Only a response with this header or a failure to connect proves that a call had
+// no effect.
 package plain
 
 import (
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -29,7 +29,7 @@
 	Instance int
 	// Sent is when the caller began to send the request.
 	Sent time.Time
-	// Ended is when the caller had read the response, failed or canceled the request.
+	// Ended is when the caller had read the whole response, canceled the request or got an error.
 	Ended time.Time
 	// Status is the HTTP status; zero if there was no response.
 	Status int
@@ -56,9 +56,9 @@
 const (
 	// callersPerInstance is the number of callers, each with its own connection, per instance.
 	callersPerInstance = 4
-	// maxCallers bounds the callers of all instances together, so that the engines do not run
-	// out of slots with many instances. Each instance has at least one caller, also if that
-	// exceeds the bound.
+	// maxCallers bounds the callers of all instances together, so that the engines do not run out
+	// of slots with many instances. Each instance has at least one caller, even if the bound is
+	// exceeded.
 	maxCallers = 40
 	// cancelShare is the share of requests that the caller cancels early.
 	cancelShare = 0.05
--- a/soak/check.go
+++ b/soak/check.go
@@ -144,9 +144,9 @@
 	return d.keys[key]
 }
 
-// refusedFrom returns the time from which a key must be refused that was revoked at the given
-// time. Without strict revocation, this is not before the time for recovery from the last fault,
-// since instances out of touch with the store may accept the key until then.
+// refusedFrom returns the time from which a key that was revoked at the given time must be
+// refused. Without strict revocation, this is d.recovered or later, because instances out of touch
+// with the store may accept the key until the system has recovered.
 func (d *Deployment) refusedFrom(revoked time.Time) time.Time {
 	from := revoked.Add(revoke)
 	if !d.strict && from.Before(d.recovered) {
--- a/soak/check_abandoned.go
+++ b/soak/check_abandoned.go
@@ -29,9 +29,9 @@
 	wrong("runs end when their callers cancel", fmt.Sprintf("it continued for %s", late.Round(time.Millisecond)))
 }
 
-// disturbed reports whether, between the sending of a request and the end of its run, there was
-// a fault that may have kept the endpoint from learning of the cancellation: the instance of
-// the request was frozen, or the link to any endpoint was faulty.
+// disturbed reports whether a fault may have kept the endpoint from learning of the cancellation.
+// This is so if, between the sending of the request and the end of its run, the instance of the
+// request was frozen or the link to any endpoint was faulty.
 func (d *Deployment) disturbed(x *Exchange, ended time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -18,7 +18,8 @@
 
 // Parameters of requests that crash endpoints.
 const (
-	// crashBody is the prefix of their bodies. Bodies of other requests do not have it.
+	// crashBody is the prefix of the bodies of requests that crash endpoints. Other bodies do not
+	// have it.
 	crashBody = "crash "
 	// crashInterval is the pause between two sends.
 	crashInterval = 60 * time.Millisecond
@@ -26,9 +27,9 @@
 	// how often it then tries to listen on its address again.
 	crashDowntime = 600 * time.Millisecond
 	listenRetry   = 10 * time.Millisecond
-	// crashesToDetect is the number of crashes after which instances must send a request to no
-	// further endpoint, detectWithin how soon after the last of these crashes they must stop,
-	// and maxLateRuns the number of runs tolerated after that.
+	// crashesToDetect is the number of crashes after which the instances must stop sending a
+	// request to endpoints. They must have stopped within detectWithin of the last of these
+	// crashes; maxLateRuns later runs are tolerated.
 	crashesToDetect = 3
 	detectWithin    = 3 * time.Second
 	maxLateRuns     = 3
@@ -115,8 +116,9 @@
 }
 
 // lateRuns returns how many runs of a request began more than detectWithin after the start of its
-// third run; each run crashes an endpoint. The count starts again whenever all instances were
-// lost in an outage of the store, because they lose their records of crashes then.
+// third run; each run crashes an endpoint. After each outage of the store in which all instances
+// were lost, the first three runs are counted anew, because the instances have lost their records
+// of crashes.
 func (d *Deployment) lateRuns(runs []time.Time) int {
 	slices.SortFunc(runs, time.Time.Compare)
 	n, first := 0, 0
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -47,8 +47,8 @@
 	service string
 	domain  string
 	proxy   *tcptest.Proxy
-	// startedAt is when the endpoint last restarted without getting a new name; zero before
-	// that.
+	// startedAt is when the endpoint last restarted without getting a new name; zero if it never
+	// has.
 	startedAt time.Time
 }
 
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -11,13 +11,13 @@
 
 // Durations of drains.
 const (
-	// drainWithin bounds how long a drained failure domain may still get requests, counted
-	// from the operator's order or from the end of a fault that kept the instance from reading
-	// the store. It includes the time that an instance needs to follow another one if the one
-	// that it follows has just ended.
+	// drainWithin bounds how long an instance may still send requests to a drained failure domain.
+	// It counts from the operator's order or, if later, from the end of a fault that kept the
+	// instance from reading the store. It includes the time that a follower needs to find another
+	// upstream when its own has just ended.
 	drainWithin = 3 * time.Second
-	// minDrainExcess is how much longer than drainWithin a drain lasts at least, so that some
-	// requests arrive in it after the bound.
+	// minDrainExcess is the least time by which a drain outlasts drainWithin, so that some
+	// requests arrive after the bound and before the end of the drain.
 	minDrainExcess = 3 * time.Second
 )
 
@@ -61,8 +61,8 @@
 	return len(d.drains) - 1, true
 }
 
-// checkDrained reports whether run r of exchange x began on endpoint e later than allowed after
-// the failure domain of e was drained, and returns the violation.
+// checkDrained checks that run r of exchange x did not begin on endpoint e too long after the
+// failure domain of e was drained. If it did, checkDrained returns the violation and true.
 func (d *Deployment) checkDrained(x *Exchange, e *endpoint, r *platformtest.Run) (Violation, bool) {
 	for _, m := range d.drains {
 		if m.domain != e.domain || !m.to.IsZero() && r.At.After(m.to) {
@@ -81,9 +81,9 @@
 	return Violation{}, false
 }
 
-// informedSince returns the time from which the instance of a request was able to read the
-// order that was written to the store at the time since. This is the latest of since and the ends
-// of the faults that began before until and blocked the store for the instance.
+// informedSince returns the time from which the instance of a request was able to read an order
+// that was written to the store at since. This is since or, if later, the end of the last fault
+// that began before until and kept the instance from reading the store.
 func (d *Deployment) informedSince(x *Exchange, since, until time.Time) time.Time {
 	for _, p := range d.played {
 		if p.began.Before(until) && d.blocksStore(&p, x) && p.ended().After(since) {
@@ -93,8 +93,8 @@
 	return since
 }
 
-// blocksStore reports whether a fault kept the instance of a request from reading the store:
-// the store was faulty, the instance's link to it was, or the instance was frozen.
+// blocksStore reports whether a fault kept the instance of a request from reading the store: the
+// store or the instance's link to it was faulty, or the instance was frozen.
 func (d *Deployment) blocksStore(p *playedFault, x *Exchange) bool {
 	if _, store := storeFaults[p.fault.Kind]; store || p.fault.Kind == "all lost in an outage" {
 		return true
--- a/soak/play.go
+++ b/soak/play.go
@@ -89,7 +89,7 @@
 	d.doOther(s, p, e)
 }
 
-// storeFaults maps kinds of faults to the settings of the stand-in store that inject them.
+// storeFaults maps kinds of faults to the faults that are set on the stand-in store.
 var storeFaults = map[string]platformtest.StoreFaults{
 	"store refuses":      {Refuse: true},
 	"store silent":       {Silent: true},
@@ -110,7 +110,7 @@
 	cutAfter = 3
 )
 
-// endpointFaults maps kinds of faults to the settings of a stand-in endpoint that inject them.
+// endpointFaults maps kinds of faults to the faults that are set on a stand-in endpoint.
 var endpointFaults = map[string]platformtest.EndpointFaults{
 	"endpoint rejects":       {Reject: true},
 	"endpoint fails":         {Fail: true},
@@ -120,16 +120,16 @@
 	"endpoint slow":          {Slowdown: slowFactor},
 }
 
-// storeLinks maps kinds of faults to the settings of the proxy between an instance and the
-// store that inject them.
+// storeLinks maps kinds of faults to the faults that are set on the proxy between an instance and
+// the store.
 var storeLinks = map[string]tcptest.Link{
 	"store link silent":  {BlockUp: true, BlockDown: true},
 	"store link one way": {BlockDown: true},
 	"store link reset":   {Reset: true},
 }
 
-// endpointLinks maps kinds of faults to the settings of the proxy in front of an endpoint that
-// inject them.
+// endpointLinks maps kinds of faults to the faults that are set on the proxy in front of an
+// endpoint.
 var endpointLinks = map[string]tcptest.Link{
 	"endpoint link slow":    {Delay: linkDelay},
 	"endpoint link reset":   {Reset: true},
--- a/soak/process.go
+++ b/soak/process.go
@@ -27,7 +27,7 @@
 	// listen is the address for callers, and ready the address of the readiness check.
 	listen string
 	ready  string
-	// settings is the path of its settings file.
+	// settings is the path of the instance's settings file.
 	settings string
 	// store is the proxy between the instance and the store.
 	store *tcptest.Proxy
@@ -75,7 +75,8 @@
 `
 
 // Range of the ports that instances listen on. It lies below Linux's default range of ephemeral
-// ports, so that the kernel gives no port to another socket between its selection and its use.
+// ports, so that the kernel does not assign a selected port to another socket before the instance
+// listens on it.
 const (
 	firstPort = 20_000
 	portCount = 10_000
@@ -85,8 +86,8 @@
 // that depends on the process ID, so that concurrent soaks try different ports.
 var nextPort = os.Getpid() * 97
 
-// freeAddress returns a loopback address, with a port of the range above, on which nothing
-// listens. It is not safe for concurrent use.
+// freeAddress returns a loopback address on which nothing listens. Its port is one of the
+// portCount ports from firstPort on. The function is not safe for concurrent use.
 func freeAddress() (string, error) {
 	for range portCount {
 		nextPort = (nextPort + 1) % portCount
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Fault is a fault of a schedule.
+// Fault describes one fault of a schedule: its time, its kind and what it affects.
 type Fault struct {
 	// At is when the fault begins, relative to the start of the schedule.
 	At time.Duration
 	// For is how long the fault lasts.
 	For time.Duration
-	// Kind is the name of the fault, one of kinds or of the kinds of DrawStatements.
+	// Kind is the kind of the fault: a name from kinds, a key of statementFaults, or saysLeaving.
 	Kind string
 	// Target is an index that selects the process, endpoint, failure domain or route that the
 	// fault affects, modulo their number.
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -52,9 +52,9 @@
 	settleFor = 4500 * time.Millisecond
 )
 
-// Run plays one schedule and returns the violations of guarantees. The error is that of ctx if
-// ctx ended during the run; any other error means that the run could not be prepared or cleaned
-// up.
+// Run plays one schedule and returns the violations of guarantees. The error is that of ctx if ctx
+// ended after all instances were ready. Any other error means that the run could not be prepared
+// or cleaned up.
 func Run(ctx context.Context, s Settings) ([]Violation, error) {
 	d, err := newDeployment(s.Program, s.Processes, s.strict())
 	if err != nil {
@@ -122,8 +122,8 @@
 	return errors.Errorf("instances are not ready after %s; %s", startWithin, d.logLocation())
 }
 
-// report writes the numbers of requests and of violations and, if there are violations, their
-// details, the stalls and the location of the logs.
+// report writes the numbers of requests, of responses by status, and of violations. If there are
+// violations, it also writes their details, the stalls and the location of the logs.
 func (d *Deployment) report(s Settings, history []Exchange, broken []Violation) {
 	status := make(map[int]int)
 	for _, x := range history {
--- a/soak/stall.go
+++ b/soak/stall.go
@@ -24,8 +24,8 @@
 	maxStallsReported = 20
 )
 
-// stall is an interval, ending at the time at, in which a runnable thread of who waited for a
-// processor.
+// stall records that a runnable thread waited for a processor: who names its process, at is the
+// end of the interval between two readings, and waited is the waiting time in this interval.
 type stall struct {
 	who    string
 	at     time.Time
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -35,16 +35,17 @@
 
 // Tolerances of the checks.
 const (
-	// leavingWithin bounds how long after a response that announces its leaving an endpoint
-	// may still get requests from the instance that received the response.
+	// leavingWithin bounds how long an instance may still send requests to an endpoint after it
+	// has received a response in which the endpoint announces that it leaves.
 	leavingWithin = 2 * time.Second
 	// backoffGrace is the time after the announcement of a back-off in which any number of
-	// requests is tolerated, and maxBackoffRequests the number tolerated in the rest of it.
+	// requests is tolerated, and maxBackoffRequests the number tolerated in the rest of the
+	// back-off.
 	backoffGrace       = 500 * time.Millisecond
 	maxBackoffRequests = 2
 	// limitGrace is the time after the first announcement of a rate limit in which any rate is
-	// tolerated. Then limitFactor times what the limit allows in limitWindow, plus limitSlack
-	// requests, is tolerated in each period of that length.
+	// tolerated. After it, each period of length limitWindow may contain limitFactor times the
+	// requests that the limit allows, plus limitSlack.
 	limitGrace  = 3 * time.Second
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
@@ -75,7 +76,7 @@
 		Leaving: true,
 	})
 	time.Sleep(lasts)
-	// The next incarnation does not announce it.
+	// The next incarnation does not announce that it leaves.
 	e.setFaults(platformtest.EndpointFaults{})
 	d.leave(e, 0)
 }
@@ -107,8 +108,8 @@
 	return out
 }
 
-// checkLeaving checks that an endpoint gets no further requests from an instance some time
-// after a response to that instance announced its leaving.
+// checkLeaving checks that an instance stops sending requests to an endpoint soon after the
+// endpoint has announced to this instance that it leaves.
 func (d *Deployment) checkLeaving(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	announced := make(map[int]time.Time)
@@ -200,9 +201,10 @@
 	return out
 }
 
-// excused reports whether, between two times or at most excuseSlack before them, an instance was
-// terminated, killed or frozen, all instances were lost in an outage of the store, or the link
-// to an endpoint was faulty.
+// excused reports whether an instance need not respect the announcements of an endpoint between
+// two times. This is so if, between them or at most excuseSlack before, the instance was
+// terminated, killed or frozen, all instances were lost in an outage of the store, or the link to
+// the endpoint was faulty.
 func (d *Deployment) excused(instance int, e *endpoint, from, to time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/standin/client.go
+++ b/standin/client.go
@@ -287,8 +287,8 @@
 	}
 }
 
-// queueNext queues what the faults leave of the next chunk. If no chunk is available yet, or the
-// engine is frozen, it returns a channel that is closed when that may have changed.
+// queueNext applies the faults to the next chunk and queues the result. If no chunk is available
+// yet, or the engine is frozen, it returns a channel that is closed when that may have changed.
 func (d *reader) queueNext() (<-chan struct{}, error) {
 	e := d.engine
 	e.mu.Lock()
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -90,7 +90,7 @@
 	tokens int
 	blocks []uint64
 	// cached is the number of prompt tokens that were in the prefix cache, and prefillLeft the
-	// number of those that are not prefilled yet.
+	// number of prompt tokens that are still to be prefilled.
 	cached      int
 	prefillLeft int
 	chunks      []engine.Chunk
--- a/standin/service.go
+++ b/standin/service.go
@@ -170,8 +170,9 @@
 	}, nil
 }
 
-// begin records that a call takes effect, unless the call names another incarnation or a fault
-// prevents it. With the fault RefuseAfter it also returns an error.
+// begin records that a call takes effect. It returns an error and records nothing if the call
+// names another incarnation or a fault prevents the call. With the fault RefuseAfter it records
+// the call and returns an error.
 func (v *Service) begin(c plain.Call) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -204,8 +205,8 @@
 	return nil
 }
 
-// Handler serves every path as a call, GET /healthz as a probe, and PUT /faults to set the
-// faults.
+// Handler serves GET /healthz as a probe, PUT /faults to set the faults, and all other requests as
+// calls.
 func (v *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(_ http.ResponseWriter, r *http.Request) {
