--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -206,8 +206,8 @@
 	}
 }
 
-// TestBound checks that no play keeps more than the bound, that the bound is the whole
-// worth up to the load of the sheet, and that it is lower at three times that load.
+// TestBound checks that no play keeps more than the bound. The bound must be the whole worth up to
+// the load of the sheet, and less at three times that load.
 func TestBound(t *testing.T) {
 	for _, row := range []struct {
 		load float64
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -84,8 +84,9 @@
 	return n
 }
 
-// TestCrashingRequest checks that a request that crashes each endpoint that starts it is
-// refused after a few crashes, however often it is sent, and that other requests are served.
+// TestCrashingRequest repeatedly sends a request that crashes every endpoint that
+// starts it. It checks that the request is refused after a few crashes, and that
+// other requests are served.
 func TestCrashingRequest(t *testing.T) {
 	for _, row := range []struct {
 		name   string
--- a/fleet/faults_test.go
+++ b/fleet/faults_test.go
@@ -18,9 +18,10 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// TestRequestsUnderFaults checks for each fault that every request ends by its deadline with
-// its complete answer, an aborted connection or a correct report on whether it ran, and that
-// the engines release all memory.
+// TestRequestsUnderFaults checks under each fault that every request ends by its
+// deadline, and that the engines release all memory. A request must end with its
+// complete answer, an aborted connection, or an error that reports correctly
+// whether it ran.
 func TestRequestsUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -124,8 +125,9 @@
 	}
 }
 
-// TestStreamsSurviveOwnerLoss guards against streams that break off when the nodes that own
-// their endpoints fail, while the node that dispatched them still runs.
+// TestStreamsSurviveOwnerLoss guards against streams that break off because the
+// owners of their endpoints fail, although the node that dispatched the streams
+// still runs.
 func TestStreamsSurviveOwnerLoss(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -17,9 +17,9 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// TestLeavingEndpoint checks that an endpoint gets no new requests from a few seconds after
-// it is listed as leaving, also when the list lags, and that the streams that run there are
-// completed.
+// TestLeavingEndpoint lists an endpoint as leaving. It checks that a few seconds
+// later the endpoint gets no new requests, even if the list lags, and that the
+// streams on it are completed.
 func TestLeavingEndpoint(t *testing.T) {
 	for _, lag := range []time.Duration{0, 2 * time.Second} {
 		t.Run("lag "+lag.String(), func(t *testing.T) {
--- a/fleet/memory_test.go
+++ b/fleet/memory_test.go
@@ -88,9 +88,10 @@
 	}
 }
 
-// TestJointPrefill guards against wrong or missing answers to prompts too large for one
-// engine, and against memory that stays reserved for them, when two of them compete for the
-// same engines or an engine or a node fails.
+// TestJointPrefill guards against wrong or missing answers to prompts that are too
+// large for one engine, and against memory that stays reserved for them. Two such
+// prompts compete for the same engines, in some cases while an engine or a node
+// fails.
 func TestJointPrefill(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/fleet/once_test.go
+++ b/fleet/once_test.go
@@ -18,8 +18,8 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// sendKeyed sends a call of the plain service with an idempotency key, the given further
-// headers and, unless they set another one, a deadline of 10 s.
+// sendKeyed sends a call of the plain service with an idempotency key and the given
+// further headers. The deadline is 10 s unless these headers set another one.
 func (v *virtualFleet) sendKeyed(node, key, body string, header map[string]string) response {
 	h := map[string]string{
 		entry.HeaderKey:      key,
@@ -50,8 +50,8 @@
 	return false
 }
 
-// TestAtMostOnce checks under each fault that a call with an idempotency key takes effect at
-// most once, and that a call that was reported as not run has not taken effect.
+// TestAtMostOnce checks under each fault that a call with an idempotency key takes
+// effect at most once, and that calls reported as not run have not taken effect.
 func TestAtMostOnce(t *testing.T) {
 	all := func(f standin.Faults) func(*virtualFleet) {
 		return func(v *virtualFleet) {
--- a/fleet/proofs_test.go
+++ b/fleet/proofs_test.go
@@ -85,9 +85,10 @@
 	return out
 }
 
-// checkAnswers fails the test unless each request ended in time, with its complete and
-// correct answer, a valid error or an aborted connection, and no prompt that was reported
-// as not run was started. It returns the number of complete and correct answers.
+// checkAnswers fails the test unless each request ended in time with its complete
+// and correct answer, a valid error or an aborted connection. It also fails the
+// test if a prompt was started although its request was reported as not run. It
+// returns the number of complete and correct answers.
 func checkAnswers(t testing.TB, v *virtualFleet, answers []*exchange, deadline time.Duration) (answered int) {
 	t.Helper()
 	for _, a := range answers {
--- a/fleet/schedule_test.go
+++ b/fleet/schedule_test.go
@@ -237,8 +237,9 @@
 	}
 }
 
-// checkInvariants checks all answers, that each call took effect at most once, and once if
-// it was answered, that memory is released, and the keys of the calls.
+// checkInvariants checks all answers, the release of memory and the keys of the
+// calls. It also checks that each call took effect at most once, and exactly once
+// if it was answered.
 func checkInvariants(c *errorCollector, v *virtualFleet, answers []*exchange, bids []response, deadline time.Duration) {
 	checkAnswers(c, v, answers, deadline)
 	for i := range 2 {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -26,7 +26,7 @@
 			seen[s.Kind] = true
 		}
 	}
-	is.Equal(len(seen), len(kinds)) // some seed draws each kind
+	is.Equal(len(seen), len(kinds)) // each kind is drawn with some seed
 }
 
 // runOf returns a run of a request of the customer that began at the given time.
@@ -63,7 +63,7 @@
 }
 
 // TestDisturbed guards against wrong excuses for runs that outlast their callers. Only a faulty
-// link to an endpoint and a frozen instance, if it is the one of the request, are excuses.
+// link to an endpoint and a freeze of the request's instance are excuses.
 func TestDisturbed(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
@@ -150,7 +150,7 @@
 }
 
 // TestRefusedFrom guards against a wrong deadline for refusing revoked keys. Without strict
-// revocation it is not before the end of the faults.
+// revocation, this deadline is not before the time for recovery.
 func TestRefusedFrom(t *testing.T) {
 	now := time.Now()
 	for _, row := range []struct {
--- a/standin/contract_test.go
+++ b/standin/contract_test.go
@@ -82,14 +82,14 @@
 	}
 }
 
-// TestEngineContract guards against attempts whose start or completeness the engine or its
-// HTTP client reports wrongly under faults.
+// TestEngineContract guards against an engine, or an HTTP client of one, that reports wrongly
+// under faults whether an attempt has started or its answer is complete.
 func TestEngineContract(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults Faults
 		change func(*engine.Attempt)
-		// refused is what the error reports on the start if Run fails; empty if Run succeeds.
+		// refused is the field Ran of the error that Run must return; empty if Run must succeed.
 		// broken is true if the stream fails before the end of the answer.
 		refused problem.Ran
 		broken  bool
@@ -309,8 +309,8 @@
 	}
 }
 
-// TestPlainContract guards against calls whose effect the service or its HTTP client reports
-// wrongly under faults.
+// TestPlainContract guards against a plain service, or an HTTP client of one, that reports wrongly
+// under faults whether a call took effect.
 func TestPlainContract(t *testing.T) {
 	for _, c := range []struct {
 		name   string
