--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -73,8 +73,8 @@
 
 // run runs the timers that are due up to the time until, which counts from the start. These
 // include timers that are set during the run.
-func (c *clock) run(until time.Duration) {
-	end := c.start.Add(until)
+func (c *clock) run(length time.Duration) {
+	end := c.start.Add(length)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
 		t := heap.Pop(&c.queue).(timer)
 		c.now = t.at
