--- a/cmd/linkmastctl/status.go
+++ b/cmd/linkmastctl/status.go
@@ -50,7 +50,7 @@
 // errNotFound means that a node answered with status 404.
 var errNotFound = errors.New("status 404")
 
-// statusCommand prints the state of the nodes that answer and their endpoints.
+// statusCommand prints the state of the nodes that answer and of their endpoints.
 type statusCommand struct {
 	adminOptions
 }
--- a/emulator/bound.go
+++ b/emulator/bound.go
@@ -108,8 +108,8 @@
 	free []float64
 }
 
-// newCapacityTable returns a table that covers the windows of all works, with capacity seconds
-// of engine time in each interval.
+// newCapacityTable returns a table that covers the windows of all works. Each interval has the
+// given capacity, in seconds of engine time.
 func newCapacityTable(works []work, capacity float64) *capacityTable {
 	t := &capacityTable{}
 	for _, w := range works {
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -238,9 +238,9 @@
 	c.play.clock.after(first, check)
 }
 
-// requestReplacement asks the pool for another engine for the silent attempt a. It withdraws
-// a request that is still queued after pool.ReplacementTimeout. Attempt a goes on unless the
-// pool grants another engine.
+// requestReplacement asks the pool for another engine for the silent attempt a. It withdraws the
+// placement request if that is still queued after pool.ReplacementTimeout. Attempt a goes on
+// unless the pool grants another engine.
 func (c *caller) requestReplacement(a *attempt) {
 	request := c.placementRequest(c.sentAt)
 	request.Exclude = append(request.Exclude, a.grant.Instance)
--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// run runs the timers that are due up to the time until, which counts from the start. These
-// include timers that are set during the run.
+// run runs the timers that are due within length of the start, including timers that are set
+// during the run.
 func (c *clock) run(length time.Duration) {
 	end := c.start.Add(length)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -163,8 +163,8 @@
 	Status(ctx context.Context, list bool) (Status, error)
 	// Order tells the engine which model, version and adapters to load.
 	Order(ctx context.Context, o Order) error
-	// Events returns the events of the prefix cache whose numbers are above after. The
-	// engine may have discarded old events.
+	// Events returns the events of the prefix cache that follow the event with the
+	// number after. The engine may have discarded old events.
 	Events(ctx context.Context, after int64) ([]CacheEvent, error)
 }
 
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -15,9 +15,10 @@
 // hashBytes is the length of the hash of a block, in bytes.
 const hashBytes = 8
 
-// BlockHashes returns a hash for each of the first limit complete blocks of a
-// prompt. The hash h_i of block i, counted from 1, covers the scope and the prompt
-// from its start to the end of the block. H is xxHash, and | is concatenation:
+// BlockHashes returns the hashes of the complete blocks of a prompt, or of the
+// first limit of them if there are more. The hash h_i of block i, counted from 1,
+// covers the scope and the prompt from its start to the end of the block. H is
+// xxHash, and | is concatenation:
 //
 //	h_0 = H(scope), h_i = H(h_{i-1} | block_i)
 //
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -103,8 +103,8 @@
 	return emulator.Play(s, requests, p.Variants[variant].settings(), seed)
 }
 
-// summarize returns the row of a variant. The results of the variant are in days, and those of
-// the first variant in first, both in the order of seeds.
+// summarize returns the row of a variant. The parameter days holds the results of the variant, and
+// the parameter first those of the first variant, both in the order of seeds.
 func summarize(s *emulator.Sheet, load float64, name string, days, first []*emulator.Result) Row {
 	row := Row{
 		Sheet:   s.Name,
--- a/instances/instances.go
+++ b/instances/instances.go
@@ -78,7 +78,7 @@
 
 // Lister fetches the platform's list of instances.
 type Lister interface {
-	// List returns the complete list or the changes after version since. If since
+	// List returns the complete list, or the changes after the version since. If since
 	// is zero, it returns the complete list.
 	List(ctx context.Context, since int64) (List, error)
 }
--- a/internal/wirehttp/wirehttp.go
+++ b/internal/wirehttp/wirehttp.go
@@ -35,8 +35,8 @@
 	return ClientMaxIdle(0)
 }
 
-// ClientMaxIdle returns a client like that of Client that keeps at most the given number of
-// idle connections to all addresses together. Zero means no limit.
+// ClientMaxIdle is like Client, but the returned client keeps at most the given number of idle
+// connections to all addresses together. Zero means no limit.
 func ClientMaxIdle(idle int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
--- a/load/profile.go
+++ b/load/profile.go
@@ -158,8 +158,8 @@
 	tokens int
 }
 
-// arrivals draws the arrivals of a Poisson process of the given rate in requests per second,
-// before the time within.
+// arrivals draws the arrivals of a Poisson process over the duration within. The rate is in
+// requests per second.
 func (p *Profile) arrivals(rate float64, within time.Duration, r *rand.Rand) []arrival {
 	var out []arrival
 	at := 0.0
--- a/logsvc/logsvc.go
+++ b/logsvc/logsvc.go
@@ -42,8 +42,8 @@
 	// Append appends records to a stream and returns the offset of the first.
 	// An error is an *Error.
 	Append(ctx context.Context, stream string, records [][]byte) (int64, error)
-	// Read returns records of a stream from offset from on. If there are none, it
-	// waits for one for at most wait.
+	// Read returns records of a stream, starting at the offset from. If there are
+	// none, it waits for one, for at most the duration wait.
 	Read(ctx context.Context, stream string, from int64, wait time.Duration) (Batch, error)
 }
 
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -23,8 +23,8 @@
 	crashBody = "crash "
 	// crashInterval is the pause between two sends.
 	crashInterval = 60 * time.Millisecond
-	// crashDowntime is how long an endpoint refuses connections after a crash, and listenRetry
-	// how often it then tries to listen on its address again.
+	// crashDowntime is how long an endpoint refuses connections after a crash, and listenRetry the
+	// interval at which it then tries to listen on its address again.
 	crashDowntime = 600 * time.Millisecond
 	listenRetry   = 10 * time.Millisecond
 	// crashesToDetect is the number of crashes after which the instances must stop sending a
--- a/soak/drain.go
+++ b/soak/drain.go
@@ -82,8 +82,8 @@
 }
 
 // informedSince returns the time from which the instance of a request was able to read an order
-// that was written to the store at since. This is since or, if later, the end of the last fault
-// that began before until and kept the instance from reading the store.
+// that was written to the store at the time since. The result is since or, if later, the latest
+// end of the faults that began before until and kept the instance from reading the store.
 func (d *Deployment) informedSince(x *Exchange, since, until time.Time) time.Time {
 	for _, p := range d.played {
 		if p.began.Before(until) && d.blocksStore(&p, x) && p.ended().After(since) {
--- a/soak/stall.go
+++ b/soak/stall.go
@@ -24,11 +24,13 @@
 	maxStallsReported = 20
 )
 
-// stall records that a runnable thread waited for a processor: who names its process, at is the
-// end of the interval between two readings, and waited is the waiting time in this interval.
+// stall is an interval in which a runnable thread waited for a processor.
 type stall struct {
-	who    string
-	at     time.Time
+	// who names the process of the thread.
+	who string
+	// at is the end of the interval.
+	at time.Time
+	// waited is how long the thread waited in the interval.
 	waited time.Duration
 }
 
@@ -59,8 +61,8 @@
 }
 
 // recordStall records a stall if a thread of a process waited long enough since the previous
-// reading. The map before holds the total waiting time of each thread at the previous reading
-// and is updated.
+// reading. It updates the map before, which holds the total waiting time of each thread at the
+// previous reading.
 func (d *Deployment) recordStall(pid int, who string, before map[string]time.Duration, now time.Time) {
 	// A process that has exited has no threads, so Glob finds nothing.
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
--- a/soak/statements.go
+++ b/soak/statements.go
@@ -134,7 +134,7 @@
 	return out
 }
 
-// Times that delimit announcements of leaving.
+// Times for the check of announcements of leaving.
 const (
 	// maxLeavingPeriod is longer than any period in which an endpoint announces its leaving. A
 	// later announcement belongs to another period.
@@ -143,8 +143,8 @@
 	answerWithin = time.Second
 )
 
-// checkBackoffs checks that an instance sends an endpoint at most maxBackoffRequests requests
-// during a back-off that the endpoint announced to it.
+// checkBackoffs checks that an instance sends an endpoint at most maxBackoffRequests requests in
+// the part of an announced back-off that follows backoffGrace.
 func (d *Deployment) checkBackoffs(e *endpoint, all []arrival) []Violation {
 	var out []Violation
 	for i, asked := range all {
