--- a/emulator/worth_test.go
+++ b/emulator/worth_test.go
@@ -15,8 +15,8 @@
 	"github.com/linkmast/linkmast/pool"
 )
 
-// thirdOfSheet returns 16 s of a sheet with a third of its engines and load times a third
-// of its rates.
+// thirdOfSheet returns 16 s of a sheet with a third of its engines and a third of its rates, which
+// are multiplied by load.
 func thirdOfSheet(t *testing.T, name string, load float64) *emulator.Sheet {
 	t.Helper()
 	data, err := os.ReadFile("sheets/" + name)
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -126,7 +126,7 @@
 					last = v.send(t.Context(), fmt.Sprintf("n%d", 1+i%2), row.path, row.body, nil)
 					time.Sleep(200 * time.Millisecond)
 				}
-				t.Logf("%d endpoints crashed", v.crashCount())
+				t.Logf("endpoints crashed %d times", v.crashCount())
 				is.True(v.crashCount() <= maxCrashes)
 				is.Equal(last.status, http.StatusServiceUnavailable)
 				is.Equal(last.ran, "not_run")
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -101,8 +101,8 @@
 	return text.String(), false
 }
 
-// TestEndToEnd guards against wrong answers and lost memory over loopback
-// connections, for completions of all sizes and a call of a plain service.
+// TestEndToEnd sends completions of all sizes and a call of a plain service over
+// loopback connections. It guards against wrong answers and leaked memory.
 func TestEndToEnd(t *testing.T) {
 	f := startFleet(t, Settings{})
 	for _, tokens := range []int{1_000, 30_000, 200_000, 1_000_000} {
--- a/fleet/identity_test.go
+++ b/fleet/identity_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// sendRaw writes text to a connection to a node and returns what the node sends until
-// it closes the connection. If the connection is open for longer than within, the
-// result ends with " (still open)".
+// sendRaw writes text to a connection to a node and returns what the node sends
+// until it closes the connection. If the connection is still open after the time
+// within, the result ends with " (still open)".
 func sendRaw(t *testing.T, address, text string, within time.Duration) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -225,8 +225,8 @@
 	}
 }
 
-// clientCredentials returns TLS credentials of a client, with the certificate in files
-// if present is true.
+// clientCredentials returns TLS credentials of a client. They contain the
+// certificate of files only if present is true.
 func clientCredentials(t *testing.T, files settings.TLS, present bool) credentials.TransportCredentials {
 	t.Helper()
 	conf := &tls.Config{
