--- a/emulator/clock.go
+++ b/emulator/clock.go
@@ -71,10 +71,10 @@
 	})
 }
 
-// run runs timers until none is left or the next one is due later than until after the
-// start.
-func (c *clock) run(until time.Duration) {
-	end := c.start.Add(until)
+// run runs the timers that are due within length of the start, including timers that are set
+// during the run.
+func (c *clock) run(length time.Duration) {
+	end := c.start.Add(length)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
 		t := heap.Pop(&c.queue).(timer)
 		c.now = t.at
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -84,8 +84,9 @@
 	return n
 }
 
-// TestCrashingRequest checks that a request that crashes each endpoint that starts it is
-// refused after a few crashes, however often it is sent, and that other requests are served.
+// TestCrashingRequest repeatedly sends a request that crashes every endpoint that
+// starts it. It checks that the request is refused after a few crashes, and that
+// other requests are served.
 func TestCrashingRequest(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -125,7 +126,7 @@
 					last = v.send(t.Context(), fmt.Sprintf("n%d", 1+i%2), row.path, row.body, nil)
 					time.Sleep(200 * time.Millisecond)
 				}
-				t.Logf("%d endpoints crashed", v.crashCount())
+				t.Logf("endpoints crashed %d times", v.crashCount())
 				is.True(v.crashCount() <= maxCrashes)
 				is.Equal(last.status, http.StatusServiceUnavailable)
 				is.Equal(last.ran, "not_run")
