--- a/pool/adopt.go
+++ b/pool/adopt.go
@@ -93,7 +93,7 @@
 	now := s.settings.Now()
 	for id, service := range attempts {
 		if at := s.pool(service).attempts[id]; at != nil {
-			at.orphanMark, at.cutAt = s.lastOrphanMark, now
+			at.orphanMark, at.interruptedAt = s.lastOrphanMark, now
 		}
 	}
 	return s.lastOrphanMark
@@ -106,7 +106,7 @@
 	for id, service := range attempts {
 		p := s.pool(service)
 		if at := p.attempts[id]; at != nil && at.orphanMark == mark {
-			p.reconnects.recordCut(at, at.cutAt)
+			p.reconnects.recordInterrupted(at, at.interruptedAt)
 			p.endAttempt(id)
 		}
 	}
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -47,8 +47,8 @@
 	targetAt time.Time
 }
 
-// cutAttempt is an interrupted attempt.
-type cutAttempt struct {
+// interruptedAttempt is an interrupted attempt.
+type interruptedAttempt struct {
 	at time.Time
 	// dueAt is when the next event of an interrupted stream would be late, or the first event of
 	// any other attempt.
@@ -66,16 +66,16 @@
 // caller that reconnects is due when the interrupted attempt was due, which its new entry
 // instance doesn't know. The zero value is ready for use.
 type reconnects struct {
-	// cut holds the interrupted attempts by workload.
-	cut       map[workloadID][]cutAttempt
-	expiredAt time.Time
+	// interrupted holds the interrupted attempts by workload.
+	interrupted map[workloadID][]interruptedAttempt
+	expiredAt   time.Time
 	// burst is the present reconnect burst, if any.
 	burst reconnectBurst
-	// cuts counts the interrupted attempts, returned those whose callers reconnected, and
-	// bursts the reconnect bursts.
-	cuts     int
-	returned int
-	bursts   int
+	// interruptions counts the interrupted attempts, returned those whose callers reconnected,
+	// and bursts the reconnect bursts.
+	interruptions int
+	returned      int
+	bursts        int
 }
 
 // reconnectBurst is a number of interrupted streams whose callers reconnect at the same time.
@@ -123,14 +123,14 @@
 	}
 }
 
-// recordCut records that an attempt was interrupted at the given time.
-func (r *reconnects) recordCut(at *attempt, now time.Time) {
+// recordInterrupted records that an attempt was interrupted at the given time.
+func (r *reconnects) recordInterrupted(at *attempt, now time.Time) {
 	if at.workload.id.prompt == 0 {
 		return
 	}
 	r.expire(now)
-	r.cuts++
-	c := cutAttempt{
+	r.interruptions++
+	c := interruptedAttempt{
 		at:      now,
 		dueAt:   at.workload.targetAt,
 		resumes: at.begun && at.workload.gap > 0,
@@ -140,10 +140,10 @@
 	if c.resumes {
 		c.dueAt = now.Add(at.workload.gap)
 	}
-	if r.cut == nil {
-		r.cut = make(map[workloadID][]cutAttempt)
+	if r.interrupted == nil {
+		r.interrupted = make(map[workloadID][]interruptedAttempt)
 	}
-	r.cut[at.workload.id] = append(r.cut[at.workload.id], c)
+	r.interrupted[at.workload.id] = append(r.interrupted[at.workload.id], c)
 }
 
 // match looks up the interrupted attempt that a request continues, and makes the request due
@@ -151,15 +151,15 @@
 // due time.
 func (r *reconnects) match(w *Waiter, now time.Time) {
 	id := w.workload().id
-	i := slices.IndexFunc(r.cut[id], func(c cutAttempt) bool {
+	i := slices.IndexFunc(r.interrupted[id], func(c interruptedAttempt) bool {
 		return c.resumes == w.placementRequest.Resumed && c.isExpected(now)
 	})
 	if i < 0 {
 		return
 	}
 	r.returned++
-	c := r.cut[id][i]
-	r.set(id, slices.Delete(r.cut[id], i, i+1))
+	c := r.interrupted[id][i]
+	r.set(id, slices.Delete(r.interrupted[id], i, i+1))
 	if !w.placementRequest.Retry {
 		w.request.TargetAt = c.dueAt
 	}
@@ -172,22 +172,22 @@
 		return
 	}
 	r.expiredAt = now
-	for id, list := range r.cut {
-		r.set(id, slices.DeleteFunc(list, func(c cutAttempt) bool { return !c.isExpected(now) }))
+	for id, list := range r.interrupted {
+		r.set(id, slices.DeleteFunc(list, func(c interruptedAttempt) bool { return !c.isExpected(now) }))
 	}
 }
 
 // set replaces the interrupted attempts of a workload.
-func (r *reconnects) set(id workloadID, list []cutAttempt) {
+func (r *reconnects) set(id workloadID, list []interruptedAttempt) {
 	if len(list) == 0 {
-		delete(r.cut, id)
+		delete(r.interrupted, id)
 		return
 	}
-	r.cut[id] = list
+	r.interrupted[id] = list
 }
 
 // isExpected reports whether the caller is still expected to reconnect.
-func (c *cutAttempt) isExpected(now time.Time) bool {
+func (c *interruptedAttempt) isExpected(now time.Time) bool {
 	return now.Sub(c.at) < reconnectWindow
 }
 
@@ -228,7 +228,7 @@
 
 // detectBurst updates the present burst by the interrupted streams that can still be in time.
 func (r *reconnects) detectBurst(engines int, now time.Time) {
-	if len(r.cut) < minBurst {
+	if len(r.interrupted) < minBurst {
 		return
 	}
 	found := burstOf(r.inTime(now))
@@ -249,7 +249,7 @@
 
 // burstOf returns the burst that streams form, however few they are. It leaves out streams that
 // allow much longer gaps than others.
-func burstOf(streams []cutAttempt) reconnectBurst {
+func burstOf(streams []interruptedAttempt) reconnectBurst {
 	shortest := time.Duration(math.MaxInt64)
 	for _, c := range streams {
 		shortest = min(shortest, c.gap)
@@ -266,9 +266,9 @@
 }
 
 // inTime returns the interrupted streams that can still be in time.
-func (r *reconnects) inTime(now time.Time) []cutAttempt {
-	var out []cutAttempt
-	for _, list := range r.cut {
+func (r *reconnects) inTime(now time.Time) []interruptedAttempt {
+	var out []interruptedAttempt
+	for _, list := range r.interrupted {
 		for _, c := range list {
 			if c.resumes && c.dueAt.After(now) && c.isExpected(now) {
 				out = append(out, c)
--- a/pool/reconnect_burst_test.go
+++ b/pool/reconnect_burst_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// cutStreams places n streams, lets them start, and ends them all as abandoned.
-func (c *clockPool) cutStreams(is *is.I, n int) {
+// interruptStreams places n streams, lets them start, and ends them all as abandoned.
+func (c *clockPool) interruptStreams(is *is.I, n int) {
 	for i := range n {
 		g, _, ok := c.Submit(stream(i)).Decision()
 		is.True(ok)
@@ -90,7 +90,7 @@
 	}
 }
 
-// reconnecting returns the request with which the caller of a cut stream reconnects.
+// reconnecting returns the request with which the caller of an interrupted stream reconnects.
 func reconnecting(i int) PlacementRequest {
 	a := stream(i)
 	a.ID += "-back"
@@ -116,7 +116,7 @@
 		{"stream that comes back after a second", true, func(*PlacementRequest) {}, time.Second, 250 * time.Millisecond},
 		{"resumed by the same entry instance", true, func(a *PlacementRequest) { a.Retry, a.DueIn = true, 40*time.Millisecond }, later, 40 * time.Millisecond},
 		{"no event yet", false, func(a *PlacementRequest) { a.Resumed = false }, later, 90 * time.Millisecond},
-		{"no event before the cut, but resumed", false, func(*PlacementRequest) {}, later, 250 * time.Millisecond},
+		{"no event before the interruption, but resumed", false, func(*PlacementRequest) {}, later, 250 * time.Millisecond},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -138,7 +138,7 @@
 	t.Run("each stream once", func(t *testing.T) {
 		is := is.New(t)
 		c := newClockPool(1)
-		c.cutStreams(is, 1)
+		c.interruptStreams(is, 1)
 		c.now = c.now.Add(later)
 		is.Equal(c.Submit(reconnecting(0)).request.TargetAt.Sub(c.now), 190*time.Millisecond)
 		second := reconnecting(0)
@@ -153,7 +153,7 @@
 	is := is.New(t)
 	const engines, streams = 8, 24
 	c := newClockPool(engines)
-	c.cutStreams(is, streams)
+	c.interruptStreams(is, streams)
 	const late = 110 * time.Millisecond
 	c.now = c.now.Add(late)
 	for i := range streams {
@@ -168,14 +168,14 @@
 func TestPrefillWaitsForReconnectBurst(t *testing.T) {
 	for _, row := range []struct {
 		name string
-		// cut is the number of streams that were cut, in a pool of eight engines.
-		cut    int
-		prompt int
-		target time.Duration
-		waits  bool
+		// interrupted is the number of interrupted streams, in a pool of eight engines.
+		interrupted int
+		prompt      int
+		target      time.Duration
+		waits       bool
 	}{
-		{"nothing was cut", 0, 60_000, 1500 * time.Millisecond, false},
-		{"few were cut", 3, 60_000, 1500 * time.Millisecond, false},
+		{"nothing was interrupted", 0, 60_000, 1500 * time.Millisecond, false},
+		{"few were interrupted", 3, 60_000, 1500 * time.Millisecond, false},
 		{"has time left", 24, 60_000, 1500 * time.Millisecond, true},
 		{"is late anyway", 24, 150_000, 100 * time.Millisecond, true},
 		{"has no time left and is worth more than its engines' share of the burst", 24, 60_000, 520 * time.Millisecond, false},
@@ -184,7 +184,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			c := newClockPool(8)
-			c.cutStreams(is, row.cut)
+			c.interruptStreams(is, row.interrupted)
 			c.now = c.now.Add(20 * time.Millisecond)
 			a := stream(1000)
 			a.Prompt = row.prompt
@@ -198,7 +198,7 @@
 			if !row.waits {
 				return
 			}
-			// The burst is due 250 ms after the cut.
+			// The burst is due 250 ms after the interruption.
 			c.now = c.now.Add(220 * time.Millisecond)
 			c.Review()
 			_, _, ok = w.Decision()
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -284,7 +284,7 @@
 		o = Abandoned
 	}
 	if o == Abandoned || o == Failed {
-		p.reconnects.recordCut(at, now)
+		p.reconnects.recordInterrupted(at, now)
 	}
 	p.endAttempt(id)
 	endpoint := at.endpoint
--- a/pool/state.go
+++ b/pool/state.go
@@ -100,8 +100,8 @@
 	watched bool
 	// orphanMark identifies the ended session through which the attempt came; zero while the
 	// entry instance is connected. cutAt is when that session ended.
-	orphanMark int64
-	cutAt      time.Time
+	orphanMark    int64
+	interruptedAt time.Time
 }
 
 // endpoints returns the names of all endpoints of the attempt. The last one answers the request.
--- a/pool/stats.go
+++ b/pool/stats.go
@@ -32,10 +32,10 @@
 	// endpoint's slowdown.
 	PaceAsked   int `json:"pace_asked"`
 	PaceChanges int `json:"pace_changes"`
-	// Cut counts the attempts with a known prompt length that failed, were abandoned or were lost
-	// with a session. Returned counts those of them whose callers came back within a second, and
+	// Interrupted counts the attempts with a known prompt length that failed, were abandoned or were
+	// lost with a session. Returned counts those of them whose callers came back within a second, and
 	// ReconnectBursts the reconnect bursts.
-	Cut             int `json:"cut"`
+	Interrupted     int `json:"cut"`
 	Returned        int `json:"returned"`
 	ReconnectBursts int `json:"crowds"`
 	// Suspected counts the reports of silent attempts, Confirmed the endpoints excluded because
@@ -73,7 +73,7 @@
 			PaceChanges:     p.slowdowns.changes,
 			Cold:            p.cold.count(s.settings.Now()),
 			ColdPassedOver:  p.cold.passedOver,
-			Cut:             p.reconnects.cuts,
+			Interrupted:     p.reconnects.interruptions,
 			Returned:        p.reconnects.returned,
 			ReconnectBursts: p.reconnects.bursts,
 			Suspected:       p.suspicion.reports,
