--- a/batch/batch.go
+++ b/batch/batch.go
@@ -30,7 +30,8 @@
 	PerSequence time.Duration
 	// PerThousandContext is the additional time of a step for each thousand tokens of context.
 	PerThousandContext time.Duration
-	// PrefillPerSecond is the prefill rate in tokens per second, without the time for pairs.
+	// PrefillPerSecond is the prefill rate in tokens per second, without the additional time of
+	// PerMillionPairs.
 	PrefillPerSecond float64
 	// PerMillionPairs is the additional prefill time for each million pairs of tokens.
 	PerMillionPairs time.Duration
@@ -68,7 +69,7 @@
 }
 
 // PrefillBudget returns the maximum number of prompt tokens that a pass prefills; math.MaxInt
-// when there is no limit.
+// when there is no limit. Without decoding requests it returns that of one step.
 func (m *Model) PrefillBudget(decoding int) int {
 	if m.Chunk <= 0 {
 		return math.MaxInt
--- a/placement/apply.go
+++ b/placement/apply.go
@@ -80,7 +80,7 @@
 }
 
 // assign advances the engine to now, postpones the expected first events of its waiting prompts
-// by delay, a time of the model, and adds the job.
+// by delay, scaled by the engine's slowdown, and adds the job.
 func (e *Engine) assign(j Job, delay time.Duration, now time.Time) {
 	e.Advance(now)
 	e.delayPrefills(e.scaled(delay))
--- a/placement/blocking.go
+++ b/placement/blocking.go
@@ -33,7 +33,7 @@
 //	blockingPrice × EngineShare × seconds of decoding × (openFraction before − openFraction after)
 //
 // Streams with short limits therefore gather on the same engines and leave the others to long
-// prefills.
+// prefills. The cost is at most maxBlockingShare of the request's stake.
 func (r *Request) blockingCost(e *Engine) float64 {
 	if r.Gap == 0 || r.LongPrefills.MaxGap == 0 {
 		return 0
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -61,7 +61,8 @@
 // selectEngines returns n of the sorted candidates and the index among them of the one that
 // receives the request; -1 when there are fewer than n or none has a free slot and enough memory.
 // The receiving engine is the first that qualifies or, in a joint prefill, the one with the
-// lowest sum of cost and decode cost. The other engines are the cheapest.
+// lowest sum of cost and decode cost, where an earlier one is preferred unless the sum is lower by
+// more than costTolerance. The other engines are the cheapest.
 func selectEngines(cands []candidate, need, n int) (int, []candidate) {
 	if len(cands) < n {
 		return -1, nil
--- a/placement/slowdown.go
+++ b/placement/slowdown.go
@@ -20,7 +20,7 @@
 	return 1 / e.slowdown()
 }
 
-// scaled converts a time of the model to the engine's actual time.
+// scaled converts a time that the model predicts to the engine's actual time.
 func (e *Engine) scaled(d time.Duration) time.Duration {
 	if e.Slowdown <= 0 || e.Slowdown == 1 {
 		return d
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -35,7 +35,8 @@
 	Summary
 	// Hash is the hash of the endpoint's ID.
 	Hash uint64
-	// Rate is the prefill rate R in tokens per second; zero for a plain service.
+	// Rate is the prefill rate, R in the package comment, in tokens per second; zero for a plain
+	// service.
 	Rate float64
 	// Memory is the endpoint's KV memory in bytes; zero for a plain service.
 	Memory int64
@@ -135,8 +136,9 @@
 
 // chooseWeighed picks the endpoint with the lowest estimated time to first token. A single pass
 // over the candidates finds the lowest estimates without a cached prefix and the two endpoints
-// that the prefix is assigned to by rendezvous hashing (Thaler and Ravishankar, 1998). These
-// two are then compared with the expected cache hit taken into account.
+// that the prefix is assigned to by rendezvous hashing (Thaler and Ravishankar, 1998). Each of
+// these two is then chosen if its estimate with the expected cache hit is no higher than the
+// lowest so far.
 func chooseWeighed(w *Work, hit float64, cs []Candidate, now time.Time) Decision {
 	priority := Priority(w.RankAt(now), w.Class())
 	affine := hit > 0 && w.Prefix != 0
@@ -240,7 +242,7 @@
 
 // Estimate returns the estimated time to first token on a candidate: the prefill ahead of the
 // request, its own prefill without the cached fraction hit, the waits for memory and slots, and
-// the network delay.
+// the network delay. Without a recent summary, unknownWait replaces the waits for memory and slots.
 func Estimate(w *Work, priority int, hit float64, c *Candidate) time.Duration {
 	ahead := c.ahead[priority]
 	behind := c.ahead[Priorities-1] - ahead
--- a/policy/ledger.go
+++ b/policy/ledger.go
@@ -53,7 +53,7 @@
 type Ledger struct {
 	// Memory is the endpoint's KV memory in bytes; zero for a plain service.
 	Memory int64
-	// Rate is the prefill rate R in tokens per second.
+	// Rate is the prefill rate, R in the package comment, in tokens per second.
 	Rate float64
 	// MaxRunning is the maximum number of leases at once.
 	MaxRunning int
@@ -288,8 +288,8 @@
 	return n
 }
 
-// MemoryWait estimates the time until the given number of bytes is free; zero when that much is
-// free now, and one second when the turnover is unknown.
+// MemoryWait estimates the time until the given number of bytes is free: zero when that much is
+// free now or the service is plain, and one second when the turnover is unknown.
 func (l *Ledger) MemoryWait(bytes int64) time.Duration {
 	missing := bytes - l.Free()
 	if l.Memory == 0 || missing <= 0 {
--- a/pool/budget.go
+++ b/pool/budget.go
@@ -36,8 +36,8 @@
 }
 
 // roll clears the buckets that have left the window and returns the index of the present bucket.
-// Buckets are counted from startedAt, so that a change of the wall clock neither renews the
-// budget nor keeps it exhausted.
+// Buckets are counted by the time since startedAt, which the monotonic clock measures, so that a
+// change of the wall clock neither renews the budget nor keeps it exhausted.
 func (s *retryCounter) roll(now time.Time) int {
 	if s.startedAt.IsZero() {
 		s.startedAt = now
--- a/pool/check.go
+++ b/pool/check.go
@@ -102,9 +102,9 @@
 	return !p.isLeaving(e, p.notices.View()) && !p.drained.covers(&PlacementRequest{}, e)
 }
 
-// check connects to endpoints, given as addresses by name, and excludes those that fail. If more
-// than maxUnansweredShare fail other than by refusing the connection, it excludes only those that
-// refuse it.
+// check connects to endpoints, given as addresses by name, and calls handleFailedCheck for those
+// that fail. If more than maxUnansweredShare of the endpoints fail other than by refusing the
+// connection, it does so only for those that refuse it.
 func (s *Scheduler) check(service string, addresses map[string]string) {
 	failed := s.runChecks(addresses)
 	unanswered := 0
--- a/pool/client.go
+++ b/pool/client.go
@@ -30,8 +30,9 @@
 
 	mu       sync.Mutex
 	snapshot *catalog.Snapshot
-	// ownerOrder has the instances in the order in which they own a pool, by service. It contains
-	// only the services whose pool has an owner, and noEnginesPool if no service has engines.
+	// ownerOrder has the order of owners of each pool, by service: all instances, of which the first
+	// reachable one is the owner. It contains only the services whose pool has an owner, and
+	// noEnginesPool if no service has engines.
 	ownerOrder map[string][]string
 	// plainOwned has the services without engines whose pool has an owner. unannounced lists the
 	// services among them whose running attempts have not been reported to the owners yet.
@@ -120,7 +121,7 @@
 }
 
 // Place implements Placer. It sends the request to the owners, and places it through the local
-// scheduler if this instance is the owner or no owner answers.
+// scheduler if this instance is the owner, no owner answers or the pool has none.
 func (c *Client) Place(ctx context.Context, a PlacementRequest) (Grant, error) {
 	a.Avoid = c.local.UnusableEndpoints(a.Service)
 	leaving, drained := c.leavingAndDrained()
--- a/pool/client_links.go
+++ b/pool/client_links.go
@@ -32,7 +32,7 @@
 	cancel context.CancelFunc
 }
 
-// rankOwners returns all instances in the order in which they own a pool.
+// rankOwners returns all instances in the order of owners of a pool.
 func (c *Client) rankOwners(service string, snap *catalog.Snapshot) []string {
 	list := []catalog.Peer{c.self}
 	for id, p := range snap.Peers {
--- a/pool/doc.go
+++ b/pool/doc.go
@@ -15,6 +15,6 @@
 // at the same time make worse placements until they agree, but endpoints reject
 // requests that don't fit before they run them.
 //
-// A service without engines has no owner, unless one of its endpoints announces a rate limit: each
-// instance places its own requests, and knows only the load of these.
+// The pool of a service without engines has an owner only while one of its endpoints announces a
+// rate limit. Otherwise each instance places its own requests, and knows only the load of these.
 package pool
--- a/pool/grant.go
+++ b/pool/grant.go
@@ -65,8 +65,8 @@
 }
 
 // markProbes makes the attempt the probe request of those of its endpoints that have failed
-// repeatedly: they get no other request until its first event or its end. Such an endpoint may have
-// restarted, so it counts as cold.
+// repeatedly: while others are usable, they get no other request until its first event or its end.
+// Such an endpoint may have restarted, so it counts as cold.
 func (p *poolState) markProbes(at *attempt, now time.Time) {
 	for _, name := range at.endpoints() {
 		h := p.health[name]
--- a/pool/plain.go
+++ b/pool/plain.go
@@ -12,7 +12,7 @@
 
 // tryPlain places a request on the plain endpoint with the least load. Among endpoints of equal
 // load, each instance has its own order of preference, so that idle instances spread over the
-// endpoints. Each returns to the endpoint to which it has a connection. The caller must hold s.mu.
+// endpoints, and an idle instance reuses its connection. The caller must hold s.mu.
 func (s *Scheduler) tryPlain(p *poolState, w *Waiter, list []*placement.Engine, now time.Time) (Grant, bool) {
 	list = p.cold.withinLimit(list, byInstance, now)
 	if len(list) == 0 {
--- a/pool/plain_latency.go
+++ b/pool/plain_latency.go
@@ -44,8 +44,8 @@
 	r.at = now
 }
 
-// plainSlowdowns returns the ratio of the latency to the median for each plain endpoint that is
-// slow, by the endpoint's name.
+// plainSlowdowns returns the ratio of the latency to the median, at most maxPlainSlowdown, for each
+// plain endpoint that is slow, by the endpoint's name.
 func (p *poolState) plainSlowdowns(now time.Time) map[string]float64 {
 	var all []time.Duration
 	for _, r := range p.slowdowns.records {
--- a/pool/rate_limit.go
+++ b/pool/rate_limit.go
@@ -14,12 +14,12 @@
 const (
 	// rateWindow is the time over which the mean rate is kept within the limit.
 	rateWindow = 4 * time.Second
-	// minGapShare is the least time between two requests, as a part of the mean time that the limit
-	// allows. It prevents bursts, but lets requests that arrive unevenly use most of the limit. If
-	// the limit allows fewer than two requests in a rateWindow, the whole mean time must pass.
+	// minGapShare is the least time between two requests as a part of 1/rate, their mean distance at
+	// the limit. It prevents bursts, but lets requests that arrive unevenly use most of the limit. If
+	// the limit allows fewer than two requests in a rateWindow, the least time is 1/rate.
 	minGapShare = 0.8
-	// minRate is the rate, in requests a second, that an endpoint is sent even if its limit is
-	// lower, as only an answer shows that the limit has ended.
+	// minRate replaces a lower limit, in requests a second, as only an answer shows that the limit
+	// has ended.
 	minRate = 0.1
 )
 
--- a/pool/rate_limit_test.go
+++ b/pool/rate_limit_test.go
@@ -295,8 +295,8 @@
 	}
 }
 
-// TestOwnerChangeKeepsRateLimit checks the stated bound while a new owner takes over that
-// doesn't know the previous placements.
+// TestOwnerChangeKeepsRateLimit checks the stated bound while a new owner, which doesn't know the
+// previous placements, takes over.
 func TestOwnerChangeKeepsRateLimit(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 3, 10} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -47,7 +47,7 @@
 	targetAt time.Time
 }
 
-// interruptedAttempt is an interrupted attempt.
+// interruptedAttempt is an attempt that failed, was abandoned or was lost with a session.
 type interruptedAttempt struct {
 	at time.Time
 	// dueAt is when the next event of an interrupted stream would be late, or the first event of
--- a/pool/shed.go
+++ b/pool/shed.go
@@ -52,7 +52,8 @@
 	}
 	wait := time.Duration(0)
 	if !w.placementRequest.isShort() {
-		// Short prompts are prefilled beside long ones, in the next pass of some engine.
+		// Only long prompts wait for the prefill ahead. Short ones are prefilled beside them, in the
+		// next pass of some engine.
 		wait = time.Duration(float64(ahead.prefill) / totalSpeed(list) / prefillShare)
 	}
 	ready := now.Add(wait + placement.MinPrefillTime(list, w.request))
@@ -69,8 +70,8 @@
 }
 
 // refusal returns a refusal with the given reason. Its RetryAfter is the larger of minRetryAfter and
-// ahead, plus a random time. Ahead is the time until a new try may succeed, or zero
-// if that is unknown.
+// ahead, plus a random time. Ahead is the time until a new try may succeed, or zero if that is
+// unknown.
 func (s *Scheduler) refusal(reason string, ahead time.Duration) *Refusal {
 	return &Refusal{
 		Reason:     reason,
--- a/pool/silence_test.go
+++ b/pool/silence_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestExpectedSilenceIsNoFault guards against ejecting an engine because of streams that are silent
-// during a predicted prefill, and against sparing one that has no such reason.
+// TestExpectedSilenceIsNoFault guards against ejecting an engine whose streams are silent during a
+// predicted prefill, and against keeping one whose streams are silent without such a prefill.
 func TestExpectedSilenceIsNoFault(t *testing.T) {
 	for _, row := range []struct {
 		name    string
--- a/pool/state.go
+++ b/pool/state.go
@@ -64,8 +64,8 @@
 	// rateLimits divides rate limits among the instances that place without an owner.
 	rateLimits rateLimits
 	// passedOver counts the endpoints that placements skipped because of a back-off or a rate
-	// limit. unavailable counts the requests that were refused because each endpoint was
-	// leaving, backing off or at its rate limit.
+	// limit. unavailable counts the requests that were refused because no endpoint was usable
+	// soon enough, due to departures, back-offs or rate limits.
 	passedOver  int64
 	unavailable int64
 	// plain is set if the service has no engine model.
@@ -160,10 +160,11 @@
 	})
 }
 
-// shareRetryBudget divides the retry budget of the service among the instances. Half of Extra is
-// for the pool's owner, and half for all instances together while they place without an owner. In a
-// plain pool each instance usually places its own requests, so there the instances share all of
-// Extra. It also sets the number of instances that share rate limits.
+// shareRetryBudget divides the retry budget of the service, of which only retryBudgetShare is used,
+// among the instances. Half of this part of Extra is for the pool's owner, and half for all
+// instances together while they place without an owner. In a plain pool each instance usually
+// places its own requests, so there the instances share both halves. It also sets the number of
+// instances that share rate limits.
 func (p *poolState) shareRetryBudget(whole Budget, instances int) {
 	p.ownerRetries.budget = Budget{
 		Ratio:  whole.Ratio * retryBudgetShare,
--- a/pool/stats.go
+++ b/pool/stats.go
@@ -48,7 +48,8 @@
 	Absent    int `json:"absent"`
 	// Limited is the number of endpoints that announce a rate limit. PassedOver counts the
 	// endpoints that placements skipped because of a back-off or a rate limit. Unavailable counts
-	// the requests refused because all endpoints were leaving, backing off or at their rate limits.
+	// the requests refused because no endpoint was usable soon enough, due to departures, back-offs
+	// or rate limits.
 	Limited     int   `json:"limited"`
 	PassedOver  int64 `json:"passed_over"`
 	Unavailable int64 `json:"unavailable"`
--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -122,8 +122,7 @@
 	}
 }
 
-// TestLateMigrationsSpread guards against migrating all streams that are late already at the same
-// time.
+// TestLateMigrationsSpread guards against simultaneous migrations of streams that are late already.
 func TestLateMigrationsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/route/route.go
+++ b/route/route.go
@@ -64,8 +64,8 @@
 	// target.
 	GapTarget time.Duration
 	// Rank is the priority of the route's requests; rank 0 goes first. The worth of a request
-	// depends on this rank and on its customer's. For other decisions, the rank of the customer
-	// replaces it.
+	// depends on this rank and on the rank of the customer. Other decisions use only the rank of the
+	// customer, or this one if the request has no customer.
 	Rank int
 	// Shares lists the services of the route; there is at least one.
 	Shares []Share
