--- a/pool/suspicion_test.go
+++ b/pool/suspicion_test.go
@@ -86,17 +86,15 @@
 		// started to prefill a long prompt.
 		request    func(int) PlacementRequest
 		prefilling bool
-		// after is unused.
-		after    time.Duration
-		excluded bool
-		migrated []string
+		excluded   bool
+		migrated   []string
 	}{
-		{"two instances agree", []string{"a", "b"}, 2, patientStream, false, 0, true, []string{"s0", "s1"}},
-		{"one instance", []string{"a", "a"}, 2, patientStream, false, 0, false, nil},
-		{"two agree, a third has a live stream", []string{"a", "b", "c"}, 2, patientStream, false, 0, false, nil},
-		{"one stream silent, one alive", []string{"a", "b"}, 1, patientStream, false, 0, false, nil},
-		{"engine is prefilling", []string{"a", "b"}, 2, patientStream, true, 0, false, nil},
-		{"late already", []string{"a", "b"}, 2, stream, false, 0, true, []string{"s0", "s1"}},
+		{"two instances agree", []string{"a", "b"}, 2, patientStream, false, true, []string{"s0", "s1"}},
+		{"one instance", []string{"a", "a"}, 2, patientStream, false, false, nil},
+		{"two agree, a third has a live stream", []string{"a", "b", "c"}, 2, patientStream, false, false, nil},
+		{"one stream silent, one alive", []string{"a", "b"}, 1, patientStream, false, false, nil},
+		{"engine is prefilling", []string{"a", "b"}, 2, patientStream, true, false, nil},
+		{"late already", []string{"a", "b"}, 2, stream, false, true, []string{"s0", "s1"}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
