--- a/placement/blocking_test.go
+++ b/placement/blocking_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestBlockingCost guards against streams with short pause limits that block an empty engine
-// for long prefills, and against requests that become late to avoid this.
+// TestBlockingCost guards against streams with short pause limits that keep long prefills off an
+// empty engine, and against requests that become late to avoid this.
 func TestBlockingCost(t *testing.T) {
 	engine := func(name string, gap time.Duration) *Engine {
 		e := &Engine{
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// TestNextAgainstReference compares the verdict with the first request that fits in the order of
-// Before.
+// TestNextAgainstReference compares the verdict with the first request, in the order of Before, that
+// fits.
 func TestNextAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLedger(t)
--- a/route/route.go
+++ b/route/route.go
@@ -160,7 +160,7 @@
 	Routes []Route
 	// Services holds all services by name.
 	Services map[string]*Service
-	// Limits bounds all requests.
+	// Limits holds the configured bounds on requests.
 	Limits Limits
 	// KeysRequired states whether routes that are not public require a key.
 	KeysRequired bool
