--- a/order/order_test.go
+++ b/order/order_test.go
@@ -15,18 +15,18 @@
 	"github.com/linkmast/linkmast/standin"
 )
 
-// scene holds an endpoint, the platform services and two reconcilers that both act as its
+// harness holds an endpoint, the platform services and two reconcilers that both act as its
 // owner.
-type scene struct {
+type harness struct {
 	engine   *standin.Engine
 	platform *standin.Platform
 	owners   [2]*Reconciler
 	target   Target
 }
 
-func newScene(t *testing.T, checks bool) *scene {
+func newHarness(t *testing.T, checks bool) *harness {
 	t.Helper()
-	s := &scene{
+	s := &harness{
 		engine: standin.NewEngine(standin.EngineSettings{
 			Model:        "m1",
 			Version:      "1",
@@ -49,7 +49,7 @@
 }
 
 // have returns the state that the engine reports.
-func (s *scene) have(t *testing.T) State {
+func (s *harness) have(t *testing.T) State {
 	t.Helper()
 	st, err := s.engine.Status(t.Context(), false)
 	if err != nil {
@@ -63,7 +63,7 @@
 }
 
 // reconcile reconciles once a second for the given time and returns the outcomes.
-func (s *scene) reconcile(t *testing.T, owner int, within time.Duration) []Outcome {
+func (s *harness) reconcile(t *testing.T, owner int, within time.Duration) []Outcome {
 	t.Helper()
 	var out []Outcome
 	for range int(within / time.Second) {
@@ -77,17 +77,17 @@
 	for _, c := range []struct {
 		name   string
 		checks bool
-		run    func(t *testing.T, s *scene)
+		run    func(t *testing.T, s *harness)
 		want   string
 	}{
-		{"new version", true, func(t *testing.T, s *scene) {
+		{"new version", true, func(t *testing.T, s *harness) {
 			is.New(t).Equal(s.reconcile(t, 0, 3*time.Second), []Outcome{Ordered, Settled, Settled})
 		}, "2"},
-		{"endpoint without fence checks waits for TakeoverDelay", false, func(t *testing.T, s *scene) {
+		{"endpoint without fence checks waits for TakeoverDelay", false, func(t *testing.T, s *harness) {
 			is.New(t).Equal(s.reconcile(t, 0, 9*time.Second)[8], Waiting)
 			s.reconcile(t, 0, 4*time.Second)
 		}, "2"},
-		{"stale owner, endpoint checks fences", true, func(t *testing.T, s *scene) {
+		{"stale owner, endpoint checks fences", true, func(t *testing.T, s *harness) {
 			s.reconcile(t, 0, 2*time.Second)
 			// A former owner resumes with an old fence.
 			err := s.engine.Order(t.Context(), engine.Order{
@@ -97,7 +97,7 @@
 			})
 			is.New(t).True(err != nil)
 		}, "2"},
-		{"stale owner, endpoint does not check fences, corrected later", false, func(t *testing.T, s *scene) {
+		{"stale owner, endpoint does not check fences, corrected later", false, func(t *testing.T, s *harness) {
 			s.reconcile(t, 0, 15*time.Second)
 			err := s.engine.Order(t.Context(), engine.Order{
 				Fence:   0,
@@ -107,38 +107,38 @@
 			is.New(t).NoErr(err)
 			s.reconcile(t, 0, 5*time.Second)
 		}, "2"},
-		{"two owners at once", true, func(t *testing.T, s *scene) {
+		{"two owners at once", true, func(t *testing.T, s *harness) {
 			s.reconcile(t, 0, 2*time.Second)
 			s.reconcile(t, 1, 2*time.Second)
 		}, "2"},
-		{"log outage", true, func(t *testing.T, s *scene) {
+		{"log outage", true, func(t *testing.T, s *harness) {
 			s.platform.Log.SetFaults(standin.Faults{Outage: true})
 			is.New(t).Equal(s.reconcile(t, 0, time.Second), []Outcome{Failed})
 			is.New(t).Equal(s.have(t).Version, "1")
 			s.platform.Log.SetFaults(standin.Faults{})
 			s.reconcile(t, 0, 5*time.Second)
 		}, "2"},
-		{"lost answer of the log", true, func(t *testing.T, s *scene) {
+		{"lost answer of the log", true, func(t *testing.T, s *harness) {
 			s.platform.Log.SetFaults(standin.Faults{LoseAnswer: 1})
 			s.reconcile(t, 0, 5*time.Second)
 		}, "2"},
-		{"lost answer of the endpoint", true, func(t *testing.T, s *scene) {
+		{"lost answer of the endpoint", true, func(t *testing.T, s *harness) {
 			s.engine.SetFaults(standin.Faults{LoseAnswer: 1})
 			is.New(t).Equal(s.reconcile(t, 0, 2*time.Second), []Outcome{Failed, Settled})
 		}, "2"},
-		{"weight store outage", true, func(t *testing.T, s *scene) {
+		{"weight store outage", true, func(t *testing.T, s *harness) {
 			s.platform.Weights.SetFaults(standin.Faults{Outage: true})
 			s.reconcile(t, 0, 3*time.Second)
 			is.New(t).Equal(s.have(t).Version, "1")
 			s.platform.Weights.SetFaults(standin.Faults{})
 			s.reconcile(t, 0, 5*time.Second)
 		}, "2"},
-		{"configuration change", true, func(t *testing.T, s *scene) {
+		{"configuration change", true, func(t *testing.T, s *harness) {
 			s.reconcile(t, 0, 2*time.Second)
 			s.target.Want.Version = "3"
 			s.reconcile(t, 0, 4*time.Second)
 		}, "3"},
-		{"adapters need no permit", true, func(t *testing.T, s *scene) {
+		{"adapters need no permit", true, func(t *testing.T, s *harness) {
 			s.target.Want = State{
 				Model:    "m1",
 				Version:  "1",
@@ -150,7 +150,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScene(t, c.checks)
+				s := newHarness(t, c.checks)
 				defer s.engine.Stop()
 				c.run(t, s)
 				is.New(t).Equal(s.have(t).Version, c.want)
