--- a/pool/stats.go
+++ b/pool/stats.go
@@ -32,10 +32,10 @@
 	// endpoint's slowdown.
 	PaceAsked   int `json:"pace_asked"`
 	PaceChanges int `json:"pace_changes"`
-	// Cut counts the attempts with a known prompt length that failed, were abandoned or were lost
-	// with a session. Returned counts those of them whose callers came back within a second, and
+	// Interrupted counts the attempts with a known prompt length that failed, were abandoned or were
+	// lost with a session. Returned counts those of them whose callers came back within a second, and
 	// ReconnectBursts the reconnect bursts.
-	Cut             int `json:"cut"`
+	Interrupted     int `json:"cut"`
 	Returned        int `json:"returned"`
 	ReconnectBursts int `json:"crowds"`
 	// Suspected counts the reports of silent attempts, Confirmed the endpoints excluded because
@@ -48,7 +48,8 @@
 	Absent    int `json:"absent"`
 	// Limited is the number of endpoints that announce a rate limit. PassedOver counts the
 	// endpoints that placements skipped because of a back-off or a rate limit. Unavailable counts
-	// the requests refused because all endpoints were leaving, backing off or at their rate limits.
+	// the requests refused because no endpoint was usable soon enough, due to departures, back-offs
+	// or rate limits.
 	Limited     int   `json:"limited"`
 	PassedOver  int64 `json:"passed_over"`
 	Unavailable int64 `json:"unavailable"`
@@ -73,7 +74,7 @@
 			PaceChanges:     p.slowdowns.changes,
 			Cold:            p.cold.count(s.settings.Now()),
 			ColdPassedOver:  p.cold.passedOver,
-			Cut:             p.reconnects.cuts,
+			Interrupted:     p.reconnects.interruptions,
 			Returned:        p.reconnects.returned,
 			ReconnectBursts: p.reconnects.bursts,
 			Suspected:       p.suspicion.reports,
