--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -35,7 +35,8 @@
 type storeStats struct {
 	// Version is the version of the configuration in force.
 	Version int64 `json:"version"`
-	// AgeMS is an upper bound of the age of the configuration, in ms.
+	// AgeMS is an upper bound of how outdated the configuration is, in ms. The configuration
+	// includes every version that the store had accepted that long ago.
 	AgeMS int64 `json:"age_ms"`
 	// Endpoints is the number of known endpoints, including leaving ones.
 	Endpoints int `json:"endpoints"`
--- a/gateway/assemble.go
+++ b/gateway/assemble.go
@@ -138,10 +138,10 @@
 // instance. Most messages are far smaller.
 const rpcBufferBytes = 16 << 10
 
-// pollsPerRevoke is the ratio of the time limit for refusing revoked keys to the wait time of a poll
-// for configurations.
+// pollsPerRevoke determines the wait time of a poll for configurations: Times.Revoke, the time after
+// which a revoked key must be refused, divided by pollsPerRevoke.
 const pollsPerRevoke = 10
 
-// maxAgeShare is the ratio of MaxAge in the relay's settings to the time limit for refusing revoked
-// keys. The remainder covers the time from the check of a key until the request reaches the endpoint.
+// maxAgeShare determines MaxAge in the relay's settings, as a share of Times.Revoke. The remainder
+// covers the time from the check of a key until the request reaches the endpoint.
 const maxAgeShare = 0.8
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -44,9 +44,12 @@
 	// self describes this instance to other instances.
 	self    catalog.Peer
 	catalog *catalog.Catalog
-	// pools places requests in the pools that this instance owns and in those without an owner.
-	// placer sends each placement request to the pool's owner, or to pools if this instance is the
-	// owner, or if the pool has no owner or none can be reached.
+	// pools is the local scheduler. It places the requests that placer passes to it, and those that
+	// other instances send to this one as the owner or a standby of a pool.
+	//
+	// placer sends each placement request to the owner of the request's pool, or to a standby if the
+	// owner can't be reached. It passes the request to pools if this instance is that owner or
+	// standby, if the pool has no owner, or if no owner or standby can be reached.
 	pools  *pool.Scheduler
 	placer *pool.Client
 	// quarantine tracks requests that crash endpoints. recorder writes its bans to the store and
@@ -124,7 +127,7 @@
 				return listed
 			})
 			if s.Complete {
-				// With an incomplete list of instances the client would choose wrong owners.
+				// With an incomplete list of instances, the placer would choose wrong owners.
 				g.placer.Update(s)
 			}
 			if !maps.Equal(banned, s.Banned) {
@@ -148,8 +151,8 @@
 // idleCheckInterval is how often idle connections to endpoints are checked.
 const idleCheckInterval = time.Second
 
-// closeIdleUpstream periodically closes the connections to endpoints that have been idle for their
-// idle timeout, until ctx ends.
+// closeIdleUpstream closes each idle connection to an endpoint after the connection's idle timeout
+// has passed, until ctx ends.
 func (g *Gateway) closeIdleUpstream(ctx context.Context) {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// newServer returns a server with the limits above.
+// newServer returns an HTTP server with limits on the headers of requests and on idle connections.
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -11,11 +11,12 @@
 
 // The times of a planned stop.
 const (
-	// balancerDelay is how long the load balancer may still send new connections. It checks
-	// readiness every second and removes an instance after two failed checks.
+	// balancerDelay is how long the load balancer may still send new connections after the instance
+	// has become unready. The load balancer checks readiness every second and removes an instance
+	// after two failed checks.
 	balancerDelay = 2200 * time.Millisecond
-	// stopMargin is how much earlier the instance's time limit for a stop ends than the platform's,
-	// after which the platform kills the process.
+	// stopMargin is subtracted from the platform's time limit for a stop, because the platform kills
+	// the process at that limit.
 	stopMargin = 700 * time.Millisecond
 )
 
