--- a/node/wire_test.go
+++ b/node/wire_test.go
@@ -19,7 +19,7 @@
 	"github.com/linkmast/linkmast/rollout/rolloutpb"
 )
 
-// countingConn adds the bytes that it reads and writes to n.
+// countingConn is a connection that counts its bytes in both directions. n is their sum.
 type countingConn struct {
 	net.Conn
 
