--- a/node/node.go
+++ b/node/node.go
@@ -61,8 +61,8 @@
 	peers    *peers
 	member   *member.Member
 	rollout  *rollout.Rollout
-	// generation holds the rollout for Generation, which may be called before the rollout exists;
-	// nil until then.
+	// generation points to the rollout, and is nil until the rollout exists. The method Generation
+	// reads this field, because the component member may call Generation before rollout is set.
 	generation atomic.Pointer[rollout.Rollout]
 	owner      *owner.Owner
 	entry      *entry.Entry
@@ -181,8 +181,8 @@
 	return n, nil
 }
 
-// assemble creates the components. Functions that refer to components created later must not be
-// called before those exist.
+// assemble creates the components. A function that uses a component created later must not be
+// called before that component exists.
 func (n *Node) assemble() {
 	f := n.settings
 	client := wirehttp.Client()
@@ -299,7 +299,7 @@
 // instance.
 const rpcBufferBytes = 16 << 10
 
-// newServer returns an HTTP server with the limits above.
+// newServer returns an HTTP server with limits on the headers of requests and on idle connections.
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
--- a/node/peers.go
+++ b/node/peers.go
@@ -52,7 +52,7 @@
 func (p *peers) ConnTo(id string) (*grpc.ClientConn, error) {
 	i, ok := p.view().Listed[id]
 	if !ok {
-		return nil, errors.Errorf("instance %q is not on the list", id)
+		return nil, errors.Errorf("instance %q is not in the list of instances", id)
 	}
 	return p.conn(i)
 }
@@ -113,8 +113,8 @@
 }
 
 // Reader implements rollout.Peers. The first readersPerDomain available instances of each failure
-// domain by rendezvous hashing are readers. An instance that isn't available itself is one too if its
-// failure domain has fewer available instances.
+// domain by rendezvous hashing are readers. If a failure domain has fewer available instances than
+// that, its unavailable instances are readers as well.
 func (p *peers) Reader() bool {
 	v := p.view()
 	before := 0
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -11,13 +11,13 @@
 	"github.com/linkmast/linkmast/quarantine"
 )
 
-// countingInstances is the number of instances that count the crashes of a request. The counts
-// survive the failure of one of them.
+// countingInstances is the number of instances that count the crashes that a request causes. The
+// counts survive the failure of one of these instances.
 const countingInstances = 2
 
 // crashKey returns the key by which rendezvous hashing ranks the instances for an identity. The
-// ranking determines which instances count the crashes of the identity, and in which order
-// instances may admit its request again after a ban.
+// ranking determines which instances count the crashes that requests of the identity cause, and in
+// which order instances may admit such a request again after a ban.
 func crashKey(id quarantine.Identity) string {
 	return "crashes:" + id.String()
 }
@@ -28,7 +28,7 @@
 }
 
 // retestTurn returns this instance's position in the order in which instances may admit a request
-// again after its ban.
+// again after its ban. The position is zero if this instance isn't available.
 func (p *peers) retestTurn(id quarantine.Identity) quarantine.RetestTurn {
 	v := p.view()
 	return quarantine.RetestTurn{
--- a/node/stop.go
+++ b/node/stop.go
@@ -45,7 +45,7 @@
 	claimPollInterval = 50 * time.Millisecond
 )
 
-// awaitFreedClaims waits until the claimer has freed all claims that it should, ctx ends, or
+// awaitFreedClaims waits until the claimer has no claim left to free, until ctx ends, or until
 // claimFreeTimeout has passed.
 func (n *Node) awaitFreedClaims(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, claimFreeTimeout)
--- a/node/tls.go
+++ b/node/tls.go
@@ -15,7 +15,8 @@
 
 // transportCredentials returns the client and server credentials for connections between
 // instances, or nil if t is empty. Each side verifies that the other's certificate is signed by one
-// of the authorities. The client also verifies the server's name or address in it.
+// of the authorities. The client also verifies that the server's certificate is valid for the name
+// or address by which the client connects.
 func transportCredentials(t settings.TLS) (client, server credentials.TransportCredentials, err error) {
 	if t == (settings.TLS{}) {
 		return nil, nil, nil
