--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -229,7 +229,8 @@
 			g.assertInForce(t, 1, 0)
 			g.log.SetFaults(standin.Faults{})
 			time.Sleep(10 * time.Second)
-			// The record was trimmed during the outage. The repeater must have written it again.
+			// The record of generation 1 was trimmed during the outage. The repeater must have written
+			// the file again.
 			_, verdicts, err := Replay(t.Context(), g.log)
 			is := is.New(t)
 			is.NoErr(err)
@@ -283,7 +284,7 @@
 }
 
 // TestTimeToForce checks that a published configuration is in force on all of n instances within
-// 18 seconds, in virtual time. At most 24 of them read the log.
+// 18 seconds, in virtual time. At most 24 of them are readers of the log.
 func TestTimeToForce(t *testing.T) {
 	for _, n := range []int{8, 30, 100, 300, 1200} {
 		t.Run(fmt.Sprintf("n=%d", n), func(t *testing.T) {
