--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -8,17 +8,18 @@
 //
 //   - A publication that replaces no particular generation is accepted.
 //   - A publication that replaces generation G is accepted if G is in force at that point of the
-//     stream. If two operators publish at the same time, one of them is therefore refused.
+//     stream. If two operators replace G at the same time, one of them is therefore refused.
 //   - A publication that carries a delta against the file of G is accepted by the same rule. It
 //     can't be decoded unless G is in force.
-//   - A repeat of the generation in force carries its file beyond the log's retention time. It
-//     changes the configuration only of a reader that has missed records or doesn't know the format
-//     of one.
+//   - A repeat writes the file of the generation in force to the log again, before the log's
+//     retention time has passed. It changes the configuration only of a reader that has missed
+//     records or doesn't know the format of one.
 //
 // A newer generation replaces an older one and never the reverse, even if an instance that was
 // paused repeats an old generation.
 //
-// A few instances of each failure domain read the log. All instances also pull from random peers,
-// which answer with a delta against the caller's file if they still have that file. An instance
-// that has had no successful read or pull for StaleAfter reads the log itself.
+// A few instances of each failure domain read the log. All instances also pull from random peers.
+// A peer with a newer configuration answers with that configuration, as a delta if it still has the
+// caller's file. An instance that has had no successful read or pull for StaleAfter reads the log
+// itself.
 package rollout
--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -26,8 +26,8 @@
 const (
 	// Accepted is a publication that came into force.
 	Accepted Outcome = "accepted"
-	// Repeated is a repeat of the generation in force, or, while the evaluator is not certain, of a
-	// newer generation than the known one.
+	// Repeated is a repeat of the generation in force. While the evaluator is not certain which one
+	// that is, a repeat of a newer generation than the known one is Repeated as well.
 	Repeated Outcome = "repeated"
 	// Stale is a repeat of a generation older than the one in force.
 	Stale Outcome = "stale"
@@ -38,8 +38,8 @@
 	// that was not accepted.
 	Invalid Outcome = "invalid"
 	// Unjudged is a record that can't be evaluated because its format is unknown, or because it
-	// depends on records that are missing or have an unknown format. A publication that isn't a
-	// delta may still come into force after the next repeat.
+	// depends on records that are missing or have an unknown format. In the second case, a
+	// publication that isn't a delta may still come into force after the next repeat.
 	Unjudged Outcome = "unjudged"
 )
 
@@ -80,8 +80,8 @@
 	// uncertain is true if InForce may be outdated, because a record was missed or has an unknown
 	// format.
 	uncertain bool
-	// pending are the publications read while uncertain was true that replace a particular
-	// generation and carry a whole file.
+	// pending are publications that were read while uncertain was true. Each of them replaces a
+	// particular generation and carries a whole file.
 	pending []pending
 }
 
@@ -97,8 +97,9 @@
 	return !e.uncertain
 }
 
-// Adopt applies the state of a peer, whose Next is next and whose Certain is sure. It takes over s
-// only if s is newer than InForce, and next and sure only if next is above Next.
+// Adopt applies the state of a peer: its configuration s, the offset next that it reads next, and
+// sure, the result of its Certain. Adopt replaces InForce only if s is newer. It replaces Next and
+// the certainty of e only if next is greater than Next, and then drops the pending publications.
 func (e *Evaluator) Adopt(s State, next int64, sure bool) {
 	if s.Generation > e.InForce.Generation {
 		e.InForce = s
@@ -208,7 +209,8 @@
 	}
 }
 
-// evaluatePublication evaluates a publication.
+// evaluatePublication evaluates a publication whose file is in s. The publication becomes pending if
+// it replaces a particular generation and the evaluator is uncertain.
 func (e *Evaluator) evaluatePublication(v Verdict, rec *rolloutpb.Record, s State) Verdict {
 	s.Generation = v.Offset
 	switch {
--- a/rollout/publish.go
+++ b/rollout/publish.go
@@ -36,12 +36,13 @@
 // rereadDelay is the delay before the log is read again after a failed read.
 const rereadDelay = 200 * time.Millisecond
 
-// Publish checks a file, appends it to the log and returns its verdict, which it reads from the
-// log, also if the answer to the append was lost. It returns an error saying that the file is not
-// published if the append failed, or if its answer was lost and the log doesn't hold the record. It
-// returns an error saying that the outcome is unknown if the reads fail until ctx ends, or if the
-// log no longer holds the record after a successful append. After failed reads, Find can look up
-// the verdict later.
+// Publish checks a file, appends it to the log, and then reads the verdict from the log. It also
+// looks for the verdict if the answer to the append was lost.
+//
+// An error that starts with "not published" means that the append failed, or that its answer was
+// lost and the log doesn't hold the record. An error that starts with "outcome unknown" means that
+// the reads failed until ctx ended, or that the append succeeded but the log doesn't hold the
+// record. After failed reads, Find can look up the verdict later.
 func Publish(ctx context.Context, log logsvc.Log, p Publication) (Verdict, error) {
 	if _, err := config.Parse(p.Text); err != nil {
 		return Verdict{}, err
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -104,10 +104,11 @@
 	sum [sha256.Size]byte
 	// bases are the most recent files in force, oldest first.
 	bases []baseText
-	// deltas caches the compressed file in force by the hash of its base. The zero hash stands for
-	// the whole file.
+	// deltas caches the compressed deltas from kept files to the file in force, by the hash of the
+	// kept file. The whole compressed file is cached under the zero hash.
 	deltas map[[sha256.Size]byte][]byte
-	// lastContact is the time of the last successful read or pull.
+	// lastContact is the time of the last successful read or pull. A pull is not successful if the
+	// peer has no configuration in force or its configuration is rejected.
 	lastContact time.Time
 	changed     chan struct{}
 }
@@ -371,8 +372,8 @@
 	return out, nil
 }
 
-// findBase returns the kept file with a hash, or nil if it isn't kept. The caller must hold the
-// lock.
+// findBase returns the file in bases whose hash is sum, or nil if there is none. The caller must
+// hold the lock.
 func (r *Rollout) findBase(sum []byte) []byte {
 	if len(sum) != sha256.Size {
 		return nil
