--- a/relay/crash.go
+++ b/relay/crash.go
@@ -11,9 +11,8 @@
 )
 
 // helperBlameDelay is the time from the start of an attempt after which a rejection that blames a
-// helper is taken as a sign that the helper crashed during the attempt. In that case the endpoint
-// waits for the helper before it rejects the request, for longer than helperBlameDelay. An earlier
-// rejection is taken to mean that the helper was already down or could not help.
+// helper makes that helper suspected of a crash. An earlier one is taken to mean that the helper was
+// already down or could not help, and raises no suspicion.
 const helperBlameDelay = 300 * time.Millisecond
 
 // enterQuarantine admits a request to run, or refuses it while its identity is banned or being
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -109,8 +109,8 @@
 		case <-tick.C:
 		}
 		for _, r := range h.items {
-			// A failed renewal is repeated at the next tick. If the reservation expires before
-			// one succeeds, the request is cut off.
+			// A failed renewal is repeated at the next tick. If no renewal succeeds for
+			// reservationTTL, the reservation can expire, and the attempt may then fail.
 			h.done.Go(func() { _ = h.reserveOne(ctx, r) })
 		}
 	}
