--- a/node/node.go
+++ b/node/node.go
@@ -61,14 +61,14 @@
 	peers    *peers
 	member   *member.Member
 	rollout  *rollout.Rollout
-	// generation points to the rollout, and is nil until the rollout exists. The method Generation
+	// atomicRollout points to the rollout, and is nil until the rollout exists. The method Generation
 	// reads this field, because the component member may call Generation before rollout is set.
-	generation atomic.Pointer[rollout.Rollout]
-	owner      *owner.Owner
-	entry      *entry.Entry
-	writer     *claim.Writer
-	claimer    *claim.Claimer
-	lender     *limit.Lender
+	atomicRollout atomic.Pointer[rollout.Rollout]
+	owner         *owner.Owner
+	entry         *entry.Entry
+	writer        *claim.Writer
+	claimer       *claim.Claimer
+	lender        *limit.Lender
 	// quarantine tracks requests that crash endpoints. peerGuard shares crashes and verdicts with
 	// other instances.
 	quarantine *quarantine.Registry
@@ -211,7 +211,7 @@
 	n.rollout = rollout.New(rollout.Settings{
 		RepeatAfter: time.Duration(f.Times.RepeatConfiguration),
 	}, log, n.peers, n.log.WithName("rollout"))
-	n.generation.Store(n.rollout)
+	n.atomicRollout.Store(n.rollout)
 	n.quarantine = quarantine.New(steady.Now, n.peers.retestTurn, n.log.WithName("quarantine"))
 	n.peerGuard = quarantine.NewPeerGuard(n.quarantine, n.peers, n.log.WithName("quarantine"))
 	endpoints := &endpointClients{
@@ -318,7 +318,7 @@
 
 // Generation returns the generation of the configuration in force, or zero if there is none.
 func (n *Node) Generation() int64 {
-	if r := n.generation.Load(); r != nil {
+	if r := n.atomicRollout.Load(); r != nil {
 		return r.Generation()
 	}
 	return 0
