--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -49,7 +49,7 @@
 }
 
 // storeStats returns the current statistics. AgeMS is zero before the store has confirmed a
-// configuration, and the version and the numbers are zero before the first snapshot.
+// configuration. Version, Endpoints, Departed and Peers are zero before the first snapshot.
 func (g *Gateway) storeStats() storeStats {
 	f := storeStats{
 		Following: g.catalog.Stats(),
