--- a/node/doc.go
+++ b/node/doc.go
@@ -2,7 +2,7 @@
 
 // Package node runs one instance on a platform with a log.
 //
-// It connects the entry, which serves callers, the owner of endpoints, membership, the rollout of
+// It connects the entry (which serves callers), the owner of endpoints, membership, the rollout of
 // configurations, the claims on once-only keys, the customers' quotas, and the connections
 // between instances.
 //
--- a/node/follow.go
+++ b/node/follow.go
@@ -78,8 +78,9 @@
 	n.pool.CloseUnless(func(a string) bool { return known[a] })
 }
 
-// watchOwners forwards summaries of endpoints to the entry until ctx ends: those of this instance's
-// endpoints, and those that up to maxWatched other instances of the region send over a stream each.
+// watchOwners forwards summaries of endpoints to the entry until ctx ends. It forwards the summaries
+// of this instance's endpoints, and opens streams to up to maxWatched other instances of the region
+// for the summaries of theirs.
 func (n *Node) watchOwners(ctx context.Context) {
 	watches := make(map[string]context.CancelFunc)
 	var all sync.WaitGroup
