--- a/node/node.go
+++ b/node/node.go
@@ -61,14 +61,14 @@
 	peers    *peers
 	member   *member.Member
 	rollout  *rollout.Rollout
-	// generation holds the rollout for Generation, which may be called before the rollout exists;
-	// nil until then.
-	generation atomic.Pointer[rollout.Rollout]
-	owner      *owner.Owner
-	entry      *entry.Entry
-	writer     *claim.Writer
-	claimer    *claim.Claimer
-	lender     *limit.Lender
+	// atomicRollout points to the rollout, and is nil until the rollout exists. The method Generation
+	// reads this field, because the component member may call Generation before rollout is set.
+	atomicRollout atomic.Pointer[rollout.Rollout]
+	owner         *owner.Owner
+	entry         *entry.Entry
+	writer        *claim.Writer
+	claimer       *claim.Claimer
+	lender        *limit.Lender
 	// quarantine tracks requests that crash endpoints. peerGuard shares crashes and verdicts with
 	// other instances.
 	quarantine *quarantine.Registry
@@ -181,8 +181,8 @@
 	return n, nil
 }
 
-// assemble creates the components. Functions that refer to components created later must not be
-// called before those exist.
+// assemble creates the components. A function that uses a component created later must not be
+// called before that component exists.
 func (n *Node) assemble() {
 	f := n.settings
 	client := wirehttp.Client()
@@ -211,7 +211,7 @@
 	n.rollout = rollout.New(rollout.Settings{
 		RepeatAfter: time.Duration(f.Times.RepeatConfiguration),
 	}, log, n.peers, n.log.WithName("rollout"))
-	n.generation.Store(n.rollout)
+	n.atomicRollout.Store(n.rollout)
 	n.quarantine = quarantine.New(steady.Now, n.peers.retestTurn, n.log.WithName("quarantine"))
 	n.peerGuard = quarantine.NewPeerGuard(n.quarantine, n.peers, n.log.WithName("quarantine"))
 	endpoints := &endpointClients{
@@ -299,7 +299,7 @@
 // instance.
 const rpcBufferBytes = 16 << 10
 
-// newServer returns an HTTP server with the limits above.
+// newServer returns an HTTP server with limits on the headers of requests and on idle connections.
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -318,7 +318,7 @@
 
 // Generation returns the generation of the configuration in force, or zero if there is none.
 func (n *Node) Generation() int64 {
-	if r := n.generation.Load(); r != nil {
+	if r := n.atomicRollout.Load(); r != nil {
 		return r.Generation()
 	}
 	return 0
