--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -93,7 +93,7 @@
 			w := newCluster(t, 1)
 			faulty := []string{"p1", "p2"}
 			if !row.all {
-				faulty = []string{w.used(row.path, "p1", "p2")}
+				faulty = []string{w.usedEndpoint(row.path, "p1", "p2")}
 			}
 			before := w.totalArrivals(faulty...)
 			w.setFaults(row.faults, faulty...)
@@ -112,9 +112,9 @@
 	}
 }
 
-// used sends a request to instance 0 and returns which of the named endpoints ran it. The instance
-// uses this endpoint for later requests, too, as long as none run at the same time.
-func (w *cluster) used(path string, names ...string) string {
+// usedEndpoint sends a request to instance 0 and returns which of the named endpoints ran it. While
+// their loads are equal, the instance also prefers this endpoint for later requests.
+func (w *cluster) usedEndpoint(path string, names ...string) string {
 	w.t.Helper()
 	w.send(0, request{id: "first", path: path, method: method(path)})
 	for _, name := range names {
@@ -324,7 +324,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			w := newCluster(t, 1)
-			leaving := w.used("/safe/", "p1", "p2")
+			leaving := w.usedEndpoint("/safe/", "p1", "p2")
 			row.leave(w, leaving)
 			w.awaitAll("departure known", func(f stats) bool { return f.Store.Departed == 1 })
 			before := w.totalRuns(leaving)
@@ -341,7 +341,7 @@
 func TestAddressReused(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1)
-	reused := w.used("/unsafe/", "p1", "p2")
+	reused := w.usedEndpoint("/unsafe/", "p1", "p2")
 	w.endpoints[reused].SetInstance("q1")
 	runs, arrivals := w.totalRuns(reused), w.totalArrivals(reused)
 	for i := range 6 {
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -18,9 +18,9 @@
 // cancelWithin is the maximum time until all work for a disconnected caller has ended.
 const cancelWithin = 500 * time.Millisecond
 
-// sendAndLeave sends a request and disconnects after a time. It reports whether it disconnected
+// sendAndDisconnect sends a request and disconnects after a time. It reports whether it disconnected
 // before the answer was complete.
-func (w *cluster) sendAndLeave(i int, c request, after time.Duration) bool {
+func (w *cluster) sendAndDisconnect(i int, c request, after time.Duration) bool {
 	ctx, cancel := context.WithTimeout(w.t.Context(), after)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.gateways[i].Listen+c.path, nil)
@@ -122,21 +122,21 @@
 				t.Parallel()
 				w := newCluster(t, 2)
 				row.prepare(w)
-				w.assertLeaves(at, row.call, row.after)
+				w.assertCanceled(at, row.call, row.after)
 			})
 		}
 	}
 }
 
-// assertLeaves sends a request to instance at, or to the last one if there are more than two, and
+// assertCanceled sends a request to instance at, or to the last one if there are more than two, and
 // disconnects after a time. It checks that no work for the request is left or starts later.
-func (w *cluster) assertLeaves(at int, c request, after time.Duration) {
+func (w *cluster) assertCanceled(at int, c request, after time.Duration) {
 	w.t.Helper()
 	if len(w.gateways) > 2 {
 		at = len(w.gateways) - 1
 	}
 	c.id = "left"
-	if !w.sendAndLeave(at, c, after) {
+	if !w.sendAndDisconnect(at, c, after) {
 		w.t.Fatal("answered before the caller left")
 	}
 	time.Sleep(cancelWithin)
@@ -168,7 +168,7 @@
 	w.t.Helper()
 	w.setEvents(300)
 	for i := range 2 {
-		go w.sendAndLeave(i, request{id: "fill" + strconv.Itoa(i), path: "/once/", tokens: 150_000, wait: 4000}, 3*time.Second)
+		go w.sendAndDisconnect(i, request{id: "fill" + strconv.Itoa(i), path: "/once/", tokens: 150_000, wait: 4000}, 3*time.Second)
 	}
 	w.await("memory is occupied", func() bool {
 		return w.endpoints["e1"].Running()+w.endpoints["e2"].Running() == 2
