--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -237,7 +237,7 @@
 	return n
 }
 
-// attempts returns how many times an endpoint has received a request with the body crashBody.
+// attempts returns how many times endpoints have started to run a request with the body crashBody.
 func (w *crashCluster) attempts() int {
 	n := 0
 	for _, x := range w.crashing {
@@ -277,7 +277,8 @@
 	return answer
 }
 
-// assertFewCrashes checks the number of attempts of the crashing request and of crashes.
+// assertFewCrashes checks that the crashing request got at most maxCrashes attempts, and that there
+// were at most maxCrashes*maxCrashesPerAttempt crashes.
 func (w *crashCluster) assertFewCrashes(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -270,8 +270,9 @@
 	w.t.Fatalf("condition not met within 5 s: %s", what)
 }
 
-// request is a request from a caller. wait is the caller's time limit in ms. For zero fields, send
-// uses method POST, key k1 and a wait of 4000, and it raises output to at least 100.
+// request is a request from a caller. tokens and output are the numbers of its prompt tokens and
+// output tokens, wait is the caller's time limit in ms. For zero fields, send uses method POST, key k1
+// and a wait of 4000, and it raises output to at least 100.
 type request struct {
 	id     string
 	method string
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -137,7 +137,7 @@
 	}
 	c.id = "left"
 	if !w.sendAndDisconnect(at, c, after) {
-		w.t.Fatal("answered before the caller left")
+		w.t.Fatal("answered before the caller disconnected")
 	}
 	time.Sleep(cancelWithin)
 	w.assertNotRunning(c.id)
