--- a/catalog/encoding.go
+++ b/catalog/encoding.go
@@ -70,7 +70,8 @@
 	return len(entries)
 }
 
-// encodeChanges returns a message with changes, at least one, that all belong to the same feed.
+// encodeChanges returns a message with the changes in entries, which must not be empty and must all
+// belong to the same feed.
 func encodeChanges(entries []entry) (*catalogpb.Update, error) {
 	out := make([]*catalogpb.Record, 0, len(entries))
 	next := int64(0)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -219,8 +219,8 @@
 	return e.metrics.vars
 }
 
-// hitRates estimates which fraction of a customer's prompts is cached, per class of prompt
-// length.
+// hitRates estimates the cached fraction of the prompt tokens of each customer, per class of
+// prompt length.
 type hitRates struct {
 	mu   sync.Mutex
 	rate map[hitKey]float64
--- a/entry/once.go
+++ b/entry/once.go
@@ -17,10 +17,12 @@
 // claimTimeout bounds the wait for the decision on a claim.
 const claimTimeout = 3 * time.Second
 
-// freeingKeyRetryAfter is when a caller may retry while its key is being freed.
+// freeingKeyRetryAfter is how long a caller should wait before a retry while its key is being
+// freed.
 const freeingKeyRetryAfter = time.Second
 
-// logRetryAfter is when a caller may retry if the decision on its claim is not available.
+// logRetryAfter is how long a caller should wait before a retry if the decision on its claim is
+// not available.
 const logRetryAfter = 5 * time.Second
 
 // once runs a request with an idempotency key at most once. If another request holds the key,
--- a/internal/tcp/tcptest/proxy.go
+++ b/internal/tcp/tcptest/proxy.go
@@ -21,9 +21,9 @@
 	// Reset makes the proxy reset all open connections, and new ones as soon as it accepts
 	// them.
 	Reset bool
-	// BlockUp holds back data to the target until the link changes.
+	// BlockUp holds back data to the target while it is set.
 	BlockUp bool
-	// BlockDown holds back data from the target until the link changes.
+	// BlockDown holds back data from the target while it is set.
 	BlockDown bool
 }
 
--- a/owner/grpc.go
+++ b/owner/grpc.go
@@ -323,7 +323,7 @@
 }
 
 // errSuspended means that the host was suspended while a request waited for a lease.
-var errSuspended = errors.New("suspended while it waited for a lease")
+var errSuspended = errors.New("host was suspended while the request waited for a lease")
 
 // Release implements Leaser.
 func (c *Client) Release(ctx context.Context, r Release) error {
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -18,8 +18,8 @@
 	PromptLeft int
 	// PrefillPerToken is the prefill time of one token, without the engine's slowdown.
 	PrefillPerToken time.Duration
-	// Joint states that several engines prefill the prompt together. Such shares go before
-	// other prompts, the latest first.
+	// Joint states that several engines prefill the prompt together. An engine prefills joint
+	// shares before other prompts, the last added first.
 	Joint bool
 	// Helper states that the job only holds a share of a request that runs on another engine.
 	Helper bool
--- a/worth/scale.go
+++ b/worth/scale.go
@@ -235,7 +235,8 @@
 	return out
 }
 
-// tier returns the factor for the ranks of a request; it is 1 for the first ranks by default.
+// tier returns the factor for the customer's and the route's rank of a request. With the default
+// settings it is 1 if both ranks are zero.
 func (s *Settings) tier(r Request) float64 {
 	return s.customer(r.Customer) * s.route(r.RouteRank)
 }
