--- a/pool/ejection.go
+++ b/pool/ejection.go
@@ -19,7 +19,7 @@
 	// rejectedEjection is how long an endpoint is ejected after it rejected a request.
 	rejectedEjection = 60 * time.Millisecond
 	// misplacedEjection is how long an endpoint is ejected after another endpoint was found at
-	// its address, until the catalog has caught up.
+	// its address. It gives the catalog time to learn of the change.
 	misplacedEjection = 5 * time.Second
 	// toleratedFailures is how many failures in a row are attributed to the requests rather
 	// than to the endpoint. An Unreachable outcome exceeds it at once.
--- a/pool/rate_limit.go
+++ b/pool/rate_limit.go
@@ -71,16 +71,16 @@
 type rateLimits struct {
 	// instances is the number of all instances.
 	instances int
-	// fallbackSince is when this instance last began to decide by itself because it reached no
-	// owner, and lastFallback when it last did so. Its first request is delayed by fallbackPhase,
-	// from 0 to 1, times the time between two of its requests.
+	// fallbackSince is when the present period of fallback began, in which this instance decides by
+	// itself because it reaches no owner, and lastFallback is when it last did so. The first request
+	// of the period is delayed by fallbackPhase, from 0 to 1, times the time between two requests.
 	fallbackSince time.Time
 	lastFallback  time.Time
 	fallbackPhase float64
 }
 
-// fallbackTimeout is how long an instance still counts as deciding by itself after the last request
-// for which it reached no owner.
+// fallbackTimeout is how long a period of fallback continues after the last request for which the
+// instance reached no owner. A later one begins a new period.
 const fallbackTimeout = 10 * time.Second
 
 // rateLimit returns the rate limit that the current incarnation of an endpoint announces, if any.
--- a/pool/server_notify.go
+++ b/pool/server_notify.go
@@ -40,7 +40,7 @@
 	}()
 }
 
-// enqueueNotification queues a change, or drops it if the queue is full.
+// enqueueNotification queues a verdict or notice, or drops it if the queue is full.
 func (x *session) enqueueNotification(queue chan<- *poolpb.FromOwner, m *poolpb.FromOwner) {
 	select {
 	case queue <- m:
--- a/pool/state.go
+++ b/pool/state.go
@@ -99,7 +99,7 @@
 	// watched is set if the entry instance is expected to report the attempt when it falls silent.
 	watched bool
 	// orphanMark identifies the ended session through which the attempt came; zero while the
-	// entry instance is connected. cutAt is when that session ended.
+	// entry instance is connected. interruptedAt is when that session ended.
 	orphanMark    int64
 	interruptedAt time.Time
 }
@@ -180,8 +180,9 @@
 	}
 }
 
-// retryBudgetShare is the part of the budget that the instances may use. The rest covers first
-// sends and retries that are counted twice, or not at all, while the owner changes.
+// retryBudgetShare is the part of the budget that the instances may use. The rest is a
+// margin for the first sends and retries that are counted twice, or not at all, while the owner
+// changes.
 const retryBudgetShare = 0.75
 
 // resolve returns the name of the endpoint with the given name or address, or "" if there is
