--- a/account/account.go
+++ b/account/account.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// waitedDivisor divides the target of a late request into the time of waiting for a placement
-// above which its cause is Waited.
+// waitedDivisor determines the cause of a late first event: it is Waited if the request waited for
+// a placement for more than its target divided by waitedDivisor.
 const waitedDivisor = 4
 
 // causeOfLine returns the cause that the line shows.
--- a/catalog/introducing.go
+++ b/catalog/introducing.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// introduceAll introduces this instance to the missing primary followers that are due, and sets
-// in due when the next introduction to each may be made.
+// introduceAll introduces this instance to each missing primary follower whose time in due, if any,
+// has come. It updates due, which holds the earliest time of the next introduction by instance ID.
 func (c *Catalog) introduceAll(ctx context.Context, due map[string]time.Time) {
 	var calls errgroup.Group
 	calls.SetLimit(maxParallelIntroductions)
--- a/catalog/readers.go
+++ b/catalog/readers.go
@@ -34,8 +34,8 @@
 // instances lose their upstream together, the first ones in the order read first, and the
 // others can follow them.
 const (
-	// earlyReaders is the number of instances that read after the shortest delay, minReadDelay,
-	// which gives instances that start together time to find an upstream.
+	// earlyReaders is the number of instances that read after the shortest delay, minReadDelay.
+	// This delay gives instances that start together time to find an upstream.
 	earlyReaders = 8
 	minReadDelay = 50 * time.Millisecond
 	// readDelayStep is the time in which the number of instances that read the store doubles.
--- a/catalog/topology.go
+++ b/catalog/topology.go
@@ -191,12 +191,12 @@
 
 // The pattern of attempts after the quick ones.
 const (
-	// patientEvery is the number of attempts of which one goes to a preferred upstream and
-	// waits there, because preferred upstreams learn first that the store is back. The other
-	// attempts go mostly to the early readers, which have data if the store rejects the readers.
+	// One in patientEvery attempts goes to a preferred upstream and waits there, because
+	// preferred upstreams learn first that the store is back. The other attempts go mostly to the
+	// early readers, which have data if the store rejects the readers.
 	patientEvery = 3
-	// restEvery is the number of those other attempts of which one goes to an instance beyond
-	// the early readers, since that instance may be the only one with fresh data.
+	// One in restEvery of those other attempts goes to an instance beyond the early readers,
+	// since that instance may be the only one with fresh data.
 	restEvery = 8
 )
 
--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -216,10 +216,10 @@
 	}
 }
 
-// findOrphans evaluates a holder's answer to the question which of the attempts ids it has, or the
-// error of that call. It confirms the attempts that the holder has. An attempt is an orphan if the
-// holder doesn't have it, or if the holder has not answered for OrphanAfter. findOrphans ends the
-// leases of orphans, and returns the orphans that run at the endpoint, which must be cancelled.
+// findOrphans evaluates a holder's answer, held or err, to the question which of the attempts in ids
+// it has. It confirms the attempts that the holder has. An attempt is an orphan if the holder doesn't
+// have it, or if the holder has not answered for OrphanAfter. findOrphans ends the leases of orphans,
+// and returns the orphans that run at the endpoint, which must be cancelled.
 func (o *Owner) findOrphans(e *endpoint, holder string, ids, held []string, err error, running map[string]engine.Held) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/pool/reconnect_burst.go
+++ b/pool/reconnect_burst.go
@@ -23,8 +23,8 @@
 	// burstMinPrefill is the least prefill time of a request that may have to wait for a burst:
 	// about one pass of an engine.
 	burstMinPrefill = 60 * time.Millisecond
-	// burstGapFactor limits the gaps that the streams of a burst allow to a multiple of the
-	// shortest one.
+	// A burst includes only the streams whose longest allowed gap is at most burstGapFactor times
+	// the shortest of these gaps.
 	burstGapFactor = 2
 )
 
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -183,8 +183,8 @@
 	return t.handleInterrupted(err, w)
 }
 
-// handleInterrupted returns the result of an attempt that ended, after the request may have
-// been sent, without a complete answer.
+// handleInterrupted returns the result of an attempt without a complete answer whose request may
+// have reached the endpoint.
 func (t *attempt) handleInterrupted(err error, w *watch) result {
 	res := result{
 		outcome: pool.Failed,
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -10,7 +10,7 @@
 
 // Metrics holds the relay's counters and histograms.
 type Metrics struct {
-	// Vars holds all of them by name.
+	// Vars holds all counters and histograms by name.
 	Vars *expvar.Map
 
 	// first observes the times from the arrival of requests to the first events of their
