--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -88,7 +88,7 @@
 	return x
 }
 
-// start starts the endpoint under its next name and writes its store entry.
+// start starts the endpoint, under a new name unless sameName is set, and writes its store entry.
 func (x *crashingEndpoint) start(l net.Listener) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -264,7 +264,7 @@
 
 // TestKeysNotStrict checks an instance without RevokeStrict that can't read the store. It accepts
 // the keys of its newest configuration, and refuses unknown keys and routes with status 503 because
-// they may be new. It refuses the revoked key when it can read the store again.
+// they may be new. It refuses a key that was revoked meanwhile once it can read the store again.
 func TestKeysNotStrict(t *testing.T) {
 	is := is.New(t)
 	w := newLenientCluster(t, 1)
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// assertCanceled sends a request to instance at, or to the last one if there are more than two, and
-// disconnects after a time. It checks that no work for the request is left or starts later.
+// assertCanceled sends a request to the instance with index at, or to the last one if there are more
+// than two, and disconnects after a time. It checks that no work for the request is left or starts later.
 func (w *cluster) assertCanceled(at int, c request, after time.Duration) {
 	w.t.Helper()
 	if len(w.gateways) > 2 {
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -14,8 +14,8 @@
 
 // The bound on requests to an endpoint that announces a rate limit.
 const (
-	// limitGrace is the time from the announcement until the earliest end of a window that the
-	// bound applies to. Such a window may begin before the announcement.
+	// The bound applies to windows that end at least limitGrace after the announcement. They may
+	// begin before it.
 	limitGrace = 3 * time.Second
 	// In any window of length limitWindow an endpoint may receive limitFactor times the requests
 	// that its limit allows, and limitSlack more.
@@ -33,8 +33,8 @@
 	}
 }
 
-// maxInWindow returns the maximum number of arrivals in any window that ends at an arrival not
-// before after.
+// maxInWindow returns the maximum number of arrivals in any window that ends with an arrival at or
+// later than the time after.
 func maxInWindow(arrivals []platformtest.Arrival, after time.Time, window time.Duration) int {
 	n := 0
 	for i, end := range arrivals {
