--- a/pool/shed.go
+++ b/pool/shed.go
@@ -13,7 +13,8 @@
 	// A request counts as late under a plan by which it loses more than lateLossShare of its worth.
 	lateLossShare = 0.4
 	// While at least usedSlotsLimit of the slots are in use, a short first try that would be late
-	// is refused, so that its caller tries again when slots are free.
+	// is refused, so that its caller tries again when slots are free. A request that yields (see
+	// Waiter.yields) is not placed meanwhile.
 	usedSlotsLimit = 0.8
 	// shortTarget is the longest target of a short request, which waits for a slot rather than
 	// for prefill: its prompt is prefilled within a pass.
